--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -32,14 +32,14 @@
   }
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private TreeMap<String, List<Consumer<Answer>>> next = new TreeMap<>();
   private boolean reading;
   private boolean armed;
   private long reads;
 
-  public JobHistory(Timers timers, Ledger ledger, Tables tables) {
+  public JobHistory(Timers timers, StateServiceClient ledger, Tables tables) {
     this.timers = timers;
     this.ledger = ledger;
     this.tables = tables;
@@ -58,7 +58,7 @@
 
   /** Reads what the chains lack, until nothing is. */
   public void chase() {
-    if (ledger.phase() != Ledger.Phase.FOLLOWING || armed) {
+    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING || armed) {
       return;
     }
     for (String id : tables.dependencies().unknown()) {
@@ -110,9 +110,9 @@
         });
   }
 
-  private void take(Ledger.Listed l, TreeMap<String, List<Consumer<Answer>>> open) {
+  private void take(StateServiceClient.ListResult l, TreeMap<String, List<Consumer<Answer>>> open) {
     String last = null;
-    for (Ledger.Change c : l.entries()) {
+    for (StateServiceClient.Change c : l.entries()) {
       last = c.key().substring(PREFIX.length());
       List<Consumer<Answer>> asking = open.get(last);
       if (asking == null) {
--- a/src/main/java/wickdrift/bookkeeping/Ledger.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -20,8 +20,8 @@
  * The state service's client. All our keys share one prefix, so that one watch shows every change
  * in order and its revision says how new the tables are.
  */
-public final class Ledger {
-  private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+public final class StateServiceClient {
+  private static final Logger LOG = LoggerFactory.getLogger(StateServiceClient.class);
 
   /** Where all our keys live. */
   public static final String PREFIX = "w/";
@@ -69,7 +69,7 @@
   /** What became of a transaction. UNKNOWN: it may have been applied, or may yet be. */
   public enum Outcome {
     OK,
-    FAILED,
+    CONDITION_FAILED,
     REFUSED,
     UNKNOWN
   }
@@ -80,9 +80,9 @@
    * @param settled of UNKNOWN: a key that it depends on has changed, so that it was carried out by
    *     {@code rev} or never will be
    */
-  public record Result(
-      Outcome outcome, long rev, Set<String> failed, boolean noLease, boolean settled) {
-    private Result(Outcome outcome, long rev, Set<String> failed, boolean noLease) {
+  public record CommitResult(
+      Outcome outcome, long rev, Set<String> failedKeys, boolean leaseNotFound, boolean settled) {
+    private CommitResult(Outcome outcome, long rev, Set<String> failed, boolean noLease) {
       this(outcome, rev, failed, noLease, false);
     }
   }
@@ -90,18 +90,18 @@
   /** A transaction that is out: who waits for its outcome is told once. */
   private final class Outstanding {
     private final Txn txn;
-    private final Consumer<Result> done;
+    private final Consumer<CommitResult> done;
     private boolean over;
     private boolean seen;
     private boolean settled;
 
-    Outstanding(Txn txn, Consumer<Result> done) {
+    Outstanding(Txn txn, Consumer<CommitResult> done) {
       this.txn = txn;
       this.done = done;
       txn.conditions().keySet().forEach(k -> outstanding.put(k, this));
     }
 
-    void finish(Result r) {
+    void finish(CommitResult r) {
       if (!over) {
         over = true;
         txn.conditions().keySet().forEach(k -> outstanding.remove(k, this));
@@ -124,7 +124,7 @@
         seen = true;
         timers.after(
             ANSWER_LOST_MS,
-            () -> finish(new Result(Outcome.UNKNOWN, rev, Set.of(), false, settled)));
+            () -> finish(new CommitResult(Outcome.UNKNOWN, rev, Set.of(), false, settled)));
       }
     }
   }
@@ -133,7 +133,7 @@
   public record Change(String key, Object value, long stamp) {}
 
   /** Takes the changes in order. */
-  public interface Applier {
+  public interface ChangeListener {
     void reset();
 
     /** A whole copy, its parts read at revisions from {@code rev} on. */
@@ -159,7 +159,7 @@
   private final Timers timers;
   private final Caller caller;
   private final String address;
-  private final Applier applier;
+  private final ChangeListener applier;
   private final MalformedMessages malformed;
   private final Bucket requests;
   private final Bucket writes;
@@ -171,7 +171,7 @@
   private int sharing;
   private boolean sharingFallen;
   private boolean leading;
-  private double fairWrites;
+  private double fairWriteRate;
   private double fairUserWrites;
   private long usersWaitedMs = Long.MIN_VALUE / 2;
   private long refusedByBudget;
@@ -208,13 +208,13 @@
   private record RevWaiter(long rev, Runnable done) {}
 
   /** A client that loads nothing until it is started. */
-  public Ledger(
+  public StateServiceClient(
       Timers timers,
       Caller caller,
       String address,
       Limits limits,
       int nodes,
-      Applier applier,
+      ChangeListener applier,
       MalformedMessages malformed) {
     this.timers = timers;
     this.caller = caller;
@@ -228,7 +228,7 @@
     this.writes = new Bucket(1, now);
     this.userWrites = new Bucket(1, now);
     this.workWrites = new Bucket(1, now);
-    sharedBy(nodes, false);
+    divideLimits(nodes, false);
     requests.fill();
     writes.fill();
     userWrites.fill();
@@ -241,7 +241,7 @@
    * leader has more, since more of the placements are its: with an even share, each controller more
    * would have the leader place less.
    */
-  public final void sharedBy(int members, boolean leads) {
+  public final void divideLimits(int members, boolean leads) {
     if (members == sharing && leads == leading && limits.fallen() == sharingFallen) {
       return;
     }
@@ -256,9 +256,9 @@
     double all = limits.writeRps() * USED;
     double work = all * (1 - USERS);
     fairUserWrites = all * USERS / n;
-    fairWrites =
+    fairWriteRate =
         fairUserWrites + (n == 1 ? work : leads ? work * LEADERS : work * (1 - LEADERS) / (n - 1));
-    othersWrite((all - fairWrites) / 2, fairWrites);
+    setOtherMembersWriteRate((all - fairWriteRate) / 2, fairWriteRate);
   }
 
   /**
@@ -266,32 +266,32 @@
    * most}, but only an even share is saved up: were all to begin at once, the sum would still keep
    * to the limit.
    */
-  public void othersWrite(double perSecond, double most) {
-    double ours = Math.min(most, Math.max(fairWrites, limits.writeRps() * USED - perSecond));
-    writes.rate(ours, fairWrites);
-    double users = fairUserWrites / fairWrites;
+  public void setOtherMembersWriteRate(double perSecond, double most) {
+    double ours = Math.min(most, Math.max(fairWriteRate, limits.writeRps() * USED - perSecond));
+    writes.rate(ours, fairWriteRate);
+    double users = fairUserWrites / fairWriteRate;
     userWrites.rate(ours * users, fairUserWrites);
     double work = ours * (1 - users);
     workWrites.rate(work, Math.max(work, WORK_SAVED));
   }
 
   /** This node's share of the writes that the state service takes, were all to write. */
-  public double fairWrites() {
-    return fairWrites;
+  public double fairWriteRate() {
+    return fairWriteRate;
   }
 
   /** Of this node's changes a second, what users may take at least. */
-  public double userRate() {
+  public double guaranteedUserWriteRate() {
     return fairUserWrites;
   }
 
   /** What another member may write at least, the leader apart. */
-  public double evenWrites() {
+  public double evenWriteRate() {
     return limits.writeRps() * USED / Math.max(1, sharing);
   }
 
   /** How many changes a transaction of our work may have now, {@code most} at most. */
-  public int payable(int most) {
+  public int affordableChanges(int most) {
     long now = timers.nowMs();
     int n = most;
     while (n > 0 && !mayWork(n, now)) {
@@ -329,7 +329,7 @@
   }
 
   /** Transactions that were larger than may be, found here or by the state service. */
-  public long tooLarge() {
+  public long tooLargeCount() {
     return tooLarge;
   }
 
@@ -344,7 +344,7 @@
   }
 
   /** How many writes a second we have sent lately. */
-  public double writing() {
+  public double recentWriteRate() {
     nextWindow();
     return Math.max(window, lastWindow) * 1000.0 / WINDOW_MS;
   }
@@ -376,7 +376,7 @@
   }
 
   /** How much of the write budget is left, from 0 to 1: little calls for fewer, fuller writes. */
-  public double ease() {
+  public double writeBudgetFraction() {
     return writes.level(timers.nowMs());
   }
 
@@ -413,7 +413,7 @@
           try {
             Document d = Document.parse(a.body());
             long r = Math.min(minRev, d.count("ledgerRev"));
-            Listed l = listed(d);
+            ListResult l = listed(d);
             got.addAll(l.entries);
             if (l.truncated && !l.entries.isEmpty()) {
               load(prefix, got.get(got.size() - 1).key(), got, r);
@@ -542,7 +542,7 @@
   }
 
   /** Runs once the tables have reached a revision, which a commit of ours returned. */
-  public void whenAt(long wanted, Runnable done) {
+  public void runAtRevision(long wanted, Runnable done) {
     if (rev >= wanted && phase == Phase.FOLLOWING) {
       done.run();
       return;
@@ -623,15 +623,15 @@
   }
 
   /** Ends a lease of ours at once, and what is tied to it. */
-  public void revoke(long tether, Runnable done) {
+  public void revokeLease(long tether, Runnable done) {
     call("DELETE", "/grants/" + tether, null, CALL_MS, a -> done.run());
   }
 
   /** Reads one key: an empty value with {@code ok} means it is not there. */
-  public record Read(boolean ok, Document value, long stamp) {}
+  public record ReadResult(boolean ok, Document value, long stamp) {}
 
   /** Reads one key as it is in the state service now. */
-  public void read(String key, Consumer<Read> done) {
+  public void read(String key, Consumer<ReadResult> done) {
     call(
         "GET",
         "/store/" + key,
@@ -640,29 +640,29 @@
         a -> {
           try {
             if (a.status() == 404) {
-              done.accept(new Read(true, null, 0));
+              done.accept(new ReadResult(true, null, 0));
             } else if (a.status() == 200) {
               Document d = Document.parse(a.body());
-              done.accept(new Read(true, Document.of(d.raw("v")), d.count("stamp")));
+              done.accept(new ReadResult(true, Document.of(d.raw("v")), d.count("stamp")));
             } else {
-              done.accept(new Read(false, null, 0));
+              done.accept(new ReadResult(false, null, 0));
             }
           } catch (BadMessage e) {
             malformed("read", e);
-            done.accept(new Read(false, null, 0));
+            done.accept(new ReadResult(false, null, 0));
           }
         });
   }
 
   /** A page of records, by key; null when there was no answer. */
-  public record Listed(List<Change> entries, boolean truncated) {}
+  public record ListResult(List<Change> entries, boolean truncated) {}
 
   /**
    * Reads the records of a prefix whose keys come after another, so many at most.
    *
    * @param done gets null when the state service does not answer
    */
-  public void list(String prefix, String after, int most, Consumer<Listed> done) {
+  public void list(String prefix, String after, int most, Consumer<ListResult> done) {
     call(
         "GET",
         "/store?prefix=" + prefix + "&from=" + after + "&most=" + most,
@@ -678,18 +678,18 @@
         });
   }
 
-  private static Listed listed(Document d) throws BadMessage {
+  private static ListResult listed(Document d) throws BadMessage {
     List<Change> got = new ArrayList<>();
     for (Document e : d.docs("entries")) {
       got.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
     }
-    return new Listed(got, d.flag("truncated", false));
+    return new ListResult(got, d.flag("truncated", false));
   }
 
   // ---- writing ----
 
   /** Whose writes come first. */
-  public enum Rank {
+  public enum WritePriority {
     /** Views, members, fences: never held back. */
     AUTHORITY,
     /** Submissions and withdrawals: before our work, but for a part that is kept for that. */
@@ -699,7 +699,7 @@
   }
 
   /** Commits, or refuses at once where the budget of writes does not allow it. */
-  public void commit(Txn txn, Rank rank, Consumer<Result> done) {
+  public void commit(Txn txn, WritePriority rank, Consumer<CommitResult> done) {
     long now = timers.nowMs();
     int n = txn.changes();
     boolean allowed =
@@ -711,9 +711,9 @@
           case WORK -> takeForWork(n, now);
         };
     if (n > 0 && !allowed) {
-      refusedByBudget += rank == Rank.WORK ? 1 : 0;
-      usersWaitedMs = rank == Rank.USER ? now : usersWaitedMs;
-      timers.after(1, () -> done.accept(new Result(Outcome.REFUSED, 0, Set.of(), false)));
+      refusedByBudget += rank == WritePriority.WORK ? 1 : 0;
+      usersWaitedMs = rank == WritePriority.USER ? now : usersWaitedMs;
+      timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
     String over = txn.tooLarge(limits);
@@ -721,7 +721,7 @@
       // Never sent: it would be refused each time. Whoever drafts keeps to the limits; what does
       // not, by a mistake, is told once and is not to use up the rate.
       tooLarge(over);
-      timers.after(1, () -> done.accept(new Result(Outcome.REFUSED, 0, Set.of(), false)));
+      timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
     nextWindow();
@@ -743,23 +743,23 @@
     }
   }
 
-  private Result result(Txn txn, Caller.Answer a) {
+  private CommitResult result(Txn txn, Caller.Answer a) {
     try {
       switch (a.status()) {
         case 200:
-          return new Result(
+          return new CommitResult(
               Outcome.OK, Document.parse(a.body()).count("ledgerRev"), Set.of(), false);
         case 409:
           failedByCondition++;
           Document d = Document.parse(a.body());
-          return new Result(
-              Outcome.FAILED, d.count("ledgerRev"), new HashSet<>(d.texts("failed")), false);
+          return new CommitResult(
+              Outcome.CONDITION_FAILED, d.count("ledgerRev"), new HashSet<>(d.texts("failed")), false);
         case 429:
           refusedByStore++;
           writes.drain();
           workWrites.drain();
           limits.refusedForRate();
-          return new Result(Outcome.REFUSED, 0, Set.of(), false);
+          return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
         case 400:
           String why = String.valueOf(Document.parse(a.body()).raw("error"));
           boolean lease = why.contains("lease");
@@ -768,23 +768,23 @@
             limits.refusedForSize();
             tooLarge(txn.largest() + ": " + why);
           }
-          return new Result(Outcome.REFUSED, 0, Set.of(), lease);
+          return new CommitResult(Outcome.REFUSED, 0, Set.of(), lease);
         case 503:
           refusedByStore++;
-          return new Result(Outcome.REFUSED, 0, Set.of(), false);
+          return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
         default:
-          return new Result(Outcome.UNKNOWN, 0, Set.of(), false);
+          return new CommitResult(Outcome.UNKNOWN, 0, Set.of(), false);
       }
     } catch (BadMessage e) {
       malformed("commit", e);
-      return new Result(Outcome.UNKNOWN, 0, Set.of(), false);
+      return new CommitResult(Outcome.UNKNOWN, 0, Set.of(), false);
     }
   }
 
   // ---- leases ----
 
   /** Asks for a lease; {@code done} gets its id, or 0 if there was no answer. */
-  public void grant(long lifeMs, Consumer<Long> done) {
+  public void grantLease(long lifeMs, Consumer<Long> done) {
     call(
         "POST",
         "/grants",
@@ -801,7 +801,7 @@
   }
 
   /** Renews a lease; {@code done} gets the status of the answer. */
-  public void extend(long tether, Consumer<Integer> done) {
+  public void extendLease(long tether, Consumer<Integer> done) {
     call(
         "POST",
         "/grants/" + tether + "/extend",
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -23,7 +23,7 @@
 import wickdrift.protocol.Document;
 
 /** All that is durable, as of the ledger's revision. Changed by the ledger's changes alone. */
-public final class Tables implements Ledger.Applier {
+public final class Tables implements StateServiceClient.ChangeListener {
   private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
 
   /**
@@ -174,7 +174,7 @@
     return missed && unreadable.isEmpty();
   }
 
-  private void noteForm(Ledger.Change c) throws BadMessage {
+  private void noteForm(StateServiceClient.Change c) throws BadMessage {
     if (c.value() != null && Form.of(c.value()) < Form.NUMBERED) {
       oldForms.add(c.key());
     } else {
@@ -606,15 +606,15 @@
    * is newer than {@code rev} in the logs comes again, in its order, as changes.
    */
   @Override
-  public void load(List<Ledger.Change> all, long rev) {
+  public void load(List<StateServiceClient.Change> all, long rev) {
     record Of(String page, Page.Run run) {}
     List<Of> runs = new ArrayList<>();
-    for (Ledger.Change c : all) {
+    for (StateServiceClient.Change c : all) {
       if (!Page.isPage(c.key()) && !Job.isChunk(c.key())) {
         apply(c, true);
       }
     }
-    for (Ledger.Change c : all) {
+    for (StateServiceClient.Change c : all) {
       if (Job.isChunk(c.key())) {
         apply(c, true);
       } else if (Page.isPage(c.key())) {
@@ -646,10 +646,10 @@
 
   /** Takes changes in the order of their revisions, whatever the order in which they come. */
   @Override
-  public void apply(List<Ledger.Change> news, long rev) {
+  public void apply(List<StateServiceClient.Change> news, long rev) {
     List<Step> steps = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (Ledger.Change c : news) {
+    for (StateServiceClient.Change c : news) {
       if (Page.isPage(c.key())) {
         Page p = page(c);
         for (Page.Run r : p == null ? List.<Page.Run>of() : p.runs()) {
@@ -677,7 +677,7 @@
   }
 
   /** Up to which revision a chunk or a shelf holds what the logs say; 0 for other records. */
-  private static long holds(Ledger.Change c) {
+  private static long holds(StateServiceClient.Change c) {
     boolean stored = Job.isChunk(c.key()) || c.key().startsWith("w/h/");
     try {
       return stored && c.value() != null ? Form.read(c.value(), formOf(c.key())).count("rev") : 0;
@@ -687,7 +687,7 @@
   }
 
   /** Notes a page as it is now; null when it is gone or can't be read. */
-  private Page page(Ledger.Change c) {
+  private Page page(StateServiceClient.Change c) {
     String node = Page.node(c.key());
     try {
       if (c.value() == null) {
@@ -713,7 +713,7 @@
     }
   }
 
-  private void apply(Ledger.Change c, boolean whole) {
+  private void apply(StateServiceClient.Change c, boolean whole) {
     try {
       applyChecked(c, whole);
       unreadable.remove(c.key());
@@ -767,13 +767,13 @@
     return o != null;
   }
 
-  private static void unknown(Ledger.Change c) throws BadMessage {
+  private static void unknown(StateServiceClient.Change c) throws BadMessage {
     if (c.value() != null) {
       throw new BadMessage("nobody here knows such a record");
     }
   }
 
-  private void applyChecked(Ledger.Change c, boolean whole) throws BadMessage {
+  private void applyChecked(StateServiceClient.Change c, boolean whole) throws BadMessage {
     String key = c.key();
     if (key.equals(View.KEY)) {
       View read = c.value() == null ? null : View.parse(c.value());
--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 import wickdrift.bookkeeping.JobHistory;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Exchange;
@@ -10,7 +10,7 @@
 
 /** The users' interface: submissions, status and withdrawals. */
 public final class Admission {
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Types types;
   private final Submissions submissions;
@@ -20,7 +20,7 @@
   /** Wires the handlers of users' requests. */
   public Admission(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       JobHistory history,
       SchedulingState scheduling,
@@ -48,7 +48,7 @@
 
   /** Whether requests can be served at all. */
   public boolean ready() {
-    return ledger.phase() == Ledger.Phase.FOLLOWING && tables.view() != null && types.known();
+    return ledger.phase() == StateServiceClient.Phase.FOLLOWING && tables.view() != null && types.known();
   }
 
   /** Once that is so, no submission is taken any more. */
--- a/src/main/java/wickdrift/coordination/AwaitedJobs.java
+++ b/src/main/java/wickdrift/coordination/AwaitedJobs.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.JobHistory;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.JobSpec;
 
@@ -17,11 +17,11 @@
     void refused(Submission s, String why);
   }
 
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final JobHistory history;
 
-  AwaitedJobs(Ledger ledger, Tables tables, JobHistory history) {
+  AwaitedJobs(StateServiceClient ledger, Tables tables, JobHistory history) {
     this.ledger = ledger;
     this.tables = tables;
     this.history = history;
--- a/src/main/java/wickdrift/coordination/Confirmations.java
+++ b/src/main/java/wickdrift/coordination/Confirmations.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
@@ -67,7 +67,7 @@
   }
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Reporting reporting;
   private final String node;
@@ -82,7 +82,7 @@
   /** Nothing is asked until somebody waits for an answer. */
   public Confirmations(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Reporting reporting,
       String node,
@@ -167,7 +167,7 @@
         || job == null
         || !job.withdrawn()
         || tables.barred() != null
-        || ledger.phase() != Ledger.Phase.FOLLOWING) {
+        || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       return null;
     }
     Map<String, List<String>> left = new TreeMap<>();
@@ -249,7 +249,7 @@
     if (peer == null || number < 0 || v == null || v.epoch() != w.epoch()) {
       return;
     }
-    if (tables.barred() != null || ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (tables.barred() != null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       return;
     }
     BitSet places = new BitSet();
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Page;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
@@ -29,7 +29,7 @@
   private static final long GAP_MS = 250;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Membership membership;
   private final Settings settings;
@@ -37,7 +37,7 @@
   private long nextMs;
 
   Conversion(
-      Timers timers, Ledger ledger, Tables tables, Membership membership, Settings settings) {
+      Timers timers, StateServiceClient ledger, Tables tables, Membership membership, Settings settings) {
     this.timers = timers;
     this.ledger = ledger;
     this.tables = tables;
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Bucket;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition.Share;
 import wickdrift.bookkeeping.Tables;
@@ -56,7 +56,7 @@
 
   private final Timers timers;
   private final Caller caller;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final Types types;
@@ -102,7 +102,7 @@
   public Fleet(
       Timers timers,
       Caller caller,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       SchedulingState scheduling,
       Types types,
@@ -142,7 +142,7 @@
       askTypes();
     }
     if (!membership.leads()
-        || ledger.phase() != Ledger.Phase.FOLLOWING
+        || ledger.phase() != StateServiceClient.Phase.FOLLOWING
         || membership.outdated()
         || !types.known()) {
       leadSinceMs = Long.MIN_VALUE;
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Bucket;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TerminalState;
 import wickdrift.protocol.BadMessage;
@@ -26,7 +26,7 @@
   private static final int LOOK_UPS_MOST = 64;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final PauseDetector pauseDetector;
   private final Confirmations confirmations;
@@ -40,7 +40,7 @@
 
   JobStatus(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       PauseDetector pauseDetector,
       Confirmations confirmations,
@@ -82,7 +82,7 @@
       answerFinal(x, id, fin);
       return;
     }
-    if (ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       UserRequests.later(x);
       return;
     }
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Limits;
 import wickdrift.bookkeeping.Page;
 import wickdrift.bookkeeping.Tables;
@@ -21,7 +21,7 @@
   private static final long SHELVES_MS = 5000;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Membership membership;
   private final Tuning tuning;
@@ -32,7 +32,7 @@
 
   LogCompaction(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Membership membership,
       Tuning tuning,
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Txn;
@@ -54,7 +54,7 @@
   private record Heard(boolean stateOk, long atMs, int writes) {}
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Tuning tuning;
   private final String node;
@@ -101,7 +101,7 @@
   /** Asks for no lease before it is started. */
   public Membership(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Tuning tuning,
       Settings settings,
@@ -204,7 +204,7 @@
     timers.after(TICK_MS, this::tick);
     keepLease();
     catchUp();
-    if (ledger.phase() == Ledger.Phase.FOLLOWING
+    if (ledger.phase() == StateServiceClient.Phase.FOLLOWING
         && tables.barred() == null
         && stage == Stage.SERVING) {
       keepMember();
@@ -226,7 +226,7 @@
     }
     if (tether == 0) {
       asking = true;
-      ledger.grant(
+      ledger.grantLease(
           tuning.memberLeaseMs(),
           t -> {
             asking = false;
@@ -239,7 +239,7 @@
     } else if (leaseUntilMs - now < tuning.memberLeaseMs() * 3 / 4) {
       asking = true;
       long asked = tether;
-      ledger.extend(
+      ledger.extendLease(
           asked,
           status -> {
             asking = false;
@@ -304,9 +304,9 @@
     writing = true;
     ledger.commit(
         txn,
-        Ledger.Rank.AUTHORITY,
+        StateServiceClient.WritePriority.AUTHORITY,
         r -> {
-          if (r.noLease()) {
+          if (r.leaseNotFound()) {
             tether = 0;
           }
           ledger.barrier(2000, ok -> writing = false);
@@ -370,7 +370,7 @@
     }
     if (txn.changes() > 0) {
       writing = true;
-      ledger.commit(txn, Ledger.Rank.WORK, r -> ledger.barrier(2000, ok -> writing = false));
+      ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> ledger.barrier(2000, ok -> writing = false));
     }
   }
 
@@ -395,7 +395,7 @@
     if (txn.changes() > 0) {
       LOG.info("writing {} parts anew for the view to count", txn.changes());
       writing = true;
-      ledger.commit(txn, Ledger.Rank.AUTHORITY, r -> ledger.barrier(2000, ok -> writing = false));
+      ledger.commit(txn, StateServiceClient.WritePriority.AUTHORITY, r -> ledger.barrier(2000, ok -> writing = false));
     }
   }
 
@@ -425,7 +425,7 @@
       return;
     }
     to(Stage.GONE, "giving the lease back");
-    ledger.revoke(tether, done);
+    ledger.revokeLease(tether, done);
   }
 
   private void to(Stage next, String why) {
@@ -632,7 +632,7 @@
         next.leader());
     ledger.commit(
         txn,
-        Ledger.Rank.AUTHORITY,
+        StateServiceClient.WritePriority.AUTHORITY,
         r ->
             ledger.barrier(
                 2000,
@@ -658,9 +658,9 @@
       return;
     }
     int there = Math.max(v.members().size(), tables.announcedLive().size());
-    ledger.sharedBy(there, node.equals(v.leader()));
-    double fair = ledger.fairWrites();
-    double even = ledger.evenWrites();
+    ledger.divideLimits(there, node.equals(v.leader()));
+    double fair = ledger.fairWriteRate();
+    double even = ledger.evenWriteRate();
     long now = timers.nowMs();
     int known = 0;
     double others = 0;
@@ -671,8 +671,8 @@
       }
     }
     int unknown = Math.max(0, there - 1 - known);
-    ledger.othersWrite(others + unknown * even / 2, Math.max(fair, toldWrites * RAMP));
-    toldWrites = ledger.writing();
+    ledger.setOtherMembersWriteRate(others + unknown * even / 2, Math.max(fair, toldWrites * RAMP));
+    toldWrites = ledger.recentWriteRate();
   }
 
   private void tellPeers() {
@@ -682,7 +682,7 @@
       return;
     }
     ByteBuffer frame =
-        new PeerFrame.Standing(number, epoch, ledger.reachable(), (int) Math.ceil(ledger.writing()))
+        new PeerFrame.Standing(number, epoch, ledger.reachable(), (int) Math.ceil(ledger.recentWriteRate()))
             .encode();
     peers.values().forEach(p -> p.accept(frame.duplicate()));
   }
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
@@ -38,7 +38,7 @@
   private static final long CATCH_UP_MS = 1000;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Membership membership;
   private final TransactionPipeline pipeline;
@@ -70,7 +70,7 @@
   /** Answers no report before the tables are loaded. */
   public Reporting(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Membership membership,
       TransactionPipeline pipeline,
@@ -218,7 +218,7 @@
     }
     zones.heard(r.zone(), timers.nowMs());
     View v = tables.view();
-    if (v == null || ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (v == null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       x.reply(503, null, 1);
       return;
     }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Overflow;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Txn;
@@ -40,7 +40,7 @@
   private static final int RECORD_BYTES = 160;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final JobRouter router;
   private final AwaitedJobs awaited;
@@ -75,7 +75,7 @@
    */
   Submissions(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       JobRouter router,
       AwaitedJobs awaited,
@@ -138,7 +138,7 @@
    * here now has been taken at the rate that users have, so that the door is never empty meanwhile.
    */
   private int comeAgainS() {
-    double seconds = queue.size() / 2.0 / Math.max(1, ledger.userRate());
+    double seconds = queue.size() / 2.0 / Math.max(1, ledger.guaranteedUserWriteRate());
     return (int) Math.max(1, Math.min(COME_AGAIN_MOST_S, Math.round(seconds)));
   }
 
@@ -182,15 +182,15 @@
     open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
-          if (r.outcome() == Ledger.Outcome.OK) {
+          if (r.outcome() == StateServiceClient.Outcome.OK) {
             writeNames(s, more, open.subList(n, open.size()));
-          } else if (r.outcome() == Ledger.Outcome.REFUSED
+          } else if (r.outcome() == StateServiceClient.Outcome.REFUSED
               && ledger.reachable()
               && timers.nowMs() - s.sinceMs() < GIVE_UP_MS) {
             timers.after(UserRequests.RETRY_MS, () -> writeNames(s, more, open));
-          } else if (r.outcome() == Ledger.Outcome.FAILED) {
+          } else if (r.outcome() == StateServiceClient.Outcome.CONDITION_FAILED) {
             busy = false;
             status.status(s.exchange(), id);
             pump();
@@ -208,7 +208,7 @@
     put(txn, s.spec(), more, new Promised());
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
           busy = false;
           accepted(r, Map.of(s.spec().id(), new ArrayList<>(List.of(s))));
@@ -284,7 +284,7 @@
     long number = ++newestBatch;
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
           batchesOut--;
           // One that was overtaken holds up nobody any more.
@@ -326,17 +326,17 @@
         });
   }
 
-  private void accepted(Ledger.Result r, Map<String, List<Submission>> batch) {
+  private void accepted(StateServiceClient.CommitResult r, Map<String, List<Submission>> batch) {
     switch (r.outcome()) {
       case OK ->
           batch.forEach(
               (id, all) ->
                   all.forEach(s -> s.exchange().reply(201, Map.of("ref", id, "phase", "pending"))));
-      case FAILED ->
+      case CONDITION_FAILED ->
           batch.forEach(
               (id, all) -> {
                 boolean known =
-                    r.failed().contains(Job.key(id)) || r.failed().contains(Job.finalKey(id));
+                    r.failedKeys().contains(Job.key(id)) || r.failedKeys().contains(Job.finalKey(id));
                 for (Submission s : all) {
                   if (known) {
                     status.status(s.exchange(), id);
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
@@ -62,7 +62,7 @@
   private record TaskKey(String job, int index) {}
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final Types types;
@@ -95,7 +95,7 @@
   /** Writes nothing before it is started. */
   public TransactionPipeline(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       SchedulingState scheduling,
       Types types,
@@ -172,7 +172,7 @@
     }
     armed = true;
     // A few milliseconds let what comes together be written together; more when writes are short.
-    double ease = ledger.ease();
+    double ease = ledger.writeBudgetFraction();
     long gap = ease > 0.6 ? GAP_MS : ease > 0.3 || owed > 0 ? 8 * GAP_MS : 25 * GAP_MS;
     timers.after(
         Math.max(2, lastCycleMs + gap - timers.nowMs()),
@@ -276,7 +276,7 @@
 
   private void cycle() {
     if (phase != Phase.READY
-        || ledger.phase() != Ledger.Phase.FOLLOWING
+        || ledger.phase() != StateServiceClient.Phase.FOLLOWING
         || membership.standing() != Membership.Standing.MEMBER
         || membership.outdated()
         || membership.leaving()
@@ -289,7 +289,7 @@
     // again, and all that it holds waits.
     int most = ledger.limits().txnOps();
     int pageBytes = Math.min(tuning.logPageBytes(), ledger.limits().usedBytes());
-    int payable = ledger.payable(most);
+    int payable = ledger.affordableChanges(most);
     if (payable < Math.min(most, Math.max(LEAST_CHANGES, owed))) {
       unpaid++;
       wake();
@@ -326,7 +326,7 @@
       draftGift(draft);
     }
     compaction.draft(draft);
-    if (draft.empty() && ledger.ease() > Conversion.EASE) {
+    if (draft.empty() && ledger.writeBudgetFraction() > Conversion.EASE) {
       conversion.draft(draft);
     }
     draftMoves(draft);
@@ -345,7 +345,7 @@
     transactions++;
     boolean places = draft.places();
     Txn txn = draft.finish();
-    ledger.commit(txn, Ledger.Rank.WORK, r -> committed(r, places));
+    ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> committed(r, places));
   }
 
   /**
@@ -356,17 +356,17 @@
     return settled() && timers.nowMs() - giftLookMs > GIFT_OVERDUE_MS;
   }
 
-  private void committed(Ledger.Result r, boolean places) {
+  private void committed(StateServiceClient.CommitResult r, boolean places) {
     switch (r.outcome()) {
-      case OK -> ledger.whenAt(r.rev(), this::ready);
-      case FAILED -> {
-        LOG.debug("transaction failed on {}", r.failed());
-        ledger.whenAt(r.rev(), this::ready);
+      case OK -> ledger.runAtRevision(r.rev(), this::ready);
+      case CONDITION_FAILED -> {
+        LOG.debug("transaction failed on {}", r.failedKeys());
+        ledger.runAtRevision(r.rev(), this::ready);
       }
       case REFUSED -> timers.after(REFUSED_MS + spread(), this::ready);
       case UNKNOWN -> {
         if (r.settled()) {
-          ledger.whenAt(r.rev(), this::ready);
+          ledger.runAtRevision(r.rev(), this::ready);
         } else if (places) {
           phase = Phase.FENCING;
           fence();
@@ -407,11 +407,11 @@
                   .write(Partition.key(node), p.toStore());
           ledger.commit(
               txn,
-              Ledger.Rank.AUTHORITY,
+              StateServiceClient.WritePriority.AUTHORITY,
               r -> {
                 // Whoever has rewritten it, the placement can't follow any more.
-                if (r.outcome() == Ledger.Outcome.OK || r.settled()) {
-                  ledger.whenAt(r.rev(), this::ready);
+                if (r.outcome() == StateServiceClient.Outcome.OK || r.settled()) {
+                  ledger.runAtRevision(r.rev(), this::ready);
                 } else {
                   timers.after(REFUSED_MS, this::fence);
                 }
@@ -544,7 +544,7 @@
    */
   private void draftMoves(TransactionBuilder draft) {
     boolean many = tables.over().size() > MOVES_LATE_MOST;
-    if (!many && !(draft.empty() && ledger.ease() > Conversion.EASE)) {
+    if (!many && !(draft.empty() && ledger.writeBudgetFraction() > Conversion.EASE)) {
       return;
     }
     for (Map.Entry<String, Tables.Over> e : tables.over().entrySet()) {
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Txn;
 import wickdrift.transport.Exchange;
@@ -13,11 +13,11 @@
   private static final int TRIES = 6;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final JobStatus status;
 
-  Withdrawals(Timers timers, Ledger ledger, Tables tables, JobStatus status) {
+  Withdrawals(Timers timers, StateServiceClient ledger, Tables tables, JobStatus status) {
     this.timers = timers;
     this.ledger = ledger;
     this.tables = tables;
@@ -25,7 +25,7 @@
   }
 
   void withdraw(Exchange x, String id) {
-    if (ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       UserRequests.later(x);
       return;
     }
@@ -60,7 +60,7 @@
             .write(job.key(), job.toStore(job.part(), timers.wallMs()));
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
           switch (r.outcome()) {
             // Whom to ask is known once the tables hold what was placed before.
@@ -74,7 +74,7 @@
                         UserRequests.later(x);
                       }
                     });
-            case FAILED -> withdraw(x, job.id(), tries - 1);
+            case CONDITION_FAILED -> withdraw(x, job.id(), tries - 1);
             case REFUSED -> {
               if (ledger.reachable()) {
                 timers.after(UserRequests.RETRY_MS, () -> withdraw(x, job.id(), tries - 1));
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.JobHistory;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Limits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Gate;
@@ -44,7 +44,7 @@
   private static final long LEAVE_STEP_MS = 20;
 
   private final PauseDetector pauseDetector;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final JobHistory history;
@@ -104,7 +104,7 @@
     Limits limits =
         new Limits(settings.stateLimits(), settings.nextLimits(), () -> tables.open(Gate.LIMITS));
     ledger =
-        new Ledger(
+        new StateServiceClient(
             timers,
             caller,
             settings.state(),
@@ -184,7 +184,7 @@
     metrics.watch("transactions.failed.by.condition", ledger::failedByCondition);
     metrics.watch("jobs.unfinished", () -> tables.jobs().size());
     metrics.watch("machines.known", () -> tables.machines().size());
-    metrics.watch("transactions.too.large", ledger::tooLarge);
+    metrics.watch("transactions.too.large", ledger::tooLargeCount);
     metrics.watch("state.limits.fallen", () -> limits.fallen() ? 1 : 0);
     metrics.watch("finals.read", history::reads);
     metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
@@ -195,7 +195,7 @@
     metrics.watch("loop.late.ms", pauseDetector::lateMs);
     metrics.watch("loop.pauses", pauseDetector::pauses);
     metrics.watch("loop.paused.ms", pauseDetector::pausedMs);
-    metrics.watch("state.writes.ease", ledger::ease);
+    metrics.watch("state.writes.ease", ledger::writeBudgetFraction);
     metrics.watch("state.level", tables::level);
     metrics.watch("state.barred", () -> tables.barred() == null ? 0 : 1);
     metrics.watch("state.old.forms", () -> tables.oldForms().size());
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.TreeMap;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Txn;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -47,7 +47,7 @@
     try {
       boolean more = true;
       while (more) {
-        String path = "/store?prefix=" + Ledger.PREFIX + "&most=" + PAGE;
+        String path = "/store?prefix=" + StateServiceClient.PREFIX + "&most=" + PAGE;
         Document d = answer(store.call("GET", from == null ? path : path + "&from=" + from, null));
         rev = Math.min(rev, d.count("ledgerRev"));
         for (Document e : d.docs("entries")) {
@@ -56,7 +56,7 @@
         }
         more = d.flag("truncated", false);
       }
-      String path = "/follow?prefix=" + Ledger.PREFIX + "&from=" + rev + "&holdMs=0";
+      String path = "/follow?prefix=" + StateServiceClient.PREFIX + "&from=" + rev + "&holdMs=0";
       Answer a = store.call("GET", path, null);
       if (a.status() == 410) {
         return null;
@@ -95,9 +95,9 @@
   }
 
   /** The same as the controllers' tables take them. */
-  public List<Ledger.Change> changes() {
-    List<Ledger.Change> out = new ArrayList<>();
-    all.forEach((k, i) -> out.add(new Ledger.Change(k, i.value, i.stamp)));
+  public List<StateServiceClient.Change> changes() {
+    List<StateServiceClient.Change> out = new ArrayList<>();
+    all.forEach((k, i) -> out.add(new StateServiceClient.Change(k, i.value, i.stamp)));
     return out;
   }
 
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -60,7 +60,7 @@
     return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
   }
 
-  private Ledger.Change put(String key, Object value) throws BadMessage {
+  private StateServiceClient.Change put(String key, Object value) throws BadMessage {
     Object v = value == null ? null : MessageCodec.decode(MessageCodec.encode(value));
     if (v == null) {
       store.remove(key);
@@ -68,7 +68,7 @@
       store.put(key, v);
     }
     stamps.put(key, rev);
-    return new Ledger.Change(key, v, rev);
+    return new StateServiceClient.Change(key, v, rev);
   }
 
   // ---- the model ----
@@ -138,7 +138,7 @@
     for (int step = 0; step < 400; step++) {
       rev++;
       Node n = nodes.get(r.nextInt(size));
-      List<Ledger.Change> news = new ArrayList<>();
+      List<StateServiceClient.Change> news = new ArrayList<>();
       if (!n.accepted && n.awaits.stream().allMatch(a -> nodes.get(a).accepted)) {
         n.accepted = true;
         news.add(put(Job.key(id(n.number)), Job.toStore(spec(n), null, rev, "n0", 0)));
@@ -164,11 +164,11 @@
   /** A copy loaded anew, which knows no ends. */
   private Tables loaded() throws BadMessage {
     Tables t = new Tables(List.of(), Range.BUILD, () -> {});
-    List<Ledger.Change> all = new ArrayList<>();
+    List<StateServiceClient.Change> all = new ArrayList<>();
     store.forEach(
         (k, v) -> {
           if (!k.startsWith("w/d/")) {
-            all.add(new Ledger.Change(k, v, stamps.get(k)));
+            all.add(new StateServiceClient.Change(k, v, stamps.get(k)));
           }
         });
     t.load(all, rev);
@@ -201,12 +201,12 @@
       }
       JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
       Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 1000, "n0", 0)));
-      t.apply(List.of(new Ledger.Change(Job.key(s.id()), v, ++rev)), rev);
+      t.apply(List.of(new StateServiceClient.Change(Job.key(s.id()), v, ++rev)), rev);
     }
     long is = t.job(id(job)).startByWallMs();
     assertEquals(job == 3 ? Long.MAX_VALUE : startBy, is);
     // What it lends is taken back when it is withdrawn and gone.
-    t.apply(List.of(new Ledger.Change(Job.key(id(3)), null, ++rev)), rev);
+    t.apply(List.of(new StateServiceClient.Change(Job.key(id(3)), null, ++rev)), rev);
     assertEquals(Long.MAX_VALUE, t.job(id(0)).startByWallMs());
   }
 
@@ -215,7 +215,7 @@
   void manyAtOnce() throws BadMessage {
     Tables t = new Tables(List.of(), Range.BUILD, () -> {});
     int n = 0;
-    List<Ledger.Change> all = new ArrayList<>();
+    List<StateServiceClient.Change> all = new ArrayList<>();
     for (int c = 0; c < 1000; c++) {
       for (int s = 0; s < 6; s++) {
         all.add(job(n, s == 0 ? -1 : n - 1));
@@ -237,12 +237,12 @@
     rev++;
     t.apply(
         List.of(
-            new Ledger.Change(
+            new StateServiceClient.Change(
                 Job.finalKey(id(hub)),
                 MessageCodec.decode(
                     MessageCodec.encode(new TerminalState("done", 1, 1).toStore(true))),
                 rev),
-            new Ledger.Change(Job.key(id(hub)), null, rev)),
+            new StateServiceClient.Change(Job.key(id(hub)), null, rev)),
         rev);
     assertEquals(2001, t.jobs().stream().filter(j -> j.stage() == Job.Stage.READY).count());
     t.takeChangedJobs();
@@ -250,18 +250,18 @@
     rev++;
     Job j = t.job(id(first));
     Object off = MessageCodec.decode(MessageCodec.encode(j.toStore("n0", 5)));
-    t.apply(List.of(new Ledger.Change(j.key(), off, rev)), rev);
+    t.apply(List.of(new StateServiceClient.Change(j.key(), off, rev)), rev);
     assertTrue(t.job(id(first + 99)).withdrawn());
     assertEquals(100, t.takeChangedJobs().size());
   }
 
-  private Ledger.Change job(int n, int awaits) throws BadMessage {
+  private StateServiceClient.Change job(int n, int awaits) throws BadMessage {
     Map<String, Object> m = SimJobs.job(n, "batch", 1, 1, 10);
     if (awaits >= 0) {
       SimJobs.awaiting(m, awaits);
     }
     JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
     Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 1000, "n0", 0)));
-    return new Ledger.Change(Job.key(s.id()), v, rev);
+    return new StateServiceClient.Change(Job.key(s.id()), v, rev);
   }
 }
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -36,9 +36,9 @@
   private static final String JOB = "req-000001";
   private static final String JOB_KEY = "w/j/" + JOB;
 
-  private static Ledger.Change job(String shape, int tasks) throws BadMessage {
+  private static StateServiceClient.Change job(String shape, int tasks) throws BadMessage {
     JobSpec s = JobSpec.parse(doc(SimJobs.job(1, shape, tasks, 1, 10)));
-    return new Ledger.Change(JOB_KEY, raw(Job.toStore(s, null, 5, "n0", 0)), 3);
+    return new StateServiceClient.Change(JOB_KEY, raw(Job.toStore(s, null, 5, "n0", 0)), 3);
   }
 
   private static Tables withJob(int tasks) throws BadMessage {
@@ -50,23 +50,23 @@
   private static Job job(Tables t, int number) {
     try {
       JobSpec s = JobSpec.parse(doc(SimJobs.job(number, "batch", 9, 1, 10)));
-      apply(t, new Ledger.Change(Job.key(s.id()), raw(Job.toStore(s, null, 5, "n0", 0)), number));
+      apply(t, new StateServiceClient.Change(Job.key(s.id()), raw(Job.toStore(s, null, 5, "n0", 0)), number));
       return t.job(s.id());
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
   }
 
-  private static void apply(Tables t, Ledger.Change... c) {
+  private static void apply(Tables t, StateServiceClient.Change... c) {
     t.apply(List.of(c), c[c.length - 1].stamp());
   }
 
-  private static Ledger.Change page(Tables t, String node, long stamp, List<Object> entry)
+  private static StateServiceClient.Change page(Tables t, String node, long stamp, List<Object> entry)
       throws BadMessage {
     var last = t.log(node).lastEntry();
     Page old = last == null ? null : last.getValue();
     Object v = Page.value(old, 1, List.of(entry), (r, e) -> false);
-    return new Ledger.Change(Page.key(node, 1), raw(v), stamp);
+    return new StateServiceClient.Change(Page.key(node, 1), raw(v), stamp);
   }
 
   private static List<Object> entry(List<Object> head, Object... rest) {
@@ -85,8 +85,8 @@
     }
     states.put(70, TaskState.NEW.placed(4, m, 2).stopping(TaskState.Stop.SAVE));
     states.put(71, TaskState.waiting(9));
-    Ledger.Change chunk =
-        new Ledger.Change("w/t/req-000001/1", raw(j.encodeChunk(1, 9, states::get)), 10);
+    StateServiceClient.Change chunk =
+        new StateServiceClient.Change("w/t/req-000001/1", raw(j.encodeChunk(1, 9, states::get)), 10);
     t.reset();
     t.load(List.of(job("batch", 100), chunk), 12);
     Job again = t.job(JOB);
@@ -119,12 +119,12 @@
     Job j = t.job(JOB);
     apply(
         t,
-        new Ledger.Change(
+        new StateServiceClient.Change(
             "w/t/req-000001/1", raw(j.encodeChunk(1, 3, i -> TaskState.FINISHED)), 4));
     apply(
         t,
-        new Ledger.Change("w/d/req-000001", raw(Map.of("phase", "done")), 5),
-        new Ledger.Change(JOB_KEY, null, 5));
+        new StateServiceClient.Change("w/d/req-000001", raw(Map.of("phase", "done")), 5),
+        new StateServiceClient.Change(JOB_KEY, null, 5));
     assertNull(t.job(JOB));
     assertEquals("done", t.finished(JOB).phase());
     assertEquals("w/t/req-000001/1", t.orphans().first());
@@ -133,7 +133,7 @@
   @Test
   void anUnreadableRecordIsLeftAlone() throws BadMessage {
     Tables t = withJob(2);
-    apply(t, new Ledger.Change(JOB_KEY, raw(Map.of("off", "maybe")), 9));
+    apply(t, new StateServiceClient.Change(JOB_KEY, raw(Map.of("off", "maybe")), 9));
     assertFalse(t.job(JOB).withdrawn());
     assertEquals(3, t.job(JOB).stamp());
   }
@@ -148,8 +148,8 @@
   @Test
   void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
     Tables t = withJob(2);
-    Ledger.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
-    Ledger.Change exited = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change exited = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
     t.apply(List.of(exited, placed), 11);
     assertEquals(TaskState.Phase.DONE, t.job(JOB).task(0).phase());
     assertEquals(0, t.machineOrNew("i-1").live().size());
@@ -203,11 +203,11 @@
     Tables t = withJob(2);
     apply(t, page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1")));
     Job j = t.job(JOB);
-    Ledger.Change chunk = new Ledger.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
-    Ledger.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 0));
+    StateServiceClient.Change chunk = new StateServiceClient.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
+    StateServiceClient.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 0));
     apply(t, exit);
     apply(t, chunk);
-    Ledger.Change again = page(t, "n0", 13, entry(Entry.placed(JOB, 0), 0, 2, "i-2"));
+    StateServiceClient.Change again = page(t, "n0", 13, entry(Entry.placed(JOB, 0), 0, 2, "i-2"));
     apply(t, again);
     // The same from the start: the pages first, as they were read, then the rest.
     Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
@@ -224,8 +224,8 @@
   @Test
   void aLoadLeavesNewerEntriesToTheWatch() throws BadMessage {
     Tables t = withJob(2);
-    Ledger.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
-    Ledger.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
     Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
     // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
     fresh.load(List.of(exit, job("batch", 2)), 9);
@@ -413,7 +413,7 @@
     }
     t.apply(
         List.of(
-            new Ledger.Change(
+            new StateServiceClient.Change(
                 Page.key("n0", 1), raw(Page.value(null, 2, List.of(placed), (r, e) -> false)), 20)),
         20);
     assertEquals(64, j.live());
@@ -421,7 +421,7 @@
     assertEquals(form, Form.of(raw(stored)));
     assertTrue(MessageCodec.jsonSize(stored) <= most, "size " + MessageCodec.jsonSize(stored));
     Tables again = withJob(64);
-    again.load(List.of(job("batch", 64), new Ledger.Change(j.chunkKey(0), raw(stored), 21)), 21);
+    again.load(List.of(job("batch", 64), new StateServiceClient.Change(j.chunkKey(0), raw(stored), 21)), 21);
     for (int i = 0; i < 64; i++) {
       assertEquals(j.task(i).attempt(), again.job(JOB).task(i).attempt());
       assertEquals(j.task(i).machine().name(), again.job(JOB).task(i).machine().name());
--- a/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
+++ b/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Partition.Share;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
@@ -52,7 +52,7 @@
       m.put("cores", 0.0);
       JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
       Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, n, "n0", 0)));
-      t.apply(List.of(new Ledger.Change(Job.key(s.id()), v, n)), n);
+      t.apply(List.of(new StateServiceClient.Change(Job.key(s.id()), v, n)), n);
       lines.computeIfAbsent(s.team(), k -> new ArrayList<>()).add(t.job(s.id()));
       names.put(t.job(s.id()), j);
     }
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.bookkeeping.Entry;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Page;
 import wickdrift.bookkeeping.Tables;
@@ -60,8 +60,8 @@
   private static Machine machine(Tables tables, String name, Machine.Info info) throws BadMessage {
     var v = Page.value(null, 1, List.of(Entry.machine(name, info)), (r, e) -> false);
     long rev = 1 + tables.machines().size();
-    Ledger.Change c =
-        new Ledger.Change(Page.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
+    StateServiceClient.Change c =
+        new StateServiceClient.Change(Page.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
     tables.apply(List.of(c), rev);
     return tables.machine(name);
   }
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Entry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Page;
 import wickdrift.bookkeeping.Tables;
@@ -29,7 +29,7 @@
 
   private void apply(String key, Object value) throws BadMessage {
     rev++;
-    Ledger.Change c = new Ledger.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
+    StateServiceClient.Change c = new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
     tables.apply(List.of(c), rev);
   }
 
--- a/src/test/java/wickdrift/coordination/PromisedTest.java
+++ b/src/test/java/wickdrift/coordination/PromisedTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.Document;
@@ -33,7 +33,7 @@
     Object value = Job.toStore(spec(tasks, gpus), null, 1, part, 0);
     Object stored = MessageCodec.decode(MessageCodec.encode(value));
     rev++;
-    tables.apply(List.of(new Ledger.Change(Job.key(ID), stored, rev)), rev);
+    tables.apply(List.of(new StateServiceClient.Change(Job.key(ID), stored, rev)), rev);
     return tables.job(ID);
   }
 
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
@@ -30,7 +30,7 @@
         JobSpec.parse(Document.parse(MessageCodec.encode(SimJobs.job(1, "ensemble", size, 1, 10))));
     Object record =
         MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 5, Job.LEADER, 0)));
-    t.apply(List.of(new Ledger.Change("w/j/req-000001", record, 3)), 3);
+    t.apply(List.of(new StateServiceClient.Change("w/j/req-000001", record, 3)), 3);
     Job job = t.job("req-000001");
     TransactionBuilder d = new TransactionBuilder(t, "n0", 16, 16, PAGE);
     assertTrue(d.takesWhole(job, size, 3));
@@ -38,14 +38,14 @@
       String machine = String.format("i-%06d", i);
       d.change(job, i, x -> x.placed(1, t.machineOrNew(machine), 0));
     }
-    List<Ledger.Change> news = new ArrayList<>();
+    List<StateServiceClient.Change> news = new ArrayList<>();
     for (Object o : (List<?>) d.finish().toWire().get("then")) {
       Document w = Document.of(o);
       assertTrue(
           MessageCodec.jsonSize(w.raw("v")) <= PAGE,
           "a page takes " + MessageCodec.jsonSize(w.raw("v")));
       Object v = MessageCodec.decode(MessageCodec.encode(w.raw("v")));
-      news.add(new Ledger.Change(w.text("write"), v, 4));
+      news.add(new StateServiceClient.Change(w.text("write"), v, 4));
     }
     assertTrue(news.size() >= leastPages && news.size() <= 13, "pages " + news.size());
     // Whatever the order in which the pages come.
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import wickdrift.bookkeeping.Entry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
@@ -37,8 +37,8 @@
   }
 
   /** What is read: shelves of machines, jobs, chunks; one job has half of the tasks. */
-  private static List<Ledger.Change> store(int machines, int tasks) throws Exception {
-    List<Ledger.Change> all = new ArrayList<>();
+  private static List<StateServiceClient.Change> store(int machines, int tasks) throws Exception {
+    List<StateServiceClient.Change> all = new ArrayList<>();
     for (int s = 0; s < machines / 10; s++) {
       List<Object> shelf = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
@@ -84,7 +84,7 @@
     return String.format("i-%06d", i);
   }
 
-  private static void put(List<Ledger.Change> all, String key, Object value) throws Exception {
-    all.add(new Ledger.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
+  private static void put(List<StateServiceClient.Change> all, String key, Object value) throws Exception {
+    all.add(new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
   }
 }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Form;
 import wickdrift.bookkeeping.level.NodeRegistry;
@@ -176,7 +176,7 @@
     w.restartAll(new Range(1, 3), "");
     load(w, 40);
     Map<String, Set<String>> now = new TreeMap<>();
-    for (Ledger.Change c : w.state().all()) {
+    for (StateServiceClient.Change c : w.state().all()) {
       shape(c.key(), c.value(), now);
     }
     assertTrue(now.size() > 6, "kinds " + now.keySet());
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Form;
@@ -188,13 +188,13 @@
   }
 
   /** Every record, as a load would read them all at once. */
-  public List<Ledger.Change> all() {
-    List<Ledger.Change> out = new ArrayList<>();
+  public List<StateServiceClient.Change> all() {
+    List<StateServiceClient.Change> out = new ArrayList<>();
     entries.forEach(
         (k, e) -> {
           try {
             Object value = MessageCodec.decode(MessageCodec.encode(e.value));
-            out.add(new Ledger.Change(k, value, e.stamp));
+            out.add(new StateServiceClient.Change(k, value, e.stamp));
           } catch (BadMessage x) {
             throw new AssertionError(x);
           }
