--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -166,7 +166,7 @@
   private final Bucket userWrites;
   private final Bucket workWrites;
   private final int nodes;
-  private final Limits limits;
+  private final StateServiceLimits limits;
   private double requestReserve;
   private int sharing;
   private boolean sharingFallen;
@@ -212,7 +212,7 @@
       Timers timers,
       Caller caller,
       String address,
-      Limits limits,
+      StateServiceLimits limits,
       int nodes,
       ChangeListener applier,
       MalformedMessages malformed) {
@@ -242,18 +242,18 @@
    * would have the leader place less.
    */
   public final void divideLimits(int members, boolean leads) {
-    if (members == sharing && leads == leading && limits.fallen() == sharingFallen) {
+    if (members == sharing && leads == leading && limits.nextLimitsInEffect() == sharingFallen) {
       return;
     }
     sharing = members;
-    sharingFallen = limits.fallen();
+    sharingFallen = limits.nextLimitsInEffect();
     leading = leads;
-    double share = limits.rps() / Math.min(nodes, members + 1) * 0.95;
+    double share = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
     requests.rate(share);
     requestReserve = share * 0.25;
     syncGapMs = Math.max(5, (long) (1000 / (share * 0.45)));
     int n = Math.max(1, members);
-    double all = limits.writeRps() * USED;
+    double all = limits.maxWritesPerSecond() * USED;
     double work = all * (1 - USERS);
     fairUserWrites = all * USERS / n;
     fairWriteRate =
@@ -267,7 +267,7 @@
    * to the limit.
    */
   public void setOtherMembersWriteRate(double perSecond, double most) {
-    double ours = Math.min(most, Math.max(fairWriteRate, limits.writeRps() * USED - perSecond));
+    double ours = Math.min(most, Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED - perSecond));
     writes.rate(ours, fairWriteRate);
     double users = fairUserWrites / fairWriteRate;
     userWrites.rate(ours * users, fairUserWrites);
@@ -287,7 +287,7 @@
 
   /** What another member may write at least, the leader apart. */
   public double evenWriteRate() {
-    return limits.writeRps() * USED / Math.max(1, sharing);
+    return limits.maxWritesPerSecond() * USED / Math.max(1, sharing);
   }
 
   /** How many changes a transaction of our work may have now, {@code most} at most. */
@@ -334,7 +334,7 @@
   }
 
   /** What the state service takes. */
-  public Limits limits() {
+  public StateServiceLimits limits() {
     return limits;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Limits.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceLimits.java
@@ -12,8 +12,8 @@
  * refuses for it: what is given up before the fall would be given up for nothing, and a refusal
  * costs one try.
  */
-public final class Limits {
-  private static final Logger LOG = LoggerFactory.getLogger(Limits.class);
+public final class StateServiceLimits {
+  private static final Logger LOG = LoggerFactory.getLogger(StateServiceLimits.class);
   private static final double KB = 1024;
 
   /** Of a value, the part that is used: sizes are counted as JSON, which others may write wider. */
@@ -35,13 +35,13 @@
   private final Bounds now;
   private final Bounds next;
   private final BooleanSupplier open;
-  private boolean fallen;
+  private boolean nextLimitsInEffect;
 
   /**
    * @param next null if the limits stay as they are
    * @param open whether the level in force asks for the smaller sizes
    */
-  public Limits(Bounds now, Bounds next, BooleanSupplier open) {
+  public StateServiceLimits(Bounds now, Bounds next, BooleanSupplier open) {
     this.now = now;
     this.next = next == null ? now : next;
     this.open = open;
@@ -60,48 +60,48 @@
   }
 
   private void fell(String why) {
-    if (!fallen && !next.equals(now)) {
-      fallen = true;
+    if (!nextLimitsInEffect && !next.equals(now)) {
+      nextLimitsInEffect = true;
       LOG.warn("the state service's limits have fallen to {}: {}", next, why);
     }
   }
 
   /** Whether the next limits are known to be in force. */
-  public boolean fallen() {
-    return fallen;
+  public boolean nextLimitsInEffect() {
+    return nextLimitsInEffect;
   }
 
   private boolean smaller() {
-    return fallen || open.getAsBoolean();
+    return nextLimitsInEffect || open.getAsBoolean();
   }
 
   /** Changes that a transaction may have. */
-  public int txnOps() {
+  public int maxTransactionChanges() {
     return smaller() ? Math.min(now.txnOps, next.txnOps) : now.txnOps;
   }
 
   /** Conditions that a transaction may have. */
-  public int conditions() {
-    return CONDITIONS_AN_OP * txnOps();
+  public int maxTransactionConditions() {
+    return CONDITIONS_AN_OP * maxTransactionChanges();
   }
 
   /** Bytes that a value may have, counted as JSON. */
-  public int valueBytes() {
+  public int maxValueBytes() {
     return (int) ((smaller() ? Math.min(now.valueKb, next.valueKb) : now.valueKb) * KB);
   }
 
   /** Bytes that are used of a value that could be larger: a part is left for a margin. */
-  public int usedBytes() {
-    return (int) (valueBytes() * USED);
+  public int targetValueBytes() {
+    return (int) (maxValueBytes() * USED);
   }
 
   /** Changes a second. */
-  public double writeRps() {
-    return fallen ? Math.min(now.writeRps, next.writeRps) : now.writeRps;
+  public double maxWritesPerSecond() {
+    return nextLimitsInEffect ? Math.min(now.writeRps, next.writeRps) : now.writeRps;
   }
 
   /** Requests a second. */
-  public double rps() {
-    return fallen ? Math.min(now.rps, next.rps) : now.rps;
+  public double maxRequestsPerSecond() {
+    return nextLimitsInEffect ? Math.min(now.rps, next.rps) : now.rps;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Txn.java
+++ b/src/main/java/wickdrift/bookkeeping/Txn.java
@@ -62,16 +62,16 @@
   }
 
   /** Why the state service would refuse it for its size, or null. */
-  String tooLarge(Limits limits) {
-    if (then.size() > limits.txnOps()) {
+  String tooLarge(StateServiceLimits limits) {
+    if (then.size() > limits.maxTransactionChanges()) {
       return then.size() + " changes, as of " + largest();
     }
-    if (when.size() > limits.conditions()) {
+    if (when.size() > limits.maxTransactionConditions()) {
       return when.size() + " conditions, as of " + largest();
     }
     for (Map.Entry<String, Map<String, Object>> e : then.entrySet()) {
       Object v = e.getValue().get("v");
-      if (v != null && MessageCodec.jsonSize(v) > limits.valueBytes()) {
+      if (v != null && MessageCodec.jsonSize(v) > limits.maxValueBytes()) {
         return kind(e.getKey());
       }
     }
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -106,7 +106,7 @@
       return false;
     }
     int chunk = Integer.parseInt(name.substring(slash + 1));
-    int most = ledger.limits().usedBytes();
+    int most = ledger.limits().targetValueBytes();
     Object value = job.storeChunk(chunk, ledger.rev(), job::task, tables.form(), most);
     draft.when(job.key(), job.stamp());
     draft.write(key, value, job.chunkStamp(chunk));
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Page;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.MessageCodec;
@@ -26,7 +26,7 @@
   private final Membership membership;
   private final Tuning tuning;
   private final String node;
-  private final Limits limits;
+  private final StateServiceLimits limits;
   private final Set<String> told = new HashSet<>();
   private long nextShelvesMs;
 
@@ -81,7 +81,7 @@
           return;
         }
         draft.when(job.key(), job.stamp());
-        Object value = job.storeChunk(c, rev, job::task, tables.form(), limits.usedBytes());
+        Object value = job.storeChunk(c, rev, job::task, tables.form(), limits.targetValueBytes());
         if (tooLarge(value, job.chunkKey(c))) {
           return;
         }
@@ -107,7 +107,7 @@
 
   /** Then its page stays: what it says is nowhere else. Told once a record. */
   private boolean tooLarge(Object value, String key) {
-    boolean over = MessageCodec.jsonSize(value) > limits.valueBytes();
+    boolean over = MessageCodec.jsonSize(value) > limits.maxValueBytes();
     if (over && told.add(key)) {
       LOG.error("{} would be larger than a value may be: the page that needs it stays", key);
     }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -385,7 +385,7 @@
     Txn txn = new Txn().when(View.KEY, tables.viewStamp());
     for (String n : tables.unfencedParts()) {
       Partition p = tables.part(n);
-      if (txn.changes() < ledger.limits().txnOps()) {
+      if (txn.changes() < ledger.limits().maxTransactionChanges()) {
         Partition told =
             p.form() == Form.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
         txn.when(Partition.key(n), p.stamp())
@@ -502,7 +502,7 @@
     if (next.open(Gate.VIEWS)) {
       return named(next);
     }
-    int most = ledger.limits().txnOps() - 1;
+    int most = ledger.limits().maxTransactionChanges() - 1;
     TreeSet<String> all = new TreeSet<>(next.members().keySet());
     all.addAll(now == null ? Set.of() : now.members().keySet());
     if (all.size() <= most) {
@@ -541,8 +541,8 @@
    */
   private View named(View next) {
     // The switch itself rewrites parts still, on condition of each.
-    int parts = tables.open(Gate.VIEWS) ? 0 : ledger.limits().txnOps() - 1;
-    int most = ledger.limits().conditions() - BESIDE_MEMBERS - parts;
+    int parts = tables.open(Gate.VIEWS) ? 0 : ledger.limits().maxTransactionChanges() - 1;
+    int most = ledger.limits().maxTransactionConditions() - BESIDE_MEMBERS - parts;
     if (next.members().size() <= most) {
       return next;
     }
@@ -603,7 +603,7 @@
           tables.view() == null ? tables.parts().keySet() : tables.view().members().keySet());
       all.addAll(next.members().keySet());
     }
-    int parts = next.open(Gate.VIEWS) ? ledger.limits().txnOps() - 1 : all.size();
+    int parts = next.open(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
     for (String m : all) {
       if (parts-- <= 0) {
         break;
@@ -617,7 +617,7 @@
       txn.write(Partition.key(m), told.inEpoch(next.epoch()).toStore());
     }
     // Nobody outside the view acts, so what is known of them is asked for as far as it fits.
-    int most = ledger.limits().conditions();
+    int most = ledger.limits().maxTransactionConditions();
     conditions.forEach(
         (key, stamp) -> {
           if (txn.conditions().size() < most) {
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
@@ -84,7 +84,7 @@
       Types types,
       Tuning tuning,
       Settings settings,
-      Limits limits,
+      StateServiceLimits limits,
       BooleanSupplier leadSettled) {
     this.timers = timers;
     this.tables = tables;
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
@@ -25,7 +25,7 @@
   private final CapacityIndex rooms;
   private final Types types;
   private final Tuning tuning;
-  private final Limits limits;
+  private final StateServiceLimits limits;
 
   /** By gang, the machines that take no new tasks until it starts or gives them up. */
   private final Map<String, List<Machine>> reservations = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
   private long nextMarksMs;
 
   Reservations(
-      Tables tables, SchedulingState scheduling, Types types, Tuning tuning, Limits limits) {
+      Tables tables, SchedulingState scheduling, Types types, Tuning tuning, StateServiceLimits limits) {
     this.types = types;
     this.tables = tables;
     this.scheduling = scheduling;
@@ -125,7 +125,7 @@
 
   /** So many names leave room in a part's record for its shares, whatever the limit of a value. */
   private int maxMarks() {
-    return limits.valueBytes() / 2 / MARK_BYTES;
+    return limits.maxValueBytes() / 2 / MARK_BYTES;
   }
 
   private void mark(Job job, FleetSize size, Set<Machine> marked, long now) {
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -156,7 +156,7 @@
 
   /** Whether a job's record has no room for all names that it awaits. */
   private boolean overflows(JobSpec spec) {
-    int most = ledger.limits().usedBytes() - RECORD_BYTES;
+    int most = ledger.limits().targetValueBytes() - RECORD_BYTES;
     return !spec.awaits().isEmpty() && MessageCodec.jsonSize(spec.toStore()) > most;
   }
 
@@ -167,7 +167,7 @@
    */
   private void writeNames(Submission s, Overflow more) {
     List<Map.Entry<String, Object>> open =
-        new ArrayList<>(more.values(s.spec().awaits(), ledger.limits().usedBytes()).entrySet());
+        new ArrayList<>(more.values(s.spec().awaits(), ledger.limits().targetValueBytes()).entrySet());
     writeNames(s, more, open);
   }
 
@@ -178,7 +178,7 @@
     }
     String id = s.spec().id();
     Txn txn = new Txn().when(Job.key(id), 0).when(Job.finalKey(id), 0);
-    int n = Math.min(open.size(), ledger.limits().txnOps() / 2);
+    int n = Math.min(open.size(), ledger.limits().maxTransactionChanges() / 2);
     open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
     ledger.commit(
         txn,
@@ -236,7 +236,7 @@
     Map<String, List<Submission>> batch = new LinkedHashMap<>();
     Promised together = new Promised();
     Txn txn = new Txn();
-    while (!queue.isEmpty() && batch.size() < ledger.limits().txnOps()) {
+    while (!queue.isEmpty() && batch.size() < ledger.limits().maxTransactionChanges()) {
       Submission s = queue.poll();
       String id = s.spec().id();
       if (timers.nowMs() - s.sinceMs() > GIVE_UP_MS) {
@@ -253,7 +253,7 @@
           break;
         }
         // By itself, in several steps: the next ones wait for it.
-        writeNames(s, Overflow.of(id, s.spec().awaits(), ledger.limits().usedBytes()));
+        writeNames(s, Overflow.of(id, s.spec().awaits(), ledger.limits().targetValueBytes()));
         return;
       }
       if (!batch.containsKey(id)) {
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -287,8 +287,8 @@
     scheduling.update();
     // What is drafted can be paid: a draft that our own budget refuses is drawn anew again and
     // again, and all that it holds waits.
-    int most = ledger.limits().txnOps();
-    int pageBytes = Math.min(tuning.logPageBytes(), ledger.limits().usedBytes());
+    int most = ledger.limits().maxTransactionChanges();
+    int pageBytes = Math.min(tuning.logPageBytes(), ledger.limits().targetValueBytes());
     int payable = ledger.affordableChanges(most);
     if (payable < Math.min(most, Math.max(LEAST_CHANGES, owed))) {
       unpaid++;
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -7,7 +7,7 @@
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.JobHistory;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.Range;
@@ -101,8 +101,8 @@
     Types types = new Types();
     tables = new Tables(settings.nodeNames(), levels, this::tablesChanged);
     scheduling = new SchedulingState(timers, tables, types, settings);
-    Limits limits =
-        new Limits(settings.stateLimits(), settings.nextLimits(), () -> tables.open(Gate.LIMITS));
+    StateServiceLimits limits =
+        new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> tables.open(Gate.LIMITS));
     ledger =
         new StateServiceClient(
             timers,
@@ -173,7 +173,7 @@
     registerMetrics(limits, links, settings.node());
   }
 
-  private void registerMetrics(Limits limits, WorkerLinks links, String node) {
+  private void registerMetrics(StateServiceLimits limits, WorkerLinks links, String node) {
     metrics.watch("rooms.looked", () -> scheduling.looked());
     metrics.watch("tasks.placed", pipeline::placed);
     metrics.watch("transactions", pipeline::transactions);
@@ -185,7 +185,7 @@
     metrics.watch("jobs.unfinished", () -> tables.jobs().size());
     metrics.watch("machines.known", () -> tables.machines().size());
     metrics.watch("transactions.too.large", ledger::tooLargeCount);
-    metrics.watch("state.limits.fallen", () -> limits.fallen() ? 1 : 0);
+    metrics.watch("state.limits.fallen", () -> limits.nextLimitsInEffect() ? 1 : 0);
     metrics.watch("finals.read", history::reads);
     metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
     metrics.watch("jobs.over", () -> tables.over().size());
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
@@ -42,12 +42,12 @@
   private static final int MOST_BYTES = 24 * 1024;
 
   private final Store store;
-  private final Limits limits;
+  private final StateServiceLimits limits;
 
   /**
    * @param limits of the state service, the smaller of now and next
    */
-  public Restore(Store store, Limits limits) {
+  public Restore(Store store, StateServiceLimits limits) {
     this.store = store;
     this.limits = limits;
   }
@@ -57,7 +57,7 @@
    * @throws Refused if the store is not empty, or the snapshot holds what this build can't read
    */
   public int run(Records snapshot) throws Refused, Store.Away {
-    Map<String, Object> plan = plan(snapshot, limits.usedBytes());
+    Map<String, Object> plan = plan(snapshot, limits.targetValueBytes());
     String mark = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
     Records there = Records.read(store);
     Records.Item view = there.all().get(View.KEY);
@@ -79,7 +79,7 @@
         continue;
       }
       txn.when(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
-      if (txn.changes() == limits.txnOps()
+      if (txn.changes() == limits.maxTransactionChanges()
           || MessageCodec.encode(txn.toWire()).length > MOST_BYTES) {
         write(txn);
         txn = new Txn();
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import picocli.CommandLine;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.settings.Settings;
 
@@ -143,7 +143,7 @@
         return fail(BAD_FILE, file + ": " + e.getMessage());
       }
       try {
-        Limits limits = new Limits(settings.stateLimits(), settings.nextLimits(), () -> true);
+        StateServiceLimits limits = new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> true);
         int written = new Restore(store, limits).run(records);
         if (json) {
           print(Map.of("revision", records.rev(), "written", written));
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -12,7 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 
 /** The settings the platform hands over. Unknown fields are ignored, missing ones are named. */
 public record Settings(
@@ -27,8 +27,8 @@
     List<Team> teams,
     List<Objective> objectives,
     Workers workers,
-    Limits.Bounds stateLimits,
-    Limits.Bounds nextLimits,
+    StateServiceLimits.Bounds stateLimits,
+    StateServiceLimits.Bounds nextLimits,
     CloudLimits cloudLimits,
     int sockets) {
 
@@ -146,8 +146,8 @@
     if (workers.leaseS <= workers.reportS) {
       throw new Invalid("cluster.workers.lease_s is not longer than report_s");
     }
-    Limits.Bounds state = bounds(c, "cluster.state", null);
-    Limits.Bounds next = null;
+    StateServiceLimits.Bounds state = bounds(c, "cluster.state", null);
+    StateServiceLimits.Bounds next = null;
     if (c.get("cluster.state.next") instanceof UnmodifiableConfig) {
       next = bounds(c, "cluster.state.next", state);
     } else if (c.get("cluster.state.next") != null) {
@@ -174,11 +174,11 @@
   /**
    * @param otherwise where a field is missing; null: all must be there
    */
-  private static Limits.Bounds bounds(UnmodifiableConfig c, String key, Limits.Bounds otherwise)
+  private static StateServiceLimits.Bounds bounds(UnmodifiableConfig c, String key, StateServiceLimits.Bounds otherwise)
       throws Invalid {
     boolean all = otherwise == null;
-    Limits.Bounds b =
-        new Limits.Bounds(
+    StateServiceLimits.Bounds b =
+        new StateServiceLimits.Bounds(
             bound(c, key + ".rps", all ? null : otherwise.rps()),
             bound(c, key + ".write_rps", all ? null : otherwise.writeRps()),
             bound(c, key + ".value_kb", all ? null : otherwise.valueKb()),
--- a/src/test/java/wickdrift/settings/SettingsTest.java
+++ b/src/test/java/wickdrift/settings/SettingsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 
 class SettingsTest {
   private static final String GOOD =
@@ -65,7 +65,7 @@
     assertEquals(16, s.stateLimits().txnOps());
     assertEquals(8.0, s.teams().get(0).gpusMax());
     // What the next limits do not name stays as it is; without them nothing changes.
-    assertEquals(new Limits.Bounds(250, 70, 2, 5), s.nextLimits());
+    assertEquals(new StateServiceLimits.Bounds(250, 70, 2, 5), s.nextLimits());
     assertNull(parse(GOOD.replace("[cluster.state.next]", "[cluster.later]")).nextLimits());
   }
 
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -16,7 +16,7 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
@@ -320,9 +320,9 @@
   String next = "";
 
   /** The limits of the state service as an operator's command has them. */
-  Limits limits() {
+  StateServiceLimits limits() {
     Settings s = settings(nodes.get(0));
-    return new Limits(s.stateLimits(), s.nextLimits(), () -> true);
+    return new StateServiceLimits(s.stateLimits(), s.nextLimits(), () -> true);
   }
 
   private Settings settings(String node) {
