--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -89,13 +89,13 @@
 
   /** A transaction that is out: who waits for its outcome is told once. */
   private final class Outstanding {
-    private final Txn txn;
+    private final Transaction txn;
     private final Consumer<CommitResult> done;
     private boolean over;
     private boolean seen;
     private boolean settled;
 
-    Outstanding(Txn txn, Consumer<CommitResult> done) {
+    Outstanding(Transaction txn, Consumer<CommitResult> done) {
       this.txn = txn;
       this.done = done;
       txn.conditions().keySet().forEach(k -> outstanding.put(k, this));
@@ -699,9 +699,9 @@
   }
 
   /** Commits, or refuses at once where the budget of writes does not allow it. */
-  public void commit(Txn txn, WritePriority rank, Consumer<CommitResult> done) {
+  public void commit(Transaction txn, WritePriority rank, Consumer<CommitResult> done) {
     long now = timers.nowMs();
-    int n = txn.changes();
+    int n = txn.changeCount();
     boolean allowed =
         switch (rank) {
           case AUTHORITY -> writes.take(n, -1e9, now);
@@ -730,7 +730,7 @@
     call(
         "POST",
         "/commit",
-        MessageCodec.encode(txn.toWire()),
+        MessageCodec.encode(txn.toRequest()),
         COMMIT_MS,
         a -> out.finish(result(txn, a)));
   }
@@ -743,7 +743,7 @@
     }
   }
 
-  private CommitResult result(Txn txn, Caller.Answer a) {
+  private CommitResult result(Transaction txn, Caller.Answer a) {
     try {
       switch (a.status()) {
         case 200:
--- a/src/main/java/wickdrift/bookkeeping/Txn.java
+++ b/src/main/java/wickdrift/bookkeeping/Transaction.java
@@ -7,25 +7,25 @@
 import wickdrift.protocol.MessageCodec;
 
 /** A transaction being put together: conditions on stamps, then writes and deletions. */
-public final class Txn {
-  private final Map<String, Long> when = new LinkedHashMap<>();
+public final class Transaction {
+  private final Map<String, Long> requireStamp = new LinkedHashMap<>();
   private final Map<String, Map<String, Object>> then = new LinkedHashMap<>();
 
   /** Adds a condition: the key has this stamp; 0: it does not exist. */
-  public Txn when(String key, long stamp) {
-    Long old = when.put(key, stamp);
+  public Transaction requireStamp(String key, long stamp) {
+    Long old = requireStamp.put(key, stamp);
     if (old != null && old != stamp) {
       throw new IllegalStateException("two stamps wanted of " + key);
     }
     return this;
   }
 
-  public Txn write(String key, Object value) {
+  public Transaction write(String key, Object value) {
     return write(key, value, 0);
   }
 
   /** Adds a write, tied to a lease unless that is 0. */
-  public Txn write(String key, Object value, long tether) {
+  public Transaction write(String key, Object value, long tether) {
     Map<String, Object> op = new LinkedHashMap<>();
     op.put("write", key);
     op.put("v", value);
@@ -36,7 +36,7 @@
     return this;
   }
 
-  public Txn delete(String key) {
+  public Transaction delete(String key) {
     Map<String, Object> op = new LinkedHashMap<>();
     op.put("delete", key);
     then.put(key, op);
@@ -44,21 +44,21 @@
   }
 
   /** Takes back whatever was said of a key. */
-  public void drop(String key) {
-    when.remove(key);
+  public void remove(String key) {
+    requireStamp.remove(key);
     then.remove(key);
   }
 
-  public int changes() {
+  public int changeCount() {
     return then.size();
   }
 
-  public boolean touches(String key) {
+  public boolean changesKey(String key) {
     return then.containsKey(key);
   }
 
   public Map<String, Long> conditions() {
-    return when;
+    return requireStamp;
   }
 
   /** Why the state service would refuse it for its size, or null. */
@@ -66,8 +66,8 @@
     if (then.size() > limits.maxTransactionChanges()) {
       return then.size() + " changes, as of " + largest();
     }
-    if (when.size() > limits.maxTransactionConditions()) {
-      return when.size() + " conditions, as of " + largest();
+    if (requireStamp.size() > limits.maxTransactionConditions()) {
+      return requireStamp.size() + " conditions, as of " + largest();
     }
     for (Map.Entry<String, Map<String, Object>> e : then.entrySet()) {
       Object v = e.getValue().get("v");
@@ -98,9 +98,9 @@
   }
 
   /** The body of the request. */
-  public Map<String, Object> toWire() {
+  public Map<String, Object> toRequest() {
     List<Object> w = new ArrayList<>();
-    when.forEach((k, s) -> w.add(Map.of("key", k, "stamp", s)));
+    requireStamp.forEach((k, s) -> w.add(Map.of("key", k, "stamp", s)));
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("when", w);
     m.put("then", new ArrayList<Object>(then.values()));
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -16,7 +16,7 @@
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Announcement;
 import wickdrift.bookkeeping.level.Form;
@@ -273,14 +273,14 @@
     NodeRegistry registry = tables.registry();
     Announcement known = registry.announced(node);
     List<String> names = settings.nodeNames();
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     boolean may = mayJoin(names);
     if (!registry.hasList()) {
       if (!may) {
         return;
       }
       // Before anyone has a number: else two might be given one of different lists.
-      txn.when(NodeRegistry.LIST, 0).write(NodeRegistry.LIST, NodeRegistry.listToStore(names));
+      txn.requireStamp(NodeRegistry.LIST, 0).write(NodeRegistry.LIST, NodeRegistry.listToStore(names));
     }
     if (known == null || !known.range().equals(levels) || !known.peers().equals(names)) {
       int number = registry.number(node) < 0 ? registry.nextNumber() : registry.number(node);
@@ -288,7 +288,7 @@
           known == null
               ? Announcement.fresh(number, node, levels, names)
               : known.with(levels, names);
-      txn.when(Announcement.key(number), next.stamp())
+      txn.requireStamp(Announcement.key(number), next.stamp())
           .write(Announcement.key(number), next.toStore());
     }
     if (may) {
@@ -296,9 +296,9 @@
       member.put("inc", incarnation);
       member.put("zone", settings.zone());
       levels.into(member);
-      txn.when("w/m/" + node, tables.memberStamp(node)).write("w/m/" + node, member, tether);
+      txn.requireStamp("w/m/" + node, tables.memberStamp(node)).write("w/m/" + node, member, tether);
     }
-    if (txn.changes() == 0) {
+    if (txn.changeCount() == 0) {
       return;
     }
     writing = true;
@@ -358,17 +358,17 @@
       return;
     }
     NodeRegistry registry = tables.registry();
-    Txn txn = new Txn().when(View.KEY, tables.viewStamp());
+    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
     for (Map.Entry<String, Range> m : tables.announcedLive().entrySet()) {
       Announcement a = registry.announced(m.getKey());
-      if (a != null && !a.range().equals(m.getValue()) && txn.changes() == 0) {
+      if (a != null && !a.range().equals(m.getValue()) && txn.changeCount() == 0) {
         LOG.info("{} speaks levels {} now", a.name(), m.getValue());
-        txn.when(Announcement.key(a.number()), a.stamp())
-            .when("w/m/" + a.name(), tables.memberStamp(a.name()))
+        txn.requireStamp(Announcement.key(a.number()), a.stamp())
+            .requireStamp("w/m/" + a.name(), tables.memberStamp(a.name()))
             .write(Announcement.key(a.number()), a.with(m.getValue(), a.peers()).toStore());
       }
     }
-    if (txn.changes() > 0) {
+    if (txn.changeCount() > 0) {
       writing = true;
       ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> ledger.barrier(2000, ok -> writing = false));
     }
@@ -382,18 +382,18 @@
     if (writing || !leads()) {
       return;
     }
-    Txn txn = new Txn().when(View.KEY, tables.viewStamp());
+    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
     for (String n : tables.unfencedParts()) {
       Partition p = tables.part(n);
-      if (txn.changes() < ledger.limits().maxTransactionChanges()) {
+      if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
             p.form() == Form.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
-        txn.when(Partition.key(n), p.stamp())
+        txn.requireStamp(Partition.key(n), p.stamp())
             .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
       }
     }
-    if (txn.changes() > 0) {
-      LOG.info("writing {} parts anew for the view to count", txn.changes());
+    if (txn.changeCount() > 0) {
+      LOG.info("writing {} parts anew for the view to count", txn.changeCount());
       writing = true;
       ledger.commit(txn, StateServiceClient.WritePriority.AUTHORITY, r -> ledger.barrier(2000, ok -> writing = false));
     }
@@ -591,8 +591,8 @@
 
   private void propose(View next, Map<String, Long> conditions) {
     proposing = true;
-    Txn txn = new Txn().when(View.KEY, tables.viewStamp()).write(View.KEY, next.toStore());
-    next.members().keySet().forEach(m -> txn.when("w/m/" + m, tables.memberStamp(m)));
+    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp()).write(View.KEY, next.toStore());
+    next.members().keySet().forEach(m -> txn.requireStamp("w/m/" + m, tables.memberStamp(m)));
     // Rewriting the parts makes whatever was prepared under the old view fail. Those of nodes in
     // neither view were rewritten when they left: nothing of theirs can come any more. Since what
     // is prepared is conditional on the view itself, they are rewritten no more; at the switch, as
@@ -613,7 +613,7 @@
       if (next.open(Gate.NUMBERS) && told.form() == Form.FIRST) {
         told = Quota.numbered(told, m, tables.registry(), settings);
       }
-      txn.when(Partition.key(m), p == null ? 0 : p.stamp());
+      txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
       txn.write(Partition.key(m), told.inEpoch(next.epoch()).toStore());
     }
     // Nobody outside the view acts, so what is known of them is asked for as far as it fits.
@@ -621,7 +621,7 @@
     conditions.forEach(
         (key, stamp) -> {
           if (txn.conditions().size() < most) {
-            txn.when(key, stamp);
+            txn.requireStamp(key, stamp);
           }
         });
     LOG.info(
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -10,7 +10,7 @@
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Overflow;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -177,7 +177,7 @@
       return;
     }
     String id = s.spec().id();
-    Txn txn = new Txn().when(Job.key(id), 0).when(Job.finalKey(id), 0);
+    Transaction txn = new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.finalKey(id), 0);
     int n = Math.min(open.size(), ledger.limits().maxTransactionChanges() / 2);
     open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
     ledger.commit(
@@ -204,7 +204,7 @@
 
   /** A transaction for one job alone, whose names are written. */
   private void batchOf(Submission s, Overflow more) {
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     put(txn, s.spec(), more, new Promised());
     ledger.commit(
         txn,
@@ -215,9 +215,9 @@
         });
   }
 
-  private void put(Txn txn, JobSpec spec, Overflow more, Promised together) {
+  private void put(Transaction txn, JobSpec spec, Overflow more, Promised together) {
     String id = spec.id();
-    txn.when(Job.key(id), 0).when(Job.finalKey(id), 0);
+    txn.requireStamp(Job.key(id), 0).requireStamp(Job.finalKey(id), 0);
     String part = router.route(spec, together);
     together.add(spec, part);
     txn.write(Job.key(id), Job.toStore(spec, more, timers.wallMs(), part, 0));
@@ -235,7 +235,7 @@
   private void accept() {
     Map<String, List<Submission>> batch = new LinkedHashMap<>();
     Promised together = new Promised();
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     while (!queue.isEmpty() && batch.size() < ledger.limits().maxTransactionChanges()) {
       Submission s = queue.poll();
       String id = s.spec().id();
@@ -270,8 +270,8 @@
               if (why == null) {
                 return false;
               }
-              txn.drop(Job.key(e.getKey()));
-              txn.drop(Job.finalKey(e.getKey()));
+              txn.remove(Job.key(e.getKey()));
+              txn.remove(Job.finalKey(e.getKey()));
               e.getValue().forEach(s -> refuse(s, 422, why));
               return true;
             });
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -16,7 +16,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.JobSpec;
@@ -49,7 +49,7 @@
   private final int number;
   private final int maxChanges;
   private final int pageBytes;
-  private final Txn txn = new Txn();
+  private final Transaction txn = new Transaction();
   private final Map<Job, Map<Integer, TaskState>> tasks = new LinkedHashMap<>();
   private final Map<Machine, Machine.Info> machines = new LinkedHashMap<>();
   private final Map<Job, Integer> liveDelta = new HashMap<>();
@@ -234,7 +234,7 @@
    */
   void end(Job job, String phase, long wallMs) {
     ended.add(job);
-    txn.when(job.key(), job.stamp());
+    txn.requireStamp(job.key(), job.stamp());
     others += opsForEnd();
     for (int c = 0; c < job.chunks(); c++) {
       // What does not fit is left as an orphan and deleted later.
@@ -254,7 +254,7 @@
 
   /** Moves an end to its lasting place. */
   void move(String id, Tables.Over o) {
-    txn.when(Job.key(id), o.stamp());
+    txn.requireStamp(Job.key(id), o.stamp());
     txn.write(Job.finalKey(id), o.how().toStore(true));
     txn.delete(Job.key(id));
     others += OPS_FOR_MOVE;
@@ -292,29 +292,29 @@
   }
 
   boolean touches(String key) {
-    return txn.touches(key);
+    return txn.changesKey(key);
   }
 
   void write(String key, Object value, long stamp) {
-    txn.when(key, stamp);
+    txn.requireStamp(key, stamp);
     txn.write(key, value);
     others++;
   }
 
   /** Takes back a write, and its condition. */
   void unwrite(String key) {
-    txn.drop(key);
+    txn.remove(key);
     others--;
   }
 
   void when(String key, long stamp) {
-    txn.when(key, stamp);
+    txn.requireStamp(key, stamp);
   }
 
   /** On condition that the view is the one of the tables, since that is what a change rewrites. */
   void underView() {
     if (tables.open(Gate.VIEWS)) {
-      txn.when(View.KEY, tables.viewStamp());
+      txn.requireStamp(View.KEY, tables.viewStamp());
     }
   }
 
@@ -322,9 +322,9 @@
   void whenLogStands(String of) {
     var last = tables.log(of).lastEntry();
     if (last != null) {
-      txn.when(last.getValue().key(), last.getValue().stamp());
+      txn.requireStamp(last.getValue().key(), last.getValue().stamp());
     }
-    txn.when(Page.key(of, last == null ? 1 : last.getKey() + 1), 0);
+    txn.requireStamp(Page.key(of, last == null ? 1 : last.getKey() + 1), 0);
   }
 
   private List<Object> entries() {
@@ -382,7 +382,7 @@
     return last;
   }
 
-  Txn finish() {
+  Transaction finish() {
     List<Object> entries = entries();
     var last = tables.log(node).lastEntry();
     Page page = last == null ? null : last.getValue();
@@ -412,7 +412,7 @@
   /** Appends to a page, or begins the next; returns its number. */
   private long write(Page page, long number, List<Object> run) {
     long to = page == null ? number + 1 : number;
-    txn.when(Page.key(node, to), page == null ? 0 : page.stamp());
+    txn.requireStamp(Page.key(node, to), page == null ? 0 : page.stamp());
     txn.write(Page.key(node, to), Page.value(page, tables.form(), run, tables::dead));
     return to;
   }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -14,7 +14,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.Report;
@@ -344,7 +344,7 @@
     phase = Phase.BUSY;
     transactions++;
     boolean places = draft.places();
-    Txn txn = draft.finish();
+    Transaction txn = draft.finish();
     ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> committed(r, places));
   }
 
@@ -401,9 +401,9 @@
             timers.after(REFUSED_MS, this::fence);
             return;
           }
-          Txn txn =
-              new Txn()
-                  .when(Partition.key(node), p.stamp())
+          Transaction txn =
+              new Transaction()
+                  .requireStamp(Partition.key(node), p.stamp())
                   .write(Partition.key(node), p.toStore());
           ledger.commit(
               txn,
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -4,7 +4,7 @@
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
@@ -54,9 +54,9 @@
   }
 
   private void commitWithdrawal(Exchange x, Job job, int tries) {
-    Txn txn =
-        new Txn()
-            .when(job.key(), job.stamp())
+    Transaction txn =
+        new Transaction()
+            .requireStamp(job.key(), job.stamp())
             .write(job.key(), job.toStore(job.part(), timers.wallMs()));
     ledger.commit(
         txn,
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import picocli.CommandLine;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Announcement;
 import wickdrift.bookkeeping.level.Gate;
@@ -144,10 +144,10 @@
       }
       long stamp = t.registry().word().stamp();
       // On condition of the view too: a level that rises meanwhile makes this come too late.
-      Txn txn =
-          new Txn()
-              .when(Word.KEY, stamp)
-              .when(View.KEY, t.viewStamp())
+      Transaction txn =
+          new Transaction()
+              .requireStamp(Word.KEY, stamp)
+              .requireStamp(View.KEY, t.viewStamp())
               .write(Word.KEY, next.toStore());
       if (!Records.commit(store, txn)) {
         return fail(NO, "the state has just changed; nothing was done, try again");
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
@@ -102,8 +102,8 @@
   }
 
   /** One transaction; true if its conditions held. */
-  static boolean commit(Store store, Txn txn) throws Store.Away {
-    Answer a = store.call("POST", "/commit", MessageCodec.encode(txn.toWire()));
+  static boolean commit(Store store, Transaction txn) throws Store.Away {
+    Answer a = store.call("POST", "/commit", MessageCodec.encode(txn.toRequest()));
     if (a.status() != 200 && a.status() != 409) {
       throw new Store.Away("the state service refuses a change with " + a.status());
     }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -9,7 +9,7 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
@@ -68,24 +68,24 @@
               + " records, as "
               + there.all().firstKey());
     }
-    if (view == null && !Records.commit(store, new Txn().when(View.KEY, 0).write(View.KEY, mark))) {
+    if (view == null && !Records.commit(store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, mark))) {
       throw new Refused("the store has just been written to by another");
     }
     Object last = plan.remove(View.KEY);
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     for (Map.Entry<String, Object> e : plan.entrySet()) {
       Records.Item is = there.all().get(e.getKey());
       if (is != null && same(is.value(), e.getValue())) {
         continue;
       }
-      txn.when(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
-      if (txn.changes() == limits.maxTransactionChanges()
-          || MessageCodec.encode(txn.toWire()).length > MOST_BYTES) {
+      txn.requireStamp(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
+      if (txn.changeCount() == limits.maxTransactionChanges()
+          || MessageCodec.encode(txn.toRequest()).length > MOST_BYTES) {
         write(txn);
-        txn = new Txn();
+        txn = new Transaction();
       }
     }
-    if (txn.changes() > 0) {
+    if (txn.changeCount() > 0) {
       write(txn);
     }
     Records now = Records.read(store);
@@ -95,14 +95,14 @@
         throw new Refused(e.getKey() + " is not what was written: someone else writes there");
       }
     }
-    Txn end = new Txn().when(View.KEY, now.all().get(View.KEY).stamp());
+    Transaction end = new Transaction().requireStamp(View.KEY, now.all().get(View.KEY).stamp());
     if (!Records.commit(store, last == null ? end.delete(View.KEY) : end.write(View.KEY, last))) {
       throw new Refused("the store was written to by another at the end");
     }
     return plan.size() + (last == null ? 0 : 1);
   }
 
-  private void write(Txn txn) throws Refused, Store.Away {
+  private void write(Transaction txn) throws Refused, Store.Away {
     if (!Records.commit(store, txn)) {
       throw new Refused("someone else writes to the store");
     }
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -39,7 +39,7 @@
       d.change(job, i, x -> x.placed(1, t.machineOrNew(machine), 0));
     }
     List<StateServiceClient.Change> news = new ArrayList<>();
-    for (Object o : (List<?>) d.finish().toWire().get("then")) {
+    for (Object o : (List<?>) d.finish().toRequest().get("then")) {
       Document w = Document.of(o);
       assertTrue(
           MessageCodec.jsonSize(w.raw("v")) <= PAGE,
