--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -455,11 +455,11 @@
       return false;
     }
     Machine on = s.machine();
-    set(index, s.exited(how == Entry.DONE ? Report.DONE : null));
-    if (how == Entry.DONE) {
+    set(index, s.exited(how == LogEntry.EXIT_DONE ? Report.DONE : null));
+    if (how == LogEntry.EXIT_DONE) {
       on.worked();
       blame(null);
-    } else if (how == Entry.FAILED) {
+    } else if (how == LogEntry.EXIT_FAILED) {
       failures++;
       on.failed(this);
       blame(on);
--- a/src/main/java/wickdrift/bookkeeping/Entry.java
+++ b/src/main/java/wickdrift/bookkeeping/LogEntry.java
@@ -10,11 +10,11 @@
  * happened; whether it still applies is decided alike by every reader, from the state that the
  * entries before it have led to.
  */
-public final class Entry {
+public final class LogEntry {
   /** Placed: job, the placer's number, then index, attempt and machine of each task. */
   static final String PLACED = "p";
 
-  /** Exited: job, then index, attempt and how of each task: {@link #LOST} and so on. */
+  /** Exited: job, then index, attempt and how of each task: {@link #EXIT_LOST} and so on. */
   static final String EXITED = "x";
 
   /** To be stopped: job, how, then index and attempt of each task. */
@@ -27,12 +27,12 @@
   static final String FORGOTTEN = "f";
 
   /** How an attempt ended: without its doing, with its work done, or with an error. */
-  public static final int LOST = 0;
+  public static final int EXIT_LOST = 0;
 
-  public static final int DONE = 1;
-  public static final int FAILED = 2;
+  public static final int EXIT_DONE = 1;
+  public static final int EXIT_FAILED = 2;
 
-  private Entry() {}
+  private LogEntry() {}
 
   public static List<Object> placed(String job, int placer) {
     return start(PLACED, job, placer);
--- a/src/main/java/wickdrift/bookkeeping/Page.java
+++ b/src/main/java/wickdrift/bookkeeping/LogPage.java
@@ -16,7 +16,7 @@
  * stamp. Each run of entries carries the revision at which it became durable, so that all readers
  * apply the entries of all logs in one order; the last run's revision is the record's own stamp.
  */
-public final class Page {
+public final class LogPage {
   private static final String PREFIX = "w/l/";
   private static final String RUNS = "g";
 
@@ -31,7 +31,7 @@
   private final int form;
   private final Map<String, Object> extra;
 
-  private Page(
+  private LogPage(
       String node,
       long number,
       long stamp,
@@ -69,7 +69,7 @@
   }
 
   /** Reads a stored page, in whatever form. */
-  public static Page parse(String key, Object value, long stamp) throws BadMessage {
+  public static LogPage parse(String key, Object value, long stamp) throws BadMessage {
     Document d = Form.read(value, Form.NUMBERED);
     List<Run> runs = new ArrayList<>();
     for (Object o : d.list(RUNS)) {
@@ -83,7 +83,7 @@
     }
     int form = Form.of(value);
     int bytes = MessageCodec.jsonSize(value);
-    return new Page(node(key), number(key), stamp, runs, bytes, form, d.without(RUNS));
+    return new LogPage(node(key), number(key), stamp, runs, bytes, form, d.without(RUNS));
   }
 
   public String key() {
@@ -116,8 +116,8 @@
    *
    * @param entries of the new run; none if the page is only brought to another form
    */
-  public static Object value(
-      Page old, int form, List<Object> entries, BiPredicate<Long, List<?>> dead) {
+  public static Object encode(
+      LogPage old, int form, List<Object> entries, BiPredicate<Long, List<?>> dead) {
     List<Object> runs = new ArrayList<>();
     if (old != null) {
       for (Run r : old.runs) {
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -56,10 +56,10 @@
   /** Pages, chunks and parts of a form older than the newest that is known here. */
   private final TreeSet<String> oldForms = new TreeSet<>();
 
-  private static final TreeMap<Long, Page> EMPTY_LOG = new TreeMap<>();
+  private static final TreeMap<Long, LogPage> EMPTY_LOG = new TreeMap<>();
   private static final Shelf NO_SHELF = new Shelf(0, 0, Map.of());
 
-  private final Map<String, TreeMap<Long, Page>> logs = new HashMap<>();
+  private final Map<String, TreeMap<Long, LogPage>> logs = new HashMap<>();
   private final Map<String, Shelf> shelves = new HashMap<>();
   private long appliedRev;
   private final TreeSet<String> orphans = new TreeSet<>();
@@ -405,7 +405,7 @@
   // ---- the logs ----
 
   /** A node's pages, oldest first. */
-  public TreeMap<Long, Page> log(String node) {
+  public TreeMap<Long, LogPage> log(String node) {
     return logs.getOrDefault(node, EMPTY_LOG);
   }
 
@@ -439,7 +439,7 @@
     List<Object> list = new ArrayList<>();
     for (Machine m : onShelf(shelf)) {
       if (m.info() != null) {
-        list.add(Entry.machine(m.name(), m.info()));
+        list.add(LogEntry.machine(m.name(), m.info()));
       }
     }
     Map<String, Object> out = new LinkedHashMap<>(shelf(shelf).extra);
@@ -468,17 +468,17 @@
   /** Whether nobody needs an entry any more: its job is over, or what it says is stored. */
   public boolean dead(long rev, List<?> entry) {
     try {
-      String subject = Entry.subject(entry);
-      if (Entry.aboutMachine(entry)) {
+      String subject = LogEntry.subject(entry);
+      if (LogEntry.aboutMachine(entry)) {
         return rev <= shelf(Machine.shelf(subject)).rev;
       }
       Job j = jobs.get(subject);
       if (j == null) {
         return true;
       }
-      int width = Entry.width(entry);
-      for (int i = Entry.first(entry); i + width <= entry.size(); i += width) {
-        if (rev > j.chunkRev(Entry.number(entry, i) / Job.CHUNK)) {
+      int width = LogEntry.width(entry);
+      for (int i = LogEntry.first(entry); i + width <= entry.size(); i += width) {
+        if (rev > j.chunkRev(LogEntry.number(entry, i) / Job.CHUNK)) {
           return false;
         }
       }
@@ -493,25 +493,25 @@
   public record Needed(Map<Job, Set<Integer>> chunks, Set<String> shelves) {}
 
   /** What a page still speaks of that no later record holds. */
-  public Needed needed(Page p) {
+  public Needed needed(LogPage p) {
     Needed n = new Needed(new LinkedHashMap<>(), new LinkedHashSet<>());
-    for (Page.Run r : p.runs()) {
+    for (LogPage.Run r : p.runs()) {
       for (Object o : r.entries()) {
         List<?> e = (List<?>) o;
         if (dead(r.rev(), e)) {
           continue;
         }
         try {
-          if (Entry.aboutMachine(e)) {
-            n.shelves.add(Machine.shelf(Entry.subject(e)));
+          if (LogEntry.aboutMachine(e)) {
+            n.shelves.add(Machine.shelf(LogEntry.subject(e)));
             continue;
           }
-          Job j = jobs.get(Entry.subject(e));
-          int width = Entry.width(e);
-          for (int i = Entry.first(e); i + width <= e.size(); i += width) {
+          Job j = jobs.get(LogEntry.subject(e));
+          int width = LogEntry.width(e);
+          for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
             n.chunks
                 .computeIfAbsent(j, k -> new LinkedHashSet<>())
-                .add(Entry.number(e, i) / Job.CHUNK);
+                .add(LogEntry.number(e, i) / Job.CHUNK);
           }
         } catch (BadMessage x) {
           LOG.error("unreadable entry: {}", x.getMessage());
@@ -524,9 +524,9 @@
   /** No page holds anything older than this. */
   public long oldestEntry() {
     long oldest = Long.MAX_VALUE;
-    for (TreeMap<Long, Page> pages : logs.values()) {
-      for (Page p : pages.values()) {
-        for (Page.Run r : p.runs()) {
+    for (TreeMap<Long, LogPage> pages : logs.values()) {
+      for (LogPage p : pages.values()) {
+        for (LogPage.Run r : p.runs()) {
           oldest = Math.min(oldest, r.rev());
         }
       }
@@ -535,7 +535,7 @@
   }
 
   /** Never passes over an entry in silence: others may have drawn something from it. */
-  private void run(String page, Page.Run run) {
+  private void run(String page, LogPage.Run run) {
     for (Object o : run.entries()) {
       try {
         if (!(o instanceof List<?> e)) {
@@ -550,12 +550,12 @@
   }
 
   private void entry(long rev, List<?> e) throws BadMessage {
-    String kind = Entry.kind(e);
-    String subject = Entry.subject(e);
-    if (Entry.aboutMachine(e)) {
+    String kind = LogEntry.kind(e);
+    String subject = LogEntry.subject(e);
+    if (LogEntry.aboutMachine(e)) {
       if (rev > shelf(Machine.shelf(subject)).rev) {
         Machine m = machineOrNew(subject);
-        boolean applies = kind.equals(Entry.MACHINE) ? m.become(Entry.info(e)) : m.forget();
+        boolean applies = kind.equals(LogEntry.MACHINE) ? m.become(LogEntry.info(e)) : m.forget();
         if (!applies) {
           LOG.debug("void: {} of {}", e, m.phase());
         }
@@ -565,31 +565,31 @@
       }
       return;
     }
-    Entry.known(kind);
-    int width = Entry.width(e);
-    if ((e.size() - Entry.first(e)) % width != 0) {
+    LogEntry.known(kind);
+    int width = LogEntry.width(e);
+    if ((e.size() - LogEntry.first(e)) % width != 0) {
       throw new BadMessage("an entry that ends early");
     }
-    if (kind.equals(Entry.PLACED) && Entry.number(e, 2) > Announcement.MOST_NUMBER) {
-      throw new BadMessage("no controller has the number " + Entry.number(e, 2));
+    if (kind.equals(LogEntry.PLACED) && LogEntry.number(e, 2) > Announcement.MOST_NUMBER) {
+      throw new BadMessage("no controller has the number " + LogEntry.number(e, 2));
     }
     Job j = jobs.get(subject);
     if (j == null) {
       return;
     }
-    for (int i = Entry.first(e); i + width <= e.size(); i += width) {
-      int index = Entry.number(e, i);
-      int attempt = Entry.number(e, i + 1);
+    for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
+      int index = LogEntry.number(e, i);
+      int attempt = LogEntry.number(e, i + 1);
       if (index >= j.size() || rev <= j.chunkRev(index / Job.CHUNK)) {
         continue;
       }
       boolean applies =
           switch (kind) {
-            case Entry.PLACED ->
-                j.placed(index, attempt, machineOrNew(Entry.text(e, i + 2)), Entry.number(e, 2));
-            case Entry.EXITED -> j.exited(index, attempt, Entry.number(e, i + 2));
-            case Entry.STOPPED ->
-                j.stopped(index, attempt, TaskState.Stop.values()[Entry.number(e, 2)]);
+            case LogEntry.PLACED ->
+                j.placed(index, attempt, machineOrNew(LogEntry.text(e, i + 2)), LogEntry.number(e, 2));
+            case LogEntry.EXITED -> j.exited(index, attempt, LogEntry.number(e, i + 2));
+            case LogEntry.STOPPED ->
+                j.stopped(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
             default -> throw new BadMessage("unknown kind " + kind);
           };
       if (!applies) {
@@ -607,18 +607,18 @@
    */
   @Override
   public void load(List<StateServiceClient.Change> all, long rev) {
-    record Of(String page, Page.Run run) {}
+    record Of(String page, LogPage.Run run) {}
     List<Of> runs = new ArrayList<>();
     for (StateServiceClient.Change c : all) {
-      if (!Page.isPage(c.key()) && !Job.isChunk(c.key())) {
+      if (!LogPage.isPage(c.key()) && !Job.isChunk(c.key())) {
         apply(c, true);
       }
     }
     for (StateServiceClient.Change c : all) {
       if (Job.isChunk(c.key())) {
         apply(c, true);
-      } else if (Page.isPage(c.key())) {
-        Page p = page(c);
+      } else if (LogPage.isPage(c.key())) {
+        LogPage p = page(c);
         if (p != null) {
           p.runs().forEach(r -> runs.add(new Of(c.key(), r)));
         }
@@ -650,9 +650,9 @@
     List<Step> steps = new ArrayList<>();
     Set<String> seen = new HashSet<>();
     for (StateServiceClient.Change c : news) {
-      if (Page.isPage(c.key())) {
-        Page p = page(c);
-        for (Page.Run r : p == null ? List.<Page.Run>of() : p.runs()) {
+      if (LogPage.isPage(c.key())) {
+        LogPage p = page(c);
+        for (LogPage.Run r : p == null ? List.<LogPage.Run>of() : p.runs()) {
           // A page that changed twice comes twice, and each time whole; and a large transaction
           // writes several pages under one revision.
           if (r.rev() > appliedRev && seen.add(r.rev() + c.key())) {
@@ -687,13 +687,13 @@
   }
 
   /** Notes a page as it is now; null when it is gone or can't be read. */
-  private Page page(StateServiceClient.Change c) {
-    String node = Page.node(c.key());
+  private LogPage page(StateServiceClient.Change c) {
+    String node = LogPage.node(c.key());
     try {
       if (c.value() == null) {
-        TreeMap<Long, Page> pages = logs.get(node);
+        TreeMap<Long, LogPage> pages = logs.get(node);
         if (pages != null) {
-          pages.remove(Page.number(c.key()));
+          pages.remove(LogPage.number(c.key()));
           if (pages.isEmpty()) {
             logs.remove(node);
           }
@@ -702,7 +702,7 @@
         noteForm(c);
         return null;
       }
-      Page p = Page.parse(c.key(), c.value(), c.stamp());
+      LogPage p = LogPage.parse(c.key(), c.value(), c.stamp());
       logs.computeIfAbsent(node, k -> new TreeMap<>()).put(p.number(), p);
       noteForm(c);
       return p;
@@ -726,7 +726,7 @@
 
   /** The newest form that this build reads of what a key holds. */
   public static int formOf(String key) {
-    boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || Page.isPage(key);
+    boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || LogPage.isPage(key);
     return Job.isChunk(key) ? Form.DENSE : numbered ? Form.NUMBERED : Form.FIRST;
   }
 
@@ -914,7 +914,7 @@
       onShelf(shelf).forEach(m -> m.restore(null));
       for (Object o : d.list("m")) {
         List<?> e = (List<?>) o;
-        machineOrNew(Entry.subject(e)).restore(Entry.info(e));
+        machineOrNew(LogEntry.subject(e)).restore(LogEntry.info(e));
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
@@ -75,9 +75,9 @@
   }
 
   private boolean page(TransactionBuilder draft, String key) {
-    for (Page p : tables.log(node).values()) {
+    for (LogPage p : tables.log(node).values()) {
       if (p.key().equals(key)) {
-        draft.write(key, Page.value(p, tables.form(), List.of(), tables::dead), p.stamp());
+        draft.write(key, LogPage.encode(p, tables.form(), List.of(), tables::dead), p.stamp());
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -10,7 +10,7 @@
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.StateServiceLimits;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Timers;
@@ -71,7 +71,7 @@
     }
   }
 
-  private void fold(TransactionBuilder draft, Page p) {
+  private void fold(TransactionBuilder draft, LogPage p) {
     Tables.Needed needed = tables.needed(p);
     long rev = ledger.rev();
     for (Map.Entry<Job, Set<Integer>> e : needed.chunks().entrySet()) {
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import wickdrift.bookkeeping.Entry;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
@@ -324,12 +324,12 @@
     if (last != null) {
       txn.requireStamp(last.getValue().key(), last.getValue().stamp());
     }
-    txn.requireStamp(Page.key(of, last == null ? 1 : last.getKey() + 1), 0);
+    txn.requireStamp(LogPage.key(of, last == null ? 1 : last.getKey() + 1), 0);
   }
 
   private List<Object> entries() {
     List<Object> out = new ArrayList<>();
-    machines.forEach((m, info) -> out.add(Entry.machine(m.name(), info)));
+    machines.forEach((m, info) -> out.add(LogEntry.machine(m.name(), info)));
     tasks.forEach(
         (job, changes) -> {
           // What an ended job's tasks did is in its final record.
@@ -352,16 +352,16 @@
             boolean error = failed.getOrDefault(job, Set.of()).contains(i);
             int how =
                 next.phase() == TaskState.Phase.DONE
-                    ? Entry.DONE
-                    : error ? Entry.FAILED : Entry.LOST;
-            to(exited, Entry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
+                    ? LogEntry.EXIT_DONE
+                    : error ? LogEntry.EXIT_FAILED : LogEntry.EXIT_LOST;
+            to(exited, LogEntry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
           }
           if (next.live() && !same) {
-            to(placed, Entry.placed(job.id(), number), 3)
+            to(placed, LogEntry.placed(job.id(), number), 3)
                 .addAll(List.of(i, next.attempt(), next.machine().name()));
           }
           if (next.live() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
-            to(stopped, Entry.stopped(job.id(), next.stop()), 2).addAll(List.of(i, next.attempt()));
+            to(stopped, LogEntry.stopped(job.id(), next.stop()), 2).addAll(List.of(i, next.attempt()));
           }
         });
     // In this order: what is placed may follow on an exit, what is stopped on a placement.
@@ -385,7 +385,7 @@
   Transaction finish() {
     List<Object> entries = entries();
     var last = tables.log(node).lastEntry();
-    Page page = last == null ? null : last.getValue();
+    LogPage page = last == null ? null : last.getValue();
     long number = last == null ? 0 : last.getKey();
     if (page != null && page.bytes() + PAGE_OVERHEAD + bytes > pageBytes) {
       page = null;
@@ -410,10 +410,10 @@
   }
 
   /** Appends to a page, or begins the next; returns its number. */
-  private long write(Page page, long number, List<Object> run) {
+  private long write(LogPage page, long number, List<Object> run) {
     long to = page == null ? number + 1 : number;
-    txn.requireStamp(Page.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(Page.key(node, to), Page.value(page, tables.form(), run, tables::dead));
+    txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
+    txn.write(LogPage.key(node, to), LogPage.encode(page, tables.form(), run, tables::dead));
     return to;
   }
 }
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -64,9 +64,9 @@
   private static StateServiceClient.Change page(Tables t, String node, long stamp, List<Object> entry)
       throws BadMessage {
     var last = t.log(node).lastEntry();
-    Page old = last == null ? null : last.getValue();
-    Object v = Page.value(old, 1, List.of(entry), (r, e) -> false);
-    return new StateServiceClient.Change(Page.key(node, 1), raw(v), stamp);
+    LogPage old = last == null ? null : last.getValue();
+    Object v = LogPage.encode(old, 1, List.of(entry), (r, e) -> false);
+    return new StateServiceClient.Change(LogPage.key(node, 1), raw(v), stamp);
   }
 
   private static List<Object> entry(List<Object> head, Object... rest) {
@@ -148,8 +148,8 @@
   @Test
   void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
     Tables t = withJob(2);
-    StateServiceClient.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
-    StateServiceClient.Change exited = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed = page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change exited = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
     t.apply(List.of(exited, placed), 11);
     assertEquals(TaskState.Phase.DONE, t.job(JOB).task(0).phase());
     assertEquals(0, t.machineOrNew("i-1").live().size());
@@ -162,18 +162,18 @@
     record Row(List<Object> entry, String expected) {}
     List<Row> rows =
         List.of(
-            new Row(entry(Entry.exited(JOB), 0, 1, 1), "WAITING0 WAITING0"),
-            new Row(entry(Entry.placed(JOB, 1), 0, 1, "i-1", 1, 1, "i-2"), "LIVE1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 0, 1, 1), "WAITING0 WAITING0"),
+            new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1", 1, 1, "i-2"), "LIVE1 LIVE1"),
             // Placed already: a second placement of it must not take effect.
-            new Row(entry(Entry.placed(JOB, 2), 0, 2, "i-9"), "LIVE1 LIVE1"),
-            new Row(entry(Entry.stopped(JOB, TaskState.Stop.SAVE), 0, 1), "LIVE1S LIVE1"),
+            new Row(entry(LogEntry.placed(JOB, 2), 0, 2, "i-9"), "LIVE1 LIVE1"),
+            new Row(entry(LogEntry.stopped(JOB, TaskState.Stop.SAVE), 0, 1), "LIVE1S LIVE1"),
             // Of an attempt that is not the live one.
-            new Row(entry(Entry.exited(JOB), 1, 2, 1), "LIVE1S LIVE1"),
-            new Row(entry(Entry.exited(JOB), 0, 1, 0), "WAITING1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 1, 2, 1), "LIVE1S LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 0, 1, 0), "WAITING1 LIVE1"),
             // An attempt's number is never used again.
-            new Row(entry(Entry.placed(JOB, 1), 0, 1, "i-1"), "WAITING1 LIVE1"),
-            new Row(entry(Entry.exited(JOB), 1, 1, 1), "WAITING1 DONE0"),
-            new Row(entry(Entry.placed(JOB, 1), 1, 5, "i-1"), "WAITING1 DONE0"));
+            new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1"), "WAITING1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 1, 1, 1), "WAITING1 DONE0"),
+            new Row(entry(LogEntry.placed(JOB, 1), 1, 5, "i-1"), "WAITING1 DONE0"));
     long rev = 10;
     for (Row r : rows) {
       apply(t, page(t, "n0", rev++, r.entry));
@@ -191,9 +191,9 @@
   void aGangIsDoneTogetherWhoeverReportsIt() throws BadMessage {
     Tables t = new Tables(List.of(), Range.BUILD, () -> {});
     apply(t, job("ensemble", 2));
-    apply(t, page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
-    apply(t, page(t, "n1", 11, entry(Entry.exited(JOB), 1, 1, 1)));
-    apply(t, page(t, "n2", 12, entry(Entry.exited(JOB), 0, 1, 0)));
+    apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
+    apply(t, page(t, "n1", 11, entry(LogEntry.exited(JOB), 1, 1, 1)));
+    apply(t, page(t, "n2", 12, entry(LogEntry.exited(JOB), 0, 1, 0)));
     assertEquals(2, t.job(JOB).done());
   }
 
@@ -201,13 +201,13 @@
   @Test
   void aLoadTakesChunksThenOnlyNewerEntries() throws BadMessage {
     Tables t = withJob(2);
-    apply(t, page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1")));
+    apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1")));
     Job j = t.job(JOB);
     StateServiceClient.Change chunk = new StateServiceClient.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
-    StateServiceClient.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 0));
+    StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 0));
     apply(t, exit);
     apply(t, chunk);
-    StateServiceClient.Change again = page(t, "n0", 13, entry(Entry.placed(JOB, 0), 0, 2, "i-2"));
+    StateServiceClient.Change again = page(t, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
     apply(t, again);
     // The same from the start: the pages first, as they were read, then the rest.
     Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
@@ -224,8 +224,8 @@
   @Test
   void aLoadLeavesNewerEntriesToTheWatch() throws BadMessage {
     Tables t = withJob(2);
-    StateServiceClient.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
-    StateServiceClient.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed = page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
     Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
     // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
     fresh.load(List.of(exit, job("batch", 2)), 9);
@@ -248,7 +248,7 @@
     long rev = 1;
     for (String p : phases.split(" ")) {
       Machine.Info i = new Machine.Info("g4", "a", false, Machine.Phase.valueOf(p), 5);
-      apply(t, page(t, "n" + rev % 3, ++rev, Entry.machine("i-000001", i)));
+      apply(t, page(t, "n" + rev % 3, ++rev, LogEntry.machine("i-000001", i)));
     }
     assertEquals(expected, t.machine("i-000001").phase());
   }
@@ -296,7 +296,7 @@
       int index = j.done();
       int attempt = j.task(index).attempt() + 1;
       assertTrue(j.placed(index, attempt, t.machineOrNew("i-" + e.charAt(1)), 0));
-      assertTrue(j.exited(index, attempt, e.endsWith("+") ? Entry.DONE : Entry.FAILED));
+      assertTrue(j.exited(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
     }
     assertEquals(shunS * 1000, t.machineOrNew("i-1").shunUntilMs(0));
     assertEquals(suspect, jobs.get('a').suspect());
@@ -310,7 +310,7 @@
     long now = 1_000_000;
     for (int i = 0; i < 2; i++) {
       assertTrue(j.placed(i, 1, t.machineOrNew("i-" + i), 0));
-      assertTrue(j.exited(i, 1, Entry.FAILED));
+      assertTrue(j.exited(i, 1, LogEntry.EXIT_FAILED));
     }
     for (long pause : new long[] {4, 8, 16, 32, 64, 64}) {
       j.backOff(now);
@@ -319,7 +319,7 @@
       now = j.retryAtMs();
       int attempt = j.task(0).attempt() + 1;
       assertTrue(j.placed(0, attempt, t.machineOrNew("i-3"), 0));
-      assertTrue(j.exited(0, attempt, Entry.FAILED));
+      assertTrue(j.exited(0, attempt, LogEntry.EXIT_FAILED));
     }
   }
 
@@ -406,7 +406,7 @@
   void aChunkFitsItsValue(int most, int nameLength, int attempt, int form) throws BadMessage {
     Tables t = withJob(64);
     Job j = t.job(JOB);
-    List<Object> placed = Entry.placed(JOB, 3);
+    List<Object> placed = LogEntry.placed(JOB, 3);
     for (int i = 0; i < 64; i++) {
       String name = "i-" + "0".repeat(nameLength - 4) + (10 + i / 4);
       placed.addAll(List.of(i, i % 5 == 0 ? attempt : 1, name));
@@ -414,7 +414,7 @@
     t.apply(
         List.of(
             new StateServiceClient.Change(
-                Page.key("n0", 1), raw(Page.value(null, 2, List.of(placed), (r, e) -> false)), 20)),
+                LogPage.key("n0", 1), raw(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)), 20)),
         20);
     assertEquals(64, j.live());
     Object stored = j.storeChunk(0, 21, j::task, 2, most);
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import wickdrift.bookkeeping.Entry;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
@@ -58,10 +58,10 @@
   }
 
   private static Machine machine(Tables tables, String name, Machine.Info info) throws BadMessage {
-    var v = Page.value(null, 1, List.of(Entry.machine(name, info)), (r, e) -> false);
+    var v = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
     long rev = 1 + tables.machines().size();
     StateServiceClient.Change c =
-        new StateServiceClient.Change(Page.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
+        new StateServiceClient.Change(LogPage.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
     tables.apply(List.of(c), rev);
     return tables.machine(name);
   }
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wickdrift.bookkeeping.Entry;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
@@ -34,7 +34,7 @@
   }
 
   private void log(List<Object> entry) throws BadMessage {
-    apply(Page.key("n0", rev), Page.value(null, 1, List.of(entry), (r, e) -> false));
+    apply(LogPage.key("n0", rev), LogPage.encode(null, 1, List.of(entry), (r, e) -> false));
   }
 
   private static JobSpec spec(int number, String rank, double gpus, String image)
@@ -72,14 +72,14 @@
     List<FreeCapacity> rooms = new ArrayList<>();
     String[] each = machines.split(" / ");
     for (int i = 0; i < each.length; i++) {
-      log(Entry.machine("m" + i, UP));
+      log(LogEntry.machine("m" + i, UP));
       for (String task : each[i].split(" ")) {
         boolean image = task.endsWith("i");
         String t = image ? task.substring(0, task.length() - 1) : task;
         double gpus = t.charAt(t.length() - 1) - '0';
         JobSpec s = spec(job++, t.substring(0, t.length() - 1), gpus, image ? "img" : "other");
         apply(Job.key(s.id()), Job.toStore(s, null, 1, "n0", 0));
-        List<Object> placed = Entry.placed(s.id(), 0);
+        List<Object> placed = LogEntry.placed(s.id(), 0);
         placed.addAll(List.of(0, 1, "m" + i));
         log(placed);
       }
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wickdrift.bookkeeping.Entry;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
@@ -44,7 +44,7 @@
       for (int i = 0; i < 10; i++) {
         String zone = i % 2 == 0 ? "zone-a" : "zone-b";
         shelf.add(
-            Entry.machine(
+            LogEntry.machine(
                 name(10 * s + i),
                 new Machine.Info("type", zone, false, Machine.Phase.UP, 1_790_000_000_000L)));
       }
