--- a/src/main/java/wickdrift/bookkeeping/Partition.java
+++ b/src/main/java/wickdrift/bookkeeping/Partition.java
@@ -14,38 +14,38 @@
  * itself after a commit whose outcome it does not know) makes every placement that was prepared
  * before fail.
  *
- * @param taken machines that the leader has marked; the owner places nothing on them
- * @param form of the stored record, see {@link Form}
- * @param shares by team, where it is not an even part of the limit that this node may use: in form
+ * @param reserved machines that the leader has marked; the owner places nothing on them
+ * @param encoding of the stored record, see {@link Form}
+ * @param quotaShares by team, where it is not an even part of the limit that this node may use: in form
  *     1 what it may use; since form 2 what it was given beyond its even part, below 0 what it gave
  *     away, so that all together sum to nothing whatever the limit is
  * @param extra fields that this build does not know; they survive a rewriting
  */
 public record Partition(
     long epoch,
-    List<String> taken,
-    Map<String, Share> shares,
+    List<String> reserved,
+    Map<String, QuotaShare> quotaShares,
     long stamp,
-    int form,
+    int encoding,
     Map<String, Object> extra) {
   /** An amount of a team's limit. */
-  public record Share(double cpus, double gpus) {
-    public static final Share NONE = new Share(0, 0);
+  public record QuotaShare(double cpus, double gpus) {
+    public static final QuotaShare NONE = new QuotaShare(0, 0);
 
-    public Share plus(Share o) {
-      return new Share(cpus + o.cpus, gpus + o.gpus);
+    public QuotaShare plus(QuotaShare o) {
+      return new QuotaShare(cpus + o.cpus, gpus + o.gpus);
     }
 
-    public Share minus(Share o) {
-      return new Share(cpus - o.cpus, gpus - o.gpus);
+    public QuotaShare minus(QuotaShare o) {
+      return new QuotaShare(cpus - o.cpus, gpus - o.gpus);
     }
 
-    public Share times(double n) {
-      return new Share(cpus * n, gpus * n);
+    public QuotaShare times(double n) {
+      return new QuotaShare(cpus * n, gpus * n);
     }
   }
 
-  public static Partition fresh(long epoch, int form) {
+  public static Partition empty(long epoch, int form) {
     return new Partition(epoch, List.of(), Map.of(), 0, form, Map.of());
   }
 
@@ -53,41 +53,41 @@
     return "w/p/" + node;
   }
 
-  public Partition with(List<String> nowTaken) {
-    return new Partition(epoch, nowTaken, shares, stamp, form, extra);
+  public Partition withReserved(List<String> nowTaken) {
+    return new Partition(epoch, nowTaken, quotaShares, stamp, encoding, extra);
   }
 
   /** In a new view nothing is taken; the shares stay, for attempts count against them. */
   public Partition inEpoch(long next) {
-    return new Partition(next, List.of(), shares, stamp, form, extra);
+    return new Partition(next, List.of(), quotaShares, stamp, encoding, extra);
   }
 
   /** In another form, with the shares as that form tells them. */
-  public Partition inForm(int other, Map<String, Share> told) {
-    return new Partition(epoch, taken, told, stamp, other, extra);
+  public Partition inEncoding(int other, Map<String, QuotaShare> told) {
+    return new Partition(epoch, reserved, told, stamp, other, extra);
   }
 
-  public Partition with(String team, Share share) {
-    Map<String, Share> s = new LinkedHashMap<>(shares);
+  public Partition withQuotaShare(String team, QuotaShare share) {
+    Map<String, QuotaShare> s = new LinkedHashMap<>(quotaShares);
     s.put(team, share);
-    return new Partition(epoch, taken, s, stamp, form, extra);
+    return new Partition(epoch, reserved, s, stamp, encoding, extra);
   }
 
   /** The record as it is stored, in its form. */
   public Object toStore() {
     Map<String, Object> m = new LinkedHashMap<>(extra);
     m.put("epoch", epoch);
-    m.put("taken", new ArrayList<>(taken));
+    m.put("taken", new ArrayList<>(reserved));
     Map<String, Object> s = new LinkedHashMap<>();
-    shares.forEach((t, v) -> s.put(t, List.of(v.cpus, v.gpus)));
+    quotaShares.forEach((t, v) -> s.put(t, List.of(v.cpus, v.gpus)));
     m.put("shares", s);
-    return Form.wrap(form, m);
+    return Form.wrap(encoding, m);
   }
 
   /** Reads a stored record, in whatever form. */
   public static Partition parse(Object value, long stamp) throws BadMessage {
     Document d = Form.read(value, Form.NUMBERED);
-    Map<String, Share> shares = new LinkedHashMap<>();
+    Map<String, QuotaShare> shares = new LinkedHashMap<>();
     if (d.raw("shares") instanceof Map<?, ?> m) {
       for (Map.Entry<?, ?> e : m.entrySet()) {
         if (!(e.getValue() instanceof List<?> l)
@@ -96,7 +96,7 @@
             || !(l.get(1) instanceof Number gpus)) {
           throw new BadMessage("a share is not two amounts");
         }
-        shares.put((String) e.getKey(), new Share(cpus.doubleValue(), gpus.doubleValue()));
+        shares.put((String) e.getKey(), new QuotaShare(cpus.doubleValue(), gpus.doubleValue()));
       }
     }
     return new Partition(
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -215,7 +215,7 @@
     boolean ofView = open(Gate.VIEWS);
     parts.values().stream()
         .filter(p -> !ofView || p.epoch() == view.epoch())
-        .forEach(p -> now.addAll(p.taken()));
+        .forEach(p -> now.addAll(p.reserved()));
     if (!now.equals(marked)) {
       Set<String> differ = new HashSet<>(now);
       differ.addAll(marked);
@@ -270,7 +270,7 @@
     if (!open(Gate.VIEWS)) {
       return p;
     }
-    Partition is = p == null ? Partition.fresh(view.epoch(), form()) : p;
+    Partition is = p == null ? Partition.empty(view.epoch(), form()) : p;
     return is.epoch() == view.epoch() ? is : is.inEpoch(view.epoch());
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Usage.java
+++ b/src/main/java/wickdrift/bookkeeping/Usage.java
@@ -34,7 +34,7 @@
   }
 
   /** What all live attempts of a team take. */
-  public Partition.Share of(String team) {
+  public Partition.QuotaShare of(String team) {
     long cpus = 0;
     long gpus = 0;
     Int2ObjectHashMap<Amount> all = teams.get(team);
@@ -44,13 +44,13 @@
         gpus += a.gpus;
       }
     }
-    return new Partition.Share(cpus / UNIT, gpus / UNIT);
+    return new Partition.QuotaShare(cpus / UNIT, gpus / UNIT);
   }
 
   /** What the live attempts of a team take that the controller of that number placed. */
-  public Partition.Share of(String team, int number) {
+  public Partition.QuotaShare of(String team, int number) {
     Int2ObjectHashMap<Amount> all = teams.get(team);
     Amount of = all == null ? null : all.get(number);
-    return of == null ? Partition.Share.NONE : new Partition.Share(of.cpus / UNIT, of.gpus / UNIT);
+    return of == null ? Partition.QuotaShare.NONE : new Partition.QuotaShare(of.cpus / UNIT, of.gpus / UNIT);
   }
 }
--- a/src/main/java/wickdrift/coordination/DominantShareOrder.java
+++ b/src/main/java/wickdrift/coordination/DominantShareOrder.java
@@ -8,7 +8,7 @@
 import java.util.NoSuchElementException;
 import java.util.function.Function;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Partition.Share;
+import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.settings.Settings;
 
 /**
@@ -26,7 +26,7 @@
     double gpus;
     Job next;
 
-    Line(Iterator<Job> jobs, double weight, Share held) {
+    Line(Iterator<Job> jobs, double weight, QuotaShare held) {
       this.jobs = jobs;
       this.weight = weight;
       this.cpus = held.cpus();
@@ -49,14 +49,14 @@
    */
   DominantShareOrder(
       Map<String, ? extends Iterable<Job>> byTeam,
-      Function<String, Share> held,
+      Function<String, QuotaShare> held,
       Map<String, Settings.Team> teams) {
     Map<String, Double> weights = new HashMap<>();
     byTeam.keySet().forEach(t -> weights.put(t, guarantee(teams.get(t))));
     double least = weights.values().stream().filter(w -> w > 0).min(Double::compare).orElse(1.0);
     byTeam.forEach(
         (team, jobs) -> {
-          Share h = held.apply(team);
+          QuotaShare h = held.apply(team);
           allCpus += h.cpus();
           allGpus += h.gpus();
           double w = weights.get(team);
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -16,7 +16,7 @@
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Partition.Share;
+import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Usage;
 import wickdrift.bookkeeping.View;
@@ -769,7 +769,7 @@
       Map<Kind, Integer> wanted = new LinkedHashMap<>();
       Map<String, Integer> perZone = new HashMap<>();
       bins.forEach(b -> perZone.merge(b.zone, 1, Integer::sum));
-      Map<String, Share> leftOfLimit = new HashMap<>();
+      Map<String, QuotaShare> leftOfLimit = new HashMap<>();
       Set<String> savedFor = new HashSet<>();
       int seen = 0;
       int fresh = 0;
@@ -781,8 +781,8 @@
         // What seems to fail everywhere is tried, not provided for.
         boolean one = job.suspect() && job.spec().shape() != JobSpec.Shape.GANG;
         int most = one ? 1 : job.waiting();
-        Share need = new Share(job.spec().cpus(), job.spec().gpus());
-        Share left =
+        QuotaShare need = new QuotaShare(job.spec().cpus(), job.spec().gpus());
+        QuotaShare left =
             leftOfLimit.computeIfAbsent(team.name(), k -> leftOf(team, usage.of(team.name())));
         int allowed =
             FreeCapacity.tasksIn(job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
@@ -830,8 +830,8 @@
     }
 
     /** What a team may use beyond what it does; without end where it has no limit. */
-    private static Share leftOf(Settings.Team team, Share used) {
-      return new Share(
+    private static QuotaShare leftOf(Settings.Team team, QuotaShare used) {
+      return new QuotaShare(
           team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.POSITIVE_INFINITY,
           team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -387,7 +387,7 @@
       Partition p = tables.part(n);
       if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
-            p.form() == Form.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
+            p.encoding() == Form.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
         txn.requireStamp(Partition.key(n), p.stamp())
             .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
       }
@@ -609,8 +609,8 @@
         break;
       }
       Partition p = tables.part(m);
-      Partition told = p == null ? Partition.fresh(0, Form.at(next.level())) : p;
-      if (next.open(Gate.NUMBERS) && told.form() == Form.FIRST) {
+      Partition told = p == null ? Partition.empty(0, Form.at(next.level())) : p;
+      if (next.open(Gate.NUMBERS) && told.encoding() == Form.FIRST) {
         told = Quota.numbered(told, m, tables.registry(), settings);
       }
       txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.Partition;
-import wickdrift.bookkeeping.Partition.Share;
+import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Form;
 import wickdrift.bookkeeping.level.Gate;
@@ -31,9 +31,9 @@
   private final Map<String, Settings.Team> teams = new HashMap<>();
 
   /** What this round has booked for this node, by team. */
-  private final Map<String, Share> booked = new HashMap<>();
+  private final Map<String, QuotaShare> booked = new HashMap<>();
 
-  private final Map<Key, Share> needed = new HashMap<>();
+  private final Map<Key, QuotaShare> needed = new HashMap<>();
 
   /** By team, the gang for which its limit is saved up. */
   private final Map<String, Job> saved = new HashMap<>();
@@ -62,43 +62,43 @@
     }
   }
 
-  private static Share of(JobSpec s) {
-    return new Share(s.cpus(), s.gpus());
+  private static QuotaShare of(JobSpec s) {
+    return new QuotaShare(s.cpus(), s.gpus());
   }
 
-  private Share share(String team, String of) {
+  private QuotaShare share(String team, String of) {
     Partition p = tables.part(of);
-    Share told = p == null ? null : p.shares().get(team);
-    Share even = even(tables.registry(), teams.get(team), of);
-    if (p == null || p.form() == Form.FIRST) {
+    QuotaShare told = p == null ? null : p.quotaShares().get(team);
+    QuotaShare even = even(tables.registry(), teams.get(team), of);
+    if (p == null || p.encoding() == Form.FIRST) {
       return told != null ? told : even;
     }
     return told != null ? even.plus(told) : even;
   }
 
   /** What a node starts with. */
-  private static Share even(NodeRegistry registry, Settings.Team t, String of) {
+  private static QuotaShare even(NodeRegistry registry, Settings.Team t, String of) {
     double first = registry.first().size();
     return registry.first().contains(of)
-        ? new Share(t.cpusMax() / first, t.gpusMax() / first)
-        : Share.NONE;
+        ? new QuotaShare(t.cpusMax() / first, t.gpusMax() / first)
+        : QuotaShare.NONE;
   }
 
   /** A part as {@link Form#NUMBERED} tells it: what a node may use, as more or less than even. */
   static Partition numbered(Partition p, String of, NodeRegistry registry, Settings settings) {
-    Map<String, Share> told = new LinkedHashMap<>();
+    Map<String, QuotaShare> told = new LinkedHashMap<>();
     for (Settings.Team t : settings.teams()) {
-      Share s = p.shares().get(t.name());
+      QuotaShare s = p.quotaShares().get(t.name());
       if (s != null && (t.cpusMax() > 0 || t.gpusMax() > 0)) {
         told.put(t.name(), s.minus(even(registry, t, of)));
       }
     }
-    return p.inForm(Form.NUMBERED, told);
+    return p.inEncoding(Form.NUMBERED, told);
   }
 
-  private Share left(String team, String of) {
-    Share left = share(team, of).minus(tables.usage().of(team, tables.registry().number(of)));
-    return of.equals(node) ? left.minus(booked.getOrDefault(team, Share.NONE)) : left;
+  private QuotaShare left(String team, String of) {
+    QuotaShare left = share(team, of).minus(tables.usage().of(team, tables.registry().number(of)));
+    return of.equals(node) ? left.minus(booked.getOrDefault(team, QuotaShare.NONE)) : left;
   }
 
   /**
@@ -137,14 +137,14 @@
     }
   }
 
-  private Share limit(String team) {
+  private QuotaShare limit(String team) {
     Settings.Team t = teams.get(team);
-    return new Share(t.cpusMax(), t.gpusMax());
+    return new QuotaShare(t.cpusMax(), t.gpusMax());
   }
 
   /** What a team has in use, with what this round has booked here. */
-  private Share total(String team) {
-    return tables.usage().of(team).plus(booked.getOrDefault(team, Share.NONE));
+  private QuotaShare total(String team) {
+    return tables.usage().of(team).plus(booked.getOrDefault(team, QuotaShare.NONE));
   }
 
   /**
@@ -152,7 +152,7 @@
    * is held by others' long tasks the job is not about to start.
    */
   boolean savingFor(Job job) {
-    Share part = of(job.spec()).times(job.waiting() * SAVED_PART);
+    QuotaShare part = of(job.spec()).times(job.waiting() * SAVED_PART);
     String team = job.spec().team();
     return saved.get(team) == job && covers(teams.get(team), limit(team).minus(total(team)), part);
   }
@@ -161,7 +161,7 @@
   boolean allows(Job job) {
     Job first = saved.get(job.spec().team());
     if (first != null && first != job) {
-      Share beside = of(job.spec()).plus(of(first.spec()).times(first.waiting()));
+      QuotaShare beside = of(job.spec()).plus(of(first.spec()).times(first.waiting()));
       String team = job.spec().team();
       if (!covers(teams.get(team), limit(team).minus(total(team)), beside)) {
         return false;
@@ -181,7 +181,7 @@
 
   /** What each team's limit leaves beside what is in use: gangs are given it in their order. */
   final class Remainder {
-    private final Map<String, Share> left = new HashMap<>();
+    private final Map<String, QuotaShare> left = new HashMap<>();
 
     /** Takes what so many tasks need, if the limit leaves it. */
     boolean take(JobSpec spec, int tasks) {
@@ -189,9 +189,9 @@
       if (team == null) {
         return true;
       }
-      Share now =
+      QuotaShare now =
           left.computeIfAbsent(spec.team(), k -> limit(spec.team()).minus(total(spec.team())));
-      Share need = of(spec).times(tasks);
+      QuotaShare need = of(spec).times(tasks);
       if (!covers(team, now, need)) {
         return false;
       }
@@ -200,14 +200,14 @@
     }
   }
 
-  private static boolean covers(Settings.Team t, Share left, Share need) {
+  private static boolean covers(Settings.Team t, QuotaShare left, QuotaShare need) {
     return (t.cpusMax() == 0 || need.cpus() <= left.cpus() + FreeCapacity.EPS)
         && (t.gpusMax() == 0 || need.gpus() <= left.gpus() + FreeCapacity.EPS);
   }
 
   void book(JobSpec spec) {
     if (teams.containsKey(spec.team())) {
-      booked.merge(spec.team(), of(spec), Share::plus);
+      booked.merge(spec.team(), of(spec), QuotaShare::plus);
     }
   }
 
@@ -229,7 +229,7 @@
         needed.merge(
             new Key(team, view.placer(job.part(), job.id())),
             of(job.spec()).times(job.waiting()),
-            Share::plus);
+            QuotaShare::plus);
       }
     }
     for (String team : teams.keySet()) {
@@ -239,19 +239,19 @@
         if (!may) {
           continue;
         }
-        Share spare =
+        QuotaShare spare =
             positive(
-                left(team, giver).minus(needed.getOrDefault(new Key(team, giver), Share.NONE)));
+                left(team, giver).minus(needed.getOrDefault(new Key(team, giver), QuotaShare.NONE)));
         for (String taker : takers()) {
           // One outside the view needs what it is short of: a limit that was lowered left it less
           // than it had given away, and until it has that back the others may use too much.
-          Share need = needed.getOrDefault(new Key(team, taker), Share.NONE);
+          QuotaShare need = needed.getOrDefault(new Key(team, taker), QuotaShare.NONE);
           if (taker.equals(giver) || covers(t, left(team, taker), need)) {
             continue;
           }
-          Share lack = positive(need.minus(left(team, taker)));
-          Share gift =
-              new Share(Math.min(spare.cpus(), lack.cpus()), Math.min(spare.gpus(), lack.gpus()));
+          QuotaShare lack = positive(need.minus(left(team, taker)));
+          QuotaShare gift =
+              new QuotaShare(Math.min(spare.cpus(), lack.cpus()), Math.min(spare.gpus(), lack.gpus()));
           if (gift.cpus() > FreeCapacity.EPS || gift.gpus() > FreeCapacity.EPS) {
             return new Gift(
                 team, giver, taker, moved(team, giver, gift.times(-1)), moved(team, taker, gift));
@@ -283,17 +283,17 @@
 
   private Partition part(String of) {
     Partition p = tables.partNow(of);
-    return p == null ? Partition.fresh(0, tables.form()) : p;
+    return p == null ? Partition.empty(0, tables.form()) : p;
   }
 
-  private Partition moved(String team, String of, Share by) {
+  private Partition moved(String team, String of, QuotaShare by) {
     Partition p = part(of);
-    Share was =
-        p.form() == Form.FIRST ? share(team, of) : p.shares().getOrDefault(team, Share.NONE);
-    return p.with(team, was.plus(by));
+    QuotaShare was =
+        p.encoding() == Form.FIRST ? share(team, of) : p.quotaShares().getOrDefault(team, QuotaShare.NONE);
+    return p.withQuotaShare(team, was.plus(by));
   }
 
-  private static Share positive(Share s) {
-    return new Share(Math.max(0, s.cpus()), Math.max(0, s.gpus()));
+  private static QuotaShare positive(QuotaShare s) {
+    return new QuotaShare(Math.max(0, s.cpus()), Math.max(0, s.gpus()));
   }
 }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -84,10 +84,10 @@
       List<String> names = wanted.getOrDefault(member, List.of());
       names = names.stream().sorted().limit(maxMarks()).toList();
       if (p != null
-          && !p.taken().equals(names)
+          && !p.reserved().equals(names)
           && draft.hasRoom()
           && !draft.touches(Partition.key(member))) {
-        draft.write(Partition.key(member), p.with(names).toStore(), p.stamp());
+        draft.write(Partition.key(member), p.withReserved(names).toStore(), p.stamp());
       }
     }
   }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -108,11 +108,11 @@
       } else if (v.members().containsKey(e.getKey()) && p.epoch() != v.epoch()) {
         error(key, "is of epoch " + p.epoch() + ", and its member's view of " + v.epoch());
       }
-      if (p.form() > Form.at(v.level())) {
-        error(key, "is of form " + p.form() + ", which level " + v.level() + " does not have");
+      if (p.encoding() > Form.at(v.level())) {
+        error(key, "is of form " + p.encoding() + ", which level " + v.level() + " does not have");
       }
-      told &= p.form() == Form.NUMBERED;
-      p.shares().forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
+      told &= p.encoding() == Form.NUMBERED;
+      p.quotaShares().forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
     }
     if (told) {
       sums.forEach(
--- a/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
+++ b/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Partition.Share;
+import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
@@ -60,7 +60,7 @@
     amounts(guaranteed).forEach((k, g) -> teams.put(k, new Settings.Team(k, 0, 0, g, 0)));
     Map<String, Double> holds = amounts(held);
     DominantShareOrder f =
-        new DominantShareOrder(lines, k -> new Share(0, holds.getOrDefault(k, 0.0)), teams);
+        new DominantShareOrder(lines, k -> new QuotaShare(0, holds.getOrDefault(k, 0.0)), teams);
     StringBuilder got = new StringBuilder();
     while (f.hasNext()) {
       got.append(got.isEmpty() ? "" : " ").append(names.get(f.next()));
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -506,7 +506,7 @@
     for (String n : all.keySet()) {
       Partition p = w.tables("n0").part(n);
       sum += first.contains(n) ? w.setup.gpusMax() / first.size() : 0;
-      sum += p == null ? 0 : p.shares().getOrDefault("vision", Partition.Share.NONE).gpus();
+      sum += p == null ? 0 : p.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
     }
     return sum;
   }
