--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -283,7 +283,7 @@
     if (open(Gate.VIEWS)) {
       parts.forEach(
           (n, p) -> {
-            if (p.epoch() < view.since()) {
+            if (p.epoch() < view.viewsGateEpoch()) {
               out.add(n);
             }
           });
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -19,7 +19,7 @@
  * epoch, and makes every placement that was prepared before fail.
  *
  * @param zones where the members are; those without a zone are left out
- * @param since the epoch with which {@link Gate#VIEWS} opened, 0 before: parts that were last
+ * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before: parts that were last
  *     written under an earlier one may still let something through that was prepared by then
  * @param extra fields that this build does not know; they survive a rewriting
  */
@@ -29,7 +29,7 @@
     String leader,
     Map<String, String> zones,
     int level,
-    long since,
+    long viewsGateEpoch,
     Map<String, Object> extra) {
   public static final String KEY = "w/v";
   private static final String LEVEL = "level";
@@ -47,24 +47,24 @@
   }
 
   /** Whether what a gate stands for is switched on. */
-  public boolean open(Gate gate) {
+  public boolean isOpen(Gate gate) {
     return level >= gate.level();
   }
 
   /** The same members under a higher epoch. */
-  public View raised() {
-    return new View(epoch + 1, members, leader, zones, level, since, extra);
+  public View withNextEpoch() {
+    return new View(epoch + 1, members, leader, zones, level, viewsGateEpoch, extra);
   }
 
   /** The same under another level. */
-  public View at(int newLevel) {
-    boolean opens = !open(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
-    return new View(epoch, members, leader, zones, newLevel, opens ? epoch : since, extra);
+  public View withLevel(int newLevel) {
+    boolean opens = !isOpen(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
+    return new View(epoch, members, leader, zones, newLevel, opens ? epoch : viewsGateEpoch, extra);
   }
 
   /** The same with other members. */
-  public View with(Map<String, String> others, String newLeader, Map<String, String> where) {
-    return new View(epoch, others, newLeader, where, level, since, extra);
+  public View withMembers(Map<String, String> others, String newLeader, Map<String, String> where) {
+    return new View(epoch, others, newLeader, where, level, viewsGateEpoch, extra);
   }
 
   /** The record as it is stored, in the form of its level. */
@@ -73,8 +73,8 @@
     if (level > 1) {
       m.put(LEVEL, level);
     }
-    if (since > 0) {
-      m.put(SINCE, since);
+    if (viewsGateEpoch > 0) {
+      m.put(SINCE, viewsGateEpoch);
     }
     m.put("epoch", epoch);
     m.put("members", members);
@@ -135,7 +135,7 @@
   }
 
   /** Whether a part may lack machines of some zones that others have. */
-  public boolean partsKeepToZones() {
+  public boolean partitionsAreZonal() {
     return Set.copyOf(zones.values()).size() > 1;
   }
 
@@ -211,7 +211,7 @@
         leader,
         where,
         now == null ? 1 : now.level,
-        now == null ? 0 : now.since,
+        now == null ? 0 : now.viewsGateEpoch,
         now == null ? Map.of() : now.extra);
   }
 }
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -64,7 +64,7 @@
   String route(JobSpec s, Promised together) {
     View v = tables.view();
     // A part holds its own zone's machines first: what must be in several is for who sees all.
-    boolean manyZones = s.spread() && s.tasks() > 1 && v.partsKeepToZones();
+    boolean manyZones = s.spread() && s.tasks() > 1 && v.partitionsAreZonal();
     if (s.shape() == JobSpec.Shape.GANG || manyZones) {
       return Job.LEADER;
     }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -440,7 +440,7 @@
   private void considerView() {
     View now = tables.view();
     View next = View.next(now, tables.members(), tables.memberZones());
-    View base = next != null ? next : now == null ? null : now.raised();
+    View base = next != null ? next : now == null ? null : now.withNextEpoch();
     long nowMs = timers.nowMs();
     if (base == null || proposing || nowMs >= leaseUntilMs || !mayPropose()) {
       differsSinceMs = -1;
@@ -450,7 +450,7 @@
         LevelUpgrade.judge(
             base.level(), levels, tables.announcedLive(), settings.nodeNames(), tables.registry());
     boolean rises = rise.level() > base.level() && tables.registry().hasList();
-    View wanted = fitting(rises ? base.at(rise.level()) : base);
+    View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
     boolean same = now != null && wanted.members().equals(now.members());
     if (same && !rises) {
       differsSinceMs = -1;
@@ -499,7 +499,7 @@
    */
   private View fitting(View next) {
     View now = tables.view();
-    if (next.open(Gate.VIEWS)) {
+    if (next.isOpen(Gate.VIEWS)) {
       return named(next);
     }
     int most = ledger.limits().maxTransactionChanges() - 1;
@@ -531,7 +531,7 @@
     zones.keySet().retainAll(fewer.keySet());
     String leader =
         fewer.containsKey(next.leader()) ? next.leader() : fewer.keySet().iterator().next();
-    return next.with(fewer, leader, zones);
+    return next.withMembers(fewer, leader, zones);
   }
 
   /**
@@ -585,7 +585,7 @@
     // Spares are there too.
     boolean whole = tables.members().entrySet().containsAll(v.members().entrySet());
     if (!proposing && standing() == Standing.MEMBER && whole) {
-      propose(v.raised(), Map.of());
+      propose(v.withNextEpoch(), Map.of());
     }
   }
 
@@ -603,14 +603,14 @@
           tables.view() == null ? tables.parts().keySet() : tables.view().members().keySet());
       all.addAll(next.members().keySet());
     }
-    int parts = next.open(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
+    int parts = next.isOpen(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
     for (String m : all) {
       if (parts-- <= 0) {
         break;
       }
       Partition p = tables.part(m);
       Partition told = p == null ? Partition.empty(0, Form.at(next.level())) : p;
-      if (next.open(Gate.NUMBERS) && told.encoding() == Form.FIRST) {
+      if (next.isOpen(Gate.NUMBERS) && told.encoding() == Form.FIRST) {
         told = Quota.numbered(told, m, tables.registry(), settings);
       }
       txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -148,7 +148,7 @@
                   v.leader(),
                   v.zones(),
                   v.level(),
-                  v.since(),
+                  v.viewsGateEpoch(),
                   v.extra())
               .toStore());
     }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -83,10 +83,10 @@
     }
     for (String m : v.members().keySet()) {
       // Since parts are not rewritten with the view, one that was never written is an empty one.
-      if (t.part(m) == null && !v.open(Gate.VIEWS)) {
+      if (t.part(m) == null && !v.isOpen(Gate.VIEWS)) {
         error(Partition.key(m), "is missing, and " + m + " is a member");
       }
-      if (v.open(Gate.NUMBERS) && t.registry().number(m) < 0) {
+      if (v.isOpen(Gate.NUMBERS) && t.registry().number(m) < 0) {
         error(View.KEY, "member " + m + " has no number");
       }
     }
@@ -101,8 +101,8 @@
       if (p.epoch() > v.epoch()) {
         error(key, "is of epoch " + p.epoch() + ", the view of epoch " + v.epoch());
       }
-      if (v.open(Gate.VIEWS)) {
-        if (p.epoch() < v.since()) {
+      if (v.isOpen(Gate.VIEWS)) {
+        if (p.epoch() < v.viewsGateEpoch()) {
           note(key, "was last written before level " + Gate.VIEWS.level() + "; it is written anew");
         }
       } else if (v.members().containsKey(e.getKey()) && p.epoch() != v.epoch()) {
@@ -135,7 +135,7 @@
     }
     for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
       try {
-        boolean dense = v.open(Gate.LIMITS) && Job.isChunk(e.getKey());
+        boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunk(e.getKey());
         if (Form.of(e.getValue().value()) > (dense ? Form.DENSE : Form.at(v.level()))) {
           error(e.getKey(), "is of a form that level " + v.level() + " does not have");
         }
