--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -318,8 +318,8 @@
   public Object storeChunk(
       int chunk, long rev, IntFunction<TaskState> states, int form, int valueBytes) {
     Map<String, Object> m = encodeChunk(chunk, rev, states);
-    Object value = Form.wrap(form, m);
-    if (form < Form.NUMBERED || MessageCodec.jsonSize(value) <= valueBytes) {
+    Object value = Encoding.wrap(form, m);
+    if (form < Encoding.NUMBERED || MessageCodec.jsonSize(value) <= valueBytes) {
       return value;
     }
     List<Object> machines = new ArrayList<>();
@@ -341,7 +341,7 @@
       tried.append(l.get(0)).append(',').append(l.get(1)).append(',');
     }
     m.put("tried", List.of(tried.toString()));
-    return Form.wrap(Form.DENSE, m);
+    return Encoding.wrap(Encoding.DENSE, m);
   }
 
   /** Lists of so many numbers, from a text of all of them. */
--- a/src/main/java/wickdrift/bookkeeping/LogPage.java
+++ b/src/main/java/wickdrift/bookkeeping/LogPage.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiPredicate;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
@@ -70,7 +70,7 @@
 
   /** Reads a stored page, in whatever form. */
   public static LogPage parse(String key, Object value, long stamp) throws BadMessage {
-    Document d = Form.read(value, Form.NUMBERED);
+    Document d = Encoding.decode(value, Encoding.NUMBERED);
     List<Run> runs = new ArrayList<>();
     for (Object o : d.list(RUNS)) {
       if (!(o instanceof List<?> l)
@@ -81,7 +81,7 @@
       }
       runs.add(new Run(rev == 0 ? stamp : rev, entries));
     }
-    int form = Form.of(value);
+    int form = Encoding.versionOf(value);
     int bytes = MessageCodec.jsonSize(value);
     return new LogPage(node(key), number(key), stamp, runs, bytes, form, d.without(RUNS));
   }
@@ -137,6 +137,6 @@
     }
     Map<String, Object> m = new LinkedHashMap<>(old == null ? Map.of() : old.extra);
     m.put(RUNS, runs);
-    return Form.wrap(form, m);
+    return Encoding.wrap(form, m);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Partition.java
+++ b/src/main/java/wickdrift/bookkeeping/Partition.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 
@@ -15,7 +15,7 @@
  * before fail.
  *
  * @param reserved machines that the leader has marked; the owner places nothing on them
- * @param encoding of the stored record, see {@link Form}
+ * @param encoding of the stored record, see {@link Encoding}
  * @param quotaShares by team, where it is not an even part of the limit that this node may use: in form
  *     1 what it may use; since form 2 what it was given beyond its even part, below 0 what it gave
  *     away, so that all together sum to nothing whatever the limit is
@@ -81,12 +81,12 @@
     Map<String, Object> s = new LinkedHashMap<>();
     quotaShares.forEach((t, v) -> s.put(t, List.of(v.cpus, v.gpus)));
     m.put("shares", s);
-    return Form.wrap(encoding, m);
+    return Encoding.wrap(encoding, m);
   }
 
   /** Reads a stored record, in whatever form. */
   public static Partition parse(Object value, long stamp) throws BadMessage {
-    Document d = Form.read(value, Form.NUMBERED);
+    Document d = Encoding.decode(value, Encoding.NUMBERED);
     Map<String, QuotaShare> shares = new LinkedHashMap<>();
     if (d.raw("shares") instanceof Map<?, ?> m) {
       for (Map.Entry<?, ?> e : m.entrySet()) {
@@ -104,7 +104,7 @@
         List.copyOf(d.texts("taken")),
         shares,
         stamp,
-        Form.of(value),
+        Encoding.versionOf(value),
         d.without("epoch", "taken", "shares"));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.level.Announcement;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.Range;
@@ -127,7 +127,7 @@
 
   /** In which form the records that changed it are written at the level in force. */
   public int form() {
-    return Form.at(level());
+    return Encoding.forLevel(level());
   }
 
   /** Why nothing may be decided from these tables, or null. */
@@ -137,7 +137,7 @@
 
   /** The keys of pages, chunks and parts whose form is older than the level in force asks for. */
   public TreeSet<String> oldForms() {
-    return form() == Form.FIRST ? new TreeSet<>() : oldForms;
+    return form() == Encoding.FIRST ? new TreeSet<>() : oldForms;
   }
 
   /** What of the stored state can't be read, by key, with why. */
@@ -175,7 +175,7 @@
   }
 
   private void noteForm(StateServiceClient.Change c) throws BadMessage {
-    if (c.value() != null && Form.of(c.value()) < Form.NUMBERED) {
+    if (c.value() != null && Encoding.versionOf(c.value()) < Encoding.NUMBERED) {
       oldForms.add(c.key());
     } else {
       oldForms.remove(c.key());
@@ -680,7 +680,7 @@
   private static long holds(StateServiceClient.Change c) {
     boolean stored = Job.isChunk(c.key()) || c.key().startsWith("w/h/");
     try {
-      return stored && c.value() != null ? Form.read(c.value(), formOf(c.key())).count("rev") : 0;
+      return stored && c.value() != null ? Encoding.decode(c.value(), formOf(c.key())).count("rev") : 0;
     } catch (BadMessage e) {
       return 0;
     }
@@ -727,7 +727,7 @@
   /** The newest form that this build reads of what a key holds. */
   public static int formOf(String key) {
     boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || LogPage.isPage(key);
-    return Job.isChunk(key) ? Form.DENSE : numbered ? Form.NUMBERED : Form.FIRST;
+    return Job.isChunk(key) ? Encoding.DENSE : numbered ? Encoding.NUMBERED : Encoding.FIRST;
   }
 
   /** A job is over: what is left of it is to be deleted in time. */
@@ -791,7 +791,7 @@
       return;
     }
     String name = key.substring(4);
-    Document d = c.value() == null ? null : Form.read(c.value(), formOf(key));
+    Document d = c.value() == null ? null : Encoding.decode(c.value(), formOf(key));
     switch (key.charAt(2)) {
       case 'c' -> registry.apply(name, d, c.stamp());
       case 'j' -> {
@@ -886,7 +886,7 @@
     memberStamps.put(name, stamp);
     memberLevels.put(name, Range.FIRST);
     try {
-      Document d = Form.read(value, Form.FIRST);
+      Document d = Encoding.decode(value, Encoding.FIRST);
       String incarnation = d.text("inc");
       String zone = d.textOrNull("zone");
       memberLevels.put(name, Range.parse(d));
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -80,17 +80,17 @@
     m.put("members", members);
     m.put("leader", leader);
     m.put("zones", zones);
-    return Form.wrap(Form.at(level), m);
+    return Encoding.wrap(Encoding.forLevel(level), m);
   }
 
   /**
    * @throws BadMessage if it is malformed or of a form that this build does not read
    */
   public static View parse(Object value) throws BadMessage {
-    Document d = Form.read(value, Form.NUMBERED);
+    Document d = Encoding.decode(value, Encoding.NUMBERED);
     Map<String, String> zones = d.raw("zones") == null ? Map.of() : texts(d.raw("zones"));
     long level = d.count(LEVEL, 1);
-    if (level < 1 || level > Integer.MAX_VALUE || Form.of(value) != Form.at((int) level)) {
+    if (level < 1 || level > Integer.MAX_VALUE || Encoding.versionOf(value) != Encoding.forLevel((int) level)) {
       throw new BadMessage("level " + level + " does not go with the record's form");
     }
     return new View(
--- a/src/main/java/wickdrift/bookkeeping/level/Form.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Encoding.java
@@ -11,7 +11,7 @@
  * value that is no map for a malformed answer and never gets past it: so each record of a new form
  * keeps such a build out by itself.
  */
-public final class Form {
+public final class Encoding {
   public static final int FIRST = 1;
 
   /** View, part, page and chunk since {@link Gate#NUMBERS}. */
@@ -20,7 +20,7 @@
   /** A chunk that would be larger than a value may be, since {@link Gate#LIMITS}. */
   public static final int DENSE = 3;
 
-  private Form() {}
+  private Encoding() {}
 
   /** The value to store for a map in a form. */
   public static Object wrap(int form, Map<String, Object> map) {
@@ -28,7 +28,7 @@
   }
 
   /** The form at a level of those records that {@link Gate#NUMBERS} changes. */
-  public static int at(int level) {
+  public static int forLevel(int level) {
     return level >= Gate.NUMBERS.level() ? NUMBERED : FIRST;
   }
 
@@ -37,7 +37,7 @@
    *
    * @throws BadMessage if it is neither a map nor a form and a map
    */
-  public static int of(Object value) throws BadMessage {
+  public static int versionOf(Object value) throws BadMessage {
     if (value instanceof Map<?, ?>) {
       return FIRST;
     }
@@ -58,8 +58,8 @@
    * @param most the newest form of its kind that this build reads
    * @throws BadMessage if the value is malformed, or of a newer form
    */
-  public static Document read(Object value, int most) throws BadMessage {
-    int form = of(value);
+  public static Document decode(Object value, int most) throws BadMessage {
+    int form = versionOf(value);
     if (form > most) {
       throw new BadMessage("form " + form + " is newer than this build, which reads up to " + most);
     }
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -8,7 +8,7 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
@@ -49,7 +49,7 @@
   /** Puts the next record into a draft that is empty so far. */
   void draft(TransactionBuilder draft) {
     long now = timers.nowMs();
-    if (tables.form() == Form.FIRST || now < nextMs) {
+    if (tables.form() == Encoding.FIRST || now < nextMs) {
       return;
     }
     nextMs = now + GAP_MS;
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -19,7 +19,7 @@
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Announcement;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelUpgrade;
 import wickdrift.bookkeeping.level.NodeRegistry;
@@ -387,7 +387,7 @@
       Partition p = tables.part(n);
       if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
-            p.encoding() == Form.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
+            p.encoding() == Encoding.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
         txn.requireStamp(Partition.key(n), p.stamp())
             .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
       }
@@ -609,8 +609,8 @@
         break;
       }
       Partition p = tables.part(m);
-      Partition told = p == null ? Partition.empty(0, Form.at(next.level())) : p;
-      if (next.isOpen(Gate.NUMBERS) && told.encoding() == Form.FIRST) {
+      Partition told = p == null ? Partition.empty(0, Encoding.forLevel(next.level())) : p;
+      if (next.isOpen(Gate.NUMBERS) && told.encoding() == Encoding.FIRST) {
         told = Quota.numbered(told, m, tables.registry(), settings);
       }
       txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -10,7 +10,7 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.protocol.JobSpec;
@@ -70,7 +70,7 @@
     Partition p = tables.part(of);
     QuotaShare told = p == null ? null : p.quotaShares().get(team);
     QuotaShare even = even(tables.registry(), teams.get(team), of);
-    if (p == null || p.encoding() == Form.FIRST) {
+    if (p == null || p.encoding() == Encoding.FIRST) {
       return told != null ? told : even;
     }
     return told != null ? even.plus(told) : even;
@@ -84,7 +84,7 @@
         : QuotaShare.NONE;
   }
 
-  /** A part as {@link Form#NUMBERED} tells it: what a node may use, as more or less than even. */
+  /** A part as {@link Encoding#NUMBERED} tells it: what a node may use, as more or less than even. */
   static Partition numbered(Partition p, String of, NodeRegistry registry, Settings settings) {
     Map<String, QuotaShare> told = new LinkedHashMap<>();
     for (Settings.Team t : settings.teams()) {
@@ -93,7 +93,7 @@
         told.put(t.name(), s.minus(even(registry, t, of)));
       }
     }
-    return p.inEncoding(Form.NUMBERED, told);
+    return p.inEncoding(Encoding.NUMBERED, told);
   }
 
   private QuotaShare left(String team, String of) {
@@ -289,7 +289,7 @@
   private Partition moved(String team, String of, QuotaShare by) {
     Partition p = part(of);
     QuotaShare was =
-        p.encoding() == Form.FIRST ? share(team, of) : p.quotaShares().getOrDefault(team, QuotaShare.NONE);
+        p.encoding() == Encoding.FIRST ? share(team, of) : p.quotaShares().getOrDefault(team, QuotaShare.NONE);
     return p.withQuotaShare(team, was.plus(by));
   }
 
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -12,7 +12,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Announcement;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.Range;
@@ -108,10 +108,10 @@
       } else if (v.members().containsKey(e.getKey()) && p.epoch() != v.epoch()) {
         error(key, "is of epoch " + p.epoch() + ", and its member's view of " + v.epoch());
       }
-      if (p.encoding() > Form.at(v.level())) {
+      if (p.encoding() > Encoding.forLevel(v.level())) {
         error(key, "is of form " + p.encoding() + ", which level " + v.level() + " does not have");
       }
-      told &= p.encoding() == Form.NUMBERED;
+      told &= p.encoding() == Encoding.NUMBERED;
       p.quotaShares().forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
     }
     if (told) {
@@ -136,7 +136,7 @@
     for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
       try {
         boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunk(e.getKey());
-        if (Form.of(e.getValue().value()) > (dense ? Form.DENSE : Form.at(v.level()))) {
+        if (Encoding.versionOf(e.getValue().value()) > (dense ? Encoding.DENSE : Encoding.forLevel(v.level()))) {
           error(e.getKey(), "is of a form that level " + v.level() + " does not have");
         }
       } catch (BadMessage x) {
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -418,7 +418,7 @@
         20);
     assertEquals(64, j.live());
     Object stored = j.storeChunk(0, 21, j::task, 2, most);
-    assertEquals(form, Form.of(raw(stored)));
+    assertEquals(form, Encoding.versionOf(raw(stored)));
     assertTrue(MessageCodec.jsonSize(stored) <= most, "size " + MessageCodec.jsonSize(stored));
     Tables again = withJob(64);
     again.load(List.of(job("batch", 64), new StateServiceClient.Change(j.chunkKey(0), raw(stored), 21)), 21);
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -35,7 +35,7 @@
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.Range;
 import wickdrift.operator.LevelCommand;
@@ -192,8 +192,8 @@
   private static void shape(String key, Object value, Map<String, Set<String>> into)
       throws BadMessage {
     Set<String> all = into.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
-    all.add("form " + Form.of(value));
-    Document d = Form.read(value, 9);
+    all.add("form " + Encoding.versionOf(value));
+    Document d = Encoding.decode(value, 9);
     for (Map.Entry<String, Object> e : d.without().entrySet()) {
       all.add(e.getKey());
       if (e.getKey().equals("spec")) {
@@ -290,7 +290,7 @@
         if (Job.isChunk(key)) {
           // What ran has ended with its worker's lease.
           Object v = MessageCodec.decode(MessageCodec.encode(w.state().value(key)));
-          assertEquals(List.of(), Form.read(v, Form.NUMBERED).list("live"), key);
+          assertEquals(List.of(), Encoding.decode(v, Encoding.NUMBERED).list("live"), key);
         }
       }
       goesOn(w, r);
@@ -347,7 +347,7 @@
     v.put("epoch", 10_000L);
     v.put("phase", "done");
     v.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
-    w.state().force(key, Form.wrap(form, v));
+    w.state().force(key, Encoding.wrap(form, v));
     List<StateCheck.Finding> found = StateCheck.check(Records.read(store), Range.BUILD);
     assertTrue(found.stream().anyMatch(f -> f.error() && f.why().contains(why)), found.toString());
   }
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -20,7 +20,7 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.Range;
@@ -112,8 +112,8 @@
     assertNotNull(w.state().value(NodeRegistry.DONE));
     for (String key : w.state().keys()) {
       assertEquals(
-          Tables.formOf(key) == Form.FIRST ? Form.FIRST : Form.NUMBERED,
-          Form.of(MessageCodec.decode(MessageCodec.encode(w.state().value(key)))),
+          Tables.formOf(key) == Encoding.FIRST ? Encoding.FIRST : Encoding.NUMBERED,
+          Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(w.state().value(key)))),
           key);
     }
   }
@@ -347,7 +347,7 @@
       for (Document t : txn.docs("then")) {
         String key = t.textOrNull("write");
         if (key != null && key.startsWith("w/l/")) {
-          List<?> runs = Form.read(t.raw("v"), Form.NUMBERED).list("g");
+          List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
           if (runs.toString().contains("[p, ")) {
             return true;
           }
@@ -631,7 +631,7 @@
     SimWorld w = new SimWorld(400, 6, 20);
     w.run(8000);
     Object was = w.state().value(key);
-    w.state().force(key, Form.wrap(form, Map.of("name", "n9", "peers", List.of())));
+    w.state().force(key, Encoding.wrap(form, Map.of("name", "n9", "peers", List.of())));
     w.run(1000);
     for (String n : w.nodes) {
       assertNotNull(w.tables(n).barred(), n);
@@ -664,7 +664,7 @@
     w.users.submit(SimJobs.job(1, "batch", 2, 1, 20), 0);
     w.run(4000);
     String key = "w/l/n9/0000000001";
-    w.state().force(key, Form.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
+    w.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
     w.run(1000);
     w.nodes.forEach(n -> assertNotNull(w.tables(n).barred(), n));
     // A start meets it too.
@@ -690,7 +690,7 @@
     }
     String key = w.state().keys().stream().filter(Job::isChunk).findFirst().orElseThrow();
     Object was = w.state().value(key);
-    w.state().force(key, Form.wrap(9, Map.of("rev", 1L)));
+    w.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
     w.crash("n1", 500);
     w.run(6000);
     assertNotNull(w.tables("n1").barred());
@@ -722,18 +722,18 @@
     w.run(5000);
     for (String key : List.of(View.KEY, "w/p/n0", "w/j/req-000001", "w/c/1", "w/c/word")) {
       Object v = w.state().value(key);
-      int form = v == null ? 1 : Form.of(MessageCodec.decode(MessageCodec.encode(v)));
+      int form = v == null ? 1 : Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(v)));
       Map<String, Object> more = new TreeMap<>(Map.of("later", 7L));
       more.putAll(
           v == null
               ? Word.NONE.toStore()
-              : Form.read(MessageCodec.decode(MessageCodec.encode(v)), form).without());
+              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(v)), form).without());
       if (key.startsWith("w/j/")) {
         Map<String, Object> spec = new TreeMap<>(Document.of(more.get("spec")).without());
         spec.put("later", 8L);
         more.put("spec", spec);
       }
-      w.state().force(key, Form.wrap(form, more));
+      w.state().force(key, Encoding.wrap(form, more));
     }
     // Nothing of the job ends meanwhile: its record is rewritten, and stays.
     for (int i = 0; i < 6; i++) {
@@ -753,7 +753,7 @@
   }
 
   private static Document read(SimWorld w, String key) throws BadMessage {
-    return Form.read(MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Form.NUMBERED);
+    return Encoding.decode(MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Encoding.NUMBERED);
   }
 
   /** Told to end, a controller gives its lease back: the others need not wait for its end. */
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -14,7 +14,7 @@
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.protocol.BadMessage;
@@ -473,7 +473,7 @@
           Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
           boolean old =
               !(v instanceof String)
-                  && Math.min(Form.NUMBERED, Tables.formOf(e.getKey())) > Form.of(v);
+                  && Math.min(Encoding.NUMBERED, Tables.formOf(e.getKey())) > Encoding.versionOf(v);
           if (old) {
             unfenced.add(key + " while " + e.getKey() + " is of an older form");
           }
@@ -486,7 +486,7 @@
         unfenced.add(key + " without its own stamp");
       }
       String part = "w/p/" + key.substring(4, key.lastIndexOf('/'));
-      List<?> runs = Form.read(t.raw("v"), Form.NUMBERED).list("g");
+      List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
       List<?> last = runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
       // A run that says its revision was durable before: the page is only brought to another form.
       boolean fresh = last.get(0).equals(0L);
@@ -523,14 +523,14 @@
   }
 
   private long level() throws BadMessage {
-    return Form.read(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Form.NUMBERED)
+    return Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED)
         .count("level", 1);
   }
 
   /** Whether a leader may take machines of that part together with others'. */
   private boolean mayBeTaken(String part) throws BadMessage {
     Document view =
-        Form.read(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Form.NUMBERED);
+        Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED);
     return view.count("level", 1) >= Gate.TAKES.level()
         && !part.equals("w/p/" + view.text("leader"));
   }
@@ -539,7 +539,7 @@
     Object view = value("w/v");
     return view != null
         && Document.of(
-                    Form.read(MessageCodec.decode(MessageCodec.encode(view)), Form.NUMBERED)
+                    Encoding.decode(MessageCodec.decode(MessageCodec.encode(view)), Encoding.NUMBERED)
                         .raw("members"))
                 .raw(node)
             != null;
