--- a/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
@@ -57,8 +57,8 @@
     }
     List<String> waits = new ArrayList<>();
     Map<String, Long> conditions = new LinkedHashMap<>();
-    Word word = registry.word();
-    conditions.put(Word.KEY, word.stamp());
+    OperatorOverrides word = registry.word();
+    conditions.put(OperatorOverrides.KEY, word.stamp());
     String holding = word.holdsBack(next);
     if (holding != null) {
       waits.add("gate " + holding + " is held back");
@@ -98,13 +98,13 @@
   }
 
   /** What keeps each of the gates of a build closed, by label; empty text for those open. */
-  public static Map<String, String> gates(int inForce, Word word) {
+  public static Map<String, String> gates(int inForce, OperatorOverrides word) {
     Map<String, String> out = new TreeMap<>();
     for (Gate g : Gate.values()) {
       boolean open = g.level() <= inForce;
       out.put(
           g.label(),
-          open ? "" : word.held().contains(g.label()) ? "held back" : "level " + g.level());
+          open ? "" : word.heldGates().contains(g.label()) ? "held back" : "level " + g.level());
     }
     return out;
   }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
@@ -26,7 +26,7 @@
   private final Map<String, Integer> numbers = new HashMap<>();
   private List<String> list;
   private long listStamp;
-  private Word word = Word.NONE;
+  private OperatorOverrides word = OperatorOverrides.NONE;
   private int doneLevel;
   private long doneStamp;
 
@@ -44,7 +44,7 @@
     announced.clear();
     list = null;
     listStamp = 0;
-    word = Word.NONE;
+    word = OperatorOverrides.NONE;
     doneLevel = 0;
     doneStamp = 0;
     renumber();
@@ -78,7 +78,7 @@
         list = names;
         listStamp = d == null ? 0 : stamp;
       }
-      case "word" -> word = d == null ? Word.NONE : Word.parse(d, stamp);
+      case "word" -> word = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
       case "done" -> {
         doneLevel = d == null ? 0 : (int) d.count("level");
         doneStamp = d == null ? 0 : stamp;
@@ -154,7 +154,7 @@
     return Math.max(first().size(), after);
   }
 
-  public Word word() {
+  public OperatorOverrides word() {
     return word;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/level/Word.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -12,35 +12,35 @@
  * What the operators have said about the levels, durably: gates that are held back, and controllers
  * that are not waited for. Stored as {@code w/c/word}; every rise is conditional on it.
  *
- * @param held labels of gates; one that nobody here knows holds back every rise
+ * @param heldGates labels of gates; one that nobody here knows holds back every rise
  * @param without names of controllers
  */
-public record Word(List<String> held, List<String> without, long stamp, Map<String, Object> extra) {
+public record OperatorOverrides(List<String> heldGates, List<String> without, long stamp, Map<String, Object> extra) {
   public static final String KEY = NodeRegistry.PREFIX + "word";
-  public static final Word NONE = new Word(List.of(), List.of(), 0, Map.of());
+  public static final OperatorOverrides NONE = new OperatorOverrides(List.of(), List.of(), 0, Map.of());
 
   public Map<String, Object> toStore() {
     Map<String, Object> m = new LinkedHashMap<>(extra);
-    m.put("held", new ArrayList<>(held));
+    m.put("held", new ArrayList<>(heldGates));
     m.put("without", new ArrayList<>(without));
     return m;
   }
 
   /** Reads the record of an operator's command, of that stamp. */
-  public static Word parse(Document d, long stamp) throws BadMessage {
-    return new Word(
+  public static OperatorOverrides parse(Document d, long stamp) throws BadMessage {
+    return new OperatorOverrides(
         List.copyOf(d.texts("held")),
         List.copyOf(d.texts("without")),
         stamp,
         d.without("held", "without"));
   }
 
-  public Word hold(String gate, boolean on) {
-    return new Word(change(held, gate, on), without, stamp, extra);
+  public OperatorOverrides withGateHeld(String gate, boolean on) {
+    return new OperatorOverrides(change(heldGates, gate, on), without, stamp, extra);
   }
 
-  public Word without(String name, boolean on) {
-    return new Word(held, change(without, name, on), stamp, extra);
+  public OperatorOverrides withNodeIgnored(String name, boolean on) {
+    return new OperatorOverrides(heldGates, change(without, name, on), stamp, extra);
   }
 
   private static List<String> change(List<String> list, String name, boolean on) {
@@ -55,7 +55,7 @@
 
   /** The label of a gate that keeps a level from coming into force, or null. */
   public String holdsBack(int level) {
-    for (String label : held) {
+    for (String label : heldGates) {
       Gate g = Gate.of(label);
       if (g == null || g.level() <= level) {
         return label;
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -14,7 +14,7 @@
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelUpgrade;
 import wickdrift.bookkeeping.level.Range;
-import wickdrift.bookkeeping.level.Word;
+import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.settings.Settings;
 
 /** {@code wickdrift level}: the level of stored state that is in force, and what it waits for. */
@@ -123,11 +123,11 @@
   /** Those that change what the operators have said. */
   abstract static class Saying extends Tool {
     /** What is to be said now, or null with a reason given by {@link #fail}. */
-    abstract Word next(Tables t, Settings settings);
+    abstract OperatorOverrides next(Tables t, Settings settings);
 
     private int code;
 
-    Word refuse(int exit, String why) {
+    OperatorOverrides refuse(int exit, String why) {
       code = fail(exit, why);
       return null;
     }
@@ -138,7 +138,7 @@
       if (t.barred() != null) {
         return fail(NO, t.barred());
       }
-      Word next = next(t, settings);
+      OperatorOverrides next = next(t, settings);
       if (next == null) {
         return code;
       }
@@ -146,16 +146,16 @@
       // On condition of the view too: a level that rises meanwhile makes this come too late.
       Transaction txn =
           new Transaction()
-              .requireStamp(Word.KEY, stamp)
+              .requireStamp(OperatorOverrides.KEY, stamp)
               .requireStamp(View.KEY, t.viewStamp())
-              .write(Word.KEY, next.toStore());
+              .write(OperatorOverrides.KEY, next.toStore());
       if (!Records.commit(store, txn)) {
         return fail(NO, "the state has just changed; nothing was done, try again");
       }
       if (json) {
-        print(Map.of("held", next.held(), "without", next.without()));
+        print(Map.of("held", next.heldGates(), "without", next.without()));
       } else {
-        out().println("held: " + next.held() + ", not waited for: " + next.without());
+        out().println("held: " + next.heldGates() + ", not waited for: " + next.without());
       }
       return OK;
     }
@@ -172,7 +172,7 @@
     private String gate;
 
     @Override
-    Word next(Tables t, Settings settings) {
+    OperatorOverrides next(Tables t, Settings settings) {
       Gate g = Gate.of(gate);
       if (g == null) {
         return refuse(BAD_INPUT, "no gate " + gate + "; there are: " + gates());
@@ -180,7 +180,7 @@
       if (t.open(g)) {
         return refuse(NO, "gate " + gate + " is open, and can't be closed again");
       }
-      return t.registry().word().hold(gate, true);
+      return t.registry().word().withGateHeld(gate, true);
     }
   }
 
@@ -191,11 +191,11 @@
     private String gate;
 
     @Override
-    Word next(Tables t, Settings settings) {
-      return t.registry().word().held().contains(gate)
-          ? t.registry().word().hold(gate, false)
+    OperatorOverrides next(Tables t, Settings settings) {
+      return t.registry().word().heldGates().contains(gate)
+          ? t.registry().word().withGateHeld(gate, false)
           : refuse(
-              BAD_INPUT, "gate " + gate + " is not held back; held: " + t.registry().word().held());
+              BAD_INPUT, "gate " + gate + " is not held back; held: " + t.registry().word().heldGates());
     }
   }
 
@@ -211,11 +211,11 @@
     private boolean undo;
 
     @Override
-    Word next(Tables t, Settings settings) {
-      Word word = t.registry().word();
+    OperatorOverrides next(Tables t, Settings settings) {
+      OperatorOverrides word = t.registry().word();
       if (undo) {
         return word.without().contains(name)
-            ? word.without(name, false)
+            ? word.withNodeIgnored(name, false)
             : refuse(BAD_INPUT, name + " is waited for; not so: " + word.without());
       }
       if (!controllers(t, settings).contains(name)) {
@@ -225,7 +225,7 @@
       if (t.announcedLive().containsKey(name)) {
         return refuse(NO, name + " is there: end it first");
       }
-      return word.without(name, true);
+      return word.withNodeIgnored(name, true);
     }
   }
 }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -166,7 +166,7 @@
     if (!t.registry().announced().isEmpty() && !t.registry().hasList()) {
       error(NodeRegistry.LIST, "is missing, and controllers have numbers");
     }
-    for (String held : t.registry().word().held()) {
+    for (String held : t.registry().word().heldGates()) {
       if (Gate.of(held) == null) {
         note("w/c/word", "holds back the gate " + held + ", which this build does not know");
       }
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -81,8 +81,8 @@
     }
     if (said != null) {
       String[] word = said.split(" ");
-      Word w =
-          word[0].equals("held") ? Word.NONE.hold(word[1], true) : Word.NONE.without(word[1], true);
+      OperatorOverrides w =
+          word[0].equals("held") ? OperatorOverrides.NONE.withGateHeld(word[1], true) : OperatorOverrides.NONE.withNodeIgnored(word[1], true);
       registry.apply("word", doc(w.toStore()), 30);
     }
     if (done > 0) {
@@ -95,7 +95,7 @@
     assertEquals(then, r.level());
     assertEquals(why.isEmpty() ? List.of() : List.of(why), r.waitsFor());
     if (then > now) {
-      assertEquals(said == null ? 0L : 30L, r.conditions().get(Word.KEY));
+      assertEquals(said == null ? 0L : 30L, r.conditions().get(OperatorOverrides.KEY));
       for (String n : levels(announced).keySet()) {
         // Of one that is down: that it has not come back, nor announced anything else.
         boolean asked = r.conditions().containsKey("w/m/" + n);
@@ -128,7 +128,7 @@
     BadMessage e = assertThrows(BadMessage.class, () -> registry.apply(name, d, 5));
     assertTrue(e.getMessage().contains(why), e.getMessage());
     assertEquals(List.of("a", "b"), registry.first());
-    assertEquals(Word.NONE, registry.word());
+    assertEquals(OperatorOverrides.NONE, registry.word());
   }
 
   /** A number is never given twice, whoever is gone. */
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -24,7 +24,7 @@
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.Range;
-import wickdrift.bookkeeping.level.Word;
+import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
@@ -407,7 +407,7 @@
     for (String held : List.of(Gate.NUMBERS.label(), "a-gate-of-tomorrow")) {
       SimWorld w = old(371, "aaa");
       List<String> finite = load(w, 20, 40_000);
-      w.state().force(Word.KEY, Word.NONE.hold(held, true).toStore());
+      w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(held, true).toStore());
       w.run(5000);
       for (String n : w.nodes) {
         replace(w, n);
@@ -415,7 +415,7 @@
       }
       w.run(20_000);
       assertEquals(1, level(w, "n0"));
-      w.state().force(Word.KEY, Word.NONE.toStore());
+      w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
       untilLevel(w, NEW);
       w.run(100_000);
       check(w, finite);
@@ -452,7 +452,7 @@
             met[0] = true;
             switch (what) {
               case "word" ->
-                  w.state().force(Word.KEY, Word.NONE.hold(Gate.NUMBERS.label(), true).toStore());
+                  w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
               case "live" -> w.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
               case "back" -> w.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
               case "announced" -> w.state().force("w/c/3", less);
@@ -481,7 +481,7 @@
     }
     w.run(20_000);
     assertEquals(1, level(w, "n0"));
-    w.state().force(Word.KEY, Word.NONE.without("n3", true).toStore());
+    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
     untilLevel(w, NEW);
     // It does come back, of the old build: outside; of the new one: in.
     w.startNode("n3");
@@ -596,7 +596,7 @@
   @Test
   void theListOfAllChangesAtOnceBeforeTheSwitch() {
     SimWorld w = old(396, "aaa");
-    w.state().force(Word.KEY, Word.NONE.hold(Gate.NUMBERS.label(), true).toStore());
+    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
     w.run(6000);
     for (String n : w.nodes) {
       replace(w, n);
@@ -610,7 +610,7 @@
     w.nodes.forEach(w::startNode);
     w.run(10_000);
     assertTrue(w.tables("n0").members().isEmpty());
-    w.state().force(Word.KEY, Word.NONE.toStore());
+    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
     untilLevel(w, NEW);
     w.run(10_000);
     assertEquals(List.of("n0", "n1", "n5"), List.copyOf(w.tables("n0").view().members().keySet()));
@@ -726,7 +726,7 @@
       Map<String, Object> more = new TreeMap<>(Map.of("later", 7L));
       more.putAll(
           v == null
-              ? Word.NONE.toStore()
+              ? OperatorOverrides.NONE.toStore()
               : Encoding.decode(MessageCodec.decode(MessageCodec.encode(v)), form).without());
       if (key.startsWith("w/j/")) {
         Map<String, Object> spec = new TreeMap<>(Document.of(more.get("spec")).without());
