--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -18,7 +18,7 @@
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 
@@ -41,9 +41,9 @@
   private final Map<String, String> members = new TreeMap<>();
   private final Map<String, String> memberZones = new TreeMap<>();
   private final Map<String, Long> memberStamps = new HashMap<>();
-  private final Map<String, Range> memberLevels = new HashMap<>();
+  private final Map<String, LevelRange> memberLevels = new HashMap<>();
   private final NodeRegistry registry;
-  private final Range levels;
+  private final LevelRange levels;
 
   /** What can't be read, by key, and why. While there is any nothing is decided. */
   private final Map<String, String> unreadable = new LinkedHashMap<>();
@@ -102,7 +102,7 @@
    * @param levels what this build reads and writes
    * @param onApplied called after each run of changes
    */
-  public Tables(List<String> names, Range levels, Runnable onApplied) {
+  public Tables(List<String> names, LevelRange levels, Runnable onApplied) {
     this.registry = new NodeRegistry(names);
     this.levels = levels;
     this.onApplied = onApplied;
@@ -884,12 +884,12 @@
       return;
     }
     memberStamps.put(name, stamp);
-    memberLevels.put(name, Range.FIRST);
+    memberLevels.put(name, LevelRange.FIRST);
     try {
       Document d = Encoding.decode(value, Encoding.FIRST);
       String incarnation = d.text("inc");
       String zone = d.textOrNull("zone");
-      memberLevels.put(name, Range.parse(d));
+      memberLevels.put(name, LevelRange.parse(d));
       members.put(name, incarnation);
       if (zone != null && !zone.isEmpty()) {
         memberZones.put(name, zone);
@@ -900,7 +900,7 @@
   }
 
   /** All whose record is there, with the levels that they speak, readable members or not. */
-  public Map<String, Range> announcedLive() {
+  public Map<String, LevelRange> announcedLive() {
     return memberLevels;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/level/Announcement.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Announcement.java
@@ -18,7 +18,7 @@
 public record Announcement(
     int number,
     String name,
-    Range range,
+    LevelRange range,
     List<String> peers,
     long stamp,
     Map<String, Object> extra) {
@@ -27,7 +27,7 @@
    */
   public static final int MOST_NUMBER = 0xFFFF;
 
-  public static Announcement fresh(int number, String name, Range range, List<String> peers) {
+  public static Announcement fresh(int number, String name, LevelRange range, List<String> peers) {
     return new Announcement(number, name, range, List.copyOf(peers), 0, Map.of());
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** The same under other levels, or with other peers. */
-  public Announcement with(Range other, List<String> otherPeers) {
+  public Announcement with(LevelRange other, List<String> otherPeers) {
     return new Announcement(number, name, other, List.copyOf(otherPeers), stamp, extra);
   }
 
@@ -44,7 +44,7 @@
   public Map<String, Object> toStore() {
     Map<String, Object> m = new LinkedHashMap<>(extra);
     m.put("name", name);
-    range.into(m);
+    range.addTo(m);
     m.put("peers", new ArrayList<>(peers));
     return m;
   }
@@ -54,7 +54,7 @@
     return new Announcement(
         n,
         d.text("name"),
-        Range.parse(d),
+        LevelRange.parse(d),
         List.copyOf(d.texts("peers")),
         stamp,
         d.without("name", "least", "most", "peers"));
--- a/src/main/java/wickdrift/bookkeeping/level/Gate.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Gate.java
@@ -73,7 +73,7 @@
   }
 
   /** The gate of that label, or null if nobody here knows it. */
-  public static Gate of(String label) {
+  public static Gate byLabel(String label) {
     for (Gate g : values()) {
       if (g.label().equals(label)) {
         return g;
--- a/src/main/java/wickdrift/bookkeeping/level/Range.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelRange.java
@@ -8,24 +8,24 @@
  * The levels of stored state that a build reads and writes, both ends included. A level is a
  * positive integer; each adds to the one before, see {@link Gate}.
  */
-public record Range(int least, int most) {
+public record LevelRange(int min, int max) {
   /** What builds that know no levels speak; they announce nothing. */
-  public static final Range FIRST = new Range(1, 1);
+  public static final LevelRange FIRST = new LevelRange(1, 1);
 
   /** What this build speaks. */
-  public static final Range BUILD = new Range(1, Gate.newest());
+  public static final LevelRange BUILD = new LevelRange(1, Gate.newest());
 
   private static final String LEAST = "least";
   private static final String MOST = "most";
 
-  public Range {
-    if (least < 1 || most < least) {
-      throw new IllegalArgumentException("levels " + least + " to " + most + " are no range");
+  public LevelRange {
+    if (min < 1 || max < min) {
+      throw new IllegalArgumentException("levels " + min + " to " + max + " are no range");
     }
   }
 
   public boolean includes(int level) {
-    return least <= level && level <= most;
+    return min <= level && level <= max;
   }
 
   /**
@@ -33,7 +33,7 @@
    *
    * @throws BadMessage if only one end is there, an end is out of range, or the range is empty
    */
-  public static Range parse(Document d) throws BadMessage {
+  public static LevelRange parse(Document d) throws BadMessage {
     if (d.raw(LEAST) == null && d.raw(MOST) == null) {
       return FIRST;
     }
@@ -42,17 +42,17 @@
     if (least < 1 || most < least || most > Integer.MAX_VALUE) {
       throw new BadMessage("levels " + least + " to " + most + " are no range");
     }
-    return new Range((int) least, (int) most);
+    return new LevelRange((int) least, (int) most);
   }
 
   /** Adds both ends to a record that is about to be stored. */
-  public void into(Map<String, Object> record) {
-    record.put(LEAST, least);
-    record.put(MOST, most);
+  public void addTo(Map<String, Object> record) {
+    record.put(LEAST, min);
+    record.put(MOST, max);
   }
 
   @Override
   public String toString() {
-    return least + " to " + most;
+    return min + " to " + max;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
@@ -14,12 +14,12 @@
  * gate of that level is held back, and the records of the level in force are all of its form.
  *
  * @param level the next level, or the one in force if it must stay
- * @param waitsFor why it must stay, a line a cause; empty when it rises, or when nothing newer is
+ * @param blockers why it must stay, a line a cause; empty when it rises, or when nothing newer is
  *     known here
  * @param conditions the stamps of what this was drawn from, besides the view's and the members':
  *     the transaction that raises the level must be conditional on all of them
  */
-public record LevelUpgrade(int level, List<String> waitsFor, Map<String, Long> conditions) {
+public record LevelUpgrade(int level, List<String> blockers, Map<String, Long> conditions) {
   /**
    * @param now the level in force
    * @param build what this build speaks
@@ -27,10 +27,10 @@
    * @param named the controllers that the asking controller's settings name
    * @param registry the lasting records
    */
-  public static LevelUpgrade judge(
+  public static LevelUpgrade evaluate(
       int now,
-      Range build,
-      Map<String, Range> live,
+      LevelRange build,
+      Map<String, LevelRange> live,
       Collection<String> named,
       NodeRegistry registry) {
     LevelUpgrade rise = step(now, build, live, named, registry);
@@ -47,12 +47,12 @@
 
   private static LevelUpgrade step(
       int now,
-      Range build,
-      Map<String, Range> live,
+      LevelRange build,
+      Map<String, LevelRange> live,
       Collection<String> named,
       NodeRegistry registry) {
     int next = now + 1;
-    if (next > build.most()) {
+    if (next > build.max()) {
       return new LevelUpgrade(now, List.of(), Map.of());
     }
     List<String> waits = new ArrayList<>();
@@ -74,7 +74,7 @@
       all.addAll(a == null ? List.of() : a.peers());
     }
     for (String name : all) {
-      Range r = live.get(name);
+      LevelRange r = live.get(name);
       if (r != null) {
         if (!r.includes(next)) {
           waits.add(name + " speaks levels " + r);
@@ -98,7 +98,7 @@
   }
 
   /** What keeps each of the gates of a build closed, by label; empty text for those open. */
-  public static Map<String, String> gates(int inForce, OperatorOverrides word) {
+  public static Map<String, String> closedGateReasons(int inForce, OperatorOverrides word) {
     Map<String, String> out = new TreeMap<>();
     for (Gate g : Gate.values()) {
       boolean open = g.level() <= inForce;
--- a/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -56,7 +56,7 @@
   /** The label of a gate that keeps a level from coming into force, or null. */
   public String holdsBack(int level) {
     for (String label : heldGates) {
-      Gate g = Gate.of(label);
+      Gate g = Gate.byLabel(label);
       if (g == null || g.level() <= level) {
         return label;
       }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -23,7 +23,7 @@
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelUpgrade;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.PeerFrame;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
@@ -59,7 +59,7 @@
   private final Tuning tuning;
   private final String node;
   private final Settings settings;
-  private final Range levels;
+  private final LevelRange levels;
   private final String process;
   private final Map<String, Consumer<ByteBuffer>> peers;
   private final Map<Integer, Heard> heard = new HashMap<>();
@@ -105,7 +105,7 @@
       Tables tables,
       Tuning tuning,
       Settings settings,
-      Range levels,
+      LevelRange levels,
       String incarnation,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
@@ -295,7 +295,7 @@
       Map<String, Object> member = new LinkedHashMap<>();
       member.put("inc", incarnation);
       member.put("zone", settings.zone());
-      levels.into(member);
+      levels.addTo(member);
       txn.requireStamp("w/m/" + node, tables.memberStamp(node)).write("w/m/" + node, member, tether);
     }
     if (txn.changeCount() == 0) {
@@ -359,7 +359,7 @@
     }
     NodeRegistry registry = tables.registry();
     Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (Map.Entry<String, Range> m : tables.announcedLive().entrySet()) {
+    for (Map.Entry<String, LevelRange> m : tables.announcedLive().entrySet()) {
       Announcement a = registry.announced(m.getKey());
       if (a != null && !a.range().equals(m.getValue()) && txn.changeCount() == 0) {
         LOG.info("{} speaks levels {} now", a.name(), m.getValue());
@@ -447,7 +447,7 @@
       return;
     }
     LevelUpgrade rise =
-        LevelUpgrade.judge(
+        LevelUpgrade.evaluate(
             base.level(), levels, tables.announcedLive(), settings.nodeNames(), tables.registry());
     boolean rises = rise.level() > base.level() && tables.registry().hasList();
     View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -10,7 +10,7 @@
 import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Admission;
 import wickdrift.coordination.Confirmations;
 import wickdrift.coordination.Fleet;
@@ -67,7 +67,7 @@
       Map<String, Consumer<ByteBuffer>> peers,
       String incarnation,
       Metrics metrics) {
-    this(settings, tuning, clock, calls, peers, incarnation, metrics, Range.BUILD);
+    this(settings, tuning, clock, calls, peers, incarnation, metrics, LevelRange.BUILD);
   }
 
   /**
@@ -82,7 +82,7 @@
       Map<String, Consumer<ByteBuffer>> peers,
       String incarnation,
       Metrics metrics,
-      Range levels) {
+      LevelRange levels) {
     this.metrics = metrics;
     pauseDetector = new PauseDetector(clock, tuning.stillMs());
     Timers timers = pauseDetector.timers();
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -13,7 +13,7 @@
 import wickdrift.bookkeeping.level.Announcement;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelUpgrade;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.settings.Settings;
 
@@ -39,7 +39,7 @@
   /** What the commands read; barred if this build does not understand the stored state. */
   private static Tables tables(Store store, Settings settings) throws Store.Away {
     Records r = Records.read(store);
-    Tables t = new Tables(settings.nodeNames(), Range.BUILD, () -> {});
+    Tables t = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
     t.load(r.changes(), r.rev());
     return t;
   }
@@ -62,8 +62,8 @@
         return fail(NO, t.barred());
       }
       LevelUpgrade rise =
-          LevelUpgrade.judge(
-              t.level(), Range.BUILD, t.announcedLive(), settings.nodeNames(), t.registry());
+          LevelUpgrade.evaluate(
+              t.level(), LevelRange.BUILD, t.announcedLive(), settings.nodeNames(), t.registry());
       List<Map<String, Object>> list = new ArrayList<>();
       for (String name : controllers(t, settings)) {
         Announcement a = t.registry().announced(name);
@@ -81,10 +81,10 @@
       }
       Map<String, Object> all = new LinkedHashMap<>();
       all.put("level", t.level());
-      all.put("build", Range.BUILD.toString());
+      all.put("build", LevelRange.BUILD.toString());
       all.put("epoch", t.view() == null ? 0 : t.view().epoch());
-      all.put("gates", LevelUpgrade.gates(t.level(), t.registry().word()));
-      all.put("waitsFor", rise.waitsFor());
+      all.put("gates", LevelUpgrade.closedGateReasons(t.level(), t.registry().word()));
+      all.put("waitsFor", rise.blockers());
       all.put("oldForms", t.oldForms().size());
       all.put("converted", t.level() > 1 && t.registry().doneLevel() >= t.level());
       all.put("controllers", list);
@@ -92,10 +92,10 @@
         print(all);
         return OK;
       }
-      out().println("level " + t.level() + " is in force; this build speaks " + Range.BUILD);
-      LevelUpgrade.gates(t.level(), t.registry().word())
+      out().println("level " + t.level() + " is in force; this build speaks " + LevelRange.BUILD);
+      LevelUpgrade.closedGateReasons(t.level(), t.registry().word())
           .forEach((g, why) -> out().println("gate " + g + ": " + (why.isEmpty() ? "open" : why)));
-      for (String why : rise.waitsFor()) {
+      for (String why : rise.blockers()) {
         out().println("level " + (t.level() + 1) + " waits: " + why);
       }
       if (t.level() > 1) {
@@ -173,7 +173,7 @@
 
     @Override
     OperatorOverrides next(Tables t, Settings settings) {
-      Gate g = Gate.of(gate);
+      Gate g = Gate.byLabel(gate);
       if (g == null) {
         return refuse(BAD_INPUT, "no gate " + gate + "; there are: " + gates());
       }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -11,7 +11,7 @@
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.MessageCodec;
 
@@ -110,7 +110,7 @@
 
   /** What is to be written, by key, the view too. */
   static Map<String, Object> plan(Records snapshot, int valueBytes) throws Refused {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     t.load(snapshot.changes(), snapshot.rev());
     if (t.barred() != null) {
       throw new Refused("this build can't put it back: " + t.barred());
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -15,7 +15,7 @@
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 
 /** What of the stored state a build can't read, and what contradicts itself. A pure function. */
@@ -28,10 +28,10 @@
   private static final double EPS = 1e-6;
 
   private final Records records;
-  private final Range levels;
+  private final LevelRange levels;
   private final List<Finding> found = new ArrayList<>();
 
-  private StateCheck(Records records, Range levels) {
+  private StateCheck(Records records, LevelRange levels) {
     this.records = records;
     this.levels = levels;
   }
@@ -40,7 +40,7 @@
    * @param levels that the build speaks for which is asked
    * @return errors first, each kind in the order of keys
    */
-  public static List<Finding> check(Records records, Range levels) {
+  public static List<Finding> check(Records records, LevelRange levels) {
     StateCheck c = new StateCheck(records, levels);
     c.run();
     List<Finding> out = new ArrayList<>(c.found);
@@ -167,7 +167,7 @@
       error(NodeRegistry.LIST, "is missing, and controllers have numbers");
     }
     for (String held : t.registry().word().heldGates()) {
-      if (Gate.of(held) == null) {
+      if (Gate.byLabel(held) == null) {
         note("w/c/word", "holds back the gate " + held + ", which this build does not know");
       }
     }
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import picocli.CommandLine;
 import wickdrift.bookkeeping.StateServiceLimits;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.settings.Settings;
 
 /** {@code wickdrift state}: the whole stored state, looked through, kept and put back. */
@@ -49,11 +49,11 @@
 
     @Override
     int run(Store store, Settings settings) throws Store.Away {
-      Range range = Range.BUILD;
+      LevelRange range = LevelRange.BUILD;
       if (levels != null) {
         String[] ends = levels.split("-");
         try {
-          range = new Range(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
+          range = new LevelRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
         } catch (IllegalArgumentException e) {
           return fail(BAD_INPUT, "--levels: " + levels + " is no range of levels, as 1-2 is");
         }
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -134,7 +134,7 @@
       }
       nodes.add(new Node(n, List.copyOf(awaits), ranks[r.nextInt(4)], r.nextBoolean() ? "a" : "b"));
     }
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int step = 0; step < 400; step++) {
       rev++;
       Node n = nodes.get(r.nextInt(size));
@@ -163,7 +163,7 @@
 
   /** A copy loaded anew, which knows no ends. */
   private Tables loaded() throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     List<StateServiceClient.Change> all = new ArrayList<>();
     store.forEach(
         (k, v) -> {
@@ -190,7 +190,7 @@
   @ParameterizedTest
   @CsvSource({"0, 61000", "1, 71000", "2, 81000", "3, 91000"})
   void hasteIsCarriedBack(int job, long startBy) throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int n = 0; n < 4; n++) {
       Map<String, Object> m = SimJobs.job(n, "batch", 1, 1, 10);
       if (n > 0) {
@@ -213,7 +213,7 @@
   /** A thousand chains of six, one awaited by a thousand, and a chain of a hundred: in a blink. */
   @Test
   void manyAtOnce() throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     int n = 0;
     List<StateServiceClient.Change> all = new ArrayList<>();
     for (int c = 0; c < 1000; c++) {
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.level.Encoding;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -42,7 +42,7 @@
   }
 
   private static Tables withJob(int tasks) throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     apply(t, job("batch", tasks));
     return t;
   }
@@ -189,7 +189,7 @@
   /** Two nodes report two members' ends at the same time; neither knows of the other's. */
   @Test
   void aGangIsDoneTogetherWhoeverReportsIt() throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     apply(t, job("ensemble", 2));
     apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
     apply(t, page(t, "n1", 11, entry(LogEntry.exited(JOB), 1, 1, 1)));
@@ -210,7 +210,7 @@
     StateServiceClient.Change again = page(t, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
     apply(t, again);
     // The same from the start: the pages first, as they were read, then the rest.
-    Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables fresh = new Tables(List.of(), LevelRange.BUILD, () -> {});
     fresh.load(List.of(again, exit, job("batch", 2), chunk), 13);
     for (Tables x : List.of(t, fresh)) {
       assertEquals(2, x.job(JOB).task(0).attempt());
@@ -226,7 +226,7 @@
     Tables t = withJob(2);
     StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
     StateServiceClient.Change placed = page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
-    Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables fresh = new Tables(List.of(), LevelRange.BUILD, () -> {});
     // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
     fresh.load(List.of(exit, job("batch", 2)), 9);
     assertEquals(TaskState.Phase.WAITING, fresh.job(JOB).task(0).phase());
@@ -244,7 +244,7 @@
     "BOOTING GONE DRAINING, GONE",
   })
   void aMachinesPhasesFollowOnEachOther(String phases, Machine.Phase expected) throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     long rev = 1;
     for (String p : phases.split(" ")) {
       Machine.Info i = new Machine.Info("g4", "a", false, Machine.Phase.valueOf(p), 5);
@@ -255,7 +255,7 @@
 
   @Test
   void statesChangeOnlyAsTheyMay() {
-    Machine m = new Tables(List.of(), Range.BUILD, () -> {}).machineOrNew("i");
+    Machine m = new Tables(List.of(), LevelRange.BUILD, () -> {}).machineOrNew("i");
     TaskState live = TaskState.NEW.placed(1, m, 0);
     assertThrows(IllegalStateException.class, () -> live.placed(2, m, 0));
     assertThrows(IllegalStateException.class, () -> TaskState.waiting(3).placed(3, m, 0));
@@ -289,7 +289,7 @@
     "a1 a2 b1 a3+, 120, false",
   })
   void aFaultyMachineIsToldFromAFaultyJob(String exits, long shunS, boolean suspect) {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Map<Character, Job> jobs = new TreeMap<>();
     for (String e : exits.split(" ")) {
       Job j = jobs.computeIfAbsent(e.charAt(0), k -> job(t, k));
@@ -305,7 +305,7 @@
   /** A suspect's tries are further and further apart, and failures of one wave count once. */
   @Test
   void aSuspectBacksOff() {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Job j = job(t, 1);
     long now = 1_000_000;
     for (int i = 0; i < 2; i++) {
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -76,7 +76,7 @@
     for (Map.Entry<String, Integer> e : levels(announced).entrySet()) {
       int n = e.getKey().charAt(0) - 'a';
       List<String> peers = e.getKey().equals("d") ? List.of("d", "e") : List.of(e.getKey());
-      Announcement a = Announcement.fresh(n, e.getKey(), new Range(1, e.getValue()), peers);
+      Announcement a = Announcement.fresh(n, e.getKey(), new LevelRange(1, e.getValue()), peers);
       registry.apply("" + n, doc(a.toStore()), stamp++);
     }
     if (said != null) {
@@ -88,12 +88,12 @@
     if (done > 0) {
       registry.apply("done", doc(NodeRegistry.doneToStore(done)), 31);
     }
-    Map<String, Range> live = new TreeMap<>();
-    levels(there).forEach((n, most) -> live.put(n, new Range(1, most)));
+    Map<String, LevelRange> live = new TreeMap<>();
+    levels(there).forEach((n, most) -> live.put(n, new LevelRange(1, most)));
     LevelUpgrade r =
-        LevelUpgrade.judge(now, new Range(1, 5), live, List.of(named.split(" ")), registry);
+        LevelUpgrade.evaluate(now, new LevelRange(1, 5), live, List.of(named.split(" ")), registry);
     assertEquals(then, r.level());
-    assertEquals(why.isEmpty() ? List.of() : List.of(why), r.waitsFor());
+    assertEquals(why.isEmpty() ? List.of() : List.of(why), r.blockers());
     if (then > now) {
       assertEquals(said == null ? 0L : 30L, r.conditions().get(OperatorOverrides.KEY));
       for (String n : levels(announced).keySet()) {
@@ -115,7 +115,7 @@
       m.put("most", most);
     }
     Document d = doc(m);
-    assertThrows(BadMessage.class, () -> Range.parse(d));
+    assertThrows(BadMessage.class, () -> LevelRange.parse(d));
   }
 
   /** What is malformed leaves the roster as it was. */
@@ -137,7 +137,7 @@
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
     registry.apply("list", doc(NodeRegistry.listToStore(List.of("a", "b", "c"))), 1);
     assertEquals(3, registry.nextNumber());
-    registry.apply("7", doc(Announcement.fresh(7, "z", Range.BUILD, List.of("z")).toStore()), 2);
+    registry.apply("7", doc(Announcement.fresh(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
     assertEquals(8, registry.nextNumber());
     assertEquals(7, registry.number("z"));
     assertEquals("c", registry.name(2));
--- a/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
+++ b/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
@@ -12,7 +12,7 @@
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -42,7 +42,7 @@
   })
   void nextIsWhoHoldsLeast(String jobs, String held, String guaranteed, String order)
       throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Map<String, List<Job>> lines = new LinkedHashMap<>();
     Map<Job, String> names = new LinkedHashMap<>();
     int n = 0;
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -17,7 +17,7 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -40,7 +40,7 @@
 
   /** Machines m1..mn of falling capability, with the given booked shares of their GPUs. */
   private static CapacityIndex fleet(String loads) throws BadMessage {
-    Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     CapacityIndex rooms = new CapacityIndex();
     String[] parts = loads.trim().split(" +");
     for (int i = 0; i < parts.length; i++) {
@@ -103,7 +103,7 @@
   void loadIsTheLargestBookedShare() {
     TypeInfo t = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
     FreeCapacity r =
-        new FreeCapacity(new Tables(List.of(), Range.BUILD, () -> {}).machineOrNew("m"), t);
+        new FreeCapacity(new Tables(List.of(), LevelRange.BUILD, () -> {}).machineOrNew("m"), t);
     r.book(spec(5, 1));
     assertEquals(0.5, r.load(), 1e-9);
   }
@@ -113,7 +113,7 @@
   void aFetchUnderWayIsNotShared() throws BadMessage {
     CapacityIndex rooms = new CapacityIndex();
     TypeInfo t = new TypeInfo("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    Machine m = machine(new Tables(List.of(), Range.BUILD, () -> {}), "m");
+    Machine m = machine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
     rooms.put(m, t, "n0", 0);
     JobSpec first = spec(1, 1);
     rooms.book(rooms.of(m), first);
@@ -199,7 +199,7 @@
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
   void theIndexChoosesAsTheRuleSays(int seed) throws BadMessage {
     Random random = new Random(seed);
-    Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     CapacityIndex rooms = new CapacityIndex();
     List<FreeCapacity> all = new ArrayList<>();
     int kinds = 1 + seed % 3;
@@ -244,7 +244,7 @@
     JobSpec s = drawn(5, 1, "img");
     long[] looked = new long[2];
     for (int k = 0; k < 2; k++) {
-      Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+      Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
       CapacityIndex rooms = new CapacityIndex();
       TypeInfo t = new TypeInfo("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
       for (int i = 0; i < (k == 0 ? 60 : 1200); i++) {
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -12,7 +12,7 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -24,7 +24,7 @@
       new TypeInfo("t", 64, 4, 128, 100, 0.5, 1, 1, 1, List.of("a"));
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
-  private final Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+  private final Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
   private long rev;
 
   private void apply(String key, Object value) throws BadMessage {
--- a/src/test/java/wickdrift/coordination/PromisedTest.java
+++ b/src/test/java/wickdrift/coordination/PromisedTest.java
@@ -10,7 +10,7 @@
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
@@ -25,7 +25,7 @@
         Document.parse(MessageCodec.encode(SimJobs.job(1, "batch", tasks, gpus, 5))));
   }
 
-  private final Tables tables = new Tables(List.of("n1", "n2"), Range.BUILD, () -> {});
+  private final Tables tables = new Tables(List.of("n1", "n2"), LevelRange.BUILD, () -> {});
   private long rev;
 
   /** The job as it is in the tables once that is durable. */
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -11,7 +11,7 @@
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -25,7 +25,7 @@
   @ParameterizedTest
   @CsvSource({"2, 1", "60, 1", "300, 2"})
   void aGangOfAnySizeIsPlacedInOneTransaction(int size, int leastPages) throws BadMessage {
-    Tables t = new Tables(List.of("n0"), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of("n0"), LevelRange.BUILD, () -> {});
     JobSpec s =
         JobSpec.parse(Document.parse(MessageCodec.encode(SimJobs.job(1, "ensemble", size, 1, 10))));
     Object record =
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -9,7 +9,7 @@
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
@@ -23,7 +23,7 @@
   public static void main(String[] args) throws Exception {
     int machines = Integer.parseInt(args[0]);
     int tasks = Integer.parseInt(args[1]);
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     t.load(store(machines, tasks), 10);
     t.reset();
     t.load(store(machines, tasks), 20);
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.transport.Caller.Answer;
 
@@ -159,11 +159,11 @@
       start("n2", old);
       rest(STEP_MS);
       replace("n0", next, true);
-      if (level() == Range.BUILD.most()) {
+      if (level() == LevelRange.BUILD.max()) {
         wrong.add("the level rose while n2 ran the older build");
       }
       replace("n2", next, false);
-      if (level() != Range.BUILD.most()) {
+      if (level() != LevelRange.BUILD.max()) {
         wrong.add("the level did not rise");
       }
       pipelines();
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Caller;
@@ -290,7 +290,7 @@
 
   /** What the state service holds, as a controller would read it. */
   Tables stored() {
-    Tables tables = new Tables(world.nodes, Range.BUILD, () -> {});
+    Tables tables = new Tables(world.nodes, LevelRange.BUILD, () -> {});
     tables.load(world.state().all(), world.state().rev());
     return tables;
   }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -37,7 +37,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.operator.LevelCommand;
 import wickdrift.operator.Records;
 import wickdrift.operator.Restore;
@@ -111,7 +111,7 @@
   @ValueSource(strings = {"dc24b21", "4175cec"})
   void recordsOfTheBuildBeforeAreReadAsItReadThem(String build) throws Exception {
     Golden g = Golden.read(build);
-    Tables t = new Tables(List.of("n0", "n1", "n2"), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of("n0", "n1", "n2"), LevelRange.BUILD, () -> {});
     t.load(new Records(g.rev, g.all).changes(), g.rev);
     assertNull(t.barred());
     StringBuilder b = new StringBuilder(SimWorld.digest(t));
@@ -121,7 +121,7 @@
     assertEquals(g.digest, b.toString());
     assertEquals(
         0,
-        StateCheck.check(new Records(g.rev, g.all), Range.BUILD).stream()
+        StateCheck.check(new Records(g.rev, g.all), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
   }
@@ -151,7 +151,7 @@
     }
     w.nodes.forEach(w::startNode);
     w.run(240_000);
-    assertEquals(Range.BUILD.most(), w.tables("n0").level());
+    assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
     assertFalse(open.isEmpty());
     for (String id : open) {
       assertTrue(w.state().keys().contains("w/d/" + id), id);
@@ -173,7 +173,7 @@
       shape(e.getKey(), e.getValue().value(), before);
     }
     SimWorld w = new SimWorld(502, 8, 30, "aab", 40);
-    w.restartAll(new Range(1, 3), "");
+    w.restartAll(new LevelRange(1, 3), "");
     load(w, 40);
     Map<String, Set<String>> now = new TreeMap<>();
     for (StateServiceClient.Change c : w.state().all()) {
@@ -337,7 +337,7 @@
     Store store = store(w.state());
     assertEquals(
         0,
-        StateCheck.check(Records.read(store), Range.BUILD).stream()
+        StateCheck.check(Records.read(store), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
     Map<String, Object> v = new TreeMap<>();
@@ -348,7 +348,7 @@
     v.put("phase", "done");
     v.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
     w.state().force(key, Encoding.wrap(form, v));
-    List<StateCheck.Finding> found = StateCheck.check(Records.read(store), Range.BUILD);
+    List<StateCheck.Finding> found = StateCheck.check(Records.read(store), LevelRange.BUILD);
     assertTrue(found.stream().anyMatch(f -> f.error() && f.why().contains(why)), found.toString());
   }
 
@@ -356,7 +356,7 @@
   @Test
   void aBuildOfFewerLevelsIsToldSo() throws Exception {
     List<StateCheck.Finding> found =
-        StateCheck.check(Records.read(store(busy(522).state())), Range.FIRST);
+        StateCheck.check(Records.read(store(busy(522).state())), LevelRange.FIRST);
     assertTrue(found.get(0).error() && found.get(0).why().contains("this build speaks 1 to 1"));
   }
 
@@ -426,10 +426,10 @@
       assertEquals(1, l.run(new StateCommand(), "check", "--levels", "1-1"));
       assertEquals(2, l.run(new StateCommand(), "check", "--levels", "2-1"));
       assertEquals(0, l.run(new LevelCommand(), "show"));
-      assertTrue(l.out.contains("level " + Range.BUILD.most() + " is in force"), l.out);
+      assertTrue(l.out.contains("level " + LevelRange.BUILD.max() + " is in force"), l.out);
       assertTrue(l.out.contains("gate numbers: open"), l.out);
       assertEquals(0, l.run(new LevelCommand(), "show", "--json"));
-      assertTrue(l.out.contains("\"level\": " + Range.BUILD.most()), l.out);
+      assertTrue(l.out.contains("\"level\": " + LevelRange.BUILD.max()), l.out);
       assertEquals(1, l.run(new LevelCommand(), "hold", "numbers"));
       assertTrue(l.err.contains("is open"), l.err);
       assertEquals(2, l.run(new LevelCommand(), "hold", "nonsense"));
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -22,7 +22,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
@@ -33,18 +33,18 @@
  * last is compared with a model that knows nothing but who awaits whom and who was cancelled.
  */
 class PipelineTest {
-  private static final Range OLD = new Range(1, 3);
+  private static final LevelRange OLD = new LevelRange(1, 3);
   private static final String SMALLER =
       "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 40.0";
 
-  private static SimWorld world(long seed, String zones, Range build, String next) {
+  private static SimWorld world(long seed, String zones, LevelRange build, String next) {
     SimWorld w = new SimWorld(seed, 10, 30, zones, 60);
     w.restartAll(build, next);
     return w;
   }
 
   private static SimWorld world(long seed) {
-    return world(seed, "aab", Range.BUILD, "");
+    return world(seed, "aab", LevelRange.BUILD, "");
   }
 
   private static String id(int n) {
@@ -210,7 +210,7 @@
     boolean rolls = t.ordinal() >= Trouble.MIXED_THEN_RISES.ordinal();
     SimWorld w =
         world(
-            seed, seed % 2 == 0 ? "aab" : "aabbb", rolls ? OLD : Range.BUILD, rolls ? SMALLER : "");
+            seed, seed % 2 == 0 ? "aab" : "aabbb", rolls ? OLD : LevelRange.BUILD, rolls ? SMALLER : "");
     w.run(8000);
     Random r = new Random(seed);
     int base = 0;
@@ -225,7 +225,7 @@
     w.run(240_000);
     check(w);
     if (rolls) {
-      assertEquals(Range.BUILD.most(), w.tables("n0").level());
+      assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
     }
     if (t == Trouble.LIMITS_FALL || t == Trouble.LIMITS_FALL_AND_CRASH) {
       assertEquals(List.of(), w.state().tooLarge, "sent what is larger than the next limits");
@@ -315,7 +315,7 @@
   /** Far more names than a record holds; some are long over, some run, some wait. */
   @Test
   void hundredsOfNames() {
-    SimWorld w = world(763, "aab", Range.BUILD, SMALLER);
+    SimWorld w = world(763, "aab", LevelRange.BUILD, SMALLER);
     w.run(8000);
     int[] names = IntStream.range(100, 400).toArray();
     for (int n : names) {
@@ -512,7 +512,7 @@
     }
     w.nodes.forEach(n -> w.crash(n, 500));
     w.run(25_000);
-    assertEquals(Range.BUILD.most(), w.tables("n0").level());
+    assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
     if (!fallsFirst) {
       w.state().fall(2, 4, 40);
     }
@@ -539,7 +539,7 @@
       w.startNode(n);
     }
     long from = w.clock.nowMs();
-    while (w.tables("n0").level() < Range.BUILD.most() && w.clock.nowMs() - from < 60_000) {
+    while (w.tables("n0").level() < LevelRange.BUILD.max() && w.clock.nowMs() - from < 60_000) {
       w.run(100);
     }
     assertTrue(w.clock.nowMs() - from < within, "took " + (w.clock.nowMs() - from));
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -23,7 +23,7 @@
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -36,7 +36,7 @@
  * ({@link SimState#levelless}); the older build itself is played with real processes, outside CI.
  */
 class RolloutTest {
-  private static final int NEW = Range.BUILD.most();
+  private static final int NEW = LevelRange.BUILD.max();
 
   /**
    * A world whose controllers are all of the build that knows no levels, with jobs of all shapes.
@@ -46,7 +46,7 @@
     // They were started in the constructor, but nothing has run yet.
     for (String n : w.nodes) {
       w.kill(n);
-      w.levels.put(n, Range.FIRST);
+      w.levels.put(n, LevelRange.FIRST);
       w.state().levelless.add(n);
     }
     w.nodes.forEach(w::startNode);
@@ -81,7 +81,7 @@
 
   private static void putBack(SimWorld w, String node) {
     w.state().levelless.add(node);
-    w.levels.put(node, Range.FIRST);
+    w.levels.put(node, LevelRange.FIRST);
     w.crash(node, 2000);
   }
 
@@ -378,12 +378,12 @@
     SimWorld w = new SimWorld(360, 6, 20, "aaa", 60);
     List<String> finite = load(w, 30, 40_000);
     w.nodes.forEach(w::kill);
-    w.nodes.forEach(n -> w.levels.put(n, new Range(1, inForce)));
+    w.nodes.forEach(n -> w.levels.put(n, new LevelRange(1, inForce)));
     w.nodes.forEach(w::startNode);
     w.run(20_000);
     untilLevel(w, inForce);
     w.kill("n1");
-    w.levels.put("n1", new Range(least, most));
+    w.levels.put("n1", new LevelRange(least, most));
     w.startNode("n1");
     w.state().writers.clear();
     w.run(20_000);
@@ -429,7 +429,7 @@
     SimWorld w = new SimWorld(376, 4, 20, "aaabb", 40);
     w.nodes.forEach(w::kill);
     for (String n : w.nodes) {
-      w.levels.put(n, Range.FIRST);
+      w.levels.put(n, LevelRange.FIRST);
       w.startNode(n);
     }
     w.run(6000);
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -20,7 +20,7 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Tuning;
 import wickdrift.daemon.Controller;
 import wickdrift.daemon.Metrics;
@@ -175,7 +175,7 @@
     String fresh = "";
     for (int i = 0; i < 400 && compared < nodes.size(); i++) {
       run(7);
-      Tables t = new Tables(nodes, Range.BUILD, () -> {});
+      Tables t = new Tables(nodes, LevelRange.BUILD, () -> {});
       t.load(state.all(), state.rev());
       fresh = digest(t);
       for (Node n : running.values()) {
@@ -217,7 +217,7 @@
   }
 
   /** What ended controllers' settings and builds are changed before they start. */
-  void restartAll(Range build, String nextLimits) {
+  void restartAll(LevelRange build, String nextLimits) {
     next = nextLimits;
     for (String n : nodes) {
       kill(n);
@@ -232,7 +232,7 @@
   final Map<String, List<String>> lists = new HashMap<>();
 
   /** The levels that a node's build speaks, where it is not this one. */
-  final Map<String, Range> levels = new HashMap<>();
+  final Map<String, LevelRange> levels = new HashMap<>();
 
   /** Nodes whose build does not know the frames about withdrawals, and passes them over. */
   final Set<String> oldFrames = new HashSet<>();
@@ -371,7 +371,7 @@
             peers,
             "inc" + ++incarnations,
             new Metrics(),
-            levels.getOrDefault(name, Range.BUILD));
+            levels.getOrDefault(name, LevelRange.BUILD));
     net.listen(
         "peer:" + name,
         (from, m, p, body, done) -> {
--- a/src/test/java/wickdrift/sim/UnlistedTest.java
+++ b/src/test/java/wickdrift/sim/UnlistedTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 
 /**
  * Troubles that no page listed, alone and in pairs with those that are: machines that nothing
@@ -179,7 +179,7 @@
     long seed = 900 + 10L * u.ordinal() + b.ordinal();
     SimWorld w = new SimWorld(seed, 12, 30, "aab", 60);
     if (b == Beside.LEVEL_RISES) {
-      w.restartAll(new Range(1, 3), "");
+      w.restartAll(new LevelRange(1, 3), "");
     }
     Random r = new Random(seed);
     List<String> finite = w.users.submitSmall(r, 6000, 40_000, 15_000, n -> 4 + n % 9);
@@ -197,7 +197,7 @@
     ClusterTest.check(w, finite);
     // No storm: at most as many as could be there at once came anew.
     assertTrue(rented <= 12 + 30, "rented " + rented);
-    assertEquals(Range.BUILD.most(), w.tables("n0").level());
+    assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
   }
 
   /** Once a machine is known to be deaf nothing more is placed there, until it hears. */
