--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.level.Announcement;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
@@ -570,7 +570,7 @@
     if ((e.size() - LogEntry.first(e)) % width != 0) {
       throw new BadMessage("an entry that ends early");
     }
-    if (kind.equals(LogEntry.PLACED) && LogEntry.number(e, 2) > Announcement.MOST_NUMBER) {
+    if (kind.equals(LogEntry.PLACED) && LogEntry.number(e, 2) > NodeRecord.MOST_NUMBER) {
       throw new BadMessage("no controller has the number " + LogEntry.number(e, 2));
     }
     Job j = jobs.get(subject);
--- a/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
@@ -57,19 +57,19 @@
     }
     List<String> waits = new ArrayList<>();
     Map<String, Long> conditions = new LinkedHashMap<>();
-    OperatorOverrides word = registry.word();
+    OperatorOverrides word = registry.overrides();
     conditions.put(OperatorOverrides.KEY, word.stamp());
     String holding = word.holdsBack(next);
     if (holding != null) {
       waits.add("gate " + holding + " is held back");
     }
-    if (now > 1 && Gate.afterConversion(next) && registry.doneLevel() < now) {
+    if (now > 1 && Gate.afterConversion(next) && registry.convertedLevel() < now) {
       waits.add("records of a form older than level " + now + " are left");
     }
     TreeSet<String> all = new TreeSet<>(named);
     all.addAll(live.keySet());
     for (String name : live.keySet()) {
-      Announcement a = registry.announced(name);
+      NodeRecord a = registry.nodeRecord(name);
       // Whom a member's settings name may act too, once it is started.
       all.addAll(a == null ? List.of() : a.peers());
     }
@@ -80,13 +80,13 @@
           waits.add(name + " speaks levels " + r);
         }
       } else if (!word.without().contains(name)) {
-        Announcement a = registry.announced(name);
+        NodeRecord a = registry.nodeRecord(name);
         if (a == null) {
           waits.add(name + " is down and has announced nothing");
-        } else if (!a.range().includes(next)) {
-          waits.add(name + " is down and spoke levels " + a.range());
+        } else if (!a.levels().includes(next)) {
+          waits.add(name + " is down and spoke levels " + a.levels());
         } else {
-          conditions.put(Announcement.key(a.number()), a.stamp());
+          conditions.put(NodeRecord.key(a.number()), a.stamp());
           // Nor may it have come back meanwhile with a build that announces nothing.
           conditions.put("w/m/" + name, 0L);
         }
--- a/src/main/java/wickdrift/bookkeeping/level/Announcement.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
@@ -15,10 +15,10 @@
  * @param peers all controllers that its settings name, itself too, sorted
  * @param extra fields that this build does not know; they survive a rewriting
  */
-public record Announcement(
+public record NodeRecord(
     int number,
     String name,
-    LevelRange range,
+    LevelRange levels,
     List<String> peers,
     long stamp,
     Map<String, Object> extra) {
@@ -27,8 +27,8 @@
    */
   public static final int MOST_NUMBER = 0xFFFF;
 
-  public static Announcement fresh(int number, String name, LevelRange range, List<String> peers) {
-    return new Announcement(number, name, range, List.copyOf(peers), 0, Map.of());
+  public static NodeRecord create(int number, String name, LevelRange range, List<String> peers) {
+    return new NodeRecord(number, name, range, List.copyOf(peers), 0, Map.of());
   }
 
   public static String key(int number) {
@@ -36,22 +36,22 @@
   }
 
   /** The same under other levels, or with other peers. */
-  public Announcement with(LevelRange other, List<String> otherPeers) {
-    return new Announcement(number, name, other, List.copyOf(otherPeers), stamp, extra);
+  public NodeRecord withLevels(LevelRange other, List<String> otherPeers) {
+    return new NodeRecord(number, name, other, List.copyOf(otherPeers), stamp, extra);
   }
 
   /** The record as it is stored. */
   public Map<String, Object> toStore() {
     Map<String, Object> m = new LinkedHashMap<>(extra);
     m.put("name", name);
-    range.addTo(m);
+    levels.addTo(m);
     m.put("peers", new ArrayList<>(peers));
     return m;
   }
 
-  static Announcement parse(String number, Document d, long stamp) throws BadMessage {
+  static NodeRecord parse(String number, Document d, long stamp) throws BadMessage {
     int n = number(number);
-    return new Announcement(
+    return new NodeRecord(
         n,
         d.text("name"),
         LevelRange.parse(d),
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
@@ -17,18 +17,18 @@
  */
 public final class NodeRegistry {
   public static final String PREFIX = "w/c/";
-  public static final String LIST = PREFIX + "list";
-  public static final String DONE = PREFIX + "done";
+  public static final String INITIAL_NAMES_KEY = PREFIX + "list";
+  public static final String CONVERTED_LEVEL_KEY = PREFIX + "done";
   private static final String NAMES = "names";
 
   private final List<String> settingsNames;
-  private final TreeMap<Integer, Announcement> announced = new TreeMap<>();
+  private final TreeMap<Integer, NodeRecord> announced = new TreeMap<>();
   private final Map<String, Integer> numbers = new HashMap<>();
   private List<String> list;
-  private long listStamp;
-  private OperatorOverrides word = OperatorOverrides.NONE;
-  private int doneLevel;
-  private long doneStamp;
+  private long initialNamesStamp;
+  private OperatorOverrides overrides = OperatorOverrides.NONE;
+  private int convertedLevel;
+  private long convertedLevelStamp;
 
   /**
    * @param settingsNames all controllers that the settings name, sorted: the list until one is
@@ -43,20 +43,20 @@
   public void reset() {
     announced.clear();
     list = null;
-    listStamp = 0;
-    word = OperatorOverrides.NONE;
-    doneLevel = 0;
-    doneStamp = 0;
+    initialNamesStamp = 0;
+    overrides = OperatorOverrides.NONE;
+    convertedLevel = 0;
+    convertedLevelStamp = 0;
     renumber();
   }
 
-  /** The value of {@link #LIST}. */
-  public static Map<String, Object> listToStore(List<String> names) {
+  /** The value of {@link #INITIAL_NAMES_KEY}. */
+  public static Map<String, Object> encodeInitialNames(List<String> names) {
     return new TreeMap<>(Map.of(NAMES, new ArrayList<>(names)));
   }
 
-  /** The value of {@link #DONE}: nothing older than the forms of that level is left. */
-  public static Map<String, Object> doneToStore(int level) {
+  /** The value of {@link #CONVERTED_LEVEL_KEY}: nothing older than the forms of that level is left. */
+  public static Map<String, Object> encodeConvertedLevel(int level) {
     return new TreeMap<>(Map.of("level", level));
   }
 
@@ -76,16 +76,16 @@
           throw new BadMessage("the first list of controllers is empty or names one twice");
         }
         list = names;
-        listStamp = d == null ? 0 : stamp;
+        initialNamesStamp = d == null ? 0 : stamp;
       }
-      case "word" -> word = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
+      case "word" -> overrides = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
       case "done" -> {
-        doneLevel = d == null ? 0 : (int) d.count("level");
-        doneStamp = d == null ? 0 : stamp;
+        convertedLevel = d == null ? 0 : (int) d.count("level");
+        convertedLevelStamp = d == null ? 0 : stamp;
       }
       default -> {
         if (d != null) {
-          Announcement a = Announcement.parse(name, d, stamp);
+          NodeRecord a = NodeRecord.parse(name, d, stamp);
           announced.put(a.number(), a);
         } else if (name.matches("[0-9]{1,5}")) {
           announced.remove(Integer.parseInt(name));
@@ -99,36 +99,36 @@
     numbers.clear();
     // The lowest counts: should a name ever have two, all draw the same from it.
     announced.descendingMap().forEach((n, a) -> numbers.put(a.name(), n));
-    for (int i = 0; i < first().size(); i++) {
-      numbers.put(first().get(i), i);
+    for (int i = 0; i < initialNames().size(); i++) {
+      numbers.put(initialNames().get(i), i);
     }
   }
 
   /** The names whose places are the first numbers. */
-  public List<String> first() {
+  public List<String> initialNames() {
     return list == null ? settingsNames : list;
   }
 
   /** Whether the first list is stored. */
-  public boolean hasList() {
+  public boolean hasStoredInitialNames() {
     return list != null;
   }
 
-  public long listStamp() {
-    return listStamp;
+  public long initialNamesStamp() {
+    return initialNamesStamp;
   }
 
   /** A controller's number, or -1 if it has none. */
-  public int number(String name) {
+  public int numberOf(String name) {
     return numbers.getOrDefault(name, -1);
   }
 
   /** Who has a number, or null. */
   public String name(int number) {
-    if (number >= 0 && number < first().size()) {
-      return first().get(number);
+    if (number >= 0 && number < initialNames().size()) {
+      return initialNames().get(number);
     }
-    Announcement a = announced.get(number);
+    NodeRecord a = announced.get(number);
     return a == null ? null : a.name();
   }
 
@@ -138,32 +138,32 @@
   }
 
   /** A controller's lasting record, or null. */
-  public Announcement announced(String name) {
-    int n = number(name);
-    Announcement a = n < 0 ? null : announced.get(n);
+  public NodeRecord nodeRecord(String name) {
+    int n = numberOf(name);
+    NodeRecord a = n < 0 ? null : announced.get(n);
     return a != null && a.name().equals(name) ? a : null;
   }
 
-  public Collection<Announcement> announced() {
+  public Collection<NodeRecord> nodeRecords() {
     return announced.values();
   }
 
   /** A number that no one ever had. */
   public int nextNumber() {
     int after = announced.isEmpty() ? 0 : announced.lastKey() + 1;
-    return Math.max(first().size(), after);
+    return Math.max(initialNames().size(), after);
   }
 
-  public OperatorOverrides word() {
-    return word;
+  public OperatorOverrides overrides() {
+    return overrides;
   }
 
   /** Up to which level nothing of an older form is left, durably; 0 if that was never said. */
-  public int doneLevel() {
-    return doneLevel;
+  public int convertedLevel() {
+    return convertedLevel;
   }
 
-  public long doneStamp() {
-    return doneStamp;
+  public long convertedLevelStamp() {
+    return convertedLevelStamp;
   }
 }
--- a/src/main/java/wickdrift/coordination/Confirmations.java
+++ b/src/main/java/wickdrift/coordination/Confirmations.java
@@ -188,7 +188,7 @@
   private void ask(String job, Open o, Map<String, List<String>> left) {
     long now = timers.nowMs();
     long epoch = tables.view().epoch();
-    int number = tables.registry().number(node);
+    int number = tables.registry().numberOf(node);
     if (number < 0 || now - o.askedMs < AGAIN_MS && o.askedEpoch == epoch) {
       return;
     }
@@ -245,7 +245,7 @@
     }
     View v = tables.view();
     Consumer<ByteBuffer> peer = peers.get(tables.registry().name(w.from()));
-    int number = tables.registry().number(node);
+    int number = tables.registry().numberOf(node);
     if (peer == null || number < 0 || v == null || v.epoch() != w.epoch()) {
       return;
     }
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -60,16 +60,16 @@
       }
     }
     boolean left = !tables.oldForms().isEmpty();
-    if (leads && left != tables.registry().doneLevel() < tables.level()) {
+    if (leads && left != tables.registry().convertedLevel() < tables.level()) {
       draft.when(View.KEY, tables.viewStamp());
       if (left) {
-        draft.when(NodeRegistry.DONE, tables.registry().doneStamp());
-        draft.delete(NodeRegistry.DONE);
+        draft.when(NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
+        draft.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
       } else {
         draft.write(
-            NodeRegistry.DONE,
-            NodeRegistry.doneToStore(tables.level()),
-            tables.registry().doneStamp());
+            NodeRegistry.CONVERTED_LEVEL_KEY,
+            NodeRegistry.encodeConvertedLevel(tables.level()),
+            tables.registry().convertedLevelStamp());
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -18,7 +18,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Announcement;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelUpgrade;
@@ -271,25 +271,25 @@
       return;
     }
     NodeRegistry registry = tables.registry();
-    Announcement known = registry.announced(node);
+    NodeRecord known = registry.nodeRecord(node);
     List<String> names = settings.nodeNames();
     Transaction txn = new Transaction();
     boolean may = mayJoin(names);
-    if (!registry.hasList()) {
+    if (!registry.hasStoredInitialNames()) {
       if (!may) {
         return;
       }
       // Before anyone has a number: else two might be given one of different lists.
-      txn.requireStamp(NodeRegistry.LIST, 0).write(NodeRegistry.LIST, NodeRegistry.listToStore(names));
+      txn.requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0).write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
     }
-    if (known == null || !known.range().equals(levels) || !known.peers().equals(names)) {
-      int number = registry.number(node) < 0 ? registry.nextNumber() : registry.number(node);
-      Announcement next =
+    if (known == null || !known.levels().equals(levels) || !known.peers().equals(names)) {
+      int number = registry.numberOf(node) < 0 ? registry.nextNumber() : registry.numberOf(node);
+      NodeRecord next =
           known == null
-              ? Announcement.fresh(number, node, levels, names)
-              : known.with(levels, names);
-      txn.requireStamp(Announcement.key(number), next.stamp())
-          .write(Announcement.key(number), next.toStore());
+              ? NodeRecord.create(number, node, levels, names)
+              : known.withLevels(levels, names);
+      txn.requireStamp(NodeRecord.key(number), next.stamp())
+          .write(NodeRecord.key(number), next.toStore());
     }
     if (may) {
       Map<String, Object> member = new LinkedHashMap<>();
@@ -325,8 +325,8 @@
       return true;
     }
     boolean same =
-        registry.hasList()
-            ? registry.first().equals(names)
+        registry.hasStoredInitialNames()
+            ? registry.initialNames().equals(names)
             : v == null || names.containsAll(v.members().keySet());
     if (!same) {
       say(
@@ -335,7 +335,7 @@
               + " is in force: the settings name "
               + names
               + ", and the others go by "
-              + (registry.hasList() ? registry.first() : v.members().keySet()));
+              + (registry.hasStoredInitialNames() ? registry.initialNames() : v.members().keySet()));
     }
     return same;
   }
@@ -360,12 +360,12 @@
     NodeRegistry registry = tables.registry();
     Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
     for (Map.Entry<String, LevelRange> m : tables.announcedLive().entrySet()) {
-      Announcement a = registry.announced(m.getKey());
-      if (a != null && !a.range().equals(m.getValue()) && txn.changeCount() == 0) {
+      NodeRecord a = registry.nodeRecord(m.getKey());
+      if (a != null && !a.levels().equals(m.getValue()) && txn.changeCount() == 0) {
         LOG.info("{} speaks levels {} now", a.name(), m.getValue());
-        txn.requireStamp(Announcement.key(a.number()), a.stamp())
+        txn.requireStamp(NodeRecord.key(a.number()), a.stamp())
             .requireStamp("w/m/" + a.name(), tables.memberStamp(a.name()))
-            .write(Announcement.key(a.number()), a.with(m.getValue(), a.peers()).toStore());
+            .write(NodeRecord.key(a.number()), a.withLevels(m.getValue(), a.peers()).toStore());
       }
     }
     if (txn.changeCount() > 0) {
@@ -449,7 +449,7 @@
     LevelUpgrade rise =
         LevelUpgrade.evaluate(
             base.level(), levels, tables.announcedLive(), settings.nodeNames(), tables.registry());
-    boolean rises = rise.level() > base.level() && tables.registry().hasList();
+    boolean rises = rise.level() > base.level() && tables.registry().hasStoredInitialNames();
     View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
     boolean same = now != null && wanted.members().equals(now.members());
     if (same && !rises) {
@@ -467,7 +467,7 @@
     if (rises) {
       LOG.info("level {} may come into force: all speak it", rise.level());
       Map<String, Long> conditions = new LinkedHashMap<>(rise.conditions());
-      conditions.put(NodeRegistry.LIST, tables.registry().listStamp());
+      conditions.put(NodeRegistry.INITIAL_NAMES_KEY, tables.registry().initialNamesStamp());
       tables
           .announcedLive()
           .keySet()
@@ -677,7 +677,7 @@
 
   private void tellPeers() {
     long epoch = tables.view() == null ? 0 : tables.view().epoch();
-    int number = tables.registry().number(node);
+    int number = tables.registry().numberOf(node);
     if (number < 0) {
       return;
     }
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -78,8 +78,8 @@
 
   /** What a node starts with. */
   private static QuotaShare even(NodeRegistry registry, Settings.Team t, String of) {
-    double first = registry.first().size();
-    return registry.first().contains(of)
+    double first = registry.initialNames().size();
+    return registry.initialNames().contains(of)
         ? new QuotaShare(t.cpusMax() / first, t.gpusMax() / first)
         : QuotaShare.NONE;
   }
@@ -97,7 +97,7 @@
   }
 
   private QuotaShare left(String team, String of) {
-    QuotaShare left = share(team, of).minus(tables.usage().of(team, tables.registry().number(of)));
+    QuotaShare left = share(team, of).minus(tables.usage().of(team, tables.registry().numberOf(of)));
     return of.equals(node) ? left.minus(booked.getOrDefault(team, QuotaShare.NONE)) : left;
   }
 
@@ -269,7 +269,7 @@
   private Set<String> givers(boolean leader) {
     Set<String> out = new LinkedHashSet<>(tables.parts().keySet());
     if (leader && tables.open(Gate.NUMBERS)) {
-      out.addAll(tables.registry().first());
+      out.addAll(tables.registry().initialNames());
     }
     return out;
   }
--- a/src/main/java/wickdrift/coordination/Relay.java
+++ b/src/main/java/wickdrift/coordination/Relay.java
@@ -38,7 +38,7 @@
   /** Passes a report on; false if that can't be done. The answer, or 421, follows in time. */
   public boolean pass(Exchange x, String owner) {
     Consumer<ByteBuffer> peer = peers.get(owner);
-    int number = registry.number(node);
+    int number = registry.numberOf(node);
     if (peer == null || number < 0 || pending.size() >= MAX_PENDING) {
       return false;
     }
@@ -90,7 +90,7 @@
       public void reply(int status, Object value, int retryAfterS) {
         String from = registry.name(r.from());
         Consumer<ByteBuffer> peer = from == null ? null : peers.get(from);
-        int number = registry.number(node);
+        int number = registry.numberOf(node);
         if (peer != null && number >= 0) {
           byte[] body = MessageCodec.encode(value == null ? Map.of() : value);
           peer.accept(new PeerFrame.Answered(number, r.id(), status, body).encode());
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -77,7 +77,7 @@
     this.mostChanges = mostChanges;
     this.tables = tables;
     this.node = node;
-    this.number = tables.registry().number(node);
+    this.number = tables.registry().numberOf(node);
     this.maxChanges = maxChanges;
     this.pageBytes = pageBytes;
   }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -280,7 +280,7 @@
         || membership.standing() != Membership.Standing.MEMBER
         || membership.outdated()
         || membership.leaving()
-        || tables.registry().number(node) < 0) {
+        || tables.registry().numberOf(node) < 0) {
       return;
     }
     lastCycleMs = timers.nowMs();
@@ -380,7 +380,7 @@
 
   /** Those that were refused together do not come back together. */
   private long spread() {
-    return Math.floorMod(tables.registry().number(node), 16) * 20L;
+    return Math.floorMod(tables.registry().numberOf(node), 16) * 20L;
   }
 
   private void ready() {
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -10,7 +10,7 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Announcement;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelUpgrade;
 import wickdrift.bookkeeping.level.LevelRange;
@@ -48,7 +48,7 @@
     TreeSet<String> names = new TreeSet<>(settings.nodeNames());
     names.addAll(t.registry().names());
     names.addAll(t.announcedLive().keySet());
-    t.registry().announced().forEach(a -> names.addAll(a.peers()));
+    t.registry().nodeRecords().forEach(a -> names.addAll(a.peers()));
     return names;
   }
 
@@ -66,34 +66,34 @@
               t.level(), LevelRange.BUILD, t.announcedLive(), settings.nodeNames(), t.registry());
       List<Map<String, Object>> list = new ArrayList<>();
       for (String name : controllers(t, settings)) {
-        Announcement a = t.registry().announced(name);
+        NodeRecord a = t.registry().nodeRecord(name);
         boolean live = t.announcedLive().containsKey(name);
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("name", name);
-        m.put("number", t.registry().number(name));
+        m.put("number", t.registry().numberOf(name));
         m.put("there", live);
         m.put("member", t.view() != null && t.view().members().containsKey(name));
         m.put(
             "levels",
-            live ? t.announcedLive().get(name).toString() : a == null ? "" : a.range().toString());
-        m.put("waitedFor", !t.registry().word().without().contains(name));
+            live ? t.announcedLive().get(name).toString() : a == null ? "" : a.levels().toString());
+        m.put("waitedFor", !t.registry().overrides().without().contains(name));
         list.add(m);
       }
       Map<String, Object> all = new LinkedHashMap<>();
       all.put("level", t.level());
       all.put("build", LevelRange.BUILD.toString());
       all.put("epoch", t.view() == null ? 0 : t.view().epoch());
-      all.put("gates", LevelUpgrade.closedGateReasons(t.level(), t.registry().word()));
+      all.put("gates", LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides()));
       all.put("waitsFor", rise.blockers());
       all.put("oldForms", t.oldForms().size());
-      all.put("converted", t.level() > 1 && t.registry().doneLevel() >= t.level());
+      all.put("converted", t.level() > 1 && t.registry().convertedLevel() >= t.level());
       all.put("controllers", list);
       if (json) {
         print(all);
         return OK;
       }
       out().println("level " + t.level() + " is in force; this build speaks " + LevelRange.BUILD);
-      LevelUpgrade.closedGateReasons(t.level(), t.registry().word())
+      LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides())
           .forEach((g, why) -> out().println("gate " + g + ": " + (why.isEmpty() ? "open" : why)));
       for (String why : rise.blockers()) {
         out().println("level " + (t.level() + 1) + " waits: " + why);
@@ -103,7 +103,7 @@
             .println(
                 t.oldForms().size()
                     + " records of an older form are left"
-                    + (t.registry().doneLevel() >= t.level() ? "; all was converted" : ""));
+                    + (t.registry().convertedLevel() >= t.level() ? "; all was converted" : ""));
       }
       for (Map<String, Object> m : list) {
         out()
@@ -142,7 +142,7 @@
       if (next == null) {
         return code;
       }
-      long stamp = t.registry().word().stamp();
+      long stamp = t.registry().overrides().stamp();
       // On condition of the view too: a level that rises meanwhile makes this come too late.
       Transaction txn =
           new Transaction()
@@ -180,7 +180,7 @@
       if (t.open(g)) {
         return refuse(NO, "gate " + gate + " is open, and can't be closed again");
       }
-      return t.registry().word().withGateHeld(gate, true);
+      return t.registry().overrides().withGateHeld(gate, true);
     }
   }
 
@@ -192,10 +192,10 @@
 
     @Override
     OperatorOverrides next(Tables t, Settings settings) {
-      return t.registry().word().heldGates().contains(gate)
-          ? t.registry().word().withGateHeld(gate, false)
+      return t.registry().overrides().heldGates().contains(gate)
+          ? t.registry().overrides().withGateHeld(gate, false)
           : refuse(
-              BAD_INPUT, "gate " + gate + " is not held back; held: " + t.registry().word().heldGates());
+              BAD_INPUT, "gate " + gate + " is not held back; held: " + t.registry().overrides().heldGates());
     }
   }
 
@@ -212,7 +212,7 @@
 
     @Override
     OperatorOverrides next(Tables t, Settings settings) {
-      OperatorOverrides word = t.registry().word();
+      OperatorOverrides word = t.registry().overrides();
       if (undo) {
         return word.without().contains(name)
             ? word.withNodeIgnored(name, false)
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -11,7 +11,7 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Announcement;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
@@ -86,7 +86,7 @@
       if (t.part(m) == null && !v.isOpen(Gate.VIEWS)) {
         error(Partition.key(m), "is missing, and " + m + " is a member");
       }
-      if (v.isOpen(Gate.NUMBERS) && t.registry().number(m) < 0) {
+      if (v.isOpen(Gate.NUMBERS) && t.registry().numberOf(m) < 0) {
         error(View.KEY, "member " + m + " has no number");
       }
     }
@@ -128,10 +128,10 @@
     for (String key : t.oldForms()) {
       note(key, "is of a form older than level " + v.level() + "; it is being brought to it");
     }
-    if (t.registry().doneLevel() > v.level()) {
+    if (t.registry().convertedLevel() > v.level()) {
       error(
-          NodeRegistry.DONE,
-          "tells of level " + t.registry().doneLevel() + ", which is not in force");
+          NodeRegistry.CONVERTED_LEVEL_KEY,
+          "tells of level " + t.registry().convertedLevel() + ", which is not in force");
     }
     for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
       try {
@@ -148,25 +148,25 @@
 
   private void registry(Tables t) {
     Map<String, Integer> names = new HashMap<>();
-    for (Announcement a : t.registry().announced()) {
+    for (NodeRecord a : t.registry().nodeRecords()) {
       Integer other = names.putIfAbsent(a.name(), a.number());
       if (other != null) {
-        error(Announcement.key(a.number()), a.name() + " has the number " + other + " too");
+        error(NodeRecord.key(a.number()), a.name() + " has the number " + other + " too");
       }
-      List<String> first = t.registry().first();
+      List<String> first = t.registry().initialNames();
       if (a.number() < first.size() && !first.get(a.number()).equals(a.name())) {
         error(
-            Announcement.key(a.number()),
+            NodeRecord.key(a.number()),
             "is of "
                 + a.name()
                 + ", and the first list gives the number to "
                 + first.get(a.number()));
       }
     }
-    if (!t.registry().announced().isEmpty() && !t.registry().hasList()) {
-      error(NodeRegistry.LIST, "is missing, and controllers have numbers");
+    if (!t.registry().nodeRecords().isEmpty() && !t.registry().hasStoredInitialNames()) {
+      error(NodeRegistry.INITIAL_NAMES_KEY, "is missing, and controllers have numbers");
     }
-    for (String held : t.registry().word().heldGates()) {
+    for (String held : t.registry().overrides().heldGates()) {
       if (Gate.byLabel(held) == null) {
         note("w/c/word", "holds back the gate " + held + ", which this build does not know");
       }
@@ -192,8 +192,8 @@
       }
     }
     for (int n : unknown) {
-      if (t.registry().hasList()) {
-        error(Announcement.key(n), "is missing, and tasks that run were placed by that number");
+      if (t.registry().hasStoredInitialNames()) {
+        error(NodeRecord.key(n), "is missing, and tasks that run were placed by that number");
       }
     }
   }
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -76,7 +76,7 @@
     for (Map.Entry<String, Integer> e : levels(announced).entrySet()) {
       int n = e.getKey().charAt(0) - 'a';
       List<String> peers = e.getKey().equals("d") ? List.of("d", "e") : List.of(e.getKey());
-      Announcement a = Announcement.fresh(n, e.getKey(), new LevelRange(1, e.getValue()), peers);
+      NodeRecord a = NodeRecord.create(n, e.getKey(), new LevelRange(1, e.getValue()), peers);
       registry.apply("" + n, doc(a.toStore()), stamp++);
     }
     if (said != null) {
@@ -86,7 +86,7 @@
       registry.apply("word", doc(w.toStore()), 30);
     }
     if (done > 0) {
-      registry.apply("done", doc(NodeRegistry.doneToStore(done)), 31);
+      registry.apply("done", doc(NodeRegistry.encodeConvertedLevel(done)), 31);
     }
     Map<String, LevelRange> live = new TreeMap<>();
     levels(there).forEach((n, most) -> live.put(n, new LevelRange(1, most)));
@@ -127,20 +127,20 @@
         doc(Map.of("name", "x", "peers", List.of(), "names", List.of("a", "a"), "held", 7L));
     BadMessage e = assertThrows(BadMessage.class, () -> registry.apply(name, d, 5));
     assertTrue(e.getMessage().contains(why), e.getMessage());
-    assertEquals(List.of("a", "b"), registry.first());
-    assertEquals(OperatorOverrides.NONE, registry.word());
+    assertEquals(List.of("a", "b"), registry.initialNames());
+    assertEquals(OperatorOverrides.NONE, registry.overrides());
   }
 
   /** A number is never given twice, whoever is gone. */
   @Test
   void aNumberIsNeverGivenTwice() throws BadMessage {
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
-    registry.apply("list", doc(NodeRegistry.listToStore(List.of("a", "b", "c"))), 1);
+    registry.apply("list", doc(NodeRegistry.encodeInitialNames(List.of("a", "b", "c"))), 1);
     assertEquals(3, registry.nextNumber());
-    registry.apply("7", doc(Announcement.fresh(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
+    registry.apply("7", doc(NodeRecord.create(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
     assertEquals(8, registry.nextNumber());
-    assertEquals(7, registry.number("z"));
+    assertEquals(7, registry.numberOf("z"));
     assertEquals("c", registry.name(2));
-    assertEquals(-1, registry.number("q"));
+    assertEquals(-1, registry.numberOf("q"));
   }
 }
--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -103,7 +103,7 @@
   }
 
   static int number(SimWorld w, String node) {
-    return w.tables(node).registry().number(node);
+    return w.tables(node).registry().numberOf(node);
   }
 
   static String other(SimWorld w, String than, String and) {
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -159,7 +159,7 @@
     }
     assertEquals(List.of(), w.broken());
     assertNull(w.diverged());
-    assertTrue(w.state().keys().contains(NodeRegistry.DONE));
+    assertTrue(w.state().keys().contains(NodeRegistry.CONVERTED_LEVEL_KEY));
   }
 
   /**
@@ -441,7 +441,7 @@
       w.run(8000);
       assertEquals(0, l.run(new LevelCommand(), "without", "n1"));
       w.run(1000);
-      assertEquals(List.of("n1"), w.tables("n0").registry().word().without());
+      assertEquals(List.of("n1"), w.tables("n0").registry().overrides().without());
       assertEquals(0, l.run(new LevelCommand(), "without", "n1", "--undo"));
       String file = dir.resolve("kept").toString();
       assertEquals(0, l.run(new StateCommand(), "dump", file));
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -109,7 +109,7 @@
   }
 
   private static void nothingOldIsLeft(SimWorld w) throws BadMessage {
-    assertNotNull(w.state().value(NodeRegistry.DONE));
+    assertNotNull(w.state().value(NodeRegistry.CONVERTED_LEVEL_KEY));
     for (String key : w.state().keys()) {
       assertEquals(
           Tables.formOf(key) == Encoding.FIRST ? Encoding.FIRST : Encoding.NUMBERED,
@@ -179,7 +179,7 @@
     ANNOUNCES(NodeRegistry.PREFIX),
     RISES(View.KEY),
     CONVERTS("w/l/"),
-    DONE(NodeRegistry.DONE);
+    DONE(NodeRegistry.CONVERTED_LEVEL_KEY);
 
     final String prefix;
 
@@ -456,7 +456,7 @@
               case "live" -> w.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
               case "back" -> w.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
               case "announced" -> w.state().force("w/c/3", less);
-              default -> w.state().force(NodeRegistry.LIST, NodeRegistry.listToStore(w.nodes));
+              default -> w.state().force(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(w.nodes));
             }
             w.clock.after(60, () -> assertEquals(1, level(w, from), what));
           }
@@ -499,7 +499,7 @@
   /** What all may use together, as the parts tell it. */
   private static double shares(SimWorld w) throws BadMessage {
     double sum = 0;
-    List<?> first = Document.of(w.state().value(NodeRegistry.LIST)).list("names");
+    List<?> first = Document.of(w.state().value(NodeRegistry.INITIAL_NAMES_KEY)).list("names");
     TreeMap<String, Boolean> all = new TreeMap<>();
     first.forEach(n -> all.put((String) n, true));
     w.tables("n0").parts().keySet().forEach(n -> all.put(n, true));
@@ -588,7 +588,7 @@
     untilLevel(w, NEW);
     w.run(8000);
     assertTrue(w.tables("n0").view().members().keySet().containsAll(List.of("n1", "n3")));
-    assertEquals(3, w.tables("n0").registry().number("n3"));
+    assertEquals(3, w.tables("n0").registry().numberOf("n3"));
     assertEquals(List.of(), w.broken());
   }
 
@@ -614,7 +614,7 @@
     untilLevel(w, NEW);
     w.run(10_000);
     assertEquals(List.of("n0", "n1", "n5"), List.copyOf(w.tables("n0").view().members().keySet()));
-    assertEquals(3, w.tables("n0").registry().number("n5"));
+    assertEquals(3, w.tables("n0").registry().numberOf("n5"));
   }
 
   @ParameterizedTest
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -467,7 +467,7 @@
           unfenced.add(key + " without its own stamp");
         }
       }
-      if (key.equals(NodeRegistry.DONE) && t.raw("v") != null) {
+      if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && t.raw("v") != null) {
         for (Map.Entry<String, Entry> e : entries.entrySet()) {
           // A store that is being restored has a text in place of the view.
           Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
