--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -143,10 +143,10 @@
     void apply(List<Change> news, long rev);
 
     /** Called after a run of changes that belong together. */
-    void applied();
+    void changesApplied();
 
     /** Whether it has missed something that only a whole copy brings back. */
-    boolean missed();
+    boolean needsReload();
   }
 
   /**
@@ -442,7 +442,7 @@
           } else {
             phase = Phase.FOLLOWING;
             LOG.info("tables loaded at revision {}", rev);
-            applier.applied();
+            applier.changesApplied();
             follow();
           }
         });
@@ -510,9 +510,9 @@
     }
     if (phase == Phase.FOLLOWING) {
       if (!news.isEmpty()) {
-        applier.applied();
+        applier.changesApplied();
       }
-      if (applier.missed()) {
+      if (applier.needsReload()) {
         LOG.warn("what could not be read is gone: all is loaded anew");
         phase = Phase.LOADING;
         loads++;
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -30,14 +30,14 @@
    * The record that a leader rewrites when it takes machines of several parts, since {@link
    * Gate#TAKES}: every owner's placement is conditional on it.
    */
-  public static final String TAKES_KEY = "w/x";
+  public static final String CLAIMS_KEY = "w/x";
 
   private static final int FINISHED_KEPT = 4096;
   private static final int FORETOLD_MOST = 20_000;
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, Partition> parts = new HashMap<>();
+  private final Map<String, Partition> partitions = new HashMap<>();
   private final Map<String, String> members = new TreeMap<>();
   private final Map<String, String> memberZones = new TreeMap<>();
   private final Map<String, Long> memberStamps = new HashMap<>();
@@ -49,12 +49,12 @@
   private final Map<String, String> unreadable = new LinkedHashMap<>();
 
   /** Whether something that could not be read was passed over, which only a new load mends. */
-  private boolean missed;
+  private boolean needsReload;
 
-  private String barred;
+  private String blockedReason;
 
   /** Pages, chunks and parts of a form older than the newest that is known here. */
-  private final TreeSet<String> oldForms = new TreeSet<>();
+  private final TreeSet<String> keysInOldEncoding = new TreeSet<>();
 
   private static final TreeMap<Long, LogPage> EMPTY_LOG = new TreeMap<>();
   private static final Shelf NO_SHELF = new Shelf(0, 0, Map.of());
@@ -62,7 +62,7 @@
   private final Map<String, TreeMap<Long, LogPage>> logs = new HashMap<>();
   private final Map<String, Shelf> shelves = new HashMap<>();
   private long appliedRev;
-  private final TreeSet<String> orphans = new TreeSet<>();
+  private final TreeSet<String> orphanedKeys = new TreeSet<>();
   private final Map<String, TerminalState> finished =
       new LinkedHashMap<>(256, 0.75f, true) {
         @Override
@@ -89,7 +89,7 @@
 
   private View view;
   private long viewStamp;
-  private long takesStamp;
+  private long claimsStamp;
   private final Usage usage = new Usage();
   private final Runnable onApplied;
   private final List<Machine> changedMachines = new ArrayList<>();
@@ -121,27 +121,27 @@
   }
 
   /** Whether what a gate stands for is switched on, as of the tables' revision. */
-  public boolean open(Gate gate) {
+  public boolean isOpen(Gate gate) {
     return level() >= gate.level();
   }
 
   /** In which form the records that changed it are written at the level in force. */
-  public int form() {
+  public int encoding() {
     return Encoding.forLevel(level());
   }
 
   /** Why nothing may be decided from these tables, or null. */
-  public String barred() {
-    return barred;
+  public String blockedReason() {
+    return blockedReason;
   }
 
   /** The keys of pages, chunks and parts whose form is older than the level in force asks for. */
-  public TreeSet<String> oldForms() {
-    return form() == Encoding.FIRST ? new TreeSet<>() : oldForms;
+  public TreeSet<String> keysInOldEncoding() {
+    return encoding() == Encoding.FIRST ? new TreeSet<>() : keysInOldEncoding;
   }
 
   /** What of the stored state can't be read, by key, with why. */
-  public Map<String, String> unreadable() {
+  public Map<String, String> unreadableRecords() {
     return unreadable;
   }
 
@@ -157,12 +157,12 @@
               + " of the stored state is in force, and this build speaks "
               + levels;
     }
-    if (now != null && !now.equals(barred)) {
+    if (now != null && !now.equals(blockedReason)) {
       LOG.error("stays outside and decides nothing: {}", now);
-    } else if (now == null && barred != null) {
+    } else if (now == null && blockedReason != null) {
       LOG.warn("understands the stored state again");
     }
-    barred = now;
+    blockedReason = now;
   }
 
   private void unreadable(String key, Exception why) {
@@ -170,22 +170,22 @@
   }
 
   @Override
-  public boolean missed() {
-    return missed && unreadable.isEmpty();
+  public boolean needsReload() {
+    return needsReload && unreadable.isEmpty();
   }
 
   private void noteForm(StateServiceClient.Change c) throws BadMessage {
     if (c.value() != null && Encoding.versionOf(c.value()) < Encoding.NUMBERED) {
-      oldForms.add(c.key());
+      keysInOldEncoding.add(c.key());
     } else {
-      oldForms.remove(c.key());
+      keysInOldEncoding.remove(c.key());
     }
   }
 
   // ---- what has changed: those who keep indices ask after each run of changes ----
 
   /** The machines changed since the last call, each once, those that are gone too. */
-  public List<Machine> takeChangedMachines() {
+  public List<Machine> drainChangedMachines() {
     List<Machine> out = new ArrayList<>(changedMachines);
     changedMachines.clear();
     out.forEach(Machine::seen);
@@ -193,7 +193,7 @@
   }
 
   /** The jobs changed since the last call, each once, those that are over too. */
-  public List<Job> takeChangedJobs() {
+  public List<Job> drainChangedJobs() {
     List<Job> out = new ArrayList<>(changedJobs);
     changedJobs.clear();
     out.forEach(Job::seen);
@@ -205,15 +205,15 @@
   }
 
   /** Whether a gang that waits has marked the machine. */
-  public boolean marked(Machine m) {
+  public boolean isReserved(Machine m) {
     return marked.contains(m.name());
   }
 
   private void remark() {
     Set<String> now = new HashSet<>();
     // Where a change of view leaves the parts alone, marks are of the epoch that they tell.
-    boolean ofView = open(Gate.VIEWS);
-    parts.values().stream()
+    boolean ofView = isOpen(Gate.VIEWS);
+    partitions.values().stream()
         .filter(p -> !ofView || p.epoch() == view.epoch())
         .forEach(p -> now.addAll(p.reserved()));
     if (!now.equals(marked)) {
@@ -247,17 +247,17 @@
   }
 
   /** The machine of that name; made up when a report or the cloud names it first. */
-  public Machine machineOrNew(String name) {
+  public Machine getOrCreateMachine(String name) {
     return machines.computeIfAbsent(
         name, k -> new Machine(k, machineNumbers++, changedMachines::add));
   }
 
-  public Partition part(String node) {
-    return parts.get(node);
+  public Partition partition(String node) {
+    return partitions.get(node);
   }
 
-  public Map<String, Partition> parts() {
-    return parts;
+  public Map<String, Partition> partitions() {
+    return partitions;
   }
 
   /**
@@ -265,12 +265,12 @@
    * was not written under this view marks nothing, and one that was never written is empty. Null
    * before that level, if it is not there.
    */
-  public Partition partNow(String node) {
-    Partition p = parts.get(node);
-    if (!open(Gate.VIEWS)) {
+  public Partition currentPartition(String node) {
+    Partition p = partitions.get(node);
+    if (!isOpen(Gate.VIEWS)) {
       return p;
     }
-    Partition is = p == null ? Partition.empty(view.epoch(), form()) : p;
+    Partition is = p == null ? Partition.empty(view.epoch(), encoding()) : p;
     return is.epoch() == view.epoch() ? is : is.inEpoch(view.epoch());
   }
 
@@ -278,10 +278,10 @@
    * The parts that were last written before placements were conditional on the view: something that
    * was prepared by then is conditional on those records alone, and may come yet.
    */
-  public List<String> unfencedParts() {
+  public List<String> unfencedPartitions() {
     List<String> out = new ArrayList<>();
-    if (open(Gate.VIEWS)) {
-      parts.forEach(
+    if (isOpen(Gate.VIEWS)) {
+      partitions.forEach(
           (n, p) -> {
             if (p.epoch() < view.viewsGateEpoch()) {
               out.add(n);
@@ -312,14 +312,14 @@
     return viewStamp;
   }
 
-  /** The stamp of {@link #TAKES_KEY}; 0 while no leader has taken any. */
-  public long takesStamp() {
-    return takesStamp;
+  /** The stamp of {@link #CLAIMS_KEY}; 0 while no leader has taken any. */
+  public long claimsStamp() {
+    return claimsStamp;
   }
 
   /** Chunk records whose job is over, left to be deleted. */
-  public TreeSet<String> orphans() {
-    return orphans;
+  public TreeSet<String> orphanedKeys() {
+    return orphanedKeys;
   }
 
   /** How a job ended, if it is remembered here. Final, so never out of date. */
@@ -386,7 +386,7 @@
     shelves.clear();
     logs.clear();
     appliedRev = 0;
-    parts.clear();
+    partitions.clear();
     remark();
     members.clear();
     memberZones.clear();
@@ -394,12 +394,12 @@
     memberLevels.clear();
     registry.reset();
     unreadable.clear();
-    missed = false;
-    oldForms.clear();
-    orphans.clear();
+    needsReload = false;
+    keysInOldEncoding.clear();
+    orphanedKeys.clear();
     view = null;
     viewStamp = 0;
-    takesStamp = 0;
+    claimsStamp = 0;
   }
 
   // ---- the logs ----
@@ -544,7 +544,7 @@
         entry(run.rev(), e);
       } catch (BadMessage | RuntimeException x) {
         unreadable(page, x);
-        missed = true;
+        needsReload = true;
       }
     }
   }
@@ -554,7 +554,7 @@
     String subject = LogEntry.subject(e);
     if (LogEntry.aboutMachine(e)) {
       if (rev > shelf(Machine.shelf(subject)).rev) {
-        Machine m = machineOrNew(subject);
+        Machine m = getOrCreateMachine(subject);
         boolean applies = kind.equals(LogEntry.MACHINE) ? m.become(LogEntry.info(e)) : m.forget();
         if (!applies) {
           LOG.debug("void: {} of {}", e, m.phase());
@@ -586,7 +586,7 @@
       boolean applies =
           switch (kind) {
             case LogEntry.PLACED ->
-                j.placed(index, attempt, machineOrNew(LogEntry.text(e, i + 2)), LogEntry.number(e, 2));
+                j.placed(index, attempt, getOrCreateMachine(LogEntry.text(e, i + 2)), LogEntry.number(e, 2));
             case LogEntry.EXITED -> j.exited(index, attempt, LogEntry.number(e, i + 2));
             case LogEntry.STOPPED ->
                 j.stopped(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
@@ -680,7 +680,7 @@
   private static long holds(StateServiceClient.Change c) {
     boolean stored = Job.isChunk(c.key()) || c.key().startsWith("w/h/");
     try {
-      return stored && c.value() != null ? Encoding.decode(c.value(), formOf(c.key())).count("rev") : 0;
+      return stored && c.value() != null ? Encoding.decode(c.value(), newestReadableEncoding(c.key())).count("rev") : 0;
     } catch (BadMessage e) {
       return 0;
     }
@@ -708,7 +708,7 @@
       return p;
     } catch (BadMessage | RuntimeException e) {
       unreadable(c.key(), e);
-      missed = true;
+      needsReload = true;
       return null;
     }
   }
@@ -720,12 +720,12 @@
     } catch (BadMessage | RuntimeException e) {
       // A record we cannot read is left alone: acting on half of it would be worse.
       unreadable(c.key(), e);
-      missed |= Job.isChunk(c.key()) || c.key().startsWith("w/h/");
+      needsReload |= Job.isChunk(c.key()) || c.key().startsWith("w/h/");
     }
   }
 
   /** The newest form that this build reads of what a key holds. */
-  public static int formOf(String key) {
+  public static int newestReadableEncoding(String key) {
     boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || LogPage.isPage(key);
     return Job.isChunk(key) ? Encoding.DENSE : numbered ? Encoding.NUMBERED : Encoding.FIRST;
   }
@@ -737,11 +737,11 @@
     }
     for (int k = 0; k < j.chunks(); k++) {
       if (j.chunkStamp(k) > 0) {
-        orphans.add(j.chunkKey(k));
+        orphanedKeys.add(j.chunkKey(k));
       }
     }
     for (int k = 0; j.overflow() != null && k < j.overflow().records(); k++) {
-      orphans.add(j.overflow().key(k));
+      orphanedKeys.add(j.overflow().key(k));
     }
     j.drop();
     dependencies.left(j);
@@ -782,8 +782,8 @@
       remark();
       return;
     }
-    if (key.equals(TAKES_KEY)) {
-      takesStamp = c.value() == null ? 0 : c.stamp();
+    if (key.equals(CLAIMS_KEY)) {
+      claimsStamp = c.value() == null ? 0 : c.stamp();
       return;
     }
     if (key.length() < 5 || key.charAt(3) != '/') {
@@ -791,7 +791,7 @@
       return;
     }
     String name = key.substring(4);
-    Document d = c.value() == null ? null : Encoding.decode(c.value(), formOf(key));
+    Document d = c.value() == null ? null : Encoding.decode(c.value(), newestReadableEncoding(key));
     switch (key.charAt(2)) {
       case 'c' -> registry.apply(name, d, c.stamp());
       case 'j' -> {
@@ -826,7 +826,7 @@
       case 'a' -> {
         if (d == null) {
           names.remove(key);
-          orphans.remove(key);
+          orphanedKeys.remove(key);
           return;
         }
         names.put(key, Overflow.names(d));
@@ -841,22 +841,22 @@
         int chunk = Integer.parseInt(name.substring(slash + 1));
         long stamp = c.value() == null ? 0 : c.stamp();
         if (j != null && whole) {
-          j.restoreChunk(chunk, d, stamp, this::machineOrNew);
+          j.restoreChunk(chunk, d, stamp, this::getOrCreateMachine);
         } else if (j != null) {
           j.chunkStored(chunk, d, stamp);
         } else if (c.value() != null) {
-          orphans.add(key);
+          orphanedKeys.add(key);
         } else {
-          orphans.remove(key);
+          orphanedKeys.remove(key);
         }
         noteForm(c);
       }
       case 'h' -> shelve(name, d, c.stamp(), whole);
       case 'p' -> {
         if (c.value() == null) {
-          parts.remove(name);
+          partitions.remove(name);
         } else {
-          parts.put(name, Partition.parse(c.value(), c.stamp()));
+          partitions.put(name, Partition.parse(c.value(), c.stamp()));
         }
         noteForm(c);
         remark();
@@ -900,7 +900,7 @@
   }
 
   /** All whose record is there, with the levels that they speak, readable members or not. */
-  public Map<String, LevelRange> announcedLive() {
+  public Map<String, LevelRange> memberLevels() {
     return memberLevels;
   }
 
@@ -914,13 +914,13 @@
       onShelf(shelf).forEach(m -> m.restore(null));
       for (Object o : d.list("m")) {
         List<?> e = (List<?>) o;
-        machineOrNew(LogEntry.subject(e)).restore(LogEntry.info(e));
+        getOrCreateMachine(LogEntry.subject(e)).restore(LogEntry.info(e));
       }
     }
   }
 
   @Override
-  public void applied() {
+  public void changesApplied() {
     onApplied.run();
   }
 }
--- a/src/main/java/wickdrift/coordination/Confirmations.java
+++ b/src/main/java/wickdrift/coordination/Confirmations.java
@@ -166,7 +166,7 @@
     if (v == null
         || job == null
         || !job.withdrawn()
-        || tables.barred() != null
+        || tables.blockedReason() != null
         || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       return null;
     }
@@ -249,7 +249,7 @@
     if (peer == null || number < 0 || v == null || v.epoch() != w.epoch()) {
       return;
     }
-    if (tables.barred() != null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
+    if (tables.blockedReason() != null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       return;
     }
     BitSet places = new BitSet();
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -49,17 +49,17 @@
   /** Puts the next record into a draft that is empty so far. */
   void draft(TransactionBuilder draft) {
     long now = timers.nowMs();
-    if (tables.form() == Encoding.FIRST || now < nextMs) {
+    if (tables.encoding() == Encoding.FIRST || now < nextMs) {
       return;
     }
     nextMs = now + GAP_MS;
     boolean leads = membership.leads();
-    for (String key : tables.oldForms()) {
+    for (String key : tables.keysInOldEncoding()) {
       if (page(draft, key) || leads && (chunk(draft, key) || part(draft, key))) {
         return;
       }
     }
-    boolean left = !tables.oldForms().isEmpty();
+    boolean left = !tables.keysInOldEncoding().isEmpty();
     if (leads && left != tables.registry().convertedLevel() < tables.level()) {
       draft.when(View.KEY, tables.viewStamp());
       if (left) {
@@ -77,7 +77,7 @@
   private boolean page(TransactionBuilder draft, String key) {
     for (LogPage p : tables.log(node).values()) {
       if (p.key().equals(key)) {
-        draft.write(key, LogPage.encode(p, tables.form(), List.of(), tables::dead), p.stamp());
+        draft.write(key, LogPage.encode(p, tables.encoding(), List.of(), tables::dead), p.stamp());
         return true;
       }
     }
@@ -85,7 +85,7 @@
   }
 
   private boolean part(TransactionBuilder draft, String key) {
-    for (Map.Entry<String, Partition> p : tables.parts().entrySet()) {
+    for (Map.Entry<String, Partition> p : tables.partitions().entrySet()) {
       if (Partition.key(p.getKey()).equals(key)) {
         Partition told = Quota.numbered(p.getValue(), p.getKey(), tables.registry(), settings);
         draft.write(key, told.toStore(), told.stamp());
@@ -107,7 +107,7 @@
     }
     int chunk = Integer.parseInt(name.substring(slash + 1));
     int most = ledger.limits().targetValueBytes();
-    Object value = job.storeChunk(chunk, ledger.rev(), job::task, tables.form(), most);
+    Object value = job.storeChunk(chunk, ledger.rev(), job::task, tables.encoding(), most);
     draft.when(job.key(), job.stamp());
     draft.write(key, value, job.chunkStamp(chunk));
     return true;
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -297,7 +297,7 @@
           if (deleted.containsKey(name)) {
             return;
           }
-          Machine m = tables.machineOrNew(name);
+          Machine m = tables.getOrCreateMachine(name);
           if (l.phase.equals("failed")) {
             condemn(name, "it failed");
           } else if (m.phase() == Machine.Phase.UNKNOWN && !pipeline.recording(m)) {
@@ -508,7 +508,7 @@
         .entrySet()
         .removeIf(
             e -> {
-              Machine m = tables.machineOrNew(e.getKey());
+              Machine m = tables.getOrCreateMachine(e.getKey());
               if (m.phase() != Machine.Phase.UNKNOWN) {
                 return true;
               }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -131,7 +131,7 @@
     // nothing.
     if (v == null
         || stage == Stage.GONE
-        || tables.barred() != null
+        || tables.blockedReason() != null
         || !incarnation.equals(v.members().get(node))) {
       return Standing.OUTSIDE;
     }
@@ -174,7 +174,7 @@
     return timers.nowMs() < leaseUntilMs
         && caughtUp
         && stage == Stage.SERVING
-        && tables.barred() == null
+        && tables.blockedReason() == null
         && incarnation.equals(tables.members().get(node));
   }
 
@@ -205,7 +205,7 @@
     keepLease();
     catchUp();
     if (ledger.phase() == StateServiceClient.Phase.FOLLOWING
-        && tables.barred() == null
+        && tables.blockedReason() == null
         && stage == Stage.SERVING) {
       keepMember();
       keepRoster();
@@ -220,7 +220,7 @@
 
   private void keepLease() {
     long now = timers.nowMs();
-    if (asking || stage == Stage.GONE || tables.barred() != null) {
+    if (asking || stage == Stage.GONE || tables.blockedReason() != null) {
       // Who may not take part asks for no lease, and lets the one it has end.
       return;
     }
@@ -321,7 +321,7 @@
   private boolean mayJoin(List<String> names) {
     NodeRegistry registry = tables.registry();
     View v = tables.view();
-    if (tables.open(Gate.NUMBERS)) {
+    if (tables.isOpen(Gate.NUMBERS)) {
       return true;
     }
     boolean same =
@@ -359,7 +359,7 @@
     }
     NodeRegistry registry = tables.registry();
     Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (Map.Entry<String, LevelRange> m : tables.announcedLive().entrySet()) {
+    for (Map.Entry<String, LevelRange> m : tables.memberLevels().entrySet()) {
       NodeRecord a = registry.nodeRecord(m.getKey());
       if (a != null && !a.levels().equals(m.getValue()) && txn.changeCount() == 0) {
         LOG.info("{} speaks levels {} now", a.name(), m.getValue());
@@ -383,8 +383,8 @@
       return;
     }
     Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (String n : tables.unfencedParts()) {
-      Partition p = tables.part(n);
+    for (String n : tables.unfencedPartitions()) {
+      Partition p = tables.partition(n);
       if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
             p.encoding() == Encoding.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
@@ -448,7 +448,7 @@
     }
     LevelUpgrade rise =
         LevelUpgrade.evaluate(
-            base.level(), levels, tables.announcedLive(), settings.nodeNames(), tables.registry());
+            base.level(), levels, tables.memberLevels(), settings.nodeNames(), tables.registry());
     boolean rises = rise.level() > base.level() && tables.registry().hasStoredInitialNames();
     View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
     boolean same = now != null && wanted.members().equals(now.members());
@@ -469,7 +469,7 @@
       Map<String, Long> conditions = new LinkedHashMap<>(rise.conditions());
       conditions.put(NodeRegistry.INITIAL_NAMES_KEY, tables.registry().initialNamesStamp());
       tables
-          .announcedLive()
+          .memberLevels()
           .keySet()
           .forEach(m -> conditions.put("w/m/" + m, tables.memberStamp(m)));
       propose(wanted, conditions);
@@ -541,7 +541,7 @@
    */
   private View named(View next) {
     // The switch itself rewrites parts still, on condition of each.
-    int parts = tables.open(Gate.VIEWS) ? 0 : ledger.limits().maxTransactionChanges() - 1;
+    int parts = tables.isOpen(Gate.VIEWS) ? 0 : ledger.limits().maxTransactionChanges() - 1;
     int most = ledger.limits().maxTransactionConditions() - BESIDE_MEMBERS - parts;
     if (next.members().size() <= most) {
       return next;
@@ -598,9 +598,9 @@
     // is prepared is conditional on the view itself, they are rewritten no more; at the switch, as
     // many as the transaction holds, and the rest before anything is placed.
     Set<String> all = new LinkedHashSet<>();
-    if (!tables.open(Gate.VIEWS)) {
+    if (!tables.isOpen(Gate.VIEWS)) {
       all.addAll(
-          tables.view() == null ? tables.parts().keySet() : tables.view().members().keySet());
+          tables.view() == null ? tables.partitions().keySet() : tables.view().members().keySet());
       all.addAll(next.members().keySet());
     }
     int parts = next.isOpen(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
@@ -608,7 +608,7 @@
       if (parts-- <= 0) {
         break;
       }
-      Partition p = tables.part(m);
+      Partition p = tables.partition(m);
       Partition told = p == null ? Partition.empty(0, Encoding.forLevel(next.level())) : p;
       if (next.isOpen(Gate.NUMBERS) && told.encoding() == Encoding.FIRST) {
         told = Quota.numbered(told, m, tables.registry(), settings);
@@ -657,7 +657,7 @@
     if (v == null) {
       return;
     }
-    int there = Math.max(v.members().size(), tables.announcedLive().size());
+    int there = Math.max(v.members().size(), tables.memberLevels().size());
     ledger.divideLimits(there, node.equals(v.leader()));
     double fair = ledger.fairWriteRate();
     double even = ledger.evenWriteRate();
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -124,13 +124,13 @@
 
   void draft(TransactionBuilder draft) {
     View v = tables.view();
-    Partition mine = tables.partNow(node);
-    if (mine == null || mine.epoch() != v.epoch() || !tables.unfencedParts().isEmpty()) {
+    Partition mine = tables.currentPartition(node);
+    if (mine == null || mine.epoch() != v.epoch() || !tables.unfencedPartitions().isEmpty()) {
       return;
     }
     boolean leader = node.equals(v.leader());
     long now = timers.nowMs();
-    together = tables.open(Gate.TAKES);
+    together = tables.isOpen(Gate.TAKES);
     postponedMs = 0;
     rooms.newRound(now);
     Quota quota = new Quota(settings, tables);
@@ -203,7 +203,7 @@
       }
       if (narrow) {
         // There is room: it is not blocked, and nothing is stopped for it.
-        if (!tables.open(Gate.TAKES)) {
+        if (!tables.isOpen(Gate.TAKES)) {
           draft.wantAll();
         }
         if (++narrowed >= NARROWED_A_ROUND) {
@@ -222,7 +222,7 @@
     if (leader && leadSettled.getAsBoolean()) {
       reservations.draft(draft, quota, v, now);
     }
-    if (draft.touches(Tables.TAKES_KEY)) {
+    if (draft.touches(Tables.CLAIMS_KEY)) {
       takenMs = now;
     }
     if (placedAny) {
@@ -231,9 +231,9 @@
         draft.when(Partition.key(node), mine.stamp());
       }
     }
-    if (placedAny && !leader && tables.open(Gate.TAKES)) {
+    if (placedAny && !leader && tables.isOpen(Gate.TAKES)) {
       // The leader may have taken machines of ours with those of others.
-      draft.when(Tables.TAKES_KEY, tables.takesStamp());
+      draft.when(Tables.CLAIMS_KEY, tables.claimsStamp());
     }
   }
 
@@ -385,7 +385,7 @@
     if (owner.equals(node) || foreign.contains(owner)) {
       return true;
     }
-    Partition p = tables.partNow(owner);
+    Partition p = tables.currentPartition(owner);
     if (p == null) {
       return false;
     }
@@ -399,7 +399,7 @@
       // One write for all of them. It fails whatever any owner has under way, so it is not used
       // for one, nor more often than now and then; the leader's jobs wait for that.
       draft.unwrite(Partition.key(foreign.iterator().next()));
-      draft.write(Tables.TAKES_KEY, Map.of("epoch", v.epoch()), tables.takesStamp());
+      draft.write(Tables.CLAIMS_KEY, Map.of("epoch", v.epoch()), tables.claimsStamp());
     }
     // The owner's own placements leave its part's record alone. Those that we have not seen yet
     // are in its log: if it has written since, what we took for room may be gone.
@@ -440,7 +440,7 @@
     // would be given to the second as well.
     for (Machine m : reservations.of(job)) {
       FreeCapacity r = rooms.of(m);
-      if (r != null && tables.marked(m)) {
+      if (r != null && tables.isReserved(m)) {
         draft.placedOn(m).forEach(s -> rooms.book(r, s));
       }
     }
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -67,7 +67,7 @@
   }
 
   private QuotaShare share(String team, String of) {
-    Partition p = tables.part(of);
+    Partition p = tables.partition(of);
     QuotaShare told = p == null ? null : p.quotaShares().get(team);
     QuotaShare even = even(tables.registry(), teams.get(team), of);
     if (p == null || p.encoding() == Encoding.FIRST) {
@@ -267,8 +267,8 @@
    * that never came to have one: the share that they would start with is not to be lost with them.
    */
   private Set<String> givers(boolean leader) {
-    Set<String> out = new LinkedHashSet<>(tables.parts().keySet());
-    if (leader && tables.open(Gate.NUMBERS)) {
+    Set<String> out = new LinkedHashSet<>(tables.partitions().keySet());
+    if (leader && tables.isOpen(Gate.NUMBERS)) {
       out.addAll(tables.registry().initialNames());
     }
     return out;
@@ -276,14 +276,14 @@
 
   /** Those that have a part, and the members, whose parts are not written with the view. */
   private Set<String> takers() {
-    Set<String> out = new LinkedHashSet<>(tables.parts().keySet());
+    Set<String> out = new LinkedHashSet<>(tables.partitions().keySet());
     out.addAll(tables.view().members().keySet());
     return out;
   }
 
   private Partition part(String of) {
-    Partition p = tables.partNow(of);
-    return p == null ? Partition.empty(0, tables.form()) : p;
+    Partition p = tables.currentPartition(of);
+    return p == null ? Partition.empty(0, tables.encoding()) : p;
   }
 
   private Partition moved(String team, String of, QuotaShare by) {
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -253,7 +253,7 @@
       x.reply(503, null, 1);
       return;
     }
-    Machine m = tables.machineOrNew(r.machine());
+    Machine m = tables.getOrCreateMachine(r.machine());
     if (m.hasOwnNewerThan(r)) {
       // A copy: its worker has long had an answer, or has given up. It proves nothing, and an
       // answer that would renew a lease is not given. Or its machine was back so soon that nobody
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -80,7 +80,7 @@
       wanted.computeIfAbsent(m.owner(v), k -> new ArrayList<>()).add(m.name());
     }
     for (String member : v.members().keySet()) {
-      Partition p = tables.partNow(member);
+      Partition p = tables.currentPartition(member);
       List<String> names = wanted.getOrDefault(member, List.of());
       names = names.stream().sorted().limit(maxMarks()).toList();
       if (p != null
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -88,9 +88,9 @@
   /** Takes in what has changed in the tables, and in what reports told. */
   public void update() {
     View v = tables.view();
-    List<Machine> machines = tables.takeChangedMachines();
+    List<Machine> machines = tables.drainChangedMachines();
     changed.addAll(machines);
-    for (Job j : tables.takeChangedJobs()) {
+    for (Job j : tables.drainChangedJobs()) {
       job(j);
     }
     if (v == null) {
@@ -165,7 +165,7 @@
         there
             && t != null
             && m.phase() == Machine.Phase.UP
-            && !tables.marked(m)
+            && !tables.isReserved(m)
             && !pending.test(m);
     if (usable) {
       boolean shun = m.shunUntilMs(timers.nowMs()) > timers.nowMs();
@@ -196,13 +196,13 @@
   /** Lends a marked machine to the gang that marked it, for one look. */
   void lend(Machine m) {
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-    if (tables.marked(m) && t != null && m.phase() == Machine.Phase.UP && !pending.test(m)) {
+    if (tables.isReserved(m) && t != null && m.phase() == Machine.Phase.UP && !pending.test(m)) {
       rooms.put(m, t, m.owner(tables.view()), timers.nowMs());
     }
   }
 
   void takeBack(Machine m) {
-    if (tables.marked(m)) {
+    if (tables.isReserved(m)) {
       rooms.remove(m);
     }
   }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -125,7 +125,7 @@
       refuse(s, 400, lacks + " is missing");
     } else if (spec.awaits().isEmpty()) {
       enqueue(s);
-    } else if (!tables.open(Gate.AWAITS)) {
+    } else if (!tables.isOpen(Gate.AWAITS)) {
       // An older build would read the record, and run the job too early.
       UserRequests.later(x);
     } else {
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -243,7 +243,7 @@
       }
     }
     TerminalState how = new TerminalState(phase, job.size(), wallMs);
-    if (tables.open(Gate.AWAITS)) {
+    if (tables.isOpen(Gate.AWAITS)) {
       // One write where others wait for it; it is moved when there are writes to spare.
       txn.write(job.key(), Job.overToStore(how));
     } else {
@@ -266,12 +266,12 @@
 
   boolean roomToEnd() {
     // Below the level as it was: with room for a chunk beside it.
-    int n = tables.open(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
+    int n = tables.isOpen(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
     return hasRoom(n) && hasConditions();
   }
 
   private int opsForEnd() {
-    return tables.open(Gate.AWAITS) ? 1 : OPS_FOR_MOVE;
+    return tables.isOpen(Gate.AWAITS) ? 1 : OPS_FOR_MOVE;
   }
 
   /** Hands a job that is not withdrawn to another part. */
@@ -313,7 +313,7 @@
 
   /** On condition that the view is the one of the tables, since that is what a change rewrites. */
   void underView() {
-    if (tables.open(Gate.VIEWS)) {
+    if (tables.isOpen(Gate.VIEWS)) {
       txn.requireStamp(View.KEY, tables.viewStamp());
     }
   }
@@ -413,7 +413,7 @@
   private long write(LogPage page, long number, List<Object> run) {
     long to = page == null ? number + 1 : number;
     txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(LogPage.key(node, to), LogPage.encode(page, tables.form(), run, tables::dead));
+    txn.write(LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::dead));
     return to;
   }
 }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -395,7 +395,7 @@
   private void fence() {
     afterBarrier(
         () -> {
-          Partition p = tables.partNow(node);
+          Partition p = tables.currentPartition(node);
           if (p == null || membership.standing() != Membership.Standing.MEMBER) {
             // Outside the view nothing is placed, and joining again rewrites the record.
             timers.after(REFUSED_MS, this::fence);
@@ -475,11 +475,11 @@
    * that the transaction arrives; the part's record, which every change of view rewrites, has not.
    */
   private boolean underView(TransactionBuilder draft) {
-    if (tables.open(Gate.VIEWS)) {
+    if (tables.isOpen(Gate.VIEWS)) {
       draft.underView();
       return true;
     }
-    Partition mine = tables.part(node);
+    Partition mine = tables.partition(node);
     if (mine == null || mine.epoch() != tables.view().epoch()) {
       return false;
     }
@@ -582,7 +582,7 @@
     if (!membership.leads()) {
       return;
     }
-    for (String key : tables.orphans()) {
+    for (String key : tables.orphanedKeys()) {
       if (!draft.hasRoom()) {
         return;
       }
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -102,7 +102,7 @@
     tables = new Tables(settings.nodeNames(), levels, this::tablesChanged);
     scheduling = new SchedulingState(timers, tables, types, settings);
     StateServiceLimits limits =
-        new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> tables.open(Gate.LIMITS));
+        new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> tables.isOpen(Gate.LIMITS));
     ledger =
         new StateServiceClient(
             timers,
@@ -197,8 +197,8 @@
     metrics.watch("loop.paused.ms", pauseDetector::pausedMs);
     metrics.watch("state.writes.ease", ledger::writeBudgetFraction);
     metrics.watch("state.level", tables::level);
-    metrics.watch("state.barred", () -> tables.barred() == null ? 0 : 1);
-    metrics.watch("state.old.forms", () -> tables.oldForms().size());
+    metrics.watch("state.barred", () -> tables.blockedReason() == null ? 0 : 1);
+    metrics.watch("state.old.forms", () -> tables.keysInOldEncoding().size());
     metrics.watch("peers.unknown", () -> unknownFrames);
     metrics.watch("peers.malformed", () -> malformed.count(MalformedMessages.Sender.PEER));
     metrics.watch("state.malformed", () -> malformed.count(MalformedMessages.Sender.STATE_SERVICE));
@@ -298,7 +298,7 @@
     if (query >= 0) {
       path = path.substring(0, query);
     }
-    if (tables.barred() != null && !path.equals("/metrics")) {
+    if (tables.blockedReason() != null && !path.equals("/metrics")) {
       // Who does not understand the stored state answers nobody from it: users and workers go on
       // to the others.
       x.reply(503, Map.of("error", "not in service"), BARRED_RETRY_S);
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -47,7 +47,7 @@
   private static TreeSet<String> controllers(Tables t, Settings settings) {
     TreeSet<String> names = new TreeSet<>(settings.nodeNames());
     names.addAll(t.registry().names());
-    names.addAll(t.announcedLive().keySet());
+    names.addAll(t.memberLevels().keySet());
     t.registry().nodeRecords().forEach(a -> names.addAll(a.peers()));
     return names;
   }
@@ -58,16 +58,16 @@
     @Override
     int run(Store store, Settings settings) throws Store.Away {
       Tables t = tables(store, settings);
-      if (t.barred() != null) {
-        return fail(NO, t.barred());
+      if (t.blockedReason() != null) {
+        return fail(NO, t.blockedReason());
       }
       LevelUpgrade rise =
           LevelUpgrade.evaluate(
-              t.level(), LevelRange.BUILD, t.announcedLive(), settings.nodeNames(), t.registry());
+              t.level(), LevelRange.BUILD, t.memberLevels(), settings.nodeNames(), t.registry());
       List<Map<String, Object>> list = new ArrayList<>();
       for (String name : controllers(t, settings)) {
         NodeRecord a = t.registry().nodeRecord(name);
-        boolean live = t.announcedLive().containsKey(name);
+        boolean live = t.memberLevels().containsKey(name);
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("name", name);
         m.put("number", t.registry().numberOf(name));
@@ -75,7 +75,7 @@
         m.put("member", t.view() != null && t.view().members().containsKey(name));
         m.put(
             "levels",
-            live ? t.announcedLive().get(name).toString() : a == null ? "" : a.levels().toString());
+            live ? t.memberLevels().get(name).toString() : a == null ? "" : a.levels().toString());
         m.put("waitedFor", !t.registry().overrides().without().contains(name));
         list.add(m);
       }
@@ -85,7 +85,7 @@
       all.put("epoch", t.view() == null ? 0 : t.view().epoch());
       all.put("gates", LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides()));
       all.put("waitsFor", rise.blockers());
-      all.put("oldForms", t.oldForms().size());
+      all.put("oldForms", t.keysInOldEncoding().size());
       all.put("converted", t.level() > 1 && t.registry().convertedLevel() >= t.level());
       all.put("controllers", list);
       if (json) {
@@ -101,7 +101,7 @@
       if (t.level() > 1) {
         out()
             .println(
-                t.oldForms().size()
+                t.keysInOldEncoding().size()
                     + " records of an older form are left"
                     + (t.registry().convertedLevel() >= t.level() ? "; all was converted" : ""));
       }
@@ -135,8 +135,8 @@
     @Override
     int run(Store store, Settings settings) throws Store.Away {
       Tables t = tables(store, settings);
-      if (t.barred() != null) {
-        return fail(NO, t.barred());
+      if (t.blockedReason() != null) {
+        return fail(NO, t.blockedReason());
       }
       OperatorOverrides next = next(t, settings);
       if (next == null) {
@@ -177,7 +177,7 @@
       if (g == null) {
         return refuse(BAD_INPUT, "no gate " + gate + "; there are: " + gates());
       }
-      if (t.open(g)) {
+      if (t.isOpen(g)) {
         return refuse(NO, "gate " + gate + " is open, and can't be closed again");
       }
       return t.registry().overrides().withGateHeld(gate, true);
@@ -222,7 +222,7 @@
         return refuse(
             BAD_INPUT, "no controller " + name + "; there are: " + controllers(t, settings));
       }
-      if (t.announcedLive().containsKey(name)) {
+      if (t.memberLevels().containsKey(name)) {
         return refuse(NO, name + " is there: end it first");
       }
       return word.withNodeIgnored(name, true);
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -112,8 +112,8 @@
   static Map<String, Object> plan(Records snapshot, int valueBytes) throws Refused {
     Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     t.load(snapshot.changes(), snapshot.rev());
-    if (t.barred() != null) {
-      throw new Refused("this build can't put it back: " + t.barred());
+    if (t.blockedReason() != null) {
+      throw new Refused("this build can't put it back: " + t.blockedReason());
     }
     Map<String, Object> out = new LinkedHashMap<>();
     for (Map.Entry<String, Records.Item> e : snapshot.all().entrySet()) {
@@ -127,7 +127,7 @@
       for (int c = 0; c < j.chunks(); c++) {
         Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
-          out.put(j.chunkKey(c), j.storeChunk(c, 0, i -> stopped(j.task(i)), t.form(), valueBytes));
+          out.put(j.chunkKey(c), j.storeChunk(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
         }
       }
     }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -59,10 +59,10 @@
   private void run() {
     Tables t = new Tables(List.of(), levels, () -> {});
     t.load(records.changes(), records.rev());
-    t.unreadable().forEach(this::error);
+    t.unreadableRecords().forEach(this::error);
     View v = t.view();
     if (v == null) {
-      if (!records.all().isEmpty() && !t.unreadable().containsKey(View.KEY)) {
+      if (!records.all().isEmpty() && !t.unreadableRecords().containsKey(View.KEY)) {
         error(View.KEY, "is missing, and other records are there");
       }
     } else if (!levels.includes(v.level())) {
@@ -83,7 +83,7 @@
     }
     for (String m : v.members().keySet()) {
       // Since parts are not rewritten with the view, one that was never written is an empty one.
-      if (t.part(m) == null && !v.isOpen(Gate.VIEWS)) {
+      if (t.partition(m) == null && !v.isOpen(Gate.VIEWS)) {
         error(Partition.key(m), "is missing, and " + m + " is a member");
       }
       if (v.isOpen(Gate.NUMBERS) && t.registry().numberOf(m) < 0) {
@@ -95,7 +95,7 @@
   private void parts(Tables t, View v) {
     Map<String, Double> sums = new HashMap<>();
     boolean told = true;
-    for (Map.Entry<String, Partition> e : new TreeMap<>(t.parts()).entrySet()) {
+    for (Map.Entry<String, Partition> e : new TreeMap<>(t.partitions()).entrySet()) {
       Partition p = e.getValue();
       String key = Partition.key(e.getKey());
       if (p.epoch() > v.epoch()) {
@@ -125,7 +125,7 @@
   }
 
   private void forms(Tables t, View v) {
-    for (String key : t.oldForms()) {
+    for (String key : t.keysInOldEncoding()) {
       note(key, "is of a form older than level " + v.level() + "; it is being brought to it");
     }
     if (t.registry().convertedLevel() > v.level()) {
@@ -174,7 +174,7 @@
   }
 
   private void jobs(Tables t) {
-    for (String key : t.orphans()) {
+    for (String key : t.orphanedKeys()) {
       note(key, "is of a job that is over; it is deleted in time");
     }
     TreeSet<Integer> unknown = new TreeSet<>();
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -245,14 +245,14 @@
             new StateServiceClient.Change(Job.key(id(hub)), null, rev)),
         rev);
     assertEquals(2001, t.jobs().stream().filter(j -> j.stage() == Job.Stage.READY).count());
-    t.takeChangedJobs();
+    t.drainChangedJobs();
     // A withdrawal of the first reaches the last, and nobody else is looked at.
     rev++;
     Job j = t.job(id(first));
     Object off = MessageCodec.decode(MessageCodec.encode(j.toStore("n0", 5)));
     t.apply(List.of(new StateServiceClient.Change(j.key(), off, rev)), rev);
     assertTrue(t.job(id(first + 99)).withdrawn());
-    assertEquals(100, t.takeChangedJobs().size());
+    assertEquals(100, t.drainChangedJobs().size());
   }
 
   private StateServiceClient.Change job(int n, int awaits) throws BadMessage {
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -78,7 +78,7 @@
   void aChunkReadsBackAsWritten() throws BadMessage {
     Tables t = withJob(100);
     Job j = t.job(JOB);
-    Machine m = t.machineOrNew("i-1");
+    Machine m = t.getOrCreateMachine("i-1");
     Map<Integer, TaskState> states = new HashMap<>();
     for (int i = 64; i < 100; i++) {
       states.put(i, i % 3 == 0 ? TaskState.FINISHED : TaskState.NEW);
@@ -96,7 +96,7 @@
       assertEquals(states.get(i).stop(), again.task(i).stop(), "task " + i);
     }
     assertEquals(1, again.live());
-    assertEquals(1, t.machineOrNew("i-1").live().size());
+    assertEquals(1, t.getOrCreateMachine("i-1").live().size());
     assertEquals(1.0, t.usage().of("vision", 2).gpus());
     assertEquals(12, again.done());
   }
@@ -106,7 +106,7 @@
   void aFullChunkFitsIntoTheSmallestValue() throws BadMessage {
     Tables t = withJob(JobSpec.MAX_TASKS);
     Job j = t.job(JOB);
-    Machine m = t.machineOrNew("i-123456");
+    Machine m = t.getOrCreateMachine("i-123456");
     TaskState live = TaskState.NEW.placed(123, m, 2).stopping(TaskState.Stop.KILL);
     int last = j.chunks() - 1;
     int json = MessageCodec.jsonSize(j.encodeChunk(last - 1, 123_456_789, i -> live));
@@ -127,7 +127,7 @@
         new StateServiceClient.Change(JOB_KEY, null, 5));
     assertNull(t.job(JOB));
     assertEquals("done", t.finished(JOB).phase());
-    assertEquals("w/t/req-000001/1", t.orphans().first());
+    assertEquals("w/t/req-000001/1", t.orphanedKeys().first());
   }
 
   @Test
@@ -152,7 +152,7 @@
     StateServiceClient.Change exited = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
     t.apply(List.of(exited, placed), 11);
     assertEquals(TaskState.Phase.DONE, t.job(JOB).task(0).phase());
-    assertEquals(0, t.machineOrNew("i-1").live().size());
+    assertEquals(0, t.getOrCreateMachine("i-1").live().size());
   }
 
   /** Entries, one by one, and what the two tasks are after each. */
@@ -215,8 +215,8 @@
     for (Tables x : List.of(t, fresh)) {
       assertEquals(2, x.job(JOB).task(0).attempt());
       assertEquals("i-2", x.job(JOB).task(0).machine().name());
-      assertEquals(1, x.machineOrNew("i-2").live().size());
-      assertEquals(0, x.machineOrNew("i-1").live().size());
+      assertEquals(1, x.getOrCreateMachine("i-2").live().size());
+      assertEquals(0, x.getOrCreateMachine("i-1").live().size());
     }
   }
 
@@ -255,7 +255,7 @@
 
   @Test
   void statesChangeOnlyAsTheyMay() {
-    Machine m = new Tables(List.of(), LevelRange.BUILD, () -> {}).machineOrNew("i");
+    Machine m = new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("i");
     TaskState live = TaskState.NEW.placed(1, m, 0);
     assertThrows(IllegalStateException.class, () -> live.placed(2, m, 0));
     assertThrows(IllegalStateException.class, () -> TaskState.waiting(3).placed(3, m, 0));
@@ -295,10 +295,10 @@
       Job j = jobs.computeIfAbsent(e.charAt(0), k -> job(t, k));
       int index = j.done();
       int attempt = j.task(index).attempt() + 1;
-      assertTrue(j.placed(index, attempt, t.machineOrNew("i-" + e.charAt(1)), 0));
+      assertTrue(j.placed(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
       assertTrue(j.exited(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
     }
-    assertEquals(shunS * 1000, t.machineOrNew("i-1").shunUntilMs(0));
+    assertEquals(shunS * 1000, t.getOrCreateMachine("i-1").shunUntilMs(0));
     assertEquals(suspect, jobs.get('a').suspect());
   }
 
@@ -309,7 +309,7 @@
     Job j = job(t, 1);
     long now = 1_000_000;
     for (int i = 0; i < 2; i++) {
-      assertTrue(j.placed(i, 1, t.machineOrNew("i-" + i), 0));
+      assertTrue(j.placed(i, 1, t.getOrCreateMachine("i-" + i), 0));
       assertTrue(j.exited(i, 1, LogEntry.EXIT_FAILED));
     }
     for (long pause : new long[] {4, 8, 16, 32, 64, 64}) {
@@ -318,7 +318,7 @@
       assertEquals(now + pause * 1000, j.retryAtMs());
       now = j.retryAtMs();
       int attempt = j.task(0).attempt() + 1;
-      assertTrue(j.placed(0, attempt, t.machineOrNew("i-3"), 0));
+      assertTrue(j.placed(0, attempt, t.getOrCreateMachine("i-3"), 0));
       assertTrue(j.exited(0, attempt, LogEntry.EXIT_FAILED));
     }
   }
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -103,7 +103,7 @@
   void loadIsTheLargestBookedShare() {
     TypeInfo t = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
     FreeCapacity r =
-        new FreeCapacity(new Tables(List.of(), LevelRange.BUILD, () -> {}).machineOrNew("m"), t);
+        new FreeCapacity(new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
     r.book(spec(5, 1));
     assertEquals(0.5, r.load(), 1e-9);
   }
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -36,7 +36,7 @@
     assertTrue(d.takesWhole(job, size, 3));
     for (int i = 0; i < size; i++) {
       String machine = String.format("i-%06d", i);
-      d.change(job, i, x -> x.placed(1, t.machineOrNew(machine), 0));
+      d.change(job, i, x -> x.placed(1, t.getOrCreateMachine(machine), 0));
     }
     List<StateServiceClient.Change> news = new ArrayList<>();
     for (Object o : (List<?>) d.finish().toRequest().get("then")) {
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -113,7 +113,7 @@
     Golden g = Golden.read(build);
     Tables t = new Tables(List.of("n0", "n1", "n2"), LevelRange.BUILD, () -> {});
     t.load(new Records(g.rev, g.all).changes(), g.rev);
-    assertNull(t.barred());
+    assertNull(t.blockedReason());
     StringBuilder b = new StringBuilder(SimWorld.digest(t));
     for (int n = 0; n < 3; n++) {
       b.append("n").append(n).append(' ').append(t.usage().of("vision", n).gpus()).append('\n');
@@ -280,7 +280,7 @@
         if (stop % 3 == 1) {
           w.nodes.forEach(w::startNode);
           w.run(5000);
-          w.nodes.forEach(n -> assertTrue(w.tables(n).barred() != null, n));
+          w.nodes.forEach(n -> assertTrue(w.tables(n).blockedReason() != null, n));
           w.nodes.forEach(w::kill);
         }
         new Restore(store(w.state()), w.limits()).run(r);
@@ -311,7 +311,7 @@
     w.nodes.forEach(w::startNode);
     w.run(6000);
     assertEquals(List.of(), w.broken());
-    w.nodes.forEach(n -> assertNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNull(w.tables(n).blockedReason(), n));
     assertTrue(w.epoch("n0") > 10_000_000);
     assertNull(w.diverged());
     w.run(20_000);
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -306,7 +306,7 @@
     w.levels.remove("n2");
     w.crash("n2", 500);
     w.run(10_000);
-    assertTrue(w.tables("n0").open(Gate.AWAITS));
+    assertTrue(w.tables("n0").isOpen(Gate.AWAITS));
     assertEquals(201, submit(w, "n0", stage(2, 1)));
     w.run(30_000);
     assertEquals(List.of(), w.broken());
@@ -521,7 +521,7 @@
     w.run(60_000);
     View v = w.tables("n0").view();
     assertEquals(zones.length(), v.members().size());
-    assertEquals(List.of(), w.tables("n0").unfencedParts());
+    assertEquals(List.of(), w.tables("n0").unfencedPartitions());
     check(w);
   }
 
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -112,7 +112,7 @@
     assertNotNull(w.state().value(NodeRegistry.CONVERTED_LEVEL_KEY));
     for (String key : w.state().keys()) {
       assertEquals(
-          Tables.formOf(key) == Encoding.FIRST ? Encoding.FIRST : Encoding.NUMBERED,
+          Tables.newestReadableEncoding(key) == Encoding.FIRST ? Encoding.FIRST : Encoding.NUMBERED,
           Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(w.state().value(key)))),
           key);
     }
@@ -387,8 +387,8 @@
     w.startNode("n1");
     w.state().writers.clear();
     w.run(20_000);
-    assertNotNull(w.tables("n1").barred());
-    assertTrue(w.tables("n1").barred().contains("level " + inForce), w.tables("n1").barred());
+    assertNotNull(w.tables("n1").blockedReason());
+    assertTrue(w.tables("n1").blockedReason().contains("level " + inForce), w.tables("n1").blockedReason());
     assertFalse(w.state().writers.contains("n1"), "it wrote");
     assertFalse(w.tables("n0").members().containsKey("n1"));
     for (String path : List.of("GET /up", "POST /api/jobs", "GET /api/jobs/req-000001")) {
@@ -486,7 +486,7 @@
     // It does come back, of the old build: outside; of the new one: in.
     w.startNode("n3");
     w.run(10_000);
-    assertNotNull(w.tables("n3").barred());
+    assertNotNull(w.tables("n3").blockedReason());
     assertFalse(w.tables("n0").view().members().containsKey("n3"));
     replace(w, "n3");
     w.run(10_000);
@@ -502,9 +502,9 @@
     List<?> first = Document.of(w.state().value(NodeRegistry.INITIAL_NAMES_KEY)).list("names");
     TreeMap<String, Boolean> all = new TreeMap<>();
     first.forEach(n -> all.put((String) n, true));
-    w.tables("n0").parts().keySet().forEach(n -> all.put(n, true));
+    w.tables("n0").partitions().keySet().forEach(n -> all.put(n, true));
     for (String n : all.keySet()) {
-      Partition p = w.tables("n0").part(n);
+      Partition p = w.tables("n0").partition(n);
       sum += first.contains(n) ? w.setup.gpusMax() / first.size() : 0;
       sum += p == null ? 0 : p.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
     }
@@ -634,8 +634,8 @@
     w.state().force(key, Encoding.wrap(form, Map.of("name", "n9", "peers", List.of())));
     w.run(1000);
     for (String n : w.nodes) {
-      assertNotNull(w.tables(n).barred(), n);
-      assertTrue(w.tables(n).barred().contains(key), w.tables(n).barred());
+      assertNotNull(w.tables(n).blockedReason(), n);
+      assertTrue(w.tables(n).blockedReason().contains(key), w.tables(n).blockedReason());
     }
     w.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     w.run(3000);
@@ -643,7 +643,7 @@
     w.state().force(key, was);
     w.run(30_000);
     for (String n : w.nodes) {
-      assertNull(w.tables(n).barred(), n);
+      assertNull(w.tables(n).blockedReason(), n);
     }
     assertEquals("done", w.lastTold("req-000001"));
     assertEquals(List.of(), w.broken());
@@ -666,14 +666,14 @@
     String key = "w/l/n9/0000000001";
     w.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
     w.run(1000);
-    w.nodes.forEach(n -> assertNotNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNotNull(w.tables(n).blockedReason(), n));
     // A start meets it too.
     w.crash("n1", 1000);
     w.run(5000);
-    w.nodes.forEach(n -> assertNotNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNotNull(w.tables(n).blockedReason(), n));
     w.state().force(key, null);
     w.run(60_000);
-    w.nodes.forEach(n -> assertNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNull(w.tables(n).blockedReason(), n));
     assertEquals("done", w.lastTold("req-000001"));
     assertEquals(List.of(), w.broken());
     assertNull(w.diverged());
@@ -693,10 +693,10 @@
     w.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
     w.crash("n1", 500);
     w.run(6000);
-    assertNotNull(w.tables("n1").barred());
+    assertNotNull(w.tables("n1").blockedReason());
     w.state().force(key, was);
     w.run(10_000);
-    assertNull(w.tables("n1").barred());
+    assertNull(w.tables("n1").blockedReason());
     assertNull(w.diverged());
     assertEquals(List.of(), w.broken());
   }
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -473,7 +473,7 @@
           Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
           boolean old =
               !(v instanceof String)
-                  && Math.min(Encoding.NUMBERED, Tables.formOf(e.getKey())) > Encoding.versionOf(v);
+                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(e.getKey())) > Encoding.versionOf(v);
           if (old) {
             unfenced.add(key + " while " + e.getKey() + " is of an older form");
           }
@@ -502,8 +502,8 @@
         if (e.get(0).equals("p") && !when.contains(View.KEY) && level() >= Gate.VIEWS.level()) {
           unfenced.add(key + " places " + e + " without the view");
         }
-        if (e.get(0).equals("p") && !when.contains(Tables.TAKES_KEY) && mayBeTaken(part)) {
-          unfenced.add(key + " places " + e + " without " + Tables.TAKES_KEY);
+        if (e.get(0).equals("p") && !when.contains(Tables.CLAIMS_KEY) && mayBeTaken(part)) {
+          unfenced.add(key + " places " + e + " without " + Tables.CLAIMS_KEY);
         }
       }
     }
--- a/src/test/java/wickdrift/sim/TakesTest.java
+++ b/src/test/java/wickdrift/sim/TakesTest.java
@@ -55,9 +55,9 @@
           try {
             for (Document t : d.docs("then")) {
               String key = t.textOrNull("write");
-              if (key != null && (key.startsWith("w/p/") || key.equals(Tables.TAKES_KEY))) {
+              if (key != null && (key.startsWith("w/p/") || key.equals(Tables.CLAIMS_KEY))) {
                 records[0]++;
-                records[1] += key.equals(Tables.TAKES_KEY) ? 1 : 0;
+                records[1] += key.equals(Tables.CLAIMS_KEY) ? 1 : 0;
               }
             }
           } catch (BadMessage e) {
@@ -108,7 +108,7 @@
     assertEquals(List.of(), w.broken());
     assertTrue(w.starts() > 100, "started " + w.starts());
     assertEquals(0, w.full);
-    assertTrue(w.state().value(Tables.TAKES_KEY) != null, "machines were never taken together");
+    assertTrue(w.state().value(Tables.CLAIMS_KEY) != null, "machines were never taken together");
   }
 
   /** What is drafted can be paid: the own budget does not refuse it, to be drawn anew. */
