--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -119,7 +119,7 @@
         continue;
       }
       try {
-        tables.rememberFinished(last, TerminalState.parse(Document.of(c.value())));
+        tables.rememberTerminalState(last, TerminalState.parse(Document.of(c.value())));
         open.remove(last);
         asking.forEach(a -> a.accept(Answer.OVER));
       } catch (BadMessage e) {
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -70,13 +70,13 @@
           return size() > FINISHED_KEPT;
         }
       };
-  private final DependencyGraph dependencies = new DependencyGraph(jobs::get, this::finished);
+  private final DependencyGraph dependencies = new DependencyGraph(jobs::get, this::terminalState);
 
   /** Jobs that are over and whose end stands in their own record still, with its stamp. */
-  private final Map<String, Over> over = new LinkedHashMap<>();
+  private final Map<String, PendingHistoryEntry> pendingHistory = new LinkedHashMap<>();
 
   /** How a job ended, and the stamp of the record that says so. */
-  public record Over(TerminalState how, long stamp) {}
+  public record PendingHistoryEntry(TerminalState terminalState, long stamp) {}
 
   /** Names of awaited jobs, by record, until their job has them all. */
   private final TreeMap<String, List<String>> names = new TreeMap<>();
@@ -323,14 +323,14 @@
   }
 
   /** How a job ended, if it is remembered here. Final, so never out of date. */
-  public TerminalState finished(String id) {
-    Over o = over.get(id);
-    return o != null ? o.how : finished.get(id);
+  public TerminalState terminalState(String id) {
+    PendingHistoryEntry o = pendingHistory.get(id);
+    return o != null ? o.terminalState : finished.get(id);
   }
 
   /** The ends that are to be moved to their lasting place, oldest first. */
-  public Map<String, Over> over() {
-    return over;
+  public Map<String, PendingHistoryEntry> pendingHistory() {
+    return pendingHistory;
   }
 
   /**
@@ -340,7 +340,7 @@
    * @param rev a revision as of which the job's record says it
    * @return false if so much is known ahead already that it can't be kept
    */
-  public boolean foretell(String id, long rev) {
+  public boolean announceWithdrawal(String id, long rev) {
     if (rev <= appliedRev || foretold.containsKey(id)) {
       return true;
     }
@@ -356,7 +356,7 @@
   }
 
   /** Whether a job is known to be withdrawn ahead of what the tables say. */
-  public boolean foretold(String id) {
+  public boolean isWithdrawalAnnounced(String id) {
     return foretold.containsKey(id);
   }
 
@@ -365,7 +365,7 @@
     foretold.values().removeIf(told -> told <= rev);
   }
 
-  public void rememberFinished(String id, TerminalState how) {
+  public void rememberTerminalState(String id, TerminalState how) {
     finished.put(id, how);
     dependencies.ended(id, how);
   }
@@ -381,7 +381,7 @@
     jobs.clear();
     dependencies.reset();
     names.clear();
-    over.clear();
+    pendingHistory.clear();
     machines.values().forEach(m -> m.restore(null));
     shelves.clear();
     logs.clear();
@@ -795,11 +795,11 @@
     switch (key.charAt(2)) {
       case 'c' -> registry.apply(name, d, c.stamp());
       case 'j' -> {
-        over.remove(name);
+        pendingHistory.remove(name);
         if (d != null && d.raw("over") != null) {
           TerminalState how = TerminalState.parse(Document.of(d.raw("over")));
-          over.put(name, new Over(how, c.stamp()));
-          rememberFinished(name, how);
+          pendingHistory.put(name, new PendingHistoryEntry(how, c.stamp()));
+          rememberTerminalState(name, how);
           drop(jobs.remove(name));
         } else if (c.value() == null) {
           drop(jobs.remove(name));
@@ -864,7 +864,7 @@
       case 'm' -> member(name, c.value(), c.stamp());
       case 'd' -> {
         if (d != null) {
-          rememberFinished(name, TerminalState.parse(d));
+          rememberTerminalState(name, TerminalState.parse(d));
         }
       }
       default -> unknown(c);
--- a/src/main/java/wickdrift/coordination/AwaitedJobs.java
+++ b/src/main/java/wickdrift/coordination/AwaitedJobs.java
@@ -52,7 +52,7 @@
 
   private List<String> unknownNames(JobSpec spec) {
     return spec.awaits().stream()
-        .filter(a -> tables.job(a) == null && tables.finished(a) == null)
+        .filter(a -> tables.job(a) == null && tables.terminalState(a) == null)
         .toList();
   }
 
@@ -68,7 +68,7 @@
               unsaid[0] = true;
             } else if (a == JobHistory.Answer.NOT_OVER
                 && tables.job(id) == null
-                && tables.finished(id) == null) {
+                && tables.terminalState(id) == null) {
               never[0] = id;
             }
             if (--left[0] > 0) {
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -139,7 +139,7 @@
   /** Nothing durable stands for it: it is over, or was never to be. */
   private void planUnbooked(Pass pass, Report.Entry entry) {
     if (entry.phase() != Report.Phase.EXITED) {
-      if (pass.scope.authority || tables.foretold(entry.job())) {
+      if (pass.scope.authority || tables.isWithdrawalAnnounced(entry.job())) {
         addHalt(pass, entry, 0, "not booked");
       }
       return;
--- a/src/main/java/wickdrift/coordination/Confirmations.java
+++ b/src/main/java/wickdrift/coordination/Confirmations.java
@@ -160,7 +160,7 @@
   private Map<String, List<String>> unproved(String id, Open o) {
     View v = tables.view();
     Job job = tables.job(id);
-    if (job == null && tables.finished(id) != null) {
+    if (job == null && tables.terminalState(id) != null) {
       return Map.of();
     }
     if (v == null
@@ -234,8 +234,8 @@
    * know, whether the state service serves us or not; what can't be kept is not answered.
    */
   public void asked(PeerFrame.Withdrawn w) {
-    boolean knew = tables.foretold(w.job()) || w.rev() <= tables.appliedRev();
-    if (!tables.foretell(w.job(), w.rev())) {
+    boolean knew = tables.isWithdrawalAnnounced(w.job()) || w.rev() <= tables.appliedRev();
+    if (!tables.announceWithdrawal(w.job(), w.rev())) {
       LOG.error("too many withdrawals are known ahead of the tables: {} is not", w.job());
       return;
     }
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -66,7 +66,7 @@
    * submissions and withdrawals wait in the same line.
    */
   void poll(Exchange x, String id) {
-    if (pauseDetector.lateMs() > tuning.busyMs() && tables.finished(id) == null) {
+    if (pauseDetector.lateMs() > tuning.busyMs() && tables.terminalState(id) == null) {
       shed++;
       UserRequests.later(x);
     } else {
@@ -76,7 +76,7 @@
 
   /** Answers from tables that are no older than this request. */
   void status(Exchange x, String id) {
-    TerminalState fin = tables.finished(id);
+    TerminalState fin = tables.terminalState(id);
     if (fin != null) {
       // Final: no node can have told anyone anything newer.
       answerFinal(x, id, fin);
@@ -99,9 +99,9 @@
 
   void answerStatus(Exchange x, String id) {
     Job job = tables.job(id);
-    if (job == null && tables.finished(id) != null) {
+    if (job == null && tables.terminalState(id) != null) {
       // It has ended since it was asked for; where that is kept for good it may not stand yet.
-      answerFinal(x, id, tables.finished(id));
+      answerFinal(x, id, tables.terminalState(id));
       return;
     }
     if (job == null) {
@@ -167,7 +167,7 @@
   void answerFinal(Exchange x, String id, Document value) {
     try {
       TerminalState how = TerminalState.parse(value);
-      tables.rememberFinished(id, how);
+      tables.rememberTerminalState(id, how);
       answerFinal(x, id, how);
     } catch (BadMessage e) {
       LOG.error("unreadable final record of {}: {}", id, e.getMessage());
@@ -183,7 +183,7 @@
     confirmations.whenKept(
         id,
         kept -> {
-          TerminalState fin = tables.finished(id);
+          TerminalState fin = tables.terminalState(id);
           Job job = tables.job(id);
           if (fin != null) {
             answerFinal(x, id, fin);
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -111,7 +111,7 @@
       x.reply(400, Map.of("error", e.getMessage()));
       return;
     }
-    if (tables.job(spec.id()) != null || tables.finished(spec.id()) != null) {
+    if (tables.job(spec.id()) != null || tables.terminalState(spec.id()) != null) {
       status.status(x, spec.id());
       return;
     }
@@ -243,7 +243,7 @@
         s.exchange().reply(503, Map.of("error", "try again"), comeAgainS());
         continue;
       }
-      if (tables.job(id) != null || tables.finished(id) != null) {
+      if (tables.job(id) != null || tables.terminalState(id) != null) {
         status.status(s.exchange(), id);
         continue;
       }
@@ -308,7 +308,7 @@
         ok -> {
           if (!ok) {
             UserRequests.later(s.exchange());
-          } else if (tables.job(s.spec().id()) != null || tables.finished(s.spec().id()) != null) {
+          } else if (tables.job(s.spec().id()) != null || tables.terminalState(s.spec().id()) != null) {
             status.answerStatus(s.exchange(), s.spec().id());
           } else {
             ledger.read(
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -253,9 +253,9 @@
   }
 
   /** Moves an end to its lasting place. */
-  void move(String id, Tables.Over o) {
+  void move(String id, Tables.PendingHistoryEntry o) {
     txn.requireStamp(Job.key(id), o.stamp());
-    txn.write(Job.finalKey(id), o.how().toStore(true));
+    txn.write(Job.finalKey(id), o.terminalState().toStore(true));
     txn.delete(Job.key(id));
     others += OPS_FOR_MOVE;
   }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -543,11 +543,11 @@
    * Each is moved by the member that the hash names, so that nobody waits for another.
    */
   private void draftMoves(TransactionBuilder draft) {
-    boolean many = tables.over().size() > MOVES_LATE_MOST;
+    boolean many = tables.pendingHistory().size() > MOVES_LATE_MOST;
     if (!many && !(draft.empty() && ledger.writeBudgetFraction() > Conversion.EASE)) {
       return;
     }
-    for (Map.Entry<String, Tables.Over> e : tables.over().entrySet()) {
+    for (Map.Entry<String, Tables.PendingHistoryEntry> e : tables.pendingHistory().entrySet()) {
       if (!draft.roomToMove()) {
         return;
       }
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -33,8 +33,8 @@
   }
 
   private void withdraw(Exchange x, String id, int tries) {
-    if (tables.finished(id) != null) {
-      x.reply(200, Map.of("ref", id, "phase", tables.finished(id).phase()));
+    if (tables.terminalState(id) != null) {
+      x.reply(200, Map.of("ref", id, "phase", tables.terminalState(id).phase()));
       return;
     }
     ledger.barrier(
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -188,7 +188,7 @@
     metrics.watch("state.limits.fallen", () -> limits.nextLimitsInEffect() ? 1 : 0);
     metrics.watch("finals.read", history::reads);
     metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
-    metrics.watch("jobs.over", () -> tables.over().size());
+    metrics.watch("jobs.over", () -> tables.pendingHistory().size());
     metrics.watch("jobs.unclear", () -> tables.dependencies().unknown().size());
     metrics.watch("log.pages", () -> tables.log(node).size());
     metrics.watch("polls.shed", admission::shed);
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -182,7 +182,7 @@
         assertTrue(
             j.stage() == Job.Stage.UNCLEAR || j.withdrawn(), j.id() + " is clear without " + id);
       }
-      t.rememberFinished(id, TerminalState.parse(Document.of(store.get(Job.finalKey(id)))));
+      t.rememberTerminalState(id, TerminalState.parse(Document.of(store.get(Job.finalKey(id)))));
     }
   }
 
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -126,7 +126,7 @@
         new StateServiceClient.Change("w/d/req-000001", raw(Map.of("phase", "done")), 5),
         new StateServiceClient.Change(JOB_KEY, null, 5));
     assertNull(t.job(JOB));
-    assertEquals("done", t.finished(JOB).phase());
+    assertEquals("done", t.terminalState(JOB).phase());
     assertEquals("w/t/req-000001/1", t.orphanedKeys().first());
   }
 
