--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -57,10 +57,10 @@
   private final TreeSet<String> keysInOldEncoding = new TreeSet<>();
 
   private static final TreeMap<Long, LogPage> EMPTY_LOG = new TreeMap<>();
-  private static final Shelf NO_SHELF = new Shelf(0, 0, Map.of());
+  private static final ArchiveBucket NO_SHELF = new ArchiveBucket(0, 0, Map.of());
 
-  private final Map<String, TreeMap<Long, LogPage>> logs = new HashMap<>();
-  private final Map<String, Shelf> shelves = new HashMap<>();
+  private final Map<String, TreeMap<Long, LogPage>> nodesWithLogPages = new HashMap<>();
+  private final Map<String, ArchiveBucket> archiveBuckets = new HashMap<>();
   private long appliedRev;
   private final TreeSet<String> orphanedKeys = new TreeSet<>();
   private final Map<String, TerminalState> finished =
@@ -383,8 +383,8 @@
     names.clear();
     pendingHistory.clear();
     machines.values().forEach(m -> m.restore(null));
-    shelves.clear();
-    logs.clear();
+    archiveBuckets.clear();
+    nodesWithLogPages.clear();
     appliedRev = 0;
     partitions.clear();
     remark();
@@ -405,13 +405,13 @@
   // ---- the logs ----
 
   /** A node's pages, oldest first. */
-  public TreeMap<Long, LogPage> log(String node) {
-    return logs.getOrDefault(node, EMPTY_LOG);
+  public TreeMap<Long, LogPage> logPages(String node) {
+    return nodesWithLogPages.getOrDefault(node, EMPTY_LOG);
   }
 
   /** The nodes that have pages. */
-  public Set<String> logs() {
-    return logs.keySet();
+  public Set<String> nodesWithLogPages() {
+    return nodesWithLogPages.keySet();
   }
 
   /** The revision up to which all is applied. */
@@ -420,35 +420,35 @@
   }
 
   /** What is stored of machines whose names differ in the last letter only. */
-  public record Shelf(long stamp, long rev, Map<String, Object> extra) {}
+  public record ArchiveBucket(long stamp, long rev, Map<String, Object> extra) {}
 
-  public Shelf shelf(String name) {
-    return shelves.getOrDefault(name, NO_SHELF);
+  public ArchiveBucket archiveBucket(String name) {
+    return archiveBuckets.getOrDefault(name, NO_SHELF);
   }
 
-  public Map<String, Shelf> shelves() {
-    return shelves;
+  public Map<String, ArchiveBucket> archiveBuckets() {
+    return archiveBuckets;
   }
 
-  public static String shelfKey(String shelf) {
+  public static String archiveBucketKey(String shelf) {
     return "w/h/" + shelf;
   }
 
   /** The machines of a shelf as of a revision. */
-  public Map<String, Object> encodeShelf(String shelf, long rev) {
+  public Map<String, Object> encodeArchiveBucket(String shelf, long rev) {
     List<Object> list = new ArrayList<>();
     for (Machine m : onShelf(shelf)) {
       if (m.info() != null) {
         list.add(LogEntry.machine(m.name(), m.info()));
       }
     }
-    Map<String, Object> out = new LinkedHashMap<>(shelf(shelf).extra);
+    Map<String, Object> out = new LinkedHashMap<>(archiveBucket(shelf).extra);
     out.put("rev", rev);
     out.put("m", list);
     return out;
   }
 
-  public boolean emptyShelf(String shelf) {
+  public boolean isArchiveBucketEmpty(String shelf) {
     return onShelf(shelf).stream().allMatch(m -> m.info() == null && m.live().isEmpty());
   }
 
@@ -466,11 +466,11 @@
   }
 
   /** Whether nobody needs an entry any more: its job is over, or what it says is stored. */
-  public boolean dead(long rev, List<?> entry) {
+  public boolean isObsolete(long rev, List<?> entry) {
     try {
       String subject = LogEntry.subject(entry);
       if (LogEntry.aboutMachine(entry)) {
-        return rev <= shelf(Machine.shelf(subject)).rev;
+        return rev <= archiveBucket(Machine.shelf(subject)).rev;
       }
       Job j = jobs.get(subject);
       if (j == null) {
@@ -490,20 +490,20 @@
   }
 
   /** What must be stored before a page may go: chunks of jobs, and shelves of machines. */
-  public record Needed(Map<Job, Set<Integer>> chunks, Set<String> shelves) {}
+  public record RequiredWrites(Map<Job, Set<Integer>> chunks, Set<String> archiveBuckets) {}
 
   /** What a page still speaks of that no later record holds. */
-  public Needed needed(LogPage p) {
-    Needed n = new Needed(new LinkedHashMap<>(), new LinkedHashSet<>());
+  public RequiredWrites requiredWrites(LogPage p) {
+    RequiredWrites n = new RequiredWrites(new LinkedHashMap<>(), new LinkedHashSet<>());
     for (LogPage.Run r : p.runs()) {
       for (Object o : r.entries()) {
         List<?> e = (List<?>) o;
-        if (dead(r.rev(), e)) {
+        if (isObsolete(r.rev(), e)) {
           continue;
         }
         try {
           if (LogEntry.aboutMachine(e)) {
-            n.shelves.add(Machine.shelf(LogEntry.subject(e)));
+            n.archiveBuckets.add(Machine.shelf(LogEntry.subject(e)));
             continue;
           }
           Job j = jobs.get(LogEntry.subject(e));
@@ -522,9 +522,9 @@
   }
 
   /** No page holds anything older than this. */
-  public long oldestEntry() {
+  public long oldestEntryRev() {
     long oldest = Long.MAX_VALUE;
-    for (TreeMap<Long, LogPage> pages : logs.values()) {
+    for (TreeMap<Long, LogPage> pages : nodesWithLogPages.values()) {
       for (LogPage p : pages.values()) {
         for (LogPage.Run r : p.runs()) {
           oldest = Math.min(oldest, r.rev());
@@ -553,7 +553,7 @@
     String kind = LogEntry.kind(e);
     String subject = LogEntry.subject(e);
     if (LogEntry.aboutMachine(e)) {
-      if (rev > shelf(Machine.shelf(subject)).rev) {
+      if (rev > archiveBucket(Machine.shelf(subject)).rev) {
         Machine m = getOrCreateMachine(subject);
         boolean applies = kind.equals(LogEntry.MACHINE) ? m.become(LogEntry.info(e)) : m.forget();
         if (!applies) {
@@ -691,11 +691,11 @@
     String node = LogPage.node(c.key());
     try {
       if (c.value() == null) {
-        TreeMap<Long, LogPage> pages = logs.get(node);
+        TreeMap<Long, LogPage> pages = nodesWithLogPages.get(node);
         if (pages != null) {
           pages.remove(LogPage.number(c.key()));
           if (pages.isEmpty()) {
-            logs.remove(node);
+            nodesWithLogPages.remove(node);
           }
         }
         unreadable.remove(c.key());
@@ -703,7 +703,7 @@
         return null;
       }
       LogPage p = LogPage.parse(c.key(), c.value(), c.stamp());
-      logs.computeIfAbsent(node, k -> new TreeMap<>()).put(p.number(), p);
+      nodesWithLogPages.computeIfAbsent(node, k -> new TreeMap<>()).put(p.number(), p);
       noteForm(c);
       return p;
     } catch (BadMessage | RuntimeException e) {
@@ -906,10 +906,10 @@
 
   private void shelve(String shelf, Document d, long stamp, boolean whole) throws BadMessage {
     if (d == null) {
-      shelves.remove(shelf);
+      archiveBuckets.remove(shelf);
       return;
     }
-    shelves.put(shelf, new Shelf(stamp, d.count("rev"), d.without("rev", "m")));
+    archiveBuckets.put(shelf, new ArchiveBucket(stamp, d.count("rev"), d.without("rev", "m")));
     if (whole) {
       onShelf(shelf).forEach(m -> m.restore(null));
       for (Object o : d.list("m")) {
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -75,9 +75,9 @@
   }
 
   private boolean page(TransactionBuilder draft, String key) {
-    for (LogPage p : tables.log(node).values()) {
+    for (LogPage p : tables.logPages(node).values()) {
       if (p.key().equals(key)) {
-        draft.write(key, LogPage.encode(p, tables.encoding(), List.of(), tables::dead), p.stamp());
+        draft.write(key, LogPage.encode(p, tables.encoding(), List.of(), tables::isObsolete), p.stamp());
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -54,7 +54,7 @@
     List<String> logs = new ArrayList<>(List.of(node));
     if (membership.leads()) {
       // A node outside the view can't write: the leader does it.
-      for (String n : tables.logs()) {
+      for (String n : tables.nodesWithLogPages()) {
         if (!tables.view().members().containsKey(n)) {
           logs.add(n);
         }
@@ -62,7 +62,7 @@
       forgetShelves(draft);
     }
     for (String n : logs) {
-      var pages = tables.log(n);
+      var pages = tables.logPages(n);
       // What has ended by the time its page is the oldest needs no folding.
       int keep = n.equals(node) ? tuning.logPages() : 0;
       if (pages.size() > (draft.empty() ? keep : 2 * keep)) {
@@ -72,7 +72,7 @@
   }
 
   private void fold(TransactionBuilder draft, LogPage p) {
-    Tables.Needed needed = tables.needed(p);
+    Tables.RequiredWrites needed = tables.requiredWrites(p);
     long rev = ledger.rev();
     for (Map.Entry<Job, Set<Integer>> e : needed.chunks().entrySet()) {
       Job job = e.getKey();
@@ -88,15 +88,15 @@
         draft.write(job.chunkKey(c), value, job.chunkStamp(c));
       }
     }
-    for (String shelf : needed.shelves()) {
+    for (String shelf : needed.archiveBuckets()) {
       if (!draft.hasRoom() || !draft.hasConditions()) {
         return;
       }
-      Map<String, Object> value = tables.encodeShelf(shelf, rev);
-      if (tooLarge(value, Tables.shelfKey(shelf))) {
+      Map<String, Object> value = tables.encodeArchiveBucket(shelf, rev);
+      if (tooLarge(value, Tables.archiveBucketKey(shelf))) {
         return;
       }
-      draft.write(Tables.shelfKey(shelf), value, tables.shelf(shelf).stamp());
+      draft.write(Tables.archiveBucketKey(shelf), value, tables.archiveBucket(shelf).stamp());
     }
     // In the same transaction: if a chunk can't be stored, the page stays.
     if (draft.hasRoom() && draft.hasConditions()) {
@@ -121,11 +121,11 @@
       return;
     }
     nextShelvesMs = now + SHELVES_MS;
-    long oldest = tables.oldestEntry();
-    for (Map.Entry<String, Tables.Shelf> e : tables.shelves().entrySet()) {
-      if (e.getValue().rev() < oldest && tables.emptyShelf(e.getKey()) && draft.hasRoom()) {
-        draft.when(Tables.shelfKey(e.getKey()), e.getValue().stamp());
-        draft.delete(Tables.shelfKey(e.getKey()));
+    long oldest = tables.oldestEntryRev();
+    for (Map.Entry<String, Tables.ArchiveBucket> e : tables.archiveBuckets().entrySet()) {
+      if (e.getValue().rev() < oldest && tables.isArchiveBucketEmpty(e.getKey()) && draft.hasRoom()) {
+        draft.when(Tables.archiveBucketKey(e.getKey()), e.getValue().stamp());
+        draft.delete(Tables.archiveBucketKey(e.getKey()));
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -320,7 +320,7 @@
 
   /** On condition that a node has written nothing to its log that we have not seen. */
   void whenLogStands(String of) {
-    var last = tables.log(of).lastEntry();
+    var last = tables.logPages(of).lastEntry();
     if (last != null) {
       txn.requireStamp(last.getValue().key(), last.getValue().stamp());
     }
@@ -384,7 +384,7 @@
 
   Transaction finish() {
     List<Object> entries = entries();
-    var last = tables.log(node).lastEntry();
+    var last = tables.logPages(node).lastEntry();
     LogPage page = last == null ? null : last.getValue();
     long number = last == null ? 0 : last.getKey();
     if (page != null && page.bytes() + PAGE_OVERHEAD + bytes > pageBytes) {
@@ -413,7 +413,7 @@
   private long write(LogPage page, long number, List<Object> run) {
     long to = page == null ? number + 1 : number;
     txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::dead));
+    txn.write(LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::isObsolete));
     return to;
   }
 }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -137,7 +137,7 @@
         shelves.add(Machine.shelf(m.name()));
       }
     }
-    shelves.forEach(s -> out.put(Tables.shelfKey(s), t.encodeShelf(s, 0)));
+    shelves.forEach(s -> out.put(Tables.archiveBucketKey(s), t.encodeArchiveBucket(s, 0)));
     if (t.view() != null) {
       View v = t.view();
       out.put(
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -63,7 +63,7 @@
 
   private static StateServiceClient.Change page(Tables t, String node, long stamp, List<Object> entry)
       throws BadMessage {
-    var last = t.log(node).lastEntry();
+    var last = t.logPages(node).lastEntry();
     LogPage old = last == null ? null : last.getValue();
     Object v = LogPage.encode(old, 1, List.of(entry), (r, e) -> false);
     return new StateServiceClient.Change(LogPage.key(node, 1), raw(v), stamp);
