--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -21,7 +21,7 @@
 /** One unfinished job: what was submitted, and its tasks, in chunks that are stored together. */
 public final class Job {
   /** Tasks a chunk: all live, a chunk takes about 2 KB, below the smallest value limit known. */
-  public static final int CHUNK = 64;
+  public static final int TASKS_PER_CHUNK = 64;
 
   /**
    * How a job stands to those that it awaits, as {@link DependencyGraph} draws it. It goes from the
@@ -39,7 +39,7 @@
   }
 
   /** The owner of a job that only the leader places. */
-  public static final String LEADER = "*";
+  public static final String LEADER_PARTITION = "*";
 
   private static final String CHUNKS = "w/t/";
 
@@ -148,7 +148,7 @@
     return "w/j/" + id;
   }
 
-  public static String finalKey(String id) {
+  public static String terminalStateKey(String id) {
     return "w/d/" + id;
   }
 
@@ -157,7 +157,7 @@
   }
 
   /** Whether a key is that of a chunk, of whatever job. */
-  public static boolean isChunk(String key) {
+  public static boolean isChunkKey(String key) {
     return key.startsWith(CHUNKS);
   }
 
@@ -218,8 +218,8 @@
       spec = JobSpec.parse(s);
       tasks = new TaskState[spec.tasks()];
       Arrays.fill(tasks, TaskState.NEW);
-      chunkStamps = new long[chunks()];
-      chunkRevs = new long[chunks()];
+      chunkStamps = new long[chunkCount()];
+      chunkRevs = new long[chunkCount()];
       waiting = tasks.length;
       waitingTasks = new BitSet(tasks.length);
       waitingTasks.set(0, tasks.length);
@@ -260,12 +260,12 @@
 
   // ---- chunks ----
 
-  public int chunks() {
-    return (spec.tasks() + CHUNK - 1) / CHUNK;
+  public int chunkCount() {
+    return (spec.tasks() + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK;
   }
 
   public int chunkEnd(int chunk) {
-    return Math.min(spec.tasks(), (chunk + 1) * CHUNK);
+    return Math.min(spec.tasks(), (chunk + 1) * TASKS_PER_CHUNK);
   }
 
   public long chunkStamp(int chunk) {
@@ -273,7 +273,7 @@
   }
 
   /** Up to which revision the stored chunk holds what the logs say. */
-  public long chunkRev(int chunk) {
+  public long chunkRevision(int chunk) {
     return chunkRevs[chunk];
   }
 
@@ -285,7 +285,7 @@
     List<Object> doneRanges = new ArrayList<>();
     List<Object> liveOnes = new ArrayList<>();
     List<Object> tried = new ArrayList<>();
-    int from = chunk * CHUNK;
+    int from = chunk * TASKS_PER_CHUNK;
     int runStart = -1;
     for (int i = from; i <= chunkEnd(chunk); i++) {
       TaskState s = i < chunkEnd(chunk) ? states.apply(i) : null;
@@ -405,7 +405,7 @@
       int chunk, Document d, long newStamp, java.util.function.Function<String, Machine> find)
       throws BadMessage {
     chunkStored(chunk, d, newStamp);
-    int from = chunk * CHUNK;
+    int from = chunk * TASKS_PER_CHUNK;
     int end = chunkEnd(chunk);
     TaskState[] fresh = new TaskState[end - from];
     Arrays.fill(fresh, TaskState.NEW);
--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -20,7 +20,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(JobHistory.class);
   private static final int PAGE = 100;
   private static final long AGAIN_MS = 500;
-  private static final String PREFIX = Job.finalKey("");
+  private static final String PREFIX = Job.terminalStateKey("");
 
   /** What the state service says of a job. */
   public enum Answer {
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -478,7 +478,7 @@
       }
       int width = LogEntry.width(entry);
       for (int i = LogEntry.first(entry); i + width <= entry.size(); i += width) {
-        if (rev > j.chunkRev(LogEntry.number(entry, i) / Job.CHUNK)) {
+        if (rev > j.chunkRevision(LogEntry.number(entry, i) / Job.TASKS_PER_CHUNK)) {
           return false;
         }
       }
@@ -511,7 +511,7 @@
           for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
             n.chunks
                 .computeIfAbsent(j, k -> new LinkedHashSet<>())
-                .add(LogEntry.number(e, i) / Job.CHUNK);
+                .add(LogEntry.number(e, i) / Job.TASKS_PER_CHUNK);
           }
         } catch (BadMessage x) {
           LOG.error("unreadable entry: {}", x.getMessage());
@@ -580,7 +580,7 @@
     for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
       int index = LogEntry.number(e, i);
       int attempt = LogEntry.number(e, i + 1);
-      if (index >= j.size() || rev <= j.chunkRev(index / Job.CHUNK)) {
+      if (index >= j.size() || rev <= j.chunkRevision(index / Job.TASKS_PER_CHUNK)) {
         continue;
       }
       boolean applies =
@@ -610,12 +610,12 @@
     record Of(String page, LogPage.Run run) {}
     List<Of> runs = new ArrayList<>();
     for (StateServiceClient.Change c : all) {
-      if (!LogPage.isPage(c.key()) && !Job.isChunk(c.key())) {
+      if (!LogPage.isPage(c.key()) && !Job.isChunkKey(c.key())) {
         apply(c, true);
       }
     }
     for (StateServiceClient.Change c : all) {
-      if (Job.isChunk(c.key())) {
+      if (Job.isChunkKey(c.key())) {
         apply(c, true);
       } else if (LogPage.isPage(c.key())) {
         LogPage p = page(c);
@@ -678,7 +678,7 @@
 
   /** Up to which revision a chunk or a shelf holds what the logs say; 0 for other records. */
   private static long holds(StateServiceClient.Change c) {
-    boolean stored = Job.isChunk(c.key()) || c.key().startsWith("w/h/");
+    boolean stored = Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
     try {
       return stored && c.value() != null ? Encoding.decode(c.value(), newestReadableEncoding(c.key())).count("rev") : 0;
     } catch (BadMessage e) {
@@ -720,14 +720,14 @@
     } catch (BadMessage | RuntimeException e) {
       // A record we cannot read is left alone: acting on half of it would be worse.
       unreadable(c.key(), e);
-      needsReload |= Job.isChunk(c.key()) || c.key().startsWith("w/h/");
+      needsReload |= Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
     }
   }
 
   /** The newest form that this build reads of what a key holds. */
   public static int newestReadableEncoding(String key) {
     boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || LogPage.isPage(key);
-    return Job.isChunk(key) ? Encoding.DENSE : numbered ? Encoding.NUMBERED : Encoding.FIRST;
+    return Job.isChunkKey(key) ? Encoding.DENSE : numbered ? Encoding.NUMBERED : Encoding.FIRST;
   }
 
   /** A job is over: what is left of it is to be deleted in time. */
@@ -735,7 +735,7 @@
     if (j == null) {
       return;
     }
-    for (int k = 0; k < j.chunks(); k++) {
+    for (int k = 0; k < j.chunkCount(); k++) {
       if (j.chunkStamp(k) > 0) {
         orphanedKeys.add(j.chunkKey(k));
       }
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -157,7 +157,7 @@
 
   /** Who places a job's tasks, given the part it was sent to. */
   public String placer(String part, String jobId) {
-    if (part.equals(Job.LEADER)) {
+    if (part.equals(Job.LEADER_PARTITION)) {
       return leader;
     }
     return members.containsKey(part) ? part : owner(jobId);
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -96,7 +96,7 @@
   }
 
   private boolean chunk(TransactionBuilder draft, String key) {
-    if (!Job.isChunk(key)) {
+    if (!Job.isChunkKey(key)) {
       return false;
     }
     String name = key.substring(key.indexOf('/', 2) + 1);
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -66,7 +66,7 @@
     // A part holds its own zone's machines first: what must be in several is for who sees all.
     boolean manyZones = s.spread() && s.tasks() > 1 && v.partitionsAreZonal();
     if (s.shape() == JobSpec.Shape.GANG || manyZones) {
-      return Job.LEADER;
+      return Job.LEADER_PARTITION;
     }
     CapacityIndex rooms = scheduling.rooms();
     // Room beside its image, if a part has enough of that for the whole job: elsewhere it would
@@ -99,7 +99,7 @@
     double total = rooms.machines(s);
     double partMachines = total / v.members().size();
     double wanted = s.tasks() * largestShare(s);
-    return total > 0 && wanted > tuning.largeShare() * partMachines ? Job.LEADER : best;
+    return total > 0 && wanted > tuning.largeShare() * partMachines ? Job.LEADER_PARTITION : best;
   }
 
   /** The members, the one that the hash names first: it is taken among equals. */
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -141,7 +141,7 @@
   private void read(String id, List<Exchange> asking) {
     lookUps.put(id, new ArrayList<>());
     ledger.read(
-        Job.finalKey(id),
+        Job.terminalStateKey(id),
         r -> {
           List<Exchange> next = lookUps.remove(id);
           if (!next.isEmpty()) {
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -148,7 +148,7 @@
         break;
       }
       if (!node.equals(v.placer(job.part(), job.id()))
-          || job.part().equals(Job.LEADER) && !leadSettled.getAsBoolean()) {
+          || job.part().equals(Job.LEADER_PARTITION) && !leadSettled.getAsBoolean()) {
         continue;
       }
       if (job.retryAtMs() > now) {
@@ -158,7 +158,7 @@
       if (job.stillBlocked(rooms.version(), now)) {
         continue;
       }
-      boolean asLeader = leader && job.part().equals(Job.LEADER);
+      boolean asLeader = leader && job.part().equals(Job.LEADER_PARTITION);
       if (asLeader && together && now - takenMs < TAKES_MS) {
         // Looked for a place only when it can be taken: each look costs, and would be for nothing.
         postponedMs = takenMs + TAKES_MS - now;
@@ -176,7 +176,7 @@
               && failed.stream().anyMatch(f -> needsNoLess(job.spec(), f));
       if (!asLeader && draft.hasRoom() && imageIsElsewhere(job)) {
         // The leader, who sees all parts, places it beside the image at once.
-        draft.handOver(job, Job.LEADER);
+        draft.handOver(job, Job.LEADER_PARTITION);
         continue;
       }
       narrow = false;
@@ -215,7 +215,7 @@
       if (draft.hasRoom()) {
         givingWay.draft(draft, job, asLeader, quota, now);
         if (!asLeader && draft.hasRoom() && handOver(draft, job, now)) {
-          draft.handOver(job, Job.LEADER);
+          draft.handOver(job, Job.LEADER_PARTITION);
         }
       }
     }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -177,7 +177,7 @@
       return;
     }
     String id = s.spec().id();
-    Transaction txn = new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.finalKey(id), 0);
+    Transaction txn = new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
     int n = Math.min(open.size(), ledger.limits().maxTransactionChanges() / 2);
     open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
     ledger.commit(
@@ -217,7 +217,7 @@
 
   private void put(Transaction txn, JobSpec spec, Overflow more, Promised together) {
     String id = spec.id();
-    txn.requireStamp(Job.key(id), 0).requireStamp(Job.finalKey(id), 0);
+    txn.requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
     String part = router.route(spec, together);
     together.add(spec, part);
     txn.write(Job.key(id), Job.toStore(spec, more, timers.wallMs(), part, 0));
@@ -271,7 +271,7 @@
                 return false;
               }
               txn.remove(Job.key(e.getKey()));
-              txn.remove(Job.finalKey(e.getKey()));
+              txn.remove(Job.terminalStateKey(e.getKey()));
               e.getValue().forEach(s -> refuse(s, 422, why));
               return true;
             });
@@ -312,7 +312,7 @@
             status.answerStatus(s.exchange(), s.spec().id());
           } else {
             ledger.read(
-                Job.finalKey(s.spec().id()),
+                Job.terminalStateKey(s.spec().id()),
                 read -> {
                   if (!read.ok()) {
                     UserRequests.later(s.exchange());
@@ -336,7 +336,7 @@
           batch.forEach(
               (id, all) -> {
                 boolean known =
-                    r.failedKeys().contains(Job.key(id)) || r.failedKeys().contains(Job.finalKey(id));
+                    r.failedKeys().contains(Job.key(id)) || r.failedKeys().contains(Job.terminalStateKey(id));
                 for (Submission s : all) {
                   if (known) {
                     status.status(s.exchange(), id);
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -236,7 +236,7 @@
     ended.add(job);
     txn.requireStamp(job.key(), job.stamp());
     others += opsForEnd();
-    for (int c = 0; c < job.chunks(); c++) {
+    for (int c = 0; c < job.chunkCount(); c++) {
       // What does not fit is left as an orphan and deleted later.
       if (job.chunkStamp(c) > 0 && hasRoom()) {
         delete(job.chunkKey(c));
@@ -247,7 +247,7 @@
       // One write where others wait for it; it is moved when there are writes to spare.
       txn.write(job.key(), Job.overToStore(how));
     } else {
-      txn.write(Job.finalKey(job.id()), how.toStore(false));
+      txn.write(Job.terminalStateKey(job.id()), how.toStore(false));
       txn.delete(job.key());
     }
   }
@@ -255,7 +255,7 @@
   /** Moves an end to its lasting place. */
   void move(String id, Tables.PendingHistoryEntry o) {
     txn.requireStamp(Job.key(id), o.stamp());
-    txn.write(Job.finalKey(id), o.terminalState().toStore(true));
+    txn.write(Job.terminalStateKey(id), o.terminalState().toStore(true));
     txn.delete(Job.key(id));
     others += OPS_FOR_MOVE;
   }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -119,12 +119,12 @@
     for (Map.Entry<String, Records.Item> e : snapshot.all().entrySet()) {
       String key = e.getKey();
       boolean derived = key.startsWith("w/l/") || key.startsWith("w/m/") || key.startsWith("w/h/");
-      if (!derived && !Job.isChunk(key) && !key.equals(View.KEY)) {
+      if (!derived && !Job.isChunkKey(key) && !key.equals(View.KEY)) {
         out.put(key, e.getValue().value());
       }
     }
     for (Job j : t.jobs()) {
-      for (int c = 0; c < j.chunks(); c++) {
+      for (int c = 0; c < j.chunkCount(); c++) {
         Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
           out.put(j.chunkKey(c), j.storeChunk(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -135,7 +135,7 @@
     }
     for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
       try {
-        boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunk(e.getKey());
+        boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunkKey(e.getKey());
         if (Encoding.versionOf(e.getValue().value()) > (dense ? Encoding.DENSE : Encoding.forLevel(v.level()))) {
           error(e.getKey(), "is of a form that level " + v.level() + " does not have");
         }
@@ -179,8 +179,8 @@
     }
     TreeSet<Integer> unknown = new TreeSet<>();
     for (Job j : t.jobs()) {
-      if (records.all().containsKey(Job.finalKey(j.id()))) {
-        error(j.key(), "is unfinished, and " + Job.finalKey(j.id()) + " says that it is over");
+      if (records.all().containsKey(Job.terminalStateKey(j.id()))) {
+        error(j.key(), "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
       }
       for (int i = 0; i < j.size(); i++) {
         if (j.task(i).live() && t.registry().name(j.task(i).placer()) == null) {
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -148,7 +148,7 @@
       } else if (n.accepted && n.over == null && (off(n) || ready(n)) && r.nextInt(3) == 0) {
         n.over = off(n) ? "withdrawn" : "done";
         news.add(put(Job.key(id(n.number)), null));
-        news.add(put(Job.finalKey(id(n.number)), new TerminalState(n.over, 1, rev).toStore(true)));
+        news.add(put(Job.terminalStateKey(id(n.number)), new TerminalState(n.over, 1, rev).toStore(true)));
       }
       t.apply(news, rev);
       resolve(t);
@@ -182,7 +182,7 @@
         assertTrue(
             j.stage() == Job.Stage.UNCLEAR || j.withdrawn(), j.id() + " is clear without " + id);
       }
-      t.rememberTerminalState(id, TerminalState.parse(Document.of(store.get(Job.finalKey(id)))));
+      t.rememberTerminalState(id, TerminalState.parse(Document.of(store.get(Job.terminalStateKey(id)))));
     }
   }
 
@@ -238,7 +238,7 @@
     t.apply(
         List.of(
             new StateServiceClient.Change(
-                Job.finalKey(id(hub)),
+                Job.terminalStateKey(id(hub)),
                 MessageCodec.decode(
                     MessageCodec.encode(new TerminalState("done", 1, 1).toStore(true))),
                 rev),
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -108,7 +108,7 @@
     Job j = t.job(JOB);
     Machine m = t.getOrCreateMachine("i-123456");
     TaskState live = TaskState.NEW.placed(123, m, 2).stopping(TaskState.Stop.KILL);
-    int last = j.chunks() - 1;
+    int last = j.chunkCount() - 1;
     int json = MessageCodec.jsonSize(j.encodeChunk(last - 1, 123_456_789, i -> live));
     assertTrue(json < 4096, "a chunk takes " + json);
   }
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -29,7 +29,7 @@
     JobSpec s =
         JobSpec.parse(Document.parse(MessageCodec.encode(SimJobs.job(1, "ensemble", size, 1, 10))));
     Object record =
-        MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 5, Job.LEADER, 0)));
+        MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 5, Job.LEADER_PARTITION, 0)));
     t.apply(List.of(new StateServiceClient.Change("w/j/req-000001", record, 3)), 3);
     Job job = t.job("req-000001");
     TransactionBuilder d = new TransactionBuilder(t, "n0", 16, 16, PAGE);
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -63,9 +63,9 @@
               1_790_000_000_000L,
               "n0",
               0));
-      for (int c = 0; c * Job.CHUNK < size; c++) {
+      for (int c = 0; c * Job.TASKS_PER_CHUNK < size; c++) {
         List<Object> live = new ArrayList<>();
-        for (int i = c * Job.CHUNK; i < Math.min(size, (c + 1) * Job.CHUNK); i++) {
+        for (int i = c * Job.TASKS_PER_CHUNK; i < Math.min(size, (c + 1) * Job.TASKS_PER_CHUNK); i++) {
           live.add(List.of(i, 1, name((next + i) % machines), j % 5, 0));
         }
         Map<String, Object> chunk = new LinkedHashMap<>();
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -287,7 +287,7 @@
       }
       assertThrows(Restore.Refused.class, () -> new Restore(store(w.state()), w.limits()).run(r));
       for (String key : w.state().keys()) {
-        if (Job.isChunk(key)) {
+        if (Job.isChunkKey(key)) {
           // What ran has ended with its worker's lease.
           Object v = MessageCodec.decode(MessageCodec.encode(w.state().value(key)));
           assertEquals(List.of(), Encoding.decode(v, Encoding.NUMBERED).list("live"), key);
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -688,7 +688,7 @@
       w.users.submit(SimJobs.job(i, i % 3 == 0 ? "daemon" : "batch", 3, 1, 4), 0);
       w.run(900);
     }
-    String key = w.state().keys().stream().filter(Job::isChunk).findFirst().orElseThrow();
+    String key = w.state().keys().stream().filter(Job::isChunkKey).findFirst().orElseThrow();
     Object was = w.state().value(key);
     w.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
     w.crash("n1", 500);
