--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -116,35 +116,35 @@
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(first));
     while (!open.isEmpty()) {
       Job j = open.poll();
-      Job.Stage was = j.stage();
+      Job.DependencyState was = j.dependencyState();
       boolean wasOff = j.withdrawn();
-      if (was == Job.Stage.READY || was == Job.Stage.WITHDRAWN) {
+      if (was == Job.DependencyState.READY || was == Job.DependencyState.WITHDRAWN) {
         continue;
       }
       long ready = 0;
-      Job.Stage now = complete(j) ? Job.Stage.READY : Job.Stage.UNCLEAR;
+      Job.DependencyState now = complete(j) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
       for (String a : j.awaits()) {
         TerminalState e = end(a);
         Job x = e == null ? unfinished.apply(a) : null;
         if (e != null ? !e.done() : x != null && x.withdrawn()) {
-          now = Job.Stage.WITHDRAWN;
+          now = Job.DependencyState.WITHDRAWN;
           break;
         } else if (e != null) {
           ready = Math.max(ready, e.atWallMs());
         } else if (x == null) {
           unknown.add(a);
-          now = Job.Stage.UNCLEAR;
-        } else if (x.stage() == Job.Stage.UNCLEAR) {
-          now = Job.Stage.UNCLEAR;
-        } else if (now == Job.Stage.READY) {
-          now = Job.Stage.WAITS;
+          now = Job.DependencyState.UNRESOLVED;
+        } else if (x.dependencyState() == Job.DependencyState.UNRESOLVED) {
+          now = Job.DependencyState.UNRESOLVED;
+        } else if (now == Job.DependencyState.READY) {
+          now = Job.DependencyState.WAITING;
         }
       }
       if (now != was) {
         j.to(now, ready);
       }
       // Those after it draw from whether it is clear, and whether it is withdrawn.
-      boolean clear = (was == Job.Stage.UNCLEAR) != (now == Job.Stage.UNCLEAR);
+      boolean clear = (was == Job.DependencyState.UNRESOLVED) != (now == Job.DependencyState.UNRESOLVED);
       if (clear || wasOff != j.withdrawn()) {
         open.addAll(after(j.id()));
       }
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -27,11 +27,11 @@
    * How a job stands to those that it awaits, as {@link DependencyGraph} draws it. It goes from the
    * top down, and the last two are final.
    */
-  public enum Stage {
+  public enum DependencyState {
     /** What became of one that it awaits is not known here yet. */
-    UNCLEAR,
+    UNRESOLVED,
     /** One that it awaits is not done. */
-    WAITS,
+    WAITING,
     /** All are done: it may start. */
     READY,
     /** One was withdrawn, so this one is. */
@@ -91,7 +91,7 @@
   // Drawn by the chains.
   private List<String> awaits = List.of();
   private Overflow overflow;
-  private Stage stage = Stage.UNCLEAR;
+  private DependencyState dependencyState = DependencyState.UNRESOLVED;
   private long readyWallMs;
   private Pull pull = Pull.NONE;
   private long blockedVersion = -1;
@@ -592,7 +592,7 @@
 
   /** Withdrawn by its user, or with one that it awaits. Final. */
   public boolean withdrawn() {
-    return withdrawn || stage == Stage.WITHDRAWN;
+    return withdrawn || dependencyState == DependencyState.WITHDRAWN;
   }
 
   /** Withdrawn, or known to be ahead of what the tables say: what is there of it is to end. */
@@ -621,16 +621,16 @@
     awaits = all;
   }
 
-  public Stage stage() {
-    return stage;
+  public DependencyState dependencyState() {
+    return dependencyState;
   }
 
   /** The one function by which its stage changes. */
-  void to(Stage next, long nowReadyWallMs) {
-    if (stage == Stage.READY || stage == Stage.WITHDRAWN) {
-      throw new IllegalStateException(id + " is " + stage + " and can't become " + next);
+  void to(DependencyState next, long nowReadyWallMs) {
+    if (dependencyState == DependencyState.READY || dependencyState == DependencyState.WITHDRAWN) {
+      throw new IllegalStateException(id + " is " + dependencyState + " and can't become " + next);
     }
-    stage = next;
+    dependencyState = next;
     readyWallMs = nowReadyWallMs;
     note();
   }
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -108,7 +108,7 @@
       lookUp(x, id);
       return;
     }
-    if (job.stage() == Job.Stage.UNCLEAR && !job.withdrawn()) {
+    if (job.dependencyState() == Job.DependencyState.UNRESOLVED && !job.withdrawn()) {
       // It may have been withdrawn with one that it awaits, and someone may have been told so.
       UserRequests.later(x);
       return;
--- a/src/main/java/wickdrift/coordination/Queue.java
+++ b/src/main/java/wickdrift/coordination/Queue.java
@@ -102,7 +102,7 @@
       return;
     }
     // What waits for others holds nothing, asks for nothing, and is in nobody's way.
-    boolean counts = there && !j.withdrawn() && j.stage() == Job.Stage.READY;
+    boolean counts = there && !j.withdrawn() && j.dependencyState() == Job.DependencyState.READY;
     Team t = teams.get(j.spec().team());
     if (t != null && t.guarantees()) {
       int n = counts ? j.size() - j.done() : 0;
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -112,8 +112,8 @@
       }
       assertEquals(off(n), j.withdrawn(), id(n.number) + " withdrawn");
       assertEquals(
-          !off(n) && ready(n) || n.asked && j.stage() == Job.Stage.READY,
-          j.stage() == Job.Stage.READY);
+          !off(n) && ready(n) || n.asked && j.dependencyState() == Job.DependencyState.READY,
+          j.dependencyState() == Job.DependencyState.READY);
       assertEquals(lent(n, false), j.rank().ordinal(), id(n.number) + " rank");
       assertEquals(lent(n, true), j.teamRank().ordinal(), id(n.number) + " team rank");
     }
@@ -180,7 +180,7 @@
     for (String id : List.copyOf(t.dependencies().unknown())) {
       for (Job j : t.dependencies().after(id)) {
         assertTrue(
-            j.stage() == Job.Stage.UNCLEAR || j.withdrawn(), j.id() + " is clear without " + id);
+            j.dependencyState() == Job.DependencyState.UNRESOLVED || j.withdrawn(), j.id() + " is clear without " + id);
       }
       t.rememberTerminalState(id, TerminalState.parse(Document.of(store.get(Job.terminalStateKey(id)))));
     }
@@ -233,7 +233,7 @@
       n++;
     }
     t.load(all, rev);
-    assertEquals(1000 + 1 + 1, t.jobs().stream().filter(j -> j.stage() == Job.Stage.READY).count());
+    assertEquals(1000 + 1 + 1, t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
     rev++;
     t.apply(
         List.of(
@@ -244,7 +244,7 @@
                 rev),
             new StateServiceClient.Change(Job.key(id(hub)), null, rev)),
         rev);
-    assertEquals(2001, t.jobs().stream().filter(j -> j.stage() == Job.Stage.READY).count());
+    assertEquals(2001, t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
     t.drainChangedJobs();
     // A withdrawal of the first reaches the last, and nobody else is looked at.
     rev++;
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -557,7 +557,7 @@
     }
     w.run(60_000);
     Tables t = w.tables("n0");
-    assertTrue(t.jobs().stream().allMatch(j -> j.stage() == Job.Stage.READY));
+    assertTrue(t.jobs().stream().allMatch(j -> j.dependencyState() == Job.DependencyState.READY));
     check(w);
     List<Double> delays = new ArrayList<>();
     w.nodes.forEach(n -> delays.add(w.metric(n, "wickdrift.stages.delay.ms")));
