--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -581,7 +581,7 @@
     return acceptedWallMs;
   }
 
-  public String part() {
+  public String partition() {
     return part;
   }
 
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -147,8 +147,8 @@
       if (!draft.hasConditions() || !draft.takes(job, 1) || tries >= TRIES_A_ROUND) {
         break;
       }
-      if (!node.equals(v.placer(job.part(), job.id()))
-          || job.part().equals(Job.LEADER_PARTITION) && !leadSettled.getAsBoolean()) {
+      if (!node.equals(v.placer(job.partition(), job.id()))
+          || job.partition().equals(Job.LEADER_PARTITION) && !leadSettled.getAsBoolean()) {
         continue;
       }
       if (job.retryAtMs() > now) {
@@ -158,7 +158,7 @@
       if (job.stillBlocked(rooms.version(), now)) {
         continue;
       }
-      boolean asLeader = leader && job.part().equals(Job.LEADER_PARTITION);
+      boolean asLeader = leader && job.partition().equals(Job.LEADER_PARTITION);
       if (asLeader && together && now - takenMs < TAKES_MS) {
         // Looked for a place only when it can be taken: each look costs, and would be for nothing.
         postponedMs = takenMs + TAKES_MS - now;
--- a/src/main/java/wickdrift/coordination/Promised.java
+++ b/src/main/java/wickdrift/coordination/Promised.java
@@ -38,7 +38,7 @@
 
   /** So many of the job's tasks wait now. */
   void changed(Job j, int waiting) {
-    Need now = waiting > 0 ? Need.of(j.spec(), j.part(), waiting) : null;
+    Need now = waiting > 0 ? Need.of(j.spec(), j.partition(), waiting) : null;
     Need old = now == null ? needs.remove(j) : needs.put(j, now);
     if (old != null) {
       add(old, -1);
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -227,7 +227,7 @@
       // What a team's other jobs may not start, they do not need now.
       if (teams.containsKey(team) && saved.getOrDefault(team, job) == job) {
         needed.merge(
-            new Key(team, view.placer(job.part(), job.id())),
+            new Key(team, view.placer(job.partition(), job.id())),
             of(job.spec()).times(job.waiting()),
             QuotaShare::plus);
       }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -96,7 +96,7 @@
     List<Job> gangs = new ArrayList<>();
     for (Job job : scheduling.queue().waiting()) {
       if (job.spec().shape() == JobSpec.Shape.GANG
-          && job.part().equals(Job.LEADER_PARTITION)
+          && job.partition().equals(Job.LEADER_PARTITION)
           && job.live() == 0
           && draft.live(job) == 0
           && !job.suspect()) {
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -525,7 +525,7 @@
       if (!draft.roomToEnd()) {
         return;
       }
-      boolean mine = node.equals(tables.view().placer(job.part(), job.id()));
+      boolean mine = node.equals(tables.view().placer(job.partition(), job.id()));
       if (draft.touched().contains(job) || mine) {
         if (job.withdrawn()) {
           if (draft.live(job) == 0) {
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -57,7 +57,7 @@
     Transaction txn =
         new Transaction()
             .requireStamp(job.key(), job.stamp())
-            .write(job.key(), job.toStore(job.part(), timers.wallMs()));
+            .write(job.key(), job.toStore(job.partition(), timers.wallMs()));
     ledger.commit(
         txn,
         StateServiceClient.WritePriority.USER,
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -200,7 +200,7 @@
               b.append(j.id())
                   .append(j.withdrawnItself() ? " off" : "")
                   .append(' ')
-                  .append(j.part());
+                  .append(j.partition());
               for (int i = 0; i < j.size(); i++) {
                 TaskState s = j.task(i);
                 b.append(' ').append(s.phase()).append(s.attempt()).append(s.stop());
--- a/src/test/java/wickdrift/sim/UnlistedTest.java
+++ b/src/test/java/wickdrift/sim/UnlistedTest.java
@@ -350,7 +350,7 @@
     w.run(10_000);
     assertEquals(8, w.starts());
     for (int i = 0; i < 4; i++) {
-      assertTrue(!w.tables("n0").job(String.format("req-%06d", i)).part().equals("*"));
+      assertTrue(!w.tables("n0").job(String.format("req-%06d", i)).partition().equals("*"));
     }
     w.run(25_000);
     assertEquals(3, w.tables("n0").view().members().size());
