--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -168,8 +168,8 @@
   // ---- what the last of a chain lends to the first ----
 
   /** What those that await a job lend to it. */
-  private Job.Pull pulled(Job j) {
-    Job.Pull p = Job.Pull.NONE;
+  private Job.InheritedUrgency pulled(Job j) {
+    Job.InheritedUrgency p = Job.InheritedUrgency.NONE;
     for (Job d : after(j.id())) {
       p = p.and(lent(d, j));
     }
@@ -177,7 +177,7 @@
   }
 
   /** What a job lends to one that it awaits. */
-  private static Job.Pull lent(Job by, Job to) {
+  private static Job.InheritedUrgency lent(Job by, Job to) {
     boolean same = by.spec().team().equals(to.spec().team());
     JobSpec s = by.spec();
     long mustEnd =
@@ -185,9 +185,9 @@
             ? Long.MAX_VALUE
             : by.acceptedWallMs() + (long) (s.deadlineS() * 1000);
     long mustStart = Math.min(less(mustEnd, s.estimateS()), by.startByWallMs());
-    return new Job.Pull(
-        by.rank(),
-        same ? by.teamRank() : JobSpec.Priority.LOW,
+    return new Job.InheritedUrgency(
+        by.effectivePriority(),
+        same ? by.preemptionPriority() : JobSpec.Priority.LOW,
         less(mustStart, to.spec().estimateS()));
   }
 
@@ -201,7 +201,7 @@
     for (int steps = 0; !open.isEmpty(); steps++) {
       Job j = open.poll();
       for (Job x : awaited(j)) {
-        Job.Pull now = x.pull().and(lent(j, x));
+        Job.InheritedUrgency now = x.pull().and(lent(j, x));
         if (!now.equals(x.pull())) {
           x.pull(now);
           open.add(x);
@@ -219,7 +219,7 @@
     ArrayDeque<Job> open = new ArrayDeque<>(awaited(gone));
     for (int steps = 0; !open.isEmpty() && steps <= MOST_STEPS; steps++) {
       Job x = open.poll();
-      Job.Pull now = pulled(x);
+      Job.InheritedUrgency now = pulled(x);
       if (!now.equals(x.pull())) {
         x.pull(now);
         open.addAll(awaited(x));
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -93,7 +93,7 @@
   private Overflow overflow;
   private DependencyState dependencyState = DependencyState.UNRESOLVED;
   private long readyWallMs;
-  private Pull pull = Pull.NONE;
+  private InheritedUrgency pull = InheritedUrgency.NONE;
   private long blockedVersion = -1;
   private long blockedUntilMs;
   private long preemptAtMs;
@@ -117,11 +117,11 @@
    * @param startByWallMs when it must start so that the last of them is done in time;
    *     Long.MAX_VALUE: no matter when
    */
-  public record Pull(JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
-    static final Pull NONE = new Pull(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
+  public record InheritedUrgency(JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
+    static final InheritedUrgency NONE = new InheritedUrgency(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
 
-    Pull and(Pull o) {
-      return new Pull(
+    InheritedUrgency and(InheritedUrgency o) {
+      return new InheritedUrgency(
           higher(rank, o.rank),
           higher(teamRank, o.teamRank),
           Math.min(startByWallMs, o.startByWallMs));
@@ -640,24 +640,24 @@
     return Math.max(acceptedWallMs, readyWallMs);
   }
 
-  void pull(Pull now) {
+  void pull(InheritedUrgency now) {
     if (!now.equals(pull)) {
       pull = now;
       note();
     }
   }
 
-  Pull pull() {
+  InheritedUrgency pull() {
     return pull;
   }
 
   /** As what it is served and, while it runs, spared. */
-  public JobSpec.Priority rank() {
+  public JobSpec.Priority effectivePriority() {
     return higher(spec.priority(), pull.rank);
   }
 
   /** As what it may stop the work of others. */
-  public JobSpec.Priority teamRank() {
+  public JobSpec.Priority preemptionPriority() {
     return higher(spec.priority(), pull.teamRank);
   }
 
--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -54,8 +54,8 @@
         cpus += o.cpus();
         gpus += o.gpus();
         memory += o.memoryGb();
-      } else if (s.job().rank().ordinal() > as.ordinal()
-          && s.job().rank().ordinal() >= strongest.ordinal()) {
+      } else if (s.job().effectivePriority().ordinal() > as.ordinal()
+          && s.job().effectivePriority().ordinal() >= strongest.ordinal()) {
         candidates.add(s);
       }
     }
--- a/src/main/java/wickdrift/coordination/Queue.java
+++ b/src/main/java/wickdrift/coordination/Queue.java
@@ -133,7 +133,7 @@
       Team t = teams.get(j.spec().team());
       boolean in =
           t != null && t.guarantees() && (t.beyond == null || BY_AGE.compare(age(j), t.beyond) < 0);
-      now = new Place(j.rank().ordinal(), in ? 0 : 1, startBy(j));
+      now = new Place(j.effectivePriority().ordinal(), in ? 0 : 1, startBy(j));
     }
     if (now == null ? old == null : now.equals(old)) {
       return;
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -57,7 +57,7 @@
   void draft(TransactionBuilder draft, Job job, boolean asLeader, Quota quota, long now) {
     JobSpec spec = job.spec();
     long waited = now - job.waitingSinceMs(now);
-    if (job.teamRank() == JobSpec.Priority.LOW
+    if (job.preemptionPriority() == JobSpec.Priority.LOW
         || job.suspect()
         || preemptScans >= PREEMPT_SCANS
         || now < job.preemptAtMs()) {
@@ -90,7 +90,7 @@
     }
     for (Preemption.Choice c :
         Preemption.cheapest(
-            may, spec, job.teamRank(), strongest, now, Math.min(lack, PREEMPT_MOST))) {
+            may, spec, job.preemptionPriority(), strongest, now, Math.min(lack, PREEMPT_MOST))) {
       if (gang && asLeader) {
         // Else what is stopped for it makes room for others.
         reservations.markFor(job, c.machine(), now);
@@ -119,7 +119,7 @@
       Preemption.Choice c =
           t == null
               ? null
-              : Preemption.on(new FreeCapacity(m, t), job.spec(), job.teamRank(), strongest, now);
+              : Preemption.on(new FreeCapacity(m, t), job.spec(), job.preemptionPriority(), strongest, now);
       if (c != null) {
         stop(draft, job, c);
       }
@@ -147,7 +147,7 @@
     double least = Double.MAX_VALUE;
     for (List<FreeCapacity> rooms : byZone.values()) {
       List<Preemption.Choice> all =
-          Preemption.cheapest(rooms, job.spec(), job.teamRank(), strongest, now, lack);
+          Preemption.cheapest(rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
       double lost = all.stream().mapToDouble(Preemption.Choice::lost).sum();
       if (all.size() == lack && lost < least) {
         least = lost;
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -114,8 +114,8 @@
       assertEquals(
           !off(n) && ready(n) || n.asked && j.dependencyState() == Job.DependencyState.READY,
           j.dependencyState() == Job.DependencyState.READY);
-      assertEquals(lent(n, false), j.rank().ordinal(), id(n.number) + " rank");
-      assertEquals(lent(n, true), j.teamRank().ordinal(), id(n.number) + " team rank");
+      assertEquals(lent(n, false), j.effectivePriority().ordinal(), id(n.number) + " rank");
+      assertEquals(lent(n, true), j.preemptionPriority().ordinal(), id(n.number) + " team rank");
     }
     assertTrue(t.dependencies().unknown().isEmpty(), "unknown " + t.dependencies().unknown());
   }
