--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -207,11 +207,11 @@
    * What stands in a job's place when it is over, since {@link
    * wickdrift.bookkeeping.level.Gate#AWAITS}, until its end is moved to its lasting place.
    */
-  public static Map<String, Object> overToStore(TerminalState how) {
+  public static Map<String, Object> terminalToStore(TerminalState how) {
     return new LinkedHashMap<>(Map.of("over", how.toStore(true)));
   }
 
-  void record(Document d, long newStamp) throws BadMessage {
+  void applyRecord(Document d, long newStamp) throws BadMessage {
     Document s = Document.of(d.raw("spec"));
     specExtra = JobSpec.unknownFields(s);
     if (spec == null) {
@@ -315,7 +315,7 @@
    * The chunk as it is to be stored. Where it would be larger than a value may be, each machine is
    * named once, and of the tasks the numbers alone are told, as one text.
    */
-  public Object storeChunk(
+  public Object chunkToStore(
       int chunk, long rev, IntFunction<TaskState> states, int form, int valueBytes) {
     Map<String, Object> m = encodeChunk(chunk, rev, states);
     Object value = Encoding.wrap(form, m);
@@ -387,7 +387,7 @@
   }
 
   /** A chunk was stored, or deleted: those who follow the logs know its content already. */
-  void chunkStored(int chunk, Document d, long newStamp) throws BadMessage {
+  void onChunkStored(int chunk, Document d, long newStamp) throws BadMessage {
     if (chunk < 0 || chunk >= chunkStamps.length) {
       throw new BadMessage("no such chunk");
     }
@@ -404,7 +404,7 @@
   void restoreChunk(
       int chunk, Document d, long newStamp, java.util.function.Function<String, Machine> find)
       throws BadMessage {
-    chunkStored(chunk, d, newStamp);
+    onChunkStored(chunk, d, newStamp);
     int from = chunk * TASKS_PER_CHUNK;
     int end = chunkEnd(chunk);
     TaskState[] fresh = new TaskState[end - from];
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -807,7 +807,7 @@
           Job j = jobs.get(name);
           if (j == null) {
             j = new Job(name, usage, changedJobs::add);
-            j.record(d, c.stamp());
+            j.applyRecord(d, c.stamp());
             jobs.put(name, j);
             if (foretold.containsKey(name)) {
               j.foretold();
@@ -816,7 +816,7 @@
             dependencies.joined(j);
           } else {
             boolean was = j.withdrawnItself();
-            j.record(d, c.stamp());
+            j.applyRecord(d, c.stamp());
             if (was != j.withdrawnItself()) {
               dependencies.changed(j);
             }
@@ -843,7 +843,7 @@
         if (j != null && whole) {
           j.restoreChunk(chunk, d, stamp, this::getOrCreateMachine);
         } else if (j != null) {
-          j.chunkStored(chunk, d, stamp);
+          j.onChunkStored(chunk, d, stamp);
         } else if (c.value() != null) {
           orphanedKeys.add(key);
         } else {
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -107,7 +107,7 @@
     }
     int chunk = Integer.parseInt(name.substring(slash + 1));
     int most = ledger.limits().targetValueBytes();
-    Object value = job.storeChunk(chunk, ledger.rev(), job::task, tables.encoding(), most);
+    Object value = job.chunkToStore(chunk, ledger.rev(), job::task, tables.encoding(), most);
     draft.when(job.key(), job.stamp());
     draft.write(key, value, job.chunkStamp(chunk));
     return true;
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -81,7 +81,7 @@
           return;
         }
         draft.when(job.key(), job.stamp());
-        Object value = job.storeChunk(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
+        Object value = job.chunkToStore(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
         if (tooLarge(value, job.chunkKey(c))) {
           return;
         }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -245,7 +245,7 @@
     TerminalState how = new TerminalState(phase, job.size(), wallMs);
     if (tables.isOpen(Gate.AWAITS)) {
       // One write where others wait for it; it is moved when there are writes to spare.
-      txn.write(job.key(), Job.overToStore(how));
+      txn.write(job.key(), Job.terminalToStore(how));
     } else {
       txn.write(Job.terminalStateKey(job.id()), how.toStore(false));
       txn.delete(job.key());
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -127,7 +127,7 @@
       for (int c = 0; c < j.chunkCount(); c++) {
         Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
-          out.put(j.chunkKey(c), j.storeChunk(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
+          out.put(j.chunkKey(c), j.chunkToStore(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
         }
       }
     }
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -417,7 +417,7 @@
                 LogPage.key("n0", 1), raw(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)), 20)),
         20);
     assertEquals(64, j.live());
-    Object stored = j.storeChunk(0, 21, j::task, 2, most);
+    Object stored = j.chunkToStore(0, 21, j::task, 2, most);
     assertEquals(form, Encoding.versionOf(raw(stored)));
     assertTrue(MessageCodec.jsonSize(stored) <= most, "size " + MessageCodec.jsonSize(stored));
     Tables again = withJob(64);
