--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -440,7 +440,7 @@
 
   // ---- what the logs say; false: it does not follow on what is known, and is void ----
 
-  boolean placed(int index, int attempt, Machine on, int placer) {
+  boolean applyPlacement(int index, int attempt, Machine on, int placer) {
     TaskState s = tasks[index];
     if (s.phase() != TaskState.Phase.WAITING || attempt <= s.attempt()) {
       return false;
@@ -449,7 +449,7 @@
     return true;
   }
 
-  boolean exited(int index, int attempt, int how) {
+  boolean applyExit(int index, int attempt, int how) {
     TaskState s = tasks[index];
     if (!s.live() || s.attempt() != attempt) {
       return false;
@@ -464,7 +464,7 @@
       on.failed(this);
       blame(on);
     }
-    doneTogether();
+    completeGang();
     return true;
   }
 
@@ -493,7 +493,7 @@
     return !worked && done == 0 && failedOn.size() >= SUSPECT_MACHINES;
   }
 
-  boolean stopped(int index, int attempt, TaskState.Stop how) {
+  boolean applyStop(int index, int attempt, TaskState.Stop how) {
     TaskState s = tasks[index];
     if (!s.live() || s.attempt() != attempt) {
       return false;
@@ -503,7 +503,7 @@
   }
 
   /** A gang completes together: when one task is done, those that have exited are done too. */
-  void doneTogether() {
+  void completeGang() {
     if (spec.shape() == JobSpec.Shape.GANG && done > 0) {
       for (int i = 0; i < tasks.length; i++) {
         if (tasks[i].phase() == TaskState.Phase.WAITING) {
@@ -551,7 +551,7 @@
   }
 
   /** The job is over: nothing of it is booked any more. */
-  void drop() {
+  void releaseTasks() {
     if (spec == null) {
       return;
     }
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -377,7 +377,7 @@
 
   @Override
   public void reset() {
-    jobs.values().forEach(Job::drop);
+    jobs.values().forEach(Job::releaseTasks);
     jobs.clear();
     dependencies.reset();
     names.clear();
@@ -586,10 +586,10 @@
       boolean applies =
           switch (kind) {
             case LogEntry.PLACED ->
-                j.placed(index, attempt, getOrCreateMachine(LogEntry.text(e, i + 2)), LogEntry.number(e, 2));
-            case LogEntry.EXITED -> j.exited(index, attempt, LogEntry.number(e, i + 2));
+                j.applyPlacement(index, attempt, getOrCreateMachine(LogEntry.text(e, i + 2)), LogEntry.number(e, 2));
+            case LogEntry.EXITED -> j.applyExit(index, attempt, LogEntry.number(e, i + 2));
             case LogEntry.STOPPED ->
-                j.stopped(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
+                j.applyStop(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
             default -> throw new BadMessage("unknown kind " + kind);
           };
       if (!applies) {
@@ -630,7 +630,7 @@
         run(o.page, o.run);
       }
     }
-    jobs.values().forEach(Job::doneTogether);
+    jobs.values().forEach(Job::completeGang);
     // Named by what a log still says of tasks that are over; itself it was forgotten long ago.
     machines.values().removeIf(m -> m.info() == null && m.live().isEmpty() && m.report() == null);
     appliedTo(rev);
@@ -743,7 +743,7 @@
     for (int k = 0; j.overflow() != null && k < j.overflow().records(); k++) {
       orphanedKeys.add(j.overflow().key(k));
     }
-    j.drop();
+    j.releaseTasks();
     dependencies.left(j);
   }
 
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -295,8 +295,8 @@
       Job j = jobs.computeIfAbsent(e.charAt(0), k -> job(t, k));
       int index = j.done();
       int attempt = j.task(index).attempt() + 1;
-      assertTrue(j.placed(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
-      assertTrue(j.exited(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
+      assertTrue(j.applyPlacement(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
+      assertTrue(j.applyExit(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
     }
     assertEquals(shunS * 1000, t.getOrCreateMachine("i-1").shunUntilMs(0));
     assertEquals(suspect, jobs.get('a').suspect());
@@ -309,8 +309,8 @@
     Job j = job(t, 1);
     long now = 1_000_000;
     for (int i = 0; i < 2; i++) {
-      assertTrue(j.placed(i, 1, t.getOrCreateMachine("i-" + i), 0));
-      assertTrue(j.exited(i, 1, LogEntry.EXIT_FAILED));
+      assertTrue(j.applyPlacement(i, 1, t.getOrCreateMachine("i-" + i), 0));
+      assertTrue(j.applyExit(i, 1, LogEntry.EXIT_FAILED));
     }
     for (long pause : new long[] {4, 8, 16, 32, 64, 64}) {
       j.backOff(now);
@@ -318,8 +318,8 @@
       assertEquals(now + pause * 1000, j.retryAtMs());
       now = j.retryAtMs();
       int attempt = j.task(0).attempt() + 1;
-      assertTrue(j.placed(0, attempt, t.getOrCreateMachine("i-3"), 0));
-      assertTrue(j.exited(0, attempt, LogEntry.EXIT_FAILED));
+      assertTrue(j.applyPlacement(0, attempt, t.getOrCreateMachine("i-3"), 0));
+      assertTrue(j.applyExit(0, attempt, LogEntry.EXIT_FAILED));
     }
   }
 
