--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -100,7 +100,7 @@
 
   /**
    * @param usage told of each attempt that begins or ends
-   * @param onChange told once of each run of changes, until {@link #seen} is called
+   * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
    */
   Job(String id, Usage usage, Consumer<Job> onChange) {
     this.id = id;
@@ -140,7 +140,7 @@
   }
 
   /** The changes so far were taken note of. */
-  void seen() {
+  void acknowledgeChanges() {
     noted = false;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -172,7 +172,7 @@
 
   /**
    * @param number its dense number in this process
-   * @param onChange told once of each run of changes, until {@link #seen} is called
+   * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
    */
   Machine(String name, int number, Consumer<Machine> onChange) {
     this.name = name;
@@ -188,7 +188,7 @@
   }
 
   /** The changes so far were taken note of. */
-  void seen() {
+  void acknowledgeChanges() {
     noted = false;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -188,7 +188,7 @@
   public List<Machine> drainChangedMachines() {
     List<Machine> out = new ArrayList<>(changedMachines);
     changedMachines.clear();
-    out.forEach(Machine::seen);
+    out.forEach(Machine::acknowledgeChanges);
     return out;
   }
 
@@ -196,7 +196,7 @@
   public List<Job> drainChangedJobs() {
     List<Job> out = new ArrayList<>(changedJobs);
     changedJobs.clear();
-    out.forEach(Job::seen);
+    out.forEach(Job::acknowledgeChanges);
     return out;
   }
 
