--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -253,7 +253,7 @@
   }
 
   /** Told by a peer to be withdrawn: nothing of it is started or kept from now on. */
-  void foretold() {
+  void announceWithdrawal() {
     foretold = true;
     machines().forEach(Machine::touch);
   }
@@ -596,12 +596,12 @@
   }
 
   /** Withdrawn, or known to be ahead of what the tables say: what is there of it is to end. */
-  public boolean calledOff() {
+  public boolean withdrawnOrAnnounced() {
     return withdrawn() || foretold;
   }
 
   /** Whether its user has withdrawn it itself: what its record says. */
-  public boolean withdrawnItself() {
+  public boolean withdrawnByUser() {
     return withdrawn;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -75,7 +75,7 @@
 
     /** Whether the attempt is to end: its job was withdrawn, or it is being stopped. */
     public boolean unwanted() {
-      return job.calledOff() || state().stop() != TaskState.Stop.NONE;
+      return job.withdrawnOrAnnounced() || state().stop() != TaskState.Stop.NONE;
     }
 
     public long ageMs(long nowMs) {
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -350,7 +350,7 @@
     foretold.put(id, rev);
     Job j = jobs.get(id);
     if (j != null) {
-      j.foretold();
+      j.announceWithdrawal();
     }
     return true;
   }
@@ -810,14 +810,14 @@
             j.applyRecord(d, c.stamp());
             jobs.put(name, j);
             if (foretold.containsKey(name)) {
-              j.foretold();
+              j.announceWithdrawal();
             }
             gather(j);
             dependencies.joined(j);
           } else {
-            boolean was = j.withdrawnItself();
+            boolean was = j.withdrawnByUser();
             j.applyRecord(d, c.stamp());
-            if (was != j.withdrawnItself()) {
+            if (was != j.withdrawnByUser()) {
               dependencies.changed(j);
             }
           }
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -182,7 +182,7 @@
    * give up their fetches and begin anew, again and again. It goes on waiting, so often at most.
    */
   private boolean goesOnWaiting(Pass pass, Job job, TaskState state, Report.Entry entry) {
-    return !job.calledOff()
+    return !job.withdrawnOrAnnounced()
         && state.stop() == TaskState.Stop.NONE
         && job.live() == job.size()
         && !pipeline.exiting(job, entry.index(), entry.attempt())
@@ -190,7 +190,7 @@
   }
 
   private void halt(Pass pass, Job job, TaskState state, Report.Entry entry) {
-    if (job.calledOff()) {
+    if (job.withdrawnOrAnnounced()) {
       addHalt(pass, entry, 0, "job called off");
     } else if (state.stop() == TaskState.Stop.KILL) {
       addHalt(pass, entry, 0, "to be stopped");
@@ -303,7 +303,7 @@
     CommandEvent.Kind kind =
         pass.scope.own ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
     CommandEvent event = pass.event(kind, attempt, "booked, not shown");
-    boolean cancelled = slot.job().calledOff();
+    boolean cancelled = slot.job().withdrawnOrAnnounced();
     boolean booked = slot.state().live() && slot.state().machine() == pass.machine;
     boolean holdsLease = membership.standing() == Membership.Standing.MEMBER;
     if (!monitor.check(Invariant.NO_START_OF_A_CANCELLED_JOB, !cancelled, event)
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -198,7 +198,7 @@
         .forEach(
             j -> {
               b.append(j.id())
-                  .append(j.withdrawnItself() ? " off" : "")
+                  .append(j.withdrawnByUser() ? " off" : "")
                   .append(' ')
                   .append(j.partition());
               for (int i = 0; i < j.size(); i++) {
