--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -470,13 +470,13 @@
 
   /** It failed on a machine, or (null) has shown that it can work. */
   private void blame(Machine on) {
-    boolean was = suspect();
+    boolean was = isSuspected();
     if (on == null) {
       worked = true;
     } else {
       failedOn.add(on);
     }
-    if (suspect() != was) {
+    if (isSuspected() != was) {
       failedOn.forEach(Machine::judgedAnew);
     }
     if (worked) {
@@ -489,7 +489,7 @@
    * of it was ever done. All nodes draw this from the logs, so whoever places it knows, and a job
    * that was submitted with a mistake gets no machine shunned.
    */
-  public boolean suspect() {
+  public boolean isSuspected() {
     return !worked && done == 0 && failedOn.size() >= SUSPECT_MACHINES;
   }
 
@@ -712,7 +712,7 @@
   public boolean backOff(long nowMs) {
     boolean failed = failuresSeen != failures;
     failuresSeen = failures;
-    if (failed && suspect()) {
+    if (failed && isSuspected()) {
       probed(nowMs);
       probes++;
       return true;
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -584,10 +584,10 @@
   }
 
   /** How many jobs failed here, of those whose failures are not taken for their own. */
-  public int accused() {
+  public int failedJobCount() {
     int n = 0;
     for (Job j : accusers) {
-      n += j.suspect() ? 0 : 1;
+      n += j.isSuspected() ? 0 : 1;
     }
     return n;
   }
@@ -596,12 +596,12 @@
    * Until when nothing goes here; 0: no reason. One job's failure may be its own, so it is a short
    * while; failures of several jobs, one after the other, are the machine's.
    */
-  public long shunUntilMs(long nowMs) {
+  public long quarantinedUntilMs(long nowMs) {
     if (faultsSeen != faults) {
       faultsSeen = faults;
       faultAtMs = nowMs;
     }
-    int n = accused();
+    int n = failedJobCount();
     if (n == 0) {
       return 0;
     }
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -208,7 +208,7 @@
     String machine = pass.machine.name();
     if (Report.ERROR.equals(entry.why())) {
       // Told once a round by all of a suspect's tasks together.
-      if (!job.suspect()) {
+      if (!job.isSuspected()) {
         LOG.info("{} failed on {}", entry.task(), machine);
       }
     } else if (Report.FULL.equals(entry.why())
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -537,7 +537,7 @@
       }
       boolean usable = m.phase() == Machine.Phase.UP || m.phase() == Machine.Phase.BOOTING;
       // One that fails whatever it is given is no room.
-      if (t != null && usable && m.accused() < 2) {
+      if (t != null && usable && m.failedJobCount() < 2) {
         rooms.add(new FreeCapacity(m, t));
       }
     }
@@ -775,11 +775,11 @@
       int fresh = 0;
       for (Job job : waiting) {
         Settings.Team team = Queue.team(settings, job.spec().team());
-        if (team == null || job.suspect() && job.retryAtMs() > nowMs) {
+        if (team == null || job.isSuspected() && job.retryAtMs() > nowMs) {
           continue;
         }
         // What seems to fail everywhere is tried, not provided for.
-        boolean one = job.suspect() && job.spec().shape() != JobSpec.Shape.GANG;
+        boolean one = job.isSuspected() && job.spec().shape() != JobSpec.Shape.GANG;
         int most = one ? 1 : job.waiting();
         QuotaShare need = new QuotaShare(job.spec().cpus(), job.spec().gpus());
         QuotaShare left =
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -196,7 +196,7 @@
         }
         draft.when(job.key(), job.stamp());
         job.notWaiting();
-        if (job.suspect()) {
+        if (job.isSuspected()) {
           job.probed(now);
         }
         continue;
@@ -321,7 +321,7 @@
     Predicate<CapacityIndex.Cell> scope = scope(node, asLeader);
     int placed = 0;
     // Of a job that seems to fail everywhere, one task is enough to see.
-    int most = job.suspect() ? 1 : TASKS_A_ROUND;
+    int most = job.isSuspected() ? 1 : TASKS_A_ROUND;
     for (int i = job.nextWaiting(0); i >= 0 && placed < most; i = job.nextWaiting(i + 1)) {
       if (draft.state(job, i).phase() != TaskState.Phase.WAITING) {
         continue;
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -125,7 +125,7 @@
       long aged = wallMs - job.readyWallMs() - SAVE_AFTER_MS;
       if (job.spec().shape() == JobSpec.Shape.GANG
           && job.live() == 0
-          && !job.suspect()
+          && !job.isSuspected()
           && aged > 0
           && aged / SAVE_MS % 2 == 0
           && open.remove(job.spec().team())) {
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -99,7 +99,7 @@
           && job.partition().equals(Job.LEADER_PARTITION)
           && job.live() == 0
           && draft.live(job) == 0
-          && !job.suspect()) {
+          && !job.isSuspected()) {
         gangs.add(job);
       }
     }
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -168,7 +168,7 @@
             && !tables.isReserved(m)
             && !pending.test(m);
     if (usable) {
-      boolean shun = m.shunUntilMs(timers.nowMs()) > timers.nowMs();
+      boolean shun = m.quarantinedUntilMs(timers.nowMs()) > timers.nowMs();
       member(shunned, m, shun);
       boolean answers = m.proved() && !m.isQuiet() && m.deafSinceMs() == 0;
       usable = !shun && (answers || !owner.equals(node));
@@ -186,7 +186,7 @@
   void tick() {
     long now = timers.nowMs();
     for (Machine m : new ArrayList<>(shunned)) {
-      if (m.shunUntilMs(now) <= now) {
+      if (m.quarantinedUntilMs(now) <= now) {
         shunned.remove(m);
         machine(m);
       }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -58,7 +58,7 @@
     JobSpec spec = job.spec();
     long waited = now - job.waitingSinceMs(now);
     if (job.preemptionPriority() == JobSpec.Priority.LOW
-        || job.suspect()
+        || job.isSuspected()
         || preemptScans >= PREEMPT_SCANS
         || now < job.preemptAtMs()) {
       return;
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -298,8 +298,8 @@
       assertTrue(j.applyPlacement(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
       assertTrue(j.applyExit(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
     }
-    assertEquals(shunS * 1000, t.getOrCreateMachine("i-1").shunUntilMs(0));
-    assertEquals(suspect, jobs.get('a').suspect());
+    assertEquals(shunS * 1000, t.getOrCreateMachine("i-1").quarantinedUntilMs(0));
+    assertEquals(suspect, jobs.get('a').isSuspected());
   }
 
   /** A suspect's tries are further and further apart, and failures of one wave count once. */
