--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -617,7 +617,7 @@
     return overflow;
   }
 
-  void awaits(List<String> all) {
+  void setAwaits(List<String> all) {
     awaits = all;
   }
 
@@ -675,19 +675,19 @@
     return waitingTasks.nextSetBit(from);
   }
 
-  public int size() {
+  public int taskCount() {
     return tasks.length;
   }
 
-  public int waiting() {
+  public int waitingCount() {
     return waiting;
   }
 
-  public int live() {
+  public int liveCount() {
     return live;
   }
 
-  public int done() {
+  public int doneCount() {
     return done;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -580,7 +580,7 @@
     for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
       int index = LogEntry.number(e, i);
       int attempt = LogEntry.number(e, i + 1);
-      if (index >= j.size() || rev <= j.chunkRevision(index / Job.TASKS_PER_CHUNK)) {
+      if (index >= j.taskCount() || rev <= j.chunkRevision(index / Job.TASKS_PER_CHUNK)) {
         continue;
       }
       boolean applies =
@@ -759,7 +759,7 @@
       all.addAll(some);
     }
     if (o != null) {
-      j.awaits(List.copyOf(all));
+      j.setAwaits(List.copyOf(all));
       for (int k = 0; k < o.records(); k++) {
         names.remove(o.key(k));
       }
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -117,7 +117,7 @@
 
   private void planShown(Pass pass, Report.Entry entry) {
     Job job = tables.job(entry.job());
-    TaskState state = job == null || entry.index() >= job.size() ? null : job.task(entry.index());
+    TaskState state = job == null || entry.index() >= job.taskCount() ? null : job.task(entry.index());
     boolean booked =
         state != null
             && state.live()
@@ -184,7 +184,7 @@
   private boolean goesOnWaiting(Pass pass, Job job, TaskState state, Report.Entry entry) {
     return !job.withdrawnOrAnnounced()
         && state.stop() == TaskState.Stop.NONE
-        && job.live() == job.size()
+        && job.liveCount() == job.taskCount()
         && !pipeline.exiting(job, entry.index(), entry.attempt())
         && pass.commands.waits(attempt(entry)) < WAITS_MOST;
   }
--- a/src/main/java/wickdrift/coordination/DominantShareOrder.java
+++ b/src/main/java/wickdrift/coordination/DominantShareOrder.java
@@ -91,8 +91,8 @@
       throw new NoSuchElementException();
     }
     Job j = least.next;
-    double cpus = j.waiting() * j.spec().cpus();
-    double gpus = j.waiting() * j.spec().gpus();
+    double cpus = j.waitingCount() * j.spec().cpus();
+    double gpus = j.waitingCount() * j.spec().gpus();
     least.cpus += cpus;
     least.gpus += gpus;
     allCpus += cpus;
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -780,7 +780,7 @@
         }
         // What seems to fail everywhere is tried, not provided for.
         boolean one = job.isSuspected() && job.spec().shape() != JobSpec.Shape.GANG;
-        int most = one ? 1 : job.waiting();
+        int most = one ? 1 : job.waitingCount();
         QuotaShare need = new QuotaShare(job.spec().cpus(), job.spec().gpus());
         QuotaShare left =
             leftOfLimit.computeIfAbsent(team.name(), k -> leftOf(team, usage.of(team.name())));
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -117,8 +117,8 @@
       tellWithdrawn(x, id);
       return;
     }
-    String phase = job.live() > 0 ? "running" : "pending";
-    x.reply(200, Map.of("ref", id, "phase", phase, "done", job.done(), "running", job.live()));
+    String phase = job.liveCount() > 0 ? "running" : "pending";
+    x.reply(200, Map.of("ref", id, "phase", phase, "done", job.doneCount(), "running", job.liveCount()));
   }
 
   /**
@@ -190,7 +190,7 @@
           } else if (!kept) {
             UserRequests.later(x);
           } else {
-            int done = job == null ? 0 : job.done();
+            int done = job == null ? 0 : job.doneCount();
             x.reply(
                 200,
                 Map.of("ref", id, "phase", TerminalState.WITHDRAWN, "done", done, "running", 0));
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -190,7 +190,7 @@
       }
       if (draft.live(job) > before) {
         placedAny = true;
-        if (before == 0 && job.done() == 0 && !job.awaits().isEmpty()) {
+        if (before == 0 && job.doneCount() == 0 && !job.awaits().isEmpty()) {
           stageDelays.recordValue(
               Math.max(0, Math.min(DELAY_MOST_MS, timers.wallMs() - job.readyWallMs())));
         }
@@ -243,14 +243,14 @@
   private boolean imageIsElsewhere(Job job) {
     JobSpec spec = job.spec();
     if (spec.shape() != JobSpec.Shape.SERVICE
-        || rooms.freeBesideImage(spec, node, job.waiting()) >= job.waiting()) {
+        || rooms.freeBesideImage(spec, node, job.waitingCount()) >= job.waitingCount()) {
       return false;
     }
     int elsewhere = 0;
     for (String member : tables.view().members().keySet()) {
-      elsewhere += member.equals(node) ? 0 : rooms.freeBesideImage(spec, member, job.waiting());
+      elsewhere += member.equals(node) ? 0 : rooms.freeBesideImage(spec, member, job.waitingCount());
     }
-    return elsewhere >= job.waiting();
+    return elsewhere >= job.waitingCount();
   }
 
   /** Whether there is no room for it either, given that there was none for the other. */
@@ -289,7 +289,7 @@
     if (!job.spec().oneZone() && !job.spec().spread() || draft.live(job) == 0) {
       return n;
     }
-    for (int i = 0; i < job.size(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       TaskState s = draft.state(job, i);
       if (s.live()) {
         Machine.Info info = s.machine().info();
@@ -417,13 +417,13 @@
   private void placeGang(
       TransactionBuilder draft, Job job, Quota quota, View v, Set<String> foreign) {
     JobSpec spec = job.spec();
-    if (draft.live(job) > 0 || draft.done(job) > 0 && job.waiting() == 0) {
+    if (draft.live(job) > 0 || draft.done(job) > 0 && job.waitingCount() == 0) {
       return;
     }
     // Counted as drafted: members whose exits are in this transaction wait from then on.
     int waiting = 0;
     int attempt = 0;
-    for (int i = 0; i < job.size(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       attempt = Math.max(attempt, draft.state(job, i).attempt());
       waiting += draft.state(job, i).phase() == TaskState.Phase.WAITING ? 1 : 0;
     }
@@ -466,7 +466,7 @@
     }
     if (chosen != null) {
       int k = 0;
-      for (int i = 0; i < job.size(); i++) {
+      for (int i = 0; i < job.taskCount(); i++) {
         if (draft.state(job, i).phase() == TaskState.Phase.WAITING) {
           put(draft, job, i, attempt + 1, chosen.get(k++), quota);
         }
--- a/src/main/java/wickdrift/coordination/Queue.java
+++ b/src/main/java/wickdrift/coordination/Queue.java
@@ -105,7 +105,7 @@
     boolean counts = there && !j.withdrawn() && j.dependencyState() == Job.DependencyState.READY;
     Team t = teams.get(j.spec().team());
     if (t != null && t.guarantees()) {
-      int n = counts ? j.size() - j.done() : 0;
+      int n = counts ? j.taskCount() - j.doneCount() : 0;
       Need need = new Need(n * j.spec().cpus(), n * j.spec().gpus());
       Need old = counts ? t.needs.put(j, need) : t.needs.remove(j);
       t.cpus += need.cpus - (old == null ? 0 : old.cpus);
@@ -117,8 +117,8 @@
       }
       t.stale = true;
     }
-    place(j, counts && j.waiting() > 0);
-    promised.changed(j, counts ? j.waiting() : 0);
+    place(j, counts && j.waitingCount() > 0);
+    promised.changed(j, counts ? j.waitingCount() : 0);
   }
 
   /** What waits at each part. */
@@ -226,7 +226,7 @@
     if (beyond == null ? t.beyond != null : !beyond.equals(t.beyond)) {
       t.beyond = beyond;
       for (Job j : t.jobs.values()) {
-        place(j, j.waiting() > 0);
+        place(j, j.waitingCount() > 0);
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -124,7 +124,7 @@
     for (Job job : waiting) {
       long aged = wallMs - job.readyWallMs() - SAVE_AFTER_MS;
       if (job.spec().shape() == JobSpec.Shape.GANG
-          && job.live() == 0
+          && job.liveCount() == 0
           && !job.isSuspected()
           && aged > 0
           && aged / SAVE_MS % 2 == 0
@@ -152,7 +152,7 @@
    * is held by others' long tasks the job is not about to start.
    */
   boolean savingFor(Job job) {
-    QuotaShare part = of(job.spec()).times(job.waiting() * SAVED_PART);
+    QuotaShare part = of(job.spec()).times(job.waitingCount() * SAVED_PART);
     String team = job.spec().team();
     return saved.get(team) == job && covers(teams.get(team), limit(team).minus(total(team)), part);
   }
@@ -161,7 +161,7 @@
   boolean allows(Job job) {
     Job first = saved.get(job.spec().team());
     if (first != null && first != job) {
-      QuotaShare beside = of(job.spec()).plus(of(first.spec()).times(first.waiting()));
+      QuotaShare beside = of(job.spec()).plus(of(first.spec()).times(first.waitingCount()));
       String team = job.spec().team();
       if (!covers(teams.get(team), limit(team).minus(total(team)), beside)) {
         return false;
@@ -228,7 +228,7 @@
       if (teams.containsKey(team) && saved.getOrDefault(team, job) == job) {
         needed.merge(
             new Key(team, view.placer(job.partition(), job.id())),
-            of(job.spec()).times(job.waiting()),
+            of(job.spec()).times(job.waitingCount()),
             QuotaShare::plus);
       }
     }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -97,7 +97,7 @@
     for (Job job : scheduling.queue().waiting()) {
       if (job.spec().shape() == JobSpec.Shape.GANG
           && job.partition().equals(Job.LEADER_PARTITION)
-          && job.live() == 0
+          && job.liveCount() == 0
           && draft.live(job) == 0
           && !job.isSuspected()) {
         gangs.add(job);
@@ -115,8 +115,8 @@
     Quota.Remainder remainder = quota.new Remainder();
     Map<String, Job> out = new LinkedHashMap<>();
     for (Job job : gangs) {
-      boolean enough = size.holds(job.spec(), job.waiting());
-      if (enough && (remainder.take(job.spec(), job.waiting()) || quota.savingFor(job))) {
+      boolean enough = size.holds(job.spec(), job.waitingCount());
+      if (enough && (remainder.take(job.spec(), job.waitingCount()) || quota.savingFor(job))) {
         out.put(job.id(), job);
       }
     }
@@ -130,7 +130,7 @@
 
   private void mark(Job job, FleetSize size, Set<Machine> marked, long now) {
     List<Machine> mine = reservations.computeIfAbsent(job.id(), k -> new ArrayList<>());
-    while (mine.size() < job.waiting() && marked.size() < maxMarks()) {
+    while (mine.size() < job.waitingCount() && marked.size() < maxMarks()) {
       boolean oneZone = job.spec().oneZone();
       String zone = oneZone && !mine.isEmpty() ? mine.get(0).info().zone() : null;
       Soonest s = new Soonest(now);
@@ -139,7 +139,7 @@
           c ->
               zone != null
                   ? zone.equals(c.zone)
-                  : !oneZone || size.holds(job.spec(), c.zone, job.waiting()),
+                  : !oneZone || size.holds(job.spec(), c.zone, job.waitingCount()),
           r -> {
             if (!marked.contains(r.machine())) {
               s.look(r.machine());
@@ -177,7 +177,7 @@
 
   void markFor(Job job, Machine m, long now) {
     List<Machine> mine = reservations.computeIfAbsent(job.id(), k -> new ArrayList<>());
-    if (!mine.contains(m) && mine.size() < job.waiting()) {
+    if (!mine.contains(m) && mine.size() < job.waitingCount()) {
       mine.add(m);
       nextMarksMs = now;
     }
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -124,10 +124,10 @@
       LOG.info("{} fails wherever it runs: next try in {} s", j.id(), (j.retryAtMs() - now) / 1000);
     }
     queue.changed(j, there);
-    boolean over = j.withdrawn() ? j.live() == 0 : j.spec() != null && j.done() == j.size();
+    boolean over = j.withdrawn() ? j.liveCount() == 0 : j.spec() != null && j.doneCount() == j.taskCount();
     member(endable, j, there && over);
     member(halting, j, there && halting(j));
-    member(leaving, j, there && j.withdrawn() && j.live() > 0);
+    member(leaving, j, there && j.withdrawn() && j.liveCount() > 0);
   }
 
   private static <T> void member(Set<T> set, T t, boolean in) {
@@ -140,15 +140,15 @@
 
   /** A gang with a member that is being stopped while another is not. */
   private static boolean halting(Job j) {
-    if (j.spec().shape() != JobSpec.Shape.GANG || j.live() < 2) {
+    if (j.spec().shape() != JobSpec.Shape.GANG || j.liveCount() < 2) {
       return false;
     }
     int stopping = 0;
-    for (int i = 0; i < j.size(); i++) {
+    for (int i = 0; i < j.taskCount(); i++) {
       TaskState s = j.task(i);
       stopping += s.live() && s.stop() != TaskState.Stop.NONE ? 1 : 0;
     }
-    return stopping > 0 && stopping < j.live();
+    return stopping > 0 && stopping < j.liveCount();
   }
 
   /** The machine, or what this process knows of it, has changed. */
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -209,11 +209,11 @@
   }
 
   int live(Job job) {
-    return job.live() + liveDelta.getOrDefault(job, 0);
+    return job.liveCount() + liveDelta.getOrDefault(job, 0);
   }
 
   int done(Job job) {
-    int n = job.done();
+    int n = job.doneCount();
     for (Map.Entry<Integer, TaskState> t : tasks.getOrDefault(job, Map.of()).entrySet()) {
       boolean was = job.task(t.getKey()).phase() == TaskState.Phase.DONE;
       boolean is = t.getValue().phase() == TaskState.Phase.DONE;
@@ -242,7 +242,7 @@
         delete(job.chunkKey(c));
       }
     }
-    TerminalState how = new TerminalState(phase, job.size(), wallMs);
+    TerminalState how = new TerminalState(phase, job.taskCount(), wallMs);
     if (tables.isOpen(Gate.AWAITS)) {
       // One write where others wait for it; it is moved when there are writes to spare.
       txn.write(job.key(), Job.terminalToStore(how));
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -493,7 +493,7 @@
   private void draftGangExit(TransactionBuilder draft, Job job, int index, String why) {
     boolean done = Report.DONE.equals(why) || draft.done(job) > 0;
     TaskState was = draft.state(job, index);
-    if (!done && job.size() > 1 && was.stop() == TaskState.Stop.NONE) {
+    if (!done && job.taskCount() > 1 && was.stop() == TaskState.Stop.NONE) {
       LOG.info(
           "gang {} attempt {} has lost member {} on {} ({}), {} s after it was placed",
           job.id(),
@@ -504,7 +504,7 @@
           was.machine().ageMs(job, index, timers.nowMs()) / 1000);
     }
     draft.exit(job, index, done ? Report.DONE : why);
-    for (int i = 0; i < job.size(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       TaskState s = draft.state(job, i);
       if (i == index || !draft.takes(job, 1)) {
         continue;
@@ -531,7 +531,7 @@
           if (draft.live(job) == 0) {
             draft.end(job, TerminalState.WITHDRAWN, timers.wallMs());
           }
-        } else if (draft.done(job) == job.size()) {
+        } else if (draft.done(job) == job.taskCount()) {
           draft.end(job, TerminalState.DONE, timers.wallMs());
         }
       }
@@ -593,7 +593,7 @@
   /** A gang with a member being stopped is stopped whole, within the time its mates wait. */
   private void draftStops(TransactionBuilder draft) {
     for (Job job : scheduling.halting()) {
-      for (int i = 0; i < job.size(); i++) {
+      for (int i = 0; i < job.taskCount(); i++) {
         if (draft.state(job, i).live() && draft.takes(job, 1)) {
           draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
         }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -77,7 +77,7 @@
     if (gang && asLeader) {
       emptyMarked(draft, job, strongest, now);
     }
-    int lack = job.waiting() - (gang ? reservations.of(job).size() : 0);
+    int lack = job.waitingCount() - (gang ? reservations.of(job).size() : 0);
     if (lack <= 0) {
       return;
     }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -182,7 +182,7 @@
       if (records.all().containsKey(Job.terminalStateKey(j.id()))) {
         error(j.key(), "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
       }
-      for (int i = 0; i < j.size(); i++) {
+      for (int i = 0; i < j.taskCount(); i++) {
         if (j.task(i).live() && t.registry().name(j.task(i).placer()) == null) {
           unknown.add(j.task(i).placer());
         }
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -95,10 +95,10 @@
       assertEquals(states.get(i).attempt(), again.task(i).attempt(), "task " + i);
       assertEquals(states.get(i).stop(), again.task(i).stop(), "task " + i);
     }
-    assertEquals(1, again.live());
+    assertEquals(1, again.liveCount());
     assertEquals(1, t.getOrCreateMachine("i-1").live().size());
     assertEquals(1.0, t.usage().of("vision", 2).gpus());
-    assertEquals(12, again.done());
+    assertEquals(12, again.doneCount());
   }
 
   /** 100,000 tasks must fit: a chunk of nothing but live attempts stays below the least limit. */
@@ -194,7 +194,7 @@
     apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
     apply(t, page(t, "n1", 11, entry(LogEntry.exited(JOB), 1, 1, 1)));
     apply(t, page(t, "n2", 12, entry(LogEntry.exited(JOB), 0, 1, 0)));
-    assertEquals(2, t.job(JOB).done());
+    assertEquals(2, t.job(JOB).doneCount());
   }
 
   /** What was stored of a chunk stands for the entries that it holds, and for no later ones. */
@@ -293,7 +293,7 @@
     Map<Character, Job> jobs = new TreeMap<>();
     for (String e : exits.split(" ")) {
       Job j = jobs.computeIfAbsent(e.charAt(0), k -> job(t, k));
-      int index = j.done();
+      int index = j.doneCount();
       int attempt = j.task(index).attempt() + 1;
       assertTrue(j.applyPlacement(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
       assertTrue(j.applyExit(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
@@ -416,7 +416,7 @@
             new StateServiceClient.Change(
                 LogPage.key("n0", 1), raw(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)), 20)),
         20);
-    assertEquals(64, j.live());
+    assertEquals(64, j.liveCount());
     Object stored = j.chunkToStore(0, 21, j::task, 2, most);
     assertEquals(form, Encoding.versionOf(raw(stored)));
     assertTrue(MessageCodec.jsonSize(stored) <= most, "size " + MessageCodec.jsonSize(stored));
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -51,7 +51,7 @@
     // Whatever the order in which the pages come.
     Collections.reverse(news);
     t.apply(news, 4);
-    assertEquals(size, job.live());
+    assertEquals(size, job.liveCount());
     // One exit at a time must fit however large the gang is: it must not hold up the others'.
     assertTrue(new TransactionBuilder(t, "n0", 16, 16, PAGE).takes(job, 1));
   }
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -27,7 +27,7 @@
     t.load(store(machines, tasks), 10);
     t.reset();
     t.load(store(machines, tasks), 20);
-    int live = t.jobs().stream().mapToInt(Job::live).sum();
+    int live = t.jobs().stream().mapToInt(Job::liveCount).sum();
     if (live != tasks || t.machines().size() != machines) {
       throw new IllegalStateException(live + " tasks on " + t.machines().size());
     }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -201,7 +201,7 @@
                   .append(j.withdrawnByUser() ? " off" : "")
                   .append(' ')
                   .append(j.partition());
-              for (int i = 0; i < j.size(); i++) {
+              for (int i = 0; i < j.taskCount(); i++) {
                 TaskState s = j.task(i);
                 b.append(' ').append(s.phase()).append(s.attempt()).append(s.stop());
                 b.append(s.live() ? s.machine().name() : "");
@@ -622,7 +622,7 @@
   /** How many of a job's tasks are placed, as a node knows it. */
   public int placed(String node, String id) {
     Job j = running.get(node).controller.tables().job(id);
-    return j == null ? 0 : j.live();
+    return j == null ? 0 : j.liveCount();
   }
 
   /** Where a task is, or null. */
