--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -698,7 +698,7 @@
   }
 
   /** A worker would not start it: later and later. */
-  public void refused(long nowMs) {
+  public void backOffAfterRefusal(long nowMs) {
     refusals++;
     if (refusals > 3) {
       retryAtMs = nowMs + Math.min(30_000L, 500L << Math.min(refusals - 3, 6));
@@ -709,11 +709,11 @@
    * Takes note of failures since the last call: a suspect waits longer after each round of them;
    * true if there was one.
    */
-  public boolean backOff(long nowMs) {
+  public boolean backOffAfterFailures(long nowMs) {
     boolean failed = failuresSeen != failures;
     failuresSeen = failures;
     if (failed && isSuspected()) {
-      probed(nowMs);
+      scheduleNextProbe(nowMs);
       probes++;
       return true;
     }
@@ -721,7 +721,7 @@
   }
 
   /** One task of a suspect was placed, to see: the next one waits. */
-  public void probed(long nowMs) {
+  public void scheduleNextProbe(long nowMs) {
     retryAtMs = Math.max(retryAtMs, nowMs + (PROBE_MS << Math.min(probes, PROBE_DOUBLINGS)));
   }
 
@@ -733,21 +733,21 @@
   }
 
   /** When it may look again for what to stop in its favour. */
-  public long preemptAtMs() {
+  public long nextPreemptionAtMs() {
     return preemptAtMs;
   }
 
-  public void preemptAtMs(long ms) {
+  public void setNextPreemptionAtMs(long ms) {
     preemptAtMs = ms;
   }
 
-  public void notWaiting() {
+  public void resetWaiting() {
     waitingSinceMs = 0;
     blockedVersion = -1;
   }
 
   /** No room was found for it when the index of rooms had this version. */
-  public void blocked(long version, long untilMs) {
+  public void setBlocked(long version, long untilMs) {
     blockedVersion = version;
     blockedUntilMs = untilMs;
   }
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -215,7 +215,7 @@
         || Report.UNKNOWN.equals(entry.why())
         || Report.BUSY.equals(entry.why())) {
       LOG.info("{} refused {}: {}", machine, entry.task(), entry.why());
-      job.refused(timers.nowMs());
+      job.backOffAfterRefusal(timers.nowMs());
     }
   }
 
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -152,7 +152,7 @@
         continue;
       }
       if (job.retryAtMs() > now) {
-        job.notWaiting();
+        job.resetWaiting();
         continue;
       }
       if (job.stillBlocked(rooms.version(), now)) {
@@ -195,9 +195,9 @@
               Math.max(0, Math.min(DELAY_MOST_MS, timers.wallMs() - job.readyWallMs())));
         }
         draft.when(job.key(), job.stamp());
-        job.notWaiting();
+        job.resetWaiting();
         if (job.isSuspected()) {
-          job.probed(now);
+          job.scheduleNextProbe(now);
         }
         continue;
       }
@@ -211,7 +211,7 @@
         }
         continue;
       }
-      job.blocked(rooms.version(), now + BLOCKED_MS);
+      job.setBlocked(rooms.version(), now + BLOCKED_MS);
       if (draft.hasRoom()) {
         givingWay.draft(draft, job, asLeader, quota, now);
         if (!asLeader && draft.hasRoom() && handOver(draft, job, now)) {
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -120,7 +120,7 @@
     boolean there = tables.job(j.id()) == j;
     long now = timers.nowMs();
     View v = tables.view();
-    if (j.backOff(now) && v != null && node.equals(v.leader())) {
+    if (j.backOffAfterFailures(now) && v != null && node.equals(v.leader())) {
       LOG.info("{} fails wherever it runs: next try in {} s", j.id(), (j.retryAtMs() - now) / 1000);
     }
     queue.changed(j, there);
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -60,7 +60,7 @@
     if (job.preemptionPriority() == JobSpec.Priority.LOW
         || job.isSuspected()
         || preemptScans >= PREEMPT_SCANS
-        || now < job.preemptAtMs()) {
+        || now < job.nextPreemptionAtMs()) {
       return;
     }
     long patience = preemptAfterMs(spec);
@@ -68,7 +68,7 @@
       return;
     }
     preemptScans++;
-    job.preemptAtMs(now + Placing.BLOCKED_MS);
+    job.setNextPreemptionAtMs(now + Placing.BLOCKED_MS);
     JobSpec.Priority strongest = waited < patience ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
     List<FreeCapacity> may = new ArrayList<>();
     Map<String, Integer> zones = Placing.zones(draft, job);
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -313,8 +313,8 @@
       assertTrue(j.applyExit(i, 1, LogEntry.EXIT_FAILED));
     }
     for (long pause : new long[] {4, 8, 16, 32, 64, 64}) {
-      j.backOff(now);
-      j.backOff(now + 1);
+      j.backOffAfterFailures(now);
+      j.backOffAfterFailures(now + 1);
       assertEquals(now + pause * 1000, j.retryAtMs());
       now = j.retryAtMs();
       int attempt = j.task(0).attempt() + 1;
