--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -26,7 +26,7 @@
     GONE;
 
     /** Changes come from several nodes; one that does not follow on what is known is void. */
-    public boolean mayBecome(Phase next) {
+    public boolean canTransitionTo(Phase next) {
       return switch (this) {
         case UNKNOWN -> next != UNKNOWN;
         case BOOTING -> next != UNKNOWN && next != BOOTING;
@@ -39,8 +39,8 @@
   }
 
   /** The durable part. */
-  public record Info(String type, String zone, boolean spot, Phase phase, long atMs) {
-    public Info with(Phase next, long nowWallMs) {
+  public record Info(String type, String zone, boolean spot, Phase phase, long phaseSinceWallMs) {
+    public Info withPhase(Phase next, long nowWallMs) {
       return new Info(type, zone, spot, next, nowWallMs);
     }
   }
@@ -69,12 +69,12 @@
     }
 
     /** The task's name, as workers know it. */
-    public String task() {
+    public String taskName() {
       return job.id() + "/" + index;
     }
 
     /** Whether the attempt is to end: its job was withdrawn, or it is being stopped. */
-    public boolean unwanted() {
+    public boolean mustStop() {
       return job.withdrawnOrAnnounced() || state().stop() != TaskState.Stop.NONE;
     }
 
@@ -85,7 +85,7 @@
     /**
      * How much longer it may run, by its owner's estimate; what outlives that, half as long again.
      */
-    public double leftMs(long nowMs) {
+    public double estimatedRemainingMs(long nowMs) {
       double estimate = job.spec().estimateS() * 1000;
       if (job.spec().shape() == JobSpec.Shape.SERVICE) {
         return Double.MAX_VALUE;
@@ -229,7 +229,7 @@
     return info == null ? Phase.UNKNOWN : info.phase();
   }
 
-  public List<Slot> live() {
+  public List<Slot> slots() {
     return live;
   }
 
@@ -263,8 +263,8 @@
   /**
    * The one function by which its phase changes: false if that does not follow on what is known.
    */
-  boolean become(Info next) {
-    if (!phase().mayBecome(next.phase())) {
+  boolean transitionTo(Info next) {
+    if (!phase().canTransitionTo(next.phase())) {
       return false;
     }
     info = next;
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -449,7 +449,7 @@
   }
 
   public boolean isArchiveBucketEmpty(String shelf) {
-    return onShelf(shelf).stream().allMatch(m -> m.info() == null && m.live().isEmpty());
+    return onShelf(shelf).stream().allMatch(m -> m.info() == null && m.slots().isEmpty());
   }
 
   private List<Machine> onShelf(String shelf) {
@@ -555,11 +555,11 @@
     if (LogEntry.aboutMachine(e)) {
       if (rev > archiveBucket(Machine.shelf(subject)).rev) {
         Machine m = getOrCreateMachine(subject);
-        boolean applies = kind.equals(LogEntry.MACHINE) ? m.become(LogEntry.info(e)) : m.forget();
+        boolean applies = kind.equals(LogEntry.MACHINE) ? m.transitionTo(LogEntry.info(e)) : m.forget();
         if (!applies) {
           LOG.debug("void: {} of {}", e, m.phase());
         }
-        if (m.info() == null && m.live().isEmpty()) {
+        if (m.info() == null && m.slots().isEmpty()) {
           machines.remove(subject);
         }
       }
@@ -632,7 +632,7 @@
     }
     jobs.values().forEach(Job::completeGang);
     // Named by what a log still says of tasks that are over; itself it was forgotten long ago.
-    machines.values().removeIf(m -> m.info() == null && m.live().isEmpty() && m.report() == null);
+    machines.values().removeIf(m -> m.info() == null && m.slots().isEmpty() && m.report() == null);
     appliedTo(rev);
     bar();
   }
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -224,11 +224,11 @@
   private void planBooked(Pass pass) {
     if (pass.scope.own) {
       Set<String> booked = new HashSet<>();
-      pass.machine.live().forEach(slot -> booked.add(slot.task()));
+      pass.machine.slots().forEach(slot -> booked.add(slot.taskName()));
       pass.commands.retain(booked);
     }
-    for (Machine.Slot slot : pass.machine.live()) {
-      Report.Entry entry = pass.shown.get(slot.task());
+    for (Machine.Slot slot : pass.machine.slots()) {
+      Report.Entry entry = pass.shown.get(slot.taskName());
       TaskAttempt attempt = attempt(slot);
       if (entry != null && entry.attempt() == attempt.attempt()) {
         boolean first = pass.commands.seen(attempt, pass.report.tick(), pass.report.tenure());
@@ -261,10 +261,10 @@
         pass.commands.mayEnd(
             attempt,
             new WorkerCommands.Absence(
-                pass.scope.own, machine.synced(), report.tenure(), deaf, slot.unwanted()));
+                pass.scope.own, machine.synced(), report.tenure(), deaf, slot.mustStop()));
     if (verdict == Verdict.PROVED) {
       lost(pass, slot, attempt, verdict);
-    } else if (pass.commands.wasSeen(attempt) || slot.unwanted()) {
+    } else if (pass.commands.wasSeen(attempt) || slot.mustStop()) {
       if (verdict == Verdict.DIRECT_RUN_UNANSWERED) {
         pass.note(CommandEvent.Kind.END_REFUSED, attempt, verdict.name());
       }
@@ -337,6 +337,6 @@
   }
 
   private static TaskAttempt attempt(Machine.Slot slot) {
-    return new TaskAttempt(slot.task(), slot.state().attempt());
+    return new TaskAttempt(slot.taskName(), slot.state().attempt());
   }
 }
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -317,7 +317,7 @@
         continue;
       }
       boolean couldBeListed =
-          everListed.containsKey(m.name()) || timers.wallMs() - m.info().atMs() > 3 * lag;
+          everListed.containsKey(m.name()) || timers.wallMs() - m.info().phaseSinceWallMs() > 3 * lag;
       boolean heard = m.heardMs() > 0 && now - m.heardMs() < 2 * lag;
       if (couldBeListed && !heard) {
         absentSince.putIfAbsent(m.name(), now);
@@ -363,7 +363,7 @@
       if (i == null) {
         continue;
       }
-      long age = wall - i.atMs();
+      long age = wall - i.phaseSinceWallMs();
       switch (i.phase()) {
         case BOOTING -> {
           TypeInfo t = types.find(i.type());
@@ -379,12 +379,12 @@
           }
         }
         case DRAINING -> {
-          if (m.live().isEmpty() && age > 1000) {
+          if (m.slots().isEmpty() && age > 1000) {
             condemn(m.name(), "it is empty and not needed");
           }
         }
         case GONE -> {
-          if (m.live().isEmpty() && !pipeline.recording(m)) {
+          if (m.slots().isEmpty() && !pipeline.recording(m)) {
             pipeline.record(m, null);
           }
         }
@@ -418,7 +418,7 @@
             Machine m = tables.machine(n);
             if (m != null && m.info() != null) {
               // The answer is the proof that nothing runs there any more.
-              pipeline.record(m, m.info().with(Machine.Phase.GONE, timers.wallMs()));
+              pipeline.record(m, m.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
             }
           }
         });
@@ -445,7 +445,7 @@
     int idle = 0;
     List<Machine> candidates = new ArrayList<>();
     for (Machine m : tables.machines()) {
-      if (m.phase() != Machine.Phase.UP || !m.live().isEmpty()) {
+      if (m.phase() != Machine.Phase.UP || !m.slots().isEmpty()) {
         emptySince.remove(m.name());
         continue;
       }
@@ -462,7 +462,7 @@
         continue;
       }
       if (!pipeline.recording(m)) {
-        pipeline.record(m, m.info().with(Machine.Phase.DRAINING, timers.wallMs()));
+        pipeline.record(m, m.info().withPhase(Machine.Phase.DRAINING, timers.wallMs()));
       }
       idle--;
     }
@@ -589,7 +589,7 @@
       FreeCapacity r = it.next();
       Machine.Info i = r.machine().info();
       if (i.phase() == Machine.Phase.BOOTING
-          && wall - i.atMs() > r.type().bootS() * 1000 * tuning.overdueBoots()) {
+          && wall - i.phaseSinceWallMs() > r.type().bootS() * 1000 * tuning.overdueBoots()) {
         it.remove();
         most--;
       }
--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -48,9 +48,9 @@
     double gpus = r.freeGpus();
     double memory = r.freeMemoryGb();
     List<Machine.Slot> candidates = new ArrayList<>();
-    for (Machine.Slot s : r.machine().live()) {
+    for (Machine.Slot s : r.machine().slots()) {
       JobSpec o = s.job().spec();
-      if (s.unwanted()) {
+      if (s.mustStop()) {
         cpus += o.cpus();
         gpus += o.gpus();
         memory += o.memoryGb();
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -320,10 +320,10 @@
   /** Whether a report lacks a task that its worker was told to run longer ago than that takes. */
   private boolean ignores(Machine m, Report r, long now) {
     WorkerCommands commands = links.commands(m);
-    for (Machine.Slot slot : m.live()) {
-      TaskAttempt attempt = new TaskAttempt(slot.task(), slot.state().attempt());
+    for (Machine.Slot slot : m.slots()) {
+      TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
       if (commands.ignoredFor(attempt, IGNORED_MS, now)
-          && r.tasks().stream().noneMatch(e -> e.task().equals(slot.task()))) {
+          && r.tasks().stream().noneMatch(e -> e.task().equals(slot.taskName()))) {
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -165,8 +165,8 @@
 
     void look(Machine m) {
       double left = 0;
-      for (Machine.Slot s : m.live()) {
-        left = Math.max(left, s.leftMs(now));
+      for (Machine.Slot s : m.slots()) {
+        left = Math.max(left, s.estimatedRemainingMs(now));
       }
       if (left < Double.MAX_VALUE && (best == null || left < bestLeft)) {
         best = m;
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -158,7 +158,7 @@
       return;
     }
     boolean there = tables.machine(m.name()) == m;
-    member(gone, m, there && m.phase() == Machine.Phase.GONE && !m.live().isEmpty());
+    member(gone, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
     String owner = m.owner(v);
     boolean usable =
--- a/src/main/java/wickdrift/coordination/SilenceWatch.java
+++ b/src/main/java/wickdrift/coordination/SilenceWatch.java
@@ -106,13 +106,13 @@
     boolean deaf = machine.deafSinceMs() > 0 && now - machine.deafSinceMs() > tuning.lostMs();
     if (up && (deaf || silent > tuning.lostMs()) && !pipeline.recording(machine)) {
       LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
-      pipeline.record(machine, machine.info().with(Machine.Phase.LOST, timers.wallMs()));
+      pipeline.record(machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
   }
 
   private void lapse(Machine machine, View view, long now) {
     long base = machine.lapseBaseMs();
-    if (!machine.live().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
+    if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
       // No one can have renewed its lease since: the worker has killed all it had.
       links.note(
           CommandEvent.Kind.LEASE_LAPSED,
@@ -143,9 +143,9 @@
         || now - machine.heardMs() > DirectCommands.ANSWER_MS) {
       return false;
     }
-    for (Machine.Slot slot : machine.live()) {
-      TaskAttempt attempt = new TaskAttempt(slot.task(), slot.state().attempt());
-      if (slot.unwanted() && commands.outstandingFor(attempt, epoch, UNCERTAIN_MS, now)) {
+    for (Machine.Slot slot : machine.slots()) {
+      TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
+      if (slot.mustStop() && commands.outstandingFor(attempt, epoch, UNCERTAIN_MS, now)) {
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -233,7 +233,7 @@
   /** No one can have renewed the worker's lease: it has killed all it had. */
   public void lapsed(Machine m) {
     int fresh = 0;
-    for (Machine.Slot s : m.live()) {
+    for (Machine.Slot s : m.slots()) {
       fresh += exited(s.job(), s.index(), s.state().attempt(), m, null) ? 1 : 0;
     }
     if (fresh > 0) {
@@ -436,7 +436,7 @@
   private void draftExits(TransactionBuilder draft) {
     for (Machine m : scheduling.gone()) {
       if (node.equals(m.owner(tables.view()))) {
-        for (Machine.Slot s : m.live()) {
+        for (Machine.Slot s : m.slots()) {
           exits.putIfAbsent(
               new TaskKey(s.job().id(), s.index()), new Exit(m, s.state().attempt(), null, 0));
         }
@@ -565,7 +565,7 @@
       Machine.Info wanted = e.getValue();
       // One that no longer follows on what is known would be void, and be written for ever; so
       // would one of a machine that was forgotten meanwhile, as when two leaders returned it.
-      boolean is = wanted == null ? !m.mayBeForgotten() : !m.phase().mayBecome(wanted.phase());
+      boolean is = wanted == null ? !m.mayBeForgotten() : !m.phase().canTransitionTo(wanted.phase());
       if (is || tables.machine(m.name()) != m) {
         it.remove();
         scheduling.machine(m);
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -103,7 +103,7 @@
     for (Machine.Slot s : c.victims()) {
       if (draft.takes(s.job(), 1)) {
         if (draft.state(s.job(), s.index()).stop() == TaskState.Stop.NONE) {
-          LOG.info("{} gives way to {}", s.task(), job.id());
+          LOG.info("{} gives way to {}", s.taskName(), job.id());
         }
         draft.change(
             s.job(), s.index(), t -> t.live() ? t.stopping(Preemption.how(s.job().spec())) : t);
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -96,7 +96,7 @@
       assertEquals(states.get(i).stop(), again.task(i).stop(), "task " + i);
     }
     assertEquals(1, again.liveCount());
-    assertEquals(1, t.getOrCreateMachine("i-1").live().size());
+    assertEquals(1, t.getOrCreateMachine("i-1").slots().size());
     assertEquals(1.0, t.usage().of("vision", 2).gpus());
     assertEquals(12, again.doneCount());
   }
@@ -152,7 +152,7 @@
     StateServiceClient.Change exited = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
     t.apply(List.of(exited, placed), 11);
     assertEquals(TaskState.Phase.DONE, t.job(JOB).task(0).phase());
-    assertEquals(0, t.getOrCreateMachine("i-1").live().size());
+    assertEquals(0, t.getOrCreateMachine("i-1").slots().size());
   }
 
   /** Entries, one by one, and what the two tasks are after each. */
@@ -215,8 +215,8 @@
     for (Tables x : List.of(t, fresh)) {
       assertEquals(2, x.job(JOB).task(0).attempt());
       assertEquals("i-2", x.job(JOB).task(0).machine().name());
-      assertEquals(1, x.getOrCreateMachine("i-2").live().size());
-      assertEquals(0, x.getOrCreateMachine("i-1").live().size());
+      assertEquals(1, x.getOrCreateMachine("i-2").slots().size());
+      assertEquals(0, x.getOrCreateMachine("i-1").slots().size());
     }
   }
 
--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -82,7 +82,7 @@
   private static int tasks(SimWorld w, String node) {
     return w.tables(node).machines().stream()
         .filter(m -> node.equals(m.owner(w.tables(node).view())))
-        .mapToInt(m -> m.live().size())
+        .mapToInt(m -> m.slots().size())
         .sum();
   }
 
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -210,7 +210,7 @@
             });
     for (Machine m : t.machines()) {
       if (m.info() != null) {
-        b.append(m.name()).append(m.info().phase()).append(m.live().size()).append('\n');
+        b.append(m.name()).append(m.info().phase()).append(m.slots().size()).append('\n');
       }
     }
     return b.toString();
--- a/src/test/java/wickdrift/sim/UnlistedTest.java
+++ b/src/test/java/wickdrift/sim/UnlistedTest.java
@@ -221,9 +221,9 @@
             String owner = any == null ? "n0" : any.owner(w.tables("n0").view());
             Machine is = w.tables(owner).machine(m.name);
             if (is != null && (is.deafSinceMs() > 0 || is.phase() != Machine.Phase.UP)) {
-              more[0] += before[0] >= 0 ? Math.max(0, is.live().size() - before[0]) : 0;
-              before[0] = is.live().size();
-              emptyAt[0] = emptyAt[0] == 0 && is.live().isEmpty() ? w.clock.nowMs() : emptyAt[0];
+              more[0] += before[0] >= 0 ? Math.max(0, is.slots().size() - before[0]) : 0;
+              before[0] = is.slots().size();
+              emptyAt[0] = emptyAt[0] == 0 && is.slots().isEmpty() ? w.clock.nowMs() : emptyAt[0];
               upAgain[0] += lost[0] && is.phase() == Machine.Phase.UP ? 1 : 0;
               lost[0] |= is.phase() != Machine.Phase.UP;
             }
@@ -295,7 +295,7 @@
     }
     for (String n : w.nodes) {
       Machine m = w.tables(n).machine("i-000777");
-      assertTrue(m == null || m.info() == null && m.live().isEmpty(), "at " + n);
+      assertTrue(m == null || m.info() == null && m.slots().isEmpty(), "at " + n);
     }
     w.run(120_000);
     assertEquals(List.of(), w.broken());
@@ -317,7 +317,7 @@
     w.run(20_000);
     SimWorker m = w.workers().get(0);
     String owner = w.owner("n0", m.name);
-    assertTrue(!w.tables("n0").machine(m.name).live().isEmpty(), "nothing runs there");
+    assertTrue(!w.tables("n0").machine(m.name).slots().isEmpty(), "nothing runs there");
     w.killMachine(0);
     if (ownerIsNew) {
       w.crash(owner, 300);
@@ -325,7 +325,7 @@
     // The lease, and for a new owner the grace before it; and a few seconds to notice.
     w.run(16_000 + (ownerIsNew ? 3 * 16_000 : 0) + 6000);
     Machine is = w.tables("n0").machine(m.name);
-    assertTrue(is == null || is.live().isEmpty(), "its tasks still count as there");
+    assertTrue(is == null || is.slots().isEmpty(), "its tasks still count as there");
     assertTrue(is == null || is.phase() != Machine.Phase.UP, "it still counts as up");
     w.net.copies = null;
     w.run(250_000);
