--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -217,7 +217,7 @@
   }
 
   /** Machines whose names differ in the last letter only are stored together. */
-  public static String shelf(String name) {
+  public static String archiveBucketOf(String name) {
     return name.substring(0, Math.max(1, name.length() - 1));
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -458,7 +458,7 @@
       if (!m.name().startsWith(shelf)) {
         break;
       }
-      if (Machine.shelf(m.name()).equals(shelf)) {
+      if (Machine.archiveBucketOf(m.name()).equals(shelf)) {
         out.add(m);
       }
     }
@@ -470,7 +470,7 @@
     try {
       String subject = LogEntry.subject(entry);
       if (LogEntry.aboutMachine(entry)) {
-        return rev <= archiveBucket(Machine.shelf(subject)).rev;
+        return rev <= archiveBucket(Machine.archiveBucketOf(subject)).rev;
       }
       Job j = jobs.get(subject);
       if (j == null) {
@@ -503,7 +503,7 @@
         }
         try {
           if (LogEntry.aboutMachine(e)) {
-            n.archiveBuckets.add(Machine.shelf(LogEntry.subject(e)));
+            n.archiveBuckets.add(Machine.archiveBucketOf(LogEntry.subject(e)));
             continue;
           }
           Job j = jobs.get(LogEntry.subject(e));
@@ -553,7 +553,7 @@
     String kind = LogEntry.kind(e);
     String subject = LogEntry.subject(e);
     if (LogEntry.aboutMachine(e)) {
-      if (rev > archiveBucket(Machine.shelf(subject)).rev) {
+      if (rev > archiveBucket(Machine.archiveBucketOf(subject)).rev) {
         Machine m = getOrCreateMachine(subject);
         boolean applies = kind.equals(LogEntry.MACHINE) ? m.transitionTo(LogEntry.info(e)) : m.forget();
         if (!applies) {
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -134,7 +134,7 @@
     TreeSet<String> shelves = new TreeSet<>();
     for (Machine m : t.machines()) {
       if (m.info() != null) {
-        shelves.add(Machine.shelf(m.name()));
+        shelves.add(Machine.archiveBucketOf(m.name()));
       }
     }
     shelves.forEach(s -> out.put(Tables.archiveBucketKey(s), t.encodeArchiveBucket(s, 0)));
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -48,7 +48,7 @@
                 name(10 * s + i),
                 new Machine.Info("type", zone, false, Machine.Phase.UP, 1_790_000_000_000L)));
       }
-      put(all, "w/h/" + Machine.shelf(name(10 * s)), Map.of("rev", 5L, "m", shelf));
+      put(all, "w/h/" + Machine.archiveBucketOf(name(10 * s)), Map.of("rev", 5L, "m", shelf));
     }
     int next = 0;
     for (int j = 0; j < JOBS; j++) {
