--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -231,7 +231,7 @@
     extra = d.without("spec", "more", "at", "part", "off", "offAt");
     boolean off = d.flag("off");
     if (off && !withdrawn) {
-      machines().forEach(Machine::touch);
+      machines().forEach(Machine::markChanged);
     }
     withdrawn = off;
     withdrawnWallMs = d.count("offAt", 0);
@@ -255,7 +255,7 @@
   /** Told by a peer to be withdrawn: nothing of it is started or kept from now on. */
   void announceWithdrawal() {
     foretold = true;
-    machines().forEach(Machine::touch);
+    machines().forEach(Machine::markChanged);
   }
 
   // ---- chunks ----
@@ -526,7 +526,7 @@
       next.machine().add(new Machine.Slot(this, index));
     }
     if (next.live() && next.stop() != old.stop()) {
-      next.machine().touch();
+      next.machine().markChanged();
     }
     if (old.live() && (!next.live() || next.placer() != old.placer())) {
       usage.add(spec, old.placer(), -1);
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -286,13 +286,13 @@
     return true;
   }
 
-  void touch() {
+  void markChanged() {
     changed = true;
     note();
   }
 
   /** Whether what should be there has changed since the last call. */
-  public boolean takeChanged() {
+  public boolean pollChanged() {
     boolean was = changed;
     changed = false;
     return was;
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -224,7 +224,7 @@
       for (String name : differ) {
         Machine m = machines.get(name);
         if (m != null) {
-          m.touch();
+          m.markChanged();
         }
       }
     }
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -117,7 +117,7 @@
     }
     if (v != null && membership.standing() == Membership.Standing.MEMBER) {
       for (Machine m : changed) {
-        if (owned.contains(m.name()) && m.takeChanged()) {
+        if (owned.contains(m.name()) && m.pollChanged()) {
           directCommands.send(m, true);
         }
       }
