--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -325,7 +325,7 @@
   // ---- images: what this process can tell; the cache keeps the most recently used ----
 
   /** Notes the images of what is booked here; call it before asking about images. */
-  public void noteImages(long nowMs, double cacheGb) {
+  public void updateImages(long nowMs, double cacheGb) {
     for (Slot s : live) {
       if (s.sinceMs == 0) {
         s.sinceMs = nowMs;
@@ -347,7 +347,7 @@
   }
 
   /** A report shows a task that needs it past its fetch. */
-  public void imageReady(String image, double gb, long nowMs) {
+  public void markImageReady(String image, double gb, long nowMs) {
     Image i = images.computeIfAbsent(image, k -> new Image(gb, nowMs));
     if (!i.ready) {
       i.ready = true;
@@ -365,7 +365,7 @@
   }
 
   /** Until when it is taken to fetch images, as far as this process can tell. */
-  public long fetchesUntilMs(double gbPerS) {
+  public long estimatedFetchEndMs(double gbPerS) {
     long until = 0;
     for (Image i : images.values()) {
       if (!i.ready && gbPerS > 0) {
--- a/src/main/java/wickdrift/coordination/CapacityIndex.java
+++ b/src/main/java/wickdrift/coordination/CapacityIndex.java
@@ -138,7 +138,7 @@
       unlist(old);
       dirty.remove(old);
     }
-    m.noteImages(nowMs, type.cacheGb());
+    m.updateImages(nowMs, type.cacheGb());
     FreeCapacity r = old == null || old.type() != type ? new FreeCapacity(m, type) : old;
     r.reset();
     byMachine.put(m, r);
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -130,7 +130,7 @@
       planExited(pass, job, state, entry);
     } else {
       if (entry.phase() != Report.Phase.FETCHING) {
-        pass.machine.imageReady(job.spec().image(), job.spec().imageGb(), timers.nowMs());
+        pass.machine.markImageReady(job.spec().image(), job.spec().imageGb(), timers.nowMs());
       }
       halt(pass, job, state, entry);
     }
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -183,7 +183,7 @@
       TypeInfo t = m.info() == null ? null : types.find(m.info().type());
       if (t != null && m.phase() == Machine.Phase.UP) {
         byLoad[(int) Math.min(4, new FreeCapacity(m, t).load() * 4 + FreeCapacity.EPS)]++;
-        fetching += m.fetchesUntilMs(t.fetchGbPerS()) > timers.nowMs() ? 1 : 0;
+        fetching += m.estimatedFetchEndMs(t.fetchGbPerS()) > timers.nowMs() ? 1 : 0;
       }
     }
     LOG.info(
--- a/src/main/java/wickdrift/coordination/FreeCapacity.java
+++ b/src/main/java/wickdrift/coordination/FreeCapacity.java
@@ -40,7 +40,7 @@
     cpus = machine == null ? 0 : machine.cpus();
     gpus = machine == null ? 0 : machine.gpus();
     memoryGb = machine == null ? 0 : machine.memoryGb();
-    fetchesUntilMs = machine == null ? 0 : machine.fetchesUntilMs(type.fetchGbPerS());
+    fetchesUntilMs = machine == null ? 0 : machine.estimatedFetchEndMs(type.fetchGbPerS());
     reckon();
   }
 
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -210,7 +210,7 @@
           new Machine.Info(t.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
       Machine m = machine(tables, "m" + i, info);
       for (int k = random.nextInt(4); k > 0; k--) {
-        m.imageReady("img" + random.nextInt(4), 1, 0);
+        m.markImageReady("img" + random.nextInt(4), 1, 0);
       }
       rooms.put(m, t, "n0", 0);
       all.add(rooms.of(m));
@@ -249,7 +249,7 @@
       TypeInfo t = new TypeInfo("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
       for (int i = 0; i < (k == 0 ? 60 : 1200); i++) {
         Machine m = machine(tables, "m" + i);
-        m.imageReady("img", 1, 0);
+        m.markImageReady("img", 1, 0);
         rooms.put(m, t, "n0", 0);
       }
       long before = rooms.looked();
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -84,7 +84,7 @@
         log(placed);
       }
       Machine m = tables.machine("m" + i);
-      m.noteImages(0, 100);
+      m.updateImages(0, 100);
       rooms.add(new FreeCapacity(m, TYPE));
     }
     StringBuilder got = new StringBuilder();
