--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -389,8 +389,8 @@
    *     answered with. A copy may be the first that a new owner hears, and must not make a dead
    *     machine look alive; so until one is proved the machine takes no task, and silence goes on
    */
-  public boolean heard(Report r, long epochNow, long nowMs) {
-    boolean proves = learnt(r, epochNow, nowMs);
+  public boolean receiveReport(Report r, long epochNow, long nowMs) {
+    boolean proves = receiveReply(r, epochNow, nowMs);
     if (proves) {
       if (quiet) {
         note();
@@ -405,7 +405,7 @@
    * The same of what it answered to a command. That it answers does not end its silence: a worker
    * that reaches no controller does too, and loses all it has with its lease.
    */
-  public boolean learnt(Report r, long epochNow, long nowMs) {
+  public boolean receiveReply(Report r, long epochNow, long nowMs) {
     boolean answered = answeredEpoch > 0 && r.epoch() >= answeredEpoch;
     boolean proves = r.epoch() >= trustedFrom && (r.epoch() == epochNow || answered);
     if (report == null || proves && !proved) {
@@ -424,17 +424,17 @@
   }
 
   /** From which token on its reports count; 0: any. */
-  public long trustedFrom() {
+  public long trustedFromEpoch() {
     return trustedFrom;
   }
 
   /** Whether it has shown, since it is ours, that it is there now. */
-  public boolean proved() {
+  public boolean provedAlive() {
     return proved;
   }
 
   /** Whether a report is older than one that came by itself: nobody waits for its answer. */
-  public boolean hasOwnNewerThan(Report r) {
+  public boolean hasNewerUnsolicitedReport(Report r) {
     return own != null && r.notNewerThan(own);
   }
 
@@ -445,7 +445,7 @@
    *
    * @param epochNow the highest token that the one before may have seen
    */
-  public void restarted(long epochNow) {
+  public void onWorkerRestart(long epochNow) {
     trustedFrom = epochNow + 1;
     synced = false;
     shownEpoch = -1;
@@ -453,7 +453,7 @@
     own = null;
     proved = false;
     answeredEpoch = 0;
-    hears();
+    markReachableForCommands();
     note();
   }
 
@@ -461,11 +461,11 @@
    * What a report that came by itself tells of whether its worker hears. Never judged by our having
    * answered alone: an answer may be lost with nobody deaf, and a worker may be slow.
    *
-   * @param proves as {@link #heard} said of it
+   * @param proves as {@link #receiveReport} said of it
    * @param ignored whether it lacks a task that it was long since told to run
    * @param leaseMs of the workers
    */
-  public void listens(Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
+  public void updateCommandReachability(Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
     // Had the last answer reached it, its lease could not have ended yet.
     boolean lapsed =
         own != null && r.tenure() > own.tenure() && nowMs - answeredMs < leaseMs * 3 / 4;
@@ -476,7 +476,7 @@
       own = r;
     }
     if (rose) {
-      hears();
+      markReachableForCommands();
     } else if (lapsed || ignored || unheeded >= UNHEEDED_MOST) {
       if (deafSinceMs == 0) {
         deafSinceMs = nowMs;
@@ -486,7 +486,7 @@
   }
 
   /** Something that it was told has surely reached it. */
-  public void hears() {
+  public void markReachableForCommands() {
     unheeded = 0;
     if (deafSinceMs > 0) {
       deafSinceMs = 0;
@@ -495,12 +495,12 @@
   }
 
   /** Since when nothing reaches it, as its own reports show; 0: no reason to think so. */
-  public long deafSinceMs() {
+  public long unreachableForCommandsSinceMs() {
     return deafSinceMs;
   }
 
   /** A new owner starts with no report: an old one proves nothing to it. */
-  public void forgetReports(long lapseBase, long nowMs) {
+  public void resetReports(long lapseBase, long nowMs) {
     ownedSinceMs = nowMs;
     note();
     report = null;
@@ -521,25 +521,25 @@
   }
 
   /** Its worker has missed two reports: until the next one it takes no new task. */
-  public void quiet() {
+  public void markReportsOverdue() {
     if (!quiet && report != null) {
       quiet = true;
       note();
     }
   }
 
-  public boolean isQuiet() {
+  public boolean reportsOverdue() {
     return quiet;
   }
 
-  public long heardMs() {
+  public long lastReportMs() {
     return heardMs;
   }
 
   /**
    * @param epoch of the answer
    */
-  public void answered(long nowMs, long epoch) {
+  public void recordAnswer(long nowMs, long epoch) {
     answeredEpoch = epoch;
     answeredMs = nowMs;
     lapseBaseMs = Math.max(lapseBaseMs, nowMs);
@@ -550,16 +550,16 @@
   }
 
   /** The latest time at which anyone may have renewed the worker's lease. */
-  public long lapseBaseMs() {
+  public long latestLeaseRenewalMs() {
     return lapseBaseMs;
   }
 
   /** True once a report has shown our own epoch: then no older controller can command it. */
-  public boolean synced() {
+  public boolean epochAcknowledged() {
     return synced;
   }
 
-  public void synced(boolean value) {
+  public void setEpochAcknowledged(boolean value) {
     synced = value;
   }
 
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -145,7 +145,7 @@
       return;
     }
     TaskAttempt attempt = attempt(entry);
-    Verdict verdict = pass.commands.mayClear(attempt, pass.scope.own, pass.machine.synced());
+    Verdict verdict = pass.commands.mayClear(attempt, pass.scope.own, pass.machine.epochAcknowledged());
     if (verdict.allowed()) {
       addClear(pass, entry, verdict);
     }
@@ -163,7 +163,7 @@
       }
       return;
     }
-    if (alone && !pass.machine.synced()) {
+    if (alone && !pass.machine.epochAcknowledged()) {
       // Of all ends only this one may be followed by the same attempt running again, and whoever
       // shows an older epoch may be a copy from before that.
       return;
@@ -234,7 +234,7 @@
         boolean first = pass.commands.seen(attempt, pass.report.tick(), pass.report.tenure());
         if (first && pass.scope.own) {
           // It was told to run this, and does.
-          pass.machine.hears();
+          pass.machine.markReachableForCommands();
         }
       } else if (entry == null && !exiting(slot)) {
         // Where another attempt is here still, ours starts when it is gone; and what is known to be
@@ -256,12 +256,12 @@
   private Verdict planAbsent(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     Machine machine = pass.machine;
     Report report = pass.report;
-    boolean deaf = machine.deafSinceMs() > 0;
+    boolean deaf = machine.unreachableForCommandsSinceMs() > 0;
     Verdict verdict =
         pass.commands.mayEnd(
             attempt,
             new WorkerCommands.Absence(
-                pass.scope.own, machine.synced(), report.tenure(), deaf, slot.mustStop()));
+                pass.scope.own, machine.epochAcknowledged(), report.tenure(), deaf, slot.mustStop()));
     if (verdict == Verdict.PROVED) {
       lost(pass, slot, attempt, verdict);
     } else if (pass.commands.wasSeen(attempt) || slot.mustStop()) {
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -73,7 +73,7 @@
     Report report = machine.report();
     WorkerLink link = links.of(machine);
     if (report == null
-        || !machine.synced()
+        || !machine.epochAcknowledged()
         || link.inFlight
         || machine.phase() == Machine.Phase.LOST) {
       return;
@@ -138,7 +138,7 @@
     }
     // Executed, or refused for good: either way this command can't come again.
     link.commands.answered(command);
-    machine.hears();
+    machine.markReachableForCommands();
     View view = tables.view();
     if (!links.isCurrent(machine, link) || view == null) {
       return;
@@ -161,8 +161,8 @@
     if (last == null || report.notNewerThan(last)) {
       return;
     }
-    boolean proves = machine.learnt(report, view.epoch(), timers.nowMs());
-    machine.synced(proves && report.epoch() == view.epoch());
+    boolean proves = machine.receiveReply(report, view.epoch(), timers.nowMs());
+    machine.setEpochAcknowledged(proves && report.epoch() == view.epoch());
     if (proves) {
       link.commands.shown(report.epoch(), report.tenure());
     }
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -318,7 +318,7 @@
       }
       boolean couldBeListed =
           everListed.containsKey(m.name()) || timers.wallMs() - m.info().phaseSinceWallMs() > 3 * lag;
-      boolean heard = m.heardMs() > 0 && now - m.heardMs() < 2 * lag;
+      boolean heard = m.lastReportMs() > 0 && now - m.lastReportMs() < 2 * lag;
       if (couldBeListed && !heard) {
         absentSince.putIfAbsent(m.name(), now);
         if (now - absentSince.get(m.name()) > 2 * lag) {
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -147,19 +147,19 @@
     Set<String> now = new HashSet<>();
     unheard.clear();
     for (Machine m : tables.machines()) {
-      m.synced(false);
+      m.setEpochAcknowledged(false);
       if (node.equals(m.owner(v))) {
         now.add(m.name());
         if (skipped || !wasOurs(m)) {
           // Its owner until now may go on answering it for as long as the grace allows.
-          m.forgetReports(viewSinceMs + tuning.graceMs(), viewSinceMs);
+          m.resetReports(viewSinceMs + tuning.graceMs(), viewSinceMs);
           links.forgetRuns(m);
         }
         if (m.report() == null && m.phase() == Machine.Phase.UP) {
           unheard.add(m.name());
         }
       } else {
-        m.forgetReports(0, viewSinceMs);
+        m.resetReports(0, viewSinceMs);
         links.drop(m);
       }
     }
@@ -254,7 +254,7 @@
       return;
     }
     Machine m = tables.getOrCreateMachine(r.machine());
-    if (m.hasOwnNewerThan(r)) {
+    if (m.hasNewerUnsolicitedReport(r)) {
       // A copy: its worker has long had an answer, or has given up. It proves nothing, and an
       // answer that would renew a lease is not given. Or its machine was back so soon that nobody
       // missed it, and its worker counts from one again: only an answer of its own can tell.
@@ -263,16 +263,16 @@
       return;
     }
     Report last = m.report();
-    boolean late = last != null && m.proved() && r.notNewerThan(last);
+    boolean late = last != null && m.provedAlive() && r.notNewerThan(last);
     List<Order> orders;
     if (!late) {
       long now = timers.nowMs();
-      boolean proves = m.heard(r, v.epoch(), now);
-      m.synced(proves && r.epoch() == v.epoch());
+      boolean proves = m.receiveReport(r, v.epoch(), now);
+      m.setEpochAcknowledged(proves && r.epoch() == v.epoch());
       if (proves) {
         links.commands(m).shown(r.epoch(), r.tenure());
       }
-      m.listens(r, proves, ignores(m, r, now), leaseMs, now);
+      m.updateCommandReachability(r, proves, ignores(m, r, now), leaseMs, now);
       if (unheard.remove(m.name()) && unheard.isEmpty()) {
         pipeline.settle();
       }
@@ -284,10 +284,10 @@
       // Its answer renews the lease too, should the worker still wait for it.
       orders = planner.haltsOfCancelled(m);
     }
-    m.answered(timers.nowMs(), v.epoch());
+    m.recordAnswer(timers.nowMs(), v.epoch());
     // One that is newly ours need not wait for its next report to prove itself.
-    boolean unproved = !late && !m.proved() && m.phase() == Machine.Phase.UP;
-    if (m.deafSinceMs() > 0 || unproved) {
+    boolean unproved = !late && !m.provedAlive() && m.phase() == Machine.Phase.UP;
+    if (m.unreachableForCommandsSinceMs() > 0 || unproved) {
       directCommands.probe(m, r.tenure());
     }
     Map<String, Object> body = new LinkedHashMap<>();
@@ -300,7 +300,7 @@
   /** Brings the machine's durable record up to what the report says. */
   private void note(Machine m, Report r, boolean proves) {
     owned.add(m.name());
-    if (!proves || m.deafSinceMs() > 0) {
+    if (!proves || m.unreachableForCommandsSinceMs() > 0) {
       // Perhaps a copy of what a machine said that is gone by now; or one that nothing reaches.
       return;
     }
@@ -361,7 +361,7 @@
     if (v == null || !node.equals(m.owner(v)) || v.epoch() != viewEpoch) {
       return false;
     }
-    if (r == null || !m.synced() || !m.proved()) {
+    if (r == null || !m.epochAcknowledged() || !m.provedAlive()) {
       return false;
     }
     WorkerCommands commands = links.commands(m);
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -170,7 +170,7 @@
     if (usable) {
       boolean shun = m.quarantinedUntilMs(timers.nowMs()) > timers.nowMs();
       member(shunned, m, shun);
-      boolean answers = m.proved() && !m.isQuiet() && m.deafSinceMs() == 0;
+      boolean answers = m.provedAlive() && !m.reportsOverdue() && m.unreachableForCommandsSinceMs() == 0;
       usable = !shun && (answers || !owner.equals(node));
     }
     if (usable) {
--- a/src/main/java/wickdrift/coordination/SilenceWatch.java
+++ b/src/main/java/wickdrift/coordination/SilenceWatch.java
@@ -100,10 +100,10 @@
     // none would ever be found silent.
     long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.listeningSinceMs());
     if (known && silent > tuning.quietMs()) {
-      machine.quiet();
+      machine.markReportsOverdue();
       zones.silent(machine.info().zone());
     }
-    boolean deaf = machine.deafSinceMs() > 0 && now - machine.deafSinceMs() > tuning.lostMs();
+    boolean deaf = machine.unreachableForCommandsSinceMs() > 0 && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
     if (up && (deaf || silent > tuning.lostMs()) && !pipeline.recording(machine)) {
       LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
       pipeline.record(machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
@@ -111,7 +111,7 @@
   }
 
   private void lapse(Machine machine, View view, long now) {
-    long base = machine.lapseBaseMs();
+    long base = machine.latestLeaseRenewalMs();
     if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
       // No one can have renewed its lease since: the worker has killed all it had.
       links.note(
@@ -128,7 +128,7 @@
   private boolean needsHigherEpoch(Machine machine, View view, long now) {
     // One that has begun anew is trusted again with a higher token; no more often than that has
     // time to reach the workers.
-    boolean anew = machine.trustedFrom() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
+    boolean anew = machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
     return anew || uncertainStop(machine, now);
   }
 
@@ -140,7 +140,7 @@
     WorkerCommands commands = links.known(machine);
     if (commands == null
         || commands.quiet()
-        || now - machine.heardMs() > DirectCommands.ANSWER_MS) {
+        || now - machine.lastReportMs() > DirectCommands.ANSWER_MS) {
       return false;
     }
     for (Machine.Slot slot : machine.slots()) {
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -98,7 +98,7 @@
         report.tick(),
         epoch);
     restarts++;
-    machine.restarted(epoch);
+    machine.onWorkerRestart(epoch);
     commands(machine).workerRestarted();
     note(CommandEvent.Kind.WORKER_RESTARTED, machine, NO_ATTEMPT, report, epoch, "");
   }
--- a/src/test/java/wickdrift/bookkeeping/MachineTest.java
+++ b/src/test/java/wickdrift/bookkeeping/MachineTest.java
@@ -46,7 +46,7 @@
       String[] p = r.replace("h", "").replace("!", "").split("[:/]");
       long now = Long.parseLong(p[0]) * 1000 + 1;
       if (hears) {
-        m.hears();
+        m.markReachableForCommands();
       }
       Report is =
           new Report(
@@ -60,12 +60,12 @@
               Long.parseLong(p[3]),
               null,
               List.of());
-      boolean proves = m.heard(is, epoch, now);
-      m.listens(is, proves, ignored, LEASE_MS, now);
-      m.answered(now, epoch);
+      boolean proves = m.receiveReport(is, epoch, now);
+      m.updateCommandReachability(is, proves, ignored, LEASE_MS, now);
+      m.recordAnswer(now, epoch);
     }
-    assertEquals(proved, m.proved());
-    assertEquals(deaf, m.deafSinceMs() > 0);
+    assertEquals(proved, m.provedAlive());
+    assertEquals(deaf, m.unreachableForCommandsSinceMs() > 0);
   }
 
   /** What came by itself makes older ones copies; of an earlier session too. */
@@ -74,9 +74,9 @@
   void whatIsOlderIsACopy(long tenure, long tick, boolean copy) {
     Machine m = new Machine("m", 0, x -> {});
     Report own = new Report("m", "a", "t", "z", false, 1, 5, 7, null, List.of());
-    m.listens(own, m.heard(own, 7, 1), false, LEASE_MS, 1);
+    m.updateCommandReachability(own, m.receiveReport(own, 7, 1), false, LEASE_MS, 1);
     Report r = new Report("m", "a", "t", "z", false, tenure, tick, 7, null, List.of());
-    assertEquals(copy, m.hasOwnNewerThan(r));
+    assertEquals(copy, m.hasNewerUnsolicitedReport(r));
   }
 
   /**
@@ -100,20 +100,20 @@
       String[] p = e.substring(1).split("[:/]");
       long now = Long.parseLong(p[0]) * 1000;
       if (e.startsWith("a")) {
-        m.answered(now, 7);
+        m.recordAnswer(now, 7);
         continue;
       }
       long tenure = Long.parseLong(p[1]);
       long tick = Long.parseLong(p[2]);
       Report r = new Report("m", "a", "t", "z", false, tenure, tick, 7, null, List.of());
       if (e.startsWith("h")) {
-        m.heard(r, 7, now);
+        m.receiveReport(r, 7, now);
         heardMs = now;
       } else {
-        m.learnt(r, 7, now);
+        m.receiveReply(r, 7, now);
       }
     }
-    assertEquals(baseS * 1000, m.lapseBaseMs());
+    assertEquals(baseS * 1000, m.latestLeaseRenewalMs());
     // What it answers to commands is no report.
     assertEquals(heardMs, m.silentSinceMs());
   }
