--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -244,7 +244,7 @@
     Set<Machine> out = new LinkedHashSet<>();
     int left = live;
     for (int i = 0; i < tasks.length && left > 0; i++) {
-      if (tasks[i].live()) {
+      if (tasks[i].isLive()) {
         out.add(tasks[i].machine());
         left--;
       }
@@ -297,7 +297,7 @@
         doneRanges.add(i - runStart);
         runStart = -1;
       }
-      if (s != null && s.live()) {
+      if (s != null && s.isLive()) {
         liveOnes.add(List.of(i, s.attempt(), s.machine().name(), s.placer(), s.stop().ordinal()));
       } else if (s != null && !isDone && s.attempt() > 0) {
         tried.add(List.of(i, s.attempt()));
@@ -451,7 +451,7 @@
 
   boolean applyExit(int index, int attempt, int how) {
     TaskState s = tasks[index];
-    if (!s.live() || s.attempt() != attempt) {
+    if (!s.isLive() || s.attempt() != attempt) {
       return false;
     }
     Machine on = s.machine();
@@ -495,7 +495,7 @@
 
   boolean applyStop(int index, int attempt, TaskState.Stop how) {
     TaskState s = tasks[index];
-    if (!s.live() || s.attempt() != attempt) {
+    if (!s.isLive() || s.attempt() != attempt) {
       return false;
     }
     set(index, s.stopping(how));
@@ -519,19 +519,19 @@
 
   private void set(int index, TaskState next) {
     TaskState old = tasks[index];
-    if (old.live() && old.machine() != next.machine()) {
+    if (old.isLive() && old.machine() != next.machine()) {
       old.machine().remove(this, index);
     }
-    if (next.live() && old.machine() != next.machine()) {
+    if (next.isLive() && old.machine() != next.machine()) {
       next.machine().add(new Machine.Slot(this, index));
     }
-    if (next.live() && next.stop() != old.stop()) {
+    if (next.isLive() && next.stop() != old.stop()) {
       next.machine().markChanged();
     }
-    if (old.live() && (!next.live() || next.placer() != old.placer())) {
+    if (old.isLive() && (!next.isLive() || next.placer() != old.placer())) {
       usage.add(spec, old.placer(), -1);
     }
-    if (next.live() && (!old.live() || next.placer() != old.placer())) {
+    if (next.isLive() && (!old.isLive() || next.placer() != old.placer())) {
       usage.add(spec, next.placer(), 1);
     }
     note();
@@ -557,7 +557,7 @@
     }
     note();
     for (int i = 0; i < tasks.length && live > 0; i++) {
-      if (tasks[i].live()) {
+      if (tasks[i].isLive()) {
         set(i, TaskState.waiting(tasks[i].attempt()));
       }
     }
--- a/src/main/java/wickdrift/bookkeeping/TaskState.java
+++ b/src/main/java/wickdrift/bookkeeping/TaskState.java
@@ -28,7 +28,7 @@
     return attempt == 0 ? NEW : new TaskState(Phase.WAITING, attempt, null, 0, Stop.NONE);
   }
 
-  public boolean live() {
+  public boolean isLive() {
     return phase == Phase.LIVE;
   }
 
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -120,7 +120,7 @@
     TaskState state = job == null || entry.index() >= job.taskCount() ? null : job.task(entry.index());
     boolean booked =
         state != null
-            && state.live()
+            && state.isLive()
             && state.machine() == pass.machine
             && state.attempt() == entry.attempt();
     boolean exited = entry.phase() == Report.Phase.EXITED;
@@ -304,7 +304,7 @@
         pass.scope.own ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
     CommandEvent event = pass.event(kind, attempt, "booked, not shown");
     boolean cancelled = slot.job().withdrawnOrAnnounced();
-    boolean booked = slot.state().live() && slot.state().machine() == pass.machine;
+    boolean booked = slot.state().isLive() && slot.state().machine() == pass.machine;
     boolean holdsLease = membership.standing() == Membership.Standing.MEMBER;
     if (!monitor.check(Invariant.NO_START_OF_A_CANCELLED_JOB, !cancelled, event)
         || !monitor.check(Invariant.NO_START_OF_AN_ENDED_ATTEMPT, booked && !exiting(slot), event)
--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/Placing.java
@@ -291,7 +291,7 @@
     }
     for (int i = 0; i < job.taskCount(); i++) {
       TaskState s = draft.state(job, i);
-      if (s.live()) {
+      if (s.isLive()) {
         Machine.Info info = s.machine().info();
         // A machine whose record is gone may be in any zone; the mark blocks a one-zone job.
         n.merge(info == null ? "?" : info.zone(), 1, Integer::sum);
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -146,7 +146,7 @@
     int stopping = 0;
     for (int i = 0; i < j.taskCount(); i++) {
       TaskState s = j.task(i);
-      stopping += s.live() && s.stop() != TaskState.Stop.NONE ? 1 : 0;
+      stopping += s.isLive() && s.stop() != TaskState.Stop.NONE ? 1 : 0;
     }
     return stopping > 0 && stopping < j.liveCount();
   }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -184,12 +184,12 @@
     if (next == old) {
       return;
     }
-    if (next.live() && !old.live()) {
+    if (next.isLive() && !old.isLive()) {
       places = true;
       bytes += next.machine().name().length();
       placed.computeIfAbsent(next.machine(), k -> new ArrayList<>()).add(job.spec());
     }
-    liveDelta.merge(job, (next.live() ? 1 : 0) - (old.live() ? 1 : 0), Integer::sum);
+    liveDelta.merge(job, (next.isLive() ? 1 : 0) - (old.isLive() ? 1 : 0), Integer::sum);
     Map<Integer, TaskState> m = tasks.get(job);
     if (m == null) {
       m = new LinkedHashMap<>();
@@ -347,8 +347,8 @@
     changes.forEach(
         (i, next) -> {
           TaskState old = job.task(i);
-          boolean same = old.live() && next.live() && old.attempt() == next.attempt();
-          if (old.live() && !same) {
+          boolean same = old.isLive() && next.isLive() && old.attempt() == next.attempt();
+          if (old.isLive() && !same) {
             boolean error = failed.getOrDefault(job, Set.of()).contains(i);
             int how =
                 next.phase() == TaskState.Phase.DONE
@@ -356,11 +356,11 @@
                     : error ? LogEntry.EXIT_FAILED : LogEntry.EXIT_LOST;
             to(exited, LogEntry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
           }
-          if (next.live() && !same) {
+          if (next.isLive() && !same) {
             to(placed, LogEntry.placed(job.id(), number), 3)
                 .addAll(List.of(i, next.attempt(), next.machine().name()));
           }
-          if (next.live() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
+          if (next.isLive() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
             to(stopped, LogEntry.stopped(job.id(), next.stop()), 2).addAll(List.of(i, next.attempt()));
           }
         });
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -451,7 +451,7 @@
       Exit x = e.getValue();
       // Under another view someone else may have owned the machine, and have answered its worker.
       boolean stale = x.lostIn > 0 && x.lostIn != tables.view().epoch();
-      if (stale || s == null || !s.live() || s.attempt() != x.attempt || s.machine() != x.machine) {
+      if (stale || s == null || !s.isLive() || s.attempt() != x.attempt || s.machine() != x.machine) {
         it.remove();
         continue;
       }
@@ -511,7 +511,7 @@
       }
       if (done && s.phase() == TaskState.Phase.WAITING) {
         draft.change(job, i, TaskState::doneWithGang);
-      } else if (s.live() && !done) {
+      } else if (s.isLive() && !done) {
         // The others cannot go on without it; a new attempt needs all of this one to be over.
         draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
       }
@@ -594,7 +594,7 @@
   private void draftStops(TransactionBuilder draft) {
     for (Job job : scheduling.halting()) {
       for (int i = 0; i < job.taskCount(); i++) {
-        if (draft.state(job, i).live() && draft.takes(job, 1)) {
+        if (draft.state(job, i).isLive() && draft.takes(job, 1)) {
           draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
         }
       }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -106,7 +106,7 @@
           LOG.info("{} gives way to {}", s.taskName(), job.id());
         }
         draft.change(
-            s.job(), s.index(), t -> t.live() ? t.stopping(Preemption.how(s.job().spec())) : t);
+            s.job(), s.index(), t -> t.isLive() ? t.stopping(Preemption.how(s.job().spec())) : t);
       }
     }
   }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -166,6 +166,6 @@
   }
 
   private static TaskState stopped(TaskState s) {
-    return s.live() ? TaskState.waiting(s.attempt()) : s;
+    return s.isLive() ? TaskState.waiting(s.attempt()) : s;
   }
 }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -183,10 +183,10 @@
         error(j.key(), "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
       }
       for (int i = 0; i < j.taskCount(); i++) {
-        if (j.task(i).live() && t.registry().name(j.task(i).placer()) == null) {
+        if (j.task(i).isLive() && t.registry().name(j.task(i).placer()) == null) {
           unknown.add(j.task(i).placer());
         }
-        if (j.task(i).live() && j.task(i).machine().phase() == Machine.Phase.UNKNOWN) {
+        if (j.task(i).isLive() && j.task(i).machine().phase() == Machine.Phase.UNKNOWN) {
           note(j.key(), "task " + i + " is on " + j.task(i).machine().name() + ", of no record");
         }
       }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -204,7 +204,7 @@
               for (int i = 0; i < j.taskCount(); i++) {
                 TaskState s = j.task(i);
                 b.append(' ').append(s.phase()).append(s.attempt()).append(s.stop());
-                b.append(s.live() ? s.machine().name() : "");
+                b.append(s.isLive() ? s.machine().name() : "");
               }
               b.append('\n');
             });
