--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -23,18 +23,18 @@
   private static final String PREFIX = Job.terminalStateKey("");
 
   /** What the state service says of a job. */
-  public enum Answer {
-    OVER,
+  public enum LookupResult {
+    TERMINAL,
     /** It is not over, or was never accepted: whoever asks knows whether it is unfinished. */
-    NOT_OVER,
+    NOT_TERMINAL,
     /** The state service did not answer. */
-    NONE
+    UNAVAILABLE
   }
 
   private final Timers timers;
   private final StateServiceClient ledger;
   private final Tables tables;
-  private TreeMap<String, List<Consumer<Answer>>> next = new TreeMap<>();
+  private TreeMap<String, List<Consumer<LookupResult>>> next = new TreeMap<>();
   private boolean reading;
   private boolean armed;
   private long reads;
@@ -46,18 +46,18 @@
   }
 
   /** Reads sent so far. */
-  public long reads() {
+  public long readCount() {
     return reads;
   }
 
   /** Asks how a job ended; if it did, it is remembered in the tables by the time of the answer. */
-  public void ask(String id, Consumer<Answer> done) {
+  public void lookUp(String id, Consumer<LookupResult> done) {
     next.computeIfAbsent(id, k -> new ArrayList<>()).add(done);
     pump();
   }
 
   /** Reads what the chains lack, until nothing is. */
-  public void chase() {
+  public void resolveDependencies() {
     if (ledger.phase() != StateServiceClient.Phase.FOLLOWING || armed) {
       return;
     }
@@ -76,7 +76,7 @@
         .removeIf(
             e -> e.getValue().isEmpty() && !tables.dependencies().unknown().contains(e.getKey()));
     if (!next.isEmpty()) {
-      TreeMap<String, List<Consumer<Answer>>> open = next;
+      TreeMap<String, List<Consumer<LookupResult>>> open = next;
       next = new TreeMap<>();
       reading = true;
       read(open);
@@ -84,7 +84,7 @@
   }
 
   /** Reads from the first of those that are open on. */
-  private void read(TreeMap<String, List<Consumer<Answer>>> open) {
+  private void read(TreeMap<String, List<Consumer<LookupResult>>> open) {
     if (open.isEmpty()) {
       reading = false;
       pump();
@@ -100,7 +100,7 @@
         PAGE,
         l -> {
           if (l == null) {
-            open.values().forEach(v -> v.forEach(c -> c.accept(Answer.NONE)));
+            open.values().forEach(v -> v.forEach(c -> c.accept(LookupResult.UNAVAILABLE)));
             reading = false;
             again();
             return;
@@ -110,35 +110,35 @@
         });
   }
 
-  private void take(StateServiceClient.ListResult l, TreeMap<String, List<Consumer<Answer>>> open) {
+  private void take(StateServiceClient.ListResult l, TreeMap<String, List<Consumer<LookupResult>>> open) {
     String last = null;
     for (StateServiceClient.Change c : l.entries()) {
       last = c.key().substring(PREFIX.length());
-      List<Consumer<Answer>> asking = open.get(last);
+      List<Consumer<LookupResult>> asking = open.get(last);
       if (asking == null) {
         continue;
       }
       try {
         tables.rememberTerminalState(last, TerminalState.parse(Document.of(c.value())));
         open.remove(last);
-        asking.forEach(a -> a.accept(Answer.OVER));
+        asking.forEach(a -> a.accept(LookupResult.TERMINAL));
       } catch (BadMessage e) {
         LOG.error("unreadable final record of {}: {}", last, e.getMessage());
         open.remove(last);
-        asking.forEach(a -> a.accept(Answer.NONE));
+        asking.forEach(a -> a.accept(LookupResult.UNAVAILABLE));
       }
     }
     // Up to the last key that came, whatever did not come is not there.
-    Map<String, List<Consumer<Answer>>> absent =
+    Map<String, List<Consumer<LookupResult>>> absent =
         l.truncated() && last != null ? open.headMap(last, true) : open;
     for (String id : List.copyOf(absent.keySet())) {
-      List<Consumer<Answer>> asking = open.remove(id);
+      List<Consumer<LookupResult>> asking = open.remove(id);
       if (asking.isEmpty() && tables.dependencies().unknown().contains(id)) {
         // Accepted, and neither unfinished nor over: only a table that lags, or lost state.
         LOG.debug("{} is awaited, and is neither unfinished nor over", id);
         again();
       }
-      asking.forEach(a -> a.accept(Answer.NOT_OVER));
+      asking.forEach(a -> a.accept(LookupResult.NOT_TERMINAL));
     }
   }
 
@@ -149,7 +149,7 @@
           AGAIN_MS,
           () -> {
             armed = false;
-            chase();
+            resolveDependencies();
           });
     }
   }
--- a/src/main/java/wickdrift/coordination/AwaitedJobs.java
+++ b/src/main/java/wickdrift/coordination/AwaitedJobs.java
@@ -61,12 +61,12 @@
     String[] never = new String[1];
     boolean[] unsaid = new boolean[1];
     for (String id : unknown) {
-      history.ask(
+      history.lookUp(
           id,
           a -> {
-            if (a == JobHistory.Answer.NONE) {
+            if (a == JobHistory.LookupResult.UNAVAILABLE) {
               unsaid[0] = true;
-            } else if (a == JobHistory.Answer.NOT_OVER
+            } else if (a == JobHistory.LookupResult.NOT_TERMINAL
                 && tables.job(id) == null
                 && tables.terminalState(id) == null) {
               never[0] = id;
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -186,7 +186,7 @@
     metrics.watch("machines.known", () -> tables.machines().size());
     metrics.watch("transactions.too.large", ledger::tooLargeCount);
     metrics.watch("state.limits.fallen", () -> limits.nextLimitsInEffect() ? 1 : 0);
-    metrics.watch("finals.read", history::reads);
+    metrics.watch("finals.read", history::readCount);
     metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
     metrics.watch("jobs.over", () -> tables.pendingHistory().size());
     metrics.watch("jobs.unclear", () -> tables.dependencies().unknown().size());
@@ -258,7 +258,7 @@
   }
 
   private void tablesChanged() {
-    history.chase();
+    history.resolveDependencies();
     scheduling.update();
     reporting.tablesChanged(scheduling.takeChanged());
     pipeline.wake();
