--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -60,44 +60,44 @@
   }
 
   /** The jobs of which it must be read how they ended. */
-  public TreeSet<String> unknown() {
+  public TreeSet<String> unresolved() {
     return unknown;
   }
 
   /** The jobs that await one. */
-  public Set<Job> after(String id) {
+  public Set<Job> dependents(String id) {
     return after.getOrDefault(id, Set.of());
   }
 
   // ---- changes ----
 
   /** A job appeared in the tables; its names may be there in part. */
-  void joined(Job j) {
+  void jobAdded(Job j) {
     j.awaits().forEach(a -> after.computeIfAbsent(a, k -> new LinkedHashSet<>()).add(j));
     unknown.remove(j.id());
     // A load brings jobs in the order of their ids: those that await it may have come before.
     j.pull(pulled(j));
     lend(j);
     settle(j);
-    after(j.id()).forEach(this::settle);
+    dependents(j.id()).forEach(this::settle);
   }
 
   /** A job was withdrawn by its user, or its names are all there. */
-  void changed(Job j) {
+  void jobChanged(Job j) {
     settle(j);
-    after(j.id()).forEach(this::settle);
+    dependents(j.id()).forEach(this::settle);
   }
 
   /** It is known how a job ended. */
-  void ended(String id, TerminalState how) {
+  void jobTerminated(String id, TerminalState how) {
     unknown.remove(id);
     if (after.containsKey(id) && ends.put(id, how) == null) {
-      List.copyOf(after(id)).forEach(this::settle);
+      List.copyOf(dependents(id)).forEach(this::settle);
     }
   }
 
   /** A job is out of the tables. */
-  void left(Job j) {
+  void jobRemoved(Job j) {
     for (String a : j.awaits()) {
       Set<Job> others = after.get(a);
       if (others != null && others.remove(j) && others.isEmpty()) {
@@ -106,7 +106,7 @@
         unknown.remove(a);
       }
     }
-    List.copyOf(after(j.id())).forEach(this::settle);
+    List.copyOf(dependents(j.id())).forEach(this::settle);
     takeBack(j);
   }
 
@@ -146,7 +146,7 @@
       // Those after it draw from whether it is clear, and whether it is withdrawn.
       boolean clear = (was == Job.DependencyState.UNRESOLVED) != (now == Job.DependencyState.UNRESOLVED);
       if (clear || wasOff != j.withdrawn()) {
-        open.addAll(after(j.id()));
+        open.addAll(dependents(j.id()));
       }
     }
   }
@@ -170,7 +170,7 @@
   /** What those that await a job lend to it. */
   private Job.InheritedUrgency pulled(Job j) {
     Job.InheritedUrgency p = Job.InheritedUrgency.NONE;
-    for (Job d : after(j.id())) {
+    for (Job d : dependents(j.id())) {
       p = p.and(lent(d, j));
     }
     return p;
--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -61,7 +61,7 @@
     if (ledger.phase() != StateServiceClient.Phase.FOLLOWING || armed) {
       return;
     }
-    for (String id : tables.dependencies().unknown()) {
+    for (String id : tables.dependencies().unresolved()) {
       next.computeIfAbsent(id, k -> new ArrayList<>());
     }
     pump();
@@ -74,7 +74,7 @@
     // The chains' questions are put again with each change; some were answered meanwhile.
     next.entrySet()
         .removeIf(
-            e -> e.getValue().isEmpty() && !tables.dependencies().unknown().contains(e.getKey()));
+            e -> e.getValue().isEmpty() && !tables.dependencies().unresolved().contains(e.getKey()));
     if (!next.isEmpty()) {
       TreeMap<String, List<Consumer<LookupResult>>> open = next;
       next = new TreeMap<>();
@@ -133,7 +133,7 @@
         l.truncated() && last != null ? open.headMap(last, true) : open;
     for (String id : List.copyOf(absent.keySet())) {
       List<Consumer<LookupResult>> asking = open.remove(id);
-      if (asking.isEmpty() && tables.dependencies().unknown().contains(id)) {
+      if (asking.isEmpty() && tables.dependencies().unresolved().contains(id)) {
         // Accepted, and neither unfinished nor over: only a table that lags, or lost state.
         LOG.debug("{} is awaited, and is neither unfinished nor over", id);
         again();
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -367,7 +367,7 @@
 
   public void rememberTerminalState(String id, TerminalState how) {
     finished.put(id, how);
-    dependencies.ended(id, how);
+    dependencies.jobTerminated(id, how);
   }
 
   /** Which jobs await which. */
@@ -744,7 +744,7 @@
       orphanedKeys.add(j.overflow().key(k));
     }
     j.releaseTasks();
-    dependencies.left(j);
+    dependencies.jobRemoved(j);
   }
 
   /** Gives a job the names that its own record has no room for, once all are there. */
@@ -813,12 +813,12 @@
               j.announceWithdrawal();
             }
             gather(j);
-            dependencies.joined(j);
+            dependencies.jobAdded(j);
           } else {
             boolean was = j.withdrawnByUser();
             j.applyRecord(d, c.stamp());
             if (was != j.withdrawnByUser()) {
-              dependencies.changed(j);
+              dependencies.jobChanged(j);
             }
           }
         }
@@ -832,7 +832,7 @@
         names.put(key, Overflow.names(d));
         Job j = jobs.get(Overflow.job(key));
         if (j != null && j.overflow() != null && j.awaits().isEmpty() && gather(j)) {
-          dependencies.joined(j);
+          dependencies.jobAdded(j);
         }
       }
       case 't' -> {
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -189,7 +189,7 @@
     metrics.watch("finals.read", history::readCount);
     metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
     metrics.watch("jobs.over", () -> tables.pendingHistory().size());
-    metrics.watch("jobs.unclear", () -> tables.dependencies().unknown().size());
+    metrics.watch("jobs.unclear", () -> tables.dependencies().unresolved().size());
     metrics.watch("log.pages", () -> tables.logPages(node).size());
     metrics.watch("polls.shed", admission::shed);
     metrics.watch("loop.late.ms", pauseDetector::lateMs);
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -117,7 +117,7 @@
       assertEquals(lent(n, false), j.effectivePriority().ordinal(), id(n.number) + " rank");
       assertEquals(lent(n, true), j.preemptionPriority().ordinal(), id(n.number) + " team rank");
     }
-    assertTrue(t.dependencies().unknown().isEmpty(), "unknown " + t.dependencies().unknown());
+    assertTrue(t.dependencies().unresolved().isEmpty(), "unknown " + t.dependencies().unresolved());
   }
 
   /** Each step is one change of the store, as it would come; now and then all is loaded anew. */
@@ -177,8 +177,8 @@
 
   /** Tells it how those ended of which it does not know, as one read does. */
   private void resolve(Tables t) throws BadMessage {
-    for (String id : List.copyOf(t.dependencies().unknown())) {
-      for (Job j : t.dependencies().after(id)) {
+    for (String id : List.copyOf(t.dependencies().unresolved())) {
+      for (Job j : t.dependencies().dependents(id)) {
         assertTrue(
             j.dependencyState() == Job.DependencyState.UNRESOLVED || j.withdrawn(), j.id() + " is clear without " + id);
       }
