--- a/src/main/java/wickdrift/bookkeeping/Overflow.java
+++ b/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
@@ -18,7 +18,7 @@
  * @param sum of all names
  * @param records how many there are
  */
-public record Overflow(String job, String sum, int records) {
+public record AwaitsOverflow(String job, String sum, int records) {
   private static final String PREFIX = "w/a/";
 
   /** A name with its quotes and comma. */
@@ -35,7 +35,7 @@
   }
 
   /** The job of such a key. */
-  static String job(String key) throws BadMessage {
+  static String jobOfKey(String key) throws BadMessage {
     int slash = key.lastIndexOf('/');
     if (slash <= PREFIX.length()) {
       throw new BadMessage("a record of names is of no job");
@@ -49,12 +49,12 @@
   }
 
   /** How a job's names are laid out in records of so many bytes. */
-  public static Overflow of(String job, List<String> names, int valueBytes) {
+  public static AwaitsOverflow of(String job, List<String> names, int valueBytes) {
     CRC32 crc = new CRC32();
     crc.update((names.size() + "," + each(valueBytes)).getBytes(StandardCharsets.UTF_8));
     names.forEach(n -> crc.update(n.getBytes(StandardCharsets.UTF_8)));
     int per = each(valueBytes);
-    return new Overflow(job, Long.toHexString(crc.getValue()), (names.size() + per - 1) / per);
+    return new AwaitsOverflow(job, Long.toHexString(crc.getValue()), (names.size() + per - 1) / per);
   }
 
   /** The records of those names, by key. */
@@ -76,20 +76,20 @@
     return List.of(sum, records);
   }
 
-  static Overflow parse(String job, Object stored) throws BadMessage {
+  static AwaitsOverflow parse(String job, Object stored) throws BadMessage {
     if (stored instanceof List<?> l
         && l.size() == 2
         && l.get(0) instanceof String sum
         && l.get(1) instanceof Long n
         && n > 0
         && n <= MOST_RECORDS) {
-      return new Overflow(job, sum, n.intValue());
+      return new AwaitsOverflow(job, sum, n.intValue());
     }
     throw new BadMessage("where more names are is not told");
   }
 
   /** The names of one record. */
-  static List<String> names(Document d) throws BadMessage {
+  static List<String> parseNames(Document d) throws BadMessage {
     return List.copyOf(d.texts("names"));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -90,7 +90,7 @@
 
   // Drawn by the chains.
   private List<String> awaits = List.of();
-  private Overflow overflow;
+  private AwaitsOverflow overflow;
   private DependencyState dependencyState = DependencyState.UNRESOLVED;
   private long readyWallMs;
   private InheritedUrgency pull = InheritedUrgency.NONE;
@@ -169,7 +169,7 @@
    * @param withdrawnWallMs 0 if it is not withdrawn
    */
   public static Map<String, Object> toStore(
-      JobSpec spec, Overflow more, long acceptedWallMs, String part, long withdrawnWallMs) {
+      JobSpec spec, AwaitsOverflow more, long acceptedWallMs, String part, long withdrawnWallMs) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("spec", described(spec, more));
     if (more != null) {
@@ -183,7 +183,7 @@
   }
 
   /** What was submitted, without names that are in records of their own. */
-  private static Map<String, Object> described(JobSpec spec, Overflow more) {
+  private static Map<String, Object> described(JobSpec spec, AwaitsOverflow more) {
     return (more == null ? spec : spec.awaiting(List.of())).toStore();
   }
 
@@ -224,7 +224,7 @@
       waitingTasks = new BitSet(tasks.length);
       waitingTasks.set(0, tasks.length);
       awaits = spec.awaits();
-      overflow = d.raw("more") == null ? null : Overflow.parse(id, d.raw("more"));
+      overflow = d.raw("more") == null ? null : AwaitsOverflow.parse(id, d.raw("more"));
     }
     acceptedWallMs = d.count("at");
     part = d.text("part");
@@ -613,7 +613,7 @@
   }
 
   /** Where the names are that its own record has no room for, or null. */
-  public Overflow overflow() {
+  public AwaitsOverflow overflow() {
     return overflow;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -749,7 +749,7 @@
 
   /** Gives a job the names that its own record has no room for, once all are there. */
   private boolean gather(Job j) {
-    Overflow o = j.overflow();
+    AwaitsOverflow o = j.overflow();
     List<String> all = new ArrayList<>();
     for (int k = 0; o != null && k < o.records(); k++) {
       List<String> some = names.get(o.key(k));
@@ -829,8 +829,8 @@
           orphanedKeys.remove(key);
           return;
         }
-        names.put(key, Overflow.names(d));
-        Job j = jobs.get(Overflow.job(key));
+        names.put(key, AwaitsOverflow.parseNames(d));
+        Job j = jobs.get(AwaitsOverflow.jobOfKey(key));
         if (j != null && j.overflow() != null && j.awaits().isEmpty() && gather(j)) {
           dependencies.jobAdded(j);
         }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -8,7 +8,7 @@
 import java.util.function.BooleanSupplier;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Overflow;
+import wickdrift.bookkeeping.AwaitsOverflow;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.level.Gate;
@@ -165,13 +165,13 @@
    * is accepted: each transaction is conditional on the job's absence, and who tries again writes
    * the same.
    */
-  private void writeNames(Submission s, Overflow more) {
+  private void writeNames(Submission s, AwaitsOverflow more) {
     List<Map.Entry<String, Object>> open =
         new ArrayList<>(more.values(s.spec().awaits(), ledger.limits().targetValueBytes()).entrySet());
     writeNames(s, more, open);
   }
 
-  private void writeNames(Submission s, Overflow more, List<Map.Entry<String, Object>> open) {
+  private void writeNames(Submission s, AwaitsOverflow more, List<Map.Entry<String, Object>> open) {
     if (open.isEmpty()) {
       batchOf(s, more);
       return;
@@ -203,7 +203,7 @@
   }
 
   /** A transaction for one job alone, whose names are written. */
-  private void batchOf(Submission s, Overflow more) {
+  private void batchOf(Submission s, AwaitsOverflow more) {
     Transaction txn = new Transaction();
     put(txn, s.spec(), more, new Promised());
     ledger.commit(
@@ -215,7 +215,7 @@
         });
   }
 
-  private void put(Transaction txn, JobSpec spec, Overflow more, Promised together) {
+  private void put(Transaction txn, JobSpec spec, AwaitsOverflow more, Promised together) {
     String id = spec.id();
     txn.requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
     String part = router.route(spec, together);
@@ -253,7 +253,7 @@
           break;
         }
         // By itself, in several steps: the next ones wait for it.
-        writeNames(s, Overflow.of(id, s.spec().awaits(), ledger.limits().targetValueBytes()));
+        writeNames(s, AwaitsOverflow.of(id, s.spec().awaits(), ledger.limits().targetValueBytes()));
         return;
       }
       if (!batch.containsKey(id)) {
