--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -161,10 +161,10 @@
   private final String address;
   private final ChangeListener applier;
   private final MalformedMessages malformed;
-  private final Bucket requests;
-  private final Bucket writes;
-  private final Bucket userWrites;
-  private final Bucket workWrites;
+  private final TokenBucket requests;
+  private final TokenBucket writes;
+  private final TokenBucket userWrites;
+  private final TokenBucket workWrites;
   private final int nodes;
   private final StateServiceLimits limits;
   private double requestReserve;
@@ -224,10 +224,10 @@
     long now = timers.nowMs();
     this.limits = limits;
     this.nodes = nodes;
-    this.requests = new Bucket(1, now);
-    this.writes = new Bucket(1, now);
-    this.userWrites = new Bucket(1, now);
-    this.workWrites = new Bucket(1, now);
+    this.requests = new TokenBucket(1, now);
+    this.writes = new TokenBucket(1, now);
+    this.userWrites = new TokenBucket(1, now);
+    this.workWrites = new TokenBucket(1, now);
     divideLimits(nodes, false);
     requests.fill();
     writes.fill();
@@ -249,7 +249,7 @@
     sharingFallen = limits.nextLimitsInEffect();
     leading = leads;
     double share = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
-    requests.rate(share);
+    requests.setRate(share);
     requestReserve = share * 0.25;
     syncGapMs = Math.max(5, (long) (1000 / (share * 0.45)));
     int n = Math.max(1, members);
@@ -268,11 +268,11 @@
    */
   public void setOtherMembersWriteRate(double perSecond, double most) {
     double ours = Math.min(most, Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED - perSecond));
-    writes.rate(ours, fairWriteRate);
+    writes.setRate(ours, fairWriteRate);
     double users = fairUserWrites / fairWriteRate;
-    userWrites.rate(ours * users, fairUserWrites);
+    userWrites.setRate(ours * users, fairUserWrites);
     double work = ours * (1 - users);
-    workWrites.rate(work, Math.max(work, WORK_SAVED));
+    workWrites.setRate(work, Math.max(work, WORK_SAVED));
   }
 
   /** This node's share of the writes that the state service takes, were all to write. */
@@ -306,15 +306,15 @@
    */
   private boolean mayWork(int n, long now) {
     boolean usersWait = now - usersWaitedMs < USERS_WAIT_MS;
-    return !usersWait && writes.has(n, RESERVE, now) || workWrites.has(n, 0, now);
+    return !usersWait && writes.canAcquire(n, RESERVE, now) || workWrites.canAcquire(n, 0, now);
   }
 
   private boolean takeForWork(int n, long now) {
     if (!mayWork(n, now)) {
       return false;
     }
-    writes.take(n, -1e9, now);
-    workWrites.spend(n, now);
+    writes.tryAcquire(n, -1e9, now);
+    workWrites.acquireUpTo(n, now);
     return true;
   }
 
@@ -377,7 +377,7 @@
 
   /** How much of the write budget is left, from 0 to 1: little calls for fewer, fuller writes. */
   public double writeBudgetFraction() {
-    return writes.level(timers.nowMs());
+    return writes.fillRatio(timers.nowMs());
   }
 
   // ---- loading and following ----
@@ -704,10 +704,10 @@
     int n = txn.changeCount();
     boolean allowed =
         switch (rank) {
-          case AUTHORITY -> writes.take(n, -1e9, now);
+          case AUTHORITY -> writes.tryAcquire(n, -1e9, now);
           // Only one of them may be short: what was taken from the first is not to be lost.
           case USER ->
-              userWrites.has(n, 0, now) && writes.take(n, 0, now) && userWrites.take(n, 0, now);
+              userWrites.canAcquire(n, 0, now) && writes.tryAcquire(n, 0, now) && userWrites.tryAcquire(n, 0, now);
           case WORK -> takeForWork(n, now);
         };
     if (n > 0 && !allowed) {
@@ -815,7 +815,7 @@
   private void call(
       String method, String path, byte[] body, long timeoutMs, Consumer<Caller.Answer> done) {
     boolean vital = path.startsWith("/grants") || path.startsWith("/commit");
-    if (!requests.take(1, vital ? -1e9 : requestReserve, timers.nowMs())) {
+    if (!requests.tryAcquire(1, vital ? -1e9 : requestReserve, timers.nowMs())) {
       timers.after(20, () -> call(method, path, body, timeoutMs, done));
       return;
     }
--- a/src/main/java/wickdrift/bookkeeping/Bucket.java
+++ b/src/main/java/wickdrift/bookkeeping/TokenBucket.java
@@ -1,13 +1,13 @@
 package wickdrift.bookkeeping;
 
 /** A token bucket holding one second's worth, or less. */
-public final class Bucket {
+public final class TokenBucket {
   private double perSecond;
   private double most;
   private double tokens;
   private long lastMs;
 
-  public Bucket(double perSecond, long nowMs) {
+  public TokenBucket(double perSecond, long nowMs) {
     this.perSecond = perSecond;
     this.most = perSecond;
     this.tokens = perSecond;
@@ -15,8 +15,8 @@
   }
 
   /** Takes {@code n} unless that leaves less than {@code reserve}. */
-  public boolean take(double n, double reserve, long nowMs) {
-    if (!has(n, reserve, nowMs)) {
+  public boolean tryAcquire(double n, double reserve, long nowMs) {
+    if (!canAcquire(n, reserve, nowMs)) {
       return false;
     }
     tokens -= n;
@@ -24,13 +24,13 @@
   }
 
   /** Takes what is there of {@code n}: it was allowed elsewhere. */
-  public void spend(double n, long nowMs) {
+  public void acquireUpTo(double n, long nowMs) {
     refill(nowMs);
     tokens = Math.max(Math.min(tokens, 0), tokens - n);
   }
 
-  /** Whether {@link #take} would take that. */
-  public boolean has(double n, double reserve, long nowMs) {
+  /** Whether {@link #tryAcquire} would take that. */
+  public boolean canAcquire(double n, double reserve, long nowMs) {
     refill(nowMs);
     return tokens - n >= Math.min(reserve, most - n);
   }
@@ -41,18 +41,18 @@
   }
 
   /** Another rate from now on. */
-  public void rate(double newPerSecond) {
-    rate(newPerSecond, newPerSecond);
+  public void setRate(double newPerSecond) {
+    setRate(newPerSecond, newPerSecond);
   }
 
   /** Another rate from now on, of which no more than that is saved up. */
-  public void rate(double newPerSecond, double newMost) {
+  public void setRate(double newPerSecond, double newMost) {
     perSecond = newPerSecond;
     most = newMost;
   }
 
   /** How full it is, from 0 to 1. */
-  public double level(long nowMs) {
+  public double fillRatio(long nowMs) {
     return Math.min(1, (tokens + perSecond * (nowMs - lastMs) / 1000.0) / most);
   }
 
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.Bucket;
+import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
@@ -68,7 +68,7 @@
   private final PauseDetector pauseDetector;
   private final Zones zones;
   private final MalformedMessages malformed;
-  private final Bucket calls;
+  private final TokenBucket calls;
 
   private final Map<String, Long> absentSince = new HashMap<>();
   private final Map<String, Boolean> everListed = new HashMap<>();
@@ -128,7 +128,7 @@
     this.pauseDetector = pauseDetector;
     this.zones = zones;
     this.malformed = malformed;
-    this.calls = new Bucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
+    this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
   }
 
   public void start() {
@@ -197,7 +197,7 @@
   // ---- types ----
 
   private void askTypes() {
-    if (askingTypes || !calls.take(1, 0, timers.nowMs())) {
+    if (askingTypes || !calls.tryAcquire(1, 0, timers.nowMs())) {
       return;
     }
     askingTypes = true;
@@ -236,7 +236,7 @@
   }
 
   private void page(String from, Map<String, Listed> got) {
-    if (!calls.take(1, 0, timers.nowMs())) {
+    if (!calls.tryAcquire(1, 0, timers.nowMs())) {
       listing = false;
       return;
     }
@@ -391,7 +391,7 @@
         default -> {}
       }
     }
-    if (condemned.isEmpty() || deleting || !calls.take(1, 0, timers.nowMs())) {
+    if (condemned.isEmpty() || deleting || !calls.tryAcquire(1, 0, timers.nowMs())) {
       return;
     }
     List<String> names = new ArrayList<>();
@@ -565,7 +565,7 @@
             this::pick);
     for (Map.Entry<Kind, Integer> e : wanted.entrySet()) {
       int n = Math.min(e.getValue(), RENT_MOST);
-      if (n > 0 && calls.take(1, 1, timers.nowMs())) {
+      if (n > 0 && calls.tryAcquire(1, 1, timers.nowMs())) {
         View v = tables.view();
         // Never used by anyone else: the epoch, this process and a counter are in it.
         String claim =
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.Bucket;
+import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
@@ -35,7 +35,7 @@
   /** By job, who waits for the read after the one that is out. */
   private final Map<String, List<Exchange>> lookUps = new HashMap<>();
 
-  private final Bucket reads;
+  private final TokenBucket reads;
   private long shed;
 
   JobStatus(
@@ -53,7 +53,7 @@
     this.confirmations = confirmations;
     this.tuning = tuning;
     double share = settings.stateLimits().rps() / (settings.peers().size() + 1);
-    this.reads = new Bucket(share * tuning.lookUpShare(), timers.nowMs());
+    this.reads = new TokenBucket(share * tuning.lookUpShare(), timers.nowMs());
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
@@ -130,7 +130,7 @@
     List<Exchange> next = lookUps.get(id);
     if (next != null && next.size() < LOOK_UPS_MOST) {
       next.add(x);
-    } else if (next == null && reads.take(1, 0, timers.nowMs())) {
+    } else if (next == null && reads.tryAcquire(1, 0, timers.nowMs())) {
       read(id, List.of(x));
     } else {
       shed++;
