--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -51,7 +51,7 @@
   private static final int PROBE_DOUBLINGS = 4;
 
   private final String id;
-  private final Usage usage;
+  private final TeamUsage usage;
   private final Consumer<Job> onChange;
   private boolean noted;
   private JobSpec spec;
@@ -102,7 +102,7 @@
    * @param usage told of each attempt that begins or ends
    * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
    */
-  Job(String id, Usage usage, Consumer<Job> onChange) {
+  Job(String id, TeamUsage usage, Consumer<Job> onChange) {
     this.id = id;
     this.usage = usage;
     this.onChange = onChange;
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -90,7 +90,7 @@
   private View view;
   private long viewStamp;
   private long claimsStamp;
-  private final Usage usage = new Usage();
+  private final TeamUsage usage = new TeamUsage();
   private final Runnable onApplied;
   private final List<Machine> changedMachines = new ArrayList<>();
   private final List<Job> changedJobs = new ArrayList<>();
@@ -200,7 +200,7 @@
     return out;
   }
 
-  public Usage usage() {
+  public TeamUsage usage() {
     return usage;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Usage.java
+++ b/src/main/java/wickdrift/bookkeeping/TeamUsage.java
@@ -9,7 +9,7 @@
  * What the live attempts of each team take, by the node that placed them. Kept in whole millionths,
  * rounded up: adding and taking away doubles would drift.
  */
-public final class Usage {
+public final class TeamUsage {
   private static final double UNIT = 1e6;
 
   private static final class Amount {
@@ -48,7 +48,7 @@
   }
 
   /** What the live attempts of a team take that the controller of that number placed. */
-  public Partition.QuotaShare of(String team, int number) {
+  public Partition.QuotaShare placedBy(String team, int number) {
     Int2ObjectHashMap<Amount> all = teams.get(team);
     Amount of = all == null ? null : all.get(number);
     return of == null ? Partition.QuotaShare.NONE : new Partition.QuotaShare(of.cpus / UNIT, of.gpus / UNIT);
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -18,7 +18,7 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition.QuotaShare;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Usage;
+import wickdrift.bookkeeping.TeamUsage;
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -754,7 +754,7 @@
         long nowMs,
         Settings settings,
         Types types,
-        Usage usage,
+        TeamUsage usage,
         List<FreeCapacity> rooms,
         List<Virtual> coming,
         Picker picker) {
--- a/src/main/java/wickdrift/coordination/Queue.java
+++ b/src/main/java/wickdrift/coordination/Queue.java
@@ -10,7 +10,7 @@
 import java.util.NoSuchElementException;
 import java.util.TreeMap;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Usage;
+import wickdrift.bookkeeping.TeamUsage;
 import wickdrift.settings.Settings;
 
 /**
@@ -75,10 +75,10 @@
       new TreeMap<>(Comparator.comparingInt(Class::priority).thenComparingInt(Class::borrowed));
 
   private final Map<String, Settings.Team> byName = new HashMap<>();
-  private final Usage usage;
+  private final TeamUsage usage;
   private final Promised promised = new Promised();
 
-  Queue(Settings settings, Usage usage) {
+  Queue(Settings settings, TeamUsage usage) {
     this.usage = usage;
     settings.teams().forEach(t -> teams.put(t.name(), new Team(t)));
     settings.teams().forEach(t -> byName.put(t.name(), t));
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -97,7 +97,7 @@
   }
 
   private QuotaShare left(String team, String of) {
-    QuotaShare left = share(team, of).minus(tables.usage().of(team, tables.registry().numberOf(of)));
+    QuotaShare left = share(team, of).minus(tables.usage().placedBy(team, tables.registry().numberOf(of)));
     return of.equals(node) ? left.minus(booked.getOrDefault(team, QuotaShare.NONE)) : left;
   }
 
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -97,7 +97,7 @@
     }
     assertEquals(1, again.liveCount());
     assertEquals(1, t.getOrCreateMachine("i-1").slots().size());
-    assertEquals(1.0, t.usage().of("vision", 2).gpus());
+    assertEquals(1.0, t.usage().placedBy("vision", 2).gpus());
     assertEquals(12, again.doneCount());
   }
 
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -116,7 +116,7 @@
     assertNull(t.blockedReason());
     StringBuilder b = new StringBuilder(SimWorld.digest(t));
     for (int n = 0; n < 3; n++) {
-      b.append("n").append(n).append(' ').append(t.usage().of("vision", n).gpus()).append('\n');
+      b.append("n").append(n).append(' ').append(t.usage().placedBy("vision", n).gpus()).append('\n');
     }
     assertEquals(g.digest, b.toString());
     assertEquals(
