--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -774,7 +774,7 @@
       int seen = 0;
       int fresh = 0;
       for (Job job : waiting) {
-        Settings.Team team = Queue.team(settings, job.spec().team());
+        Settings.Team team = JobQueue.findTeam(settings, job.spec().team());
         if (team == null || job.isSuspected() && job.retryAtMs() > nowMs) {
           continue;
         }
--- a/src/main/java/wickdrift/coordination/Queue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -19,7 +19,7 @@
  * must start to be done in time (without a deadline: by age). Kept up to date by the changes of
  * jobs; no round sorts them anew.
  */
-final class Queue {
+final class JobQueue {
   private record Age(long acceptedMs, String id) {}
 
   private static final Comparator<Age> BY_AGE =
@@ -76,9 +76,9 @@
 
   private final Map<String, Settings.Team> byName = new HashMap<>();
   private final TeamUsage usage;
-  private final Promised promised = new Promised();
+  private final Promised waitingByPartition = new Promised();
 
-  Queue(Settings settings, TeamUsage usage) {
+  JobQueue(Settings settings, TeamUsage usage) {
     this.usage = usage;
     settings.teams().forEach(t -> teams.put(t.name(), new Team(t)));
     settings.teams().forEach(t -> byName.put(t.name(), t));
@@ -118,12 +118,12 @@
       t.stale = true;
     }
     place(j, counts && j.waitingCount() > 0);
-    promised.changed(j, counts ? j.waitingCount() : 0);
+    waitingByPartition.changed(j, counts ? j.waitingCount() : 0);
   }
 
   /** What waits at each part. */
-  Promised promised() {
-    return promised;
+  Promised waitingByPartition() {
+    return waitingByPartition;
   }
 
   private void place(Job j, boolean waits) {
@@ -239,7 +239,7 @@
     return waiting.isEmpty();
   }
 
-  static Settings.Team team(Settings settings, String name) {
+  static Settings.Team findTeam(Settings settings, String name) {
     for (Settings.Team t : settings.teams()) {
       if (t.name().equals(name)) {
         return t;
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -32,7 +32,7 @@
 
   /** Why the job can never run, or null. */
   String impossible(JobSpec s) {
-    Settings.Team team = Queue.team(settings, s.team());
+    Settings.Team team = JobQueue.findTeam(settings, s.team());
     if (team == null) {
       return "unknown team";
     }
@@ -73,7 +73,7 @@
     // wait for a fetch, which may take longer than its class has to start.
     // The one with most of it, counted far enough that several jobs at once do not meet there.
     String best = v.owner(s.id());
-    Promised waiting = scheduling.queue().promised();
+    Promised waiting = scheduling.queue().waitingByPartition();
     int enough = s.tasks() + BESIDE_MOST;
     int beside = Integer.MIN_VALUE;
     double free = Double.NEGATIVE_INFINITY;
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -30,7 +30,7 @@
   private final Types types;
   private final String node;
   private final CapacityIndex rooms = new CapacityIndex();
-  private final Queue queue;
+  private final JobQueue queue;
   private final Set<Job> endable = new LinkedHashSet<>();
   private final Set<Job> halting = new LinkedHashSet<>();
   private final Set<Job> leaving = new LinkedHashSet<>();
@@ -47,7 +47,7 @@
     this.tables = tables;
     this.types = types;
     this.node = settings.node();
-    this.queue = new Queue(settings, tables.usage());
+    this.queue = new JobQueue(settings, tables.usage());
   }
 
   /** Machines with a change of their record on the way take no tasks. */
@@ -64,7 +64,7 @@
     return rooms.looked();
   }
 
-  Queue queue() {
+  JobQueue queue() {
     return queue;
   }
 
