--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -25,8 +25,8 @@
 import wickdrift.transport.Timers;
 
 /** Decides which waiting tasks go where, or to which part their job is handed. */
-final class Placing {
-  private static final Logger LOG = LoggerFactory.getLogger(Placing.class);
+final class TaskPlacer {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskPlacer.class);
   private static final int TASKS_A_ROUND = 256;
 
   /** So many jobs are tried a round; the next round goes on from what that has changed. */
@@ -60,7 +60,7 @@
   private final String node;
   private final Set<String> controllerZones;
   private final BooleanSupplier leadSettled;
-  private long placed;
+  private long placedTasks;
 
   /** From the end of the last job that one awaited to the first placement of its own. */
   private final Histogram stageDelays = new Histogram(DELAY_MOST_MS, 2);
@@ -75,9 +75,9 @@
   private boolean together;
 
   /** After how long the leader's jobs that this round passed over may be placed; 0: none was. */
-  private long postponedMs;
+  private long postponedForMs;
 
-  Placing(
+  TaskPlacer(
       Timers timers,
       Tables tables,
       SchedulingState scheduling,
@@ -100,13 +100,13 @@
   }
 
   /** Marks are of one view: the part records were written anew. */
-  void newView() {
+  void onNewView() {
     reservations.clear();
   }
 
   /** Milliseconds until what was passed over may be placed, or 0. */
-  long postponedMs() {
-    return postponedMs;
+  long postponedForMs() {
+    return postponedForMs;
   }
 
   /**
@@ -118,11 +118,11 @@
   }
 
   /** Tasks placed so far, those of transactions that failed too. */
-  long placed() {
-    return placed;
+  long placedTasks() {
+    return placedTasks;
   }
 
-  void draft(TransactionBuilder draft) {
+  void placeWaitingTasks(TransactionBuilder draft) {
     View v = tables.view();
     Partition mine = tables.currentPartition(node);
     if (mine == null || mine.epoch() != v.epoch() || !tables.unfencedPartitions().isEmpty()) {
@@ -131,7 +131,7 @@
     boolean leader = node.equals(v.leader());
     long now = timers.nowMs();
     together = tables.isOpen(Gate.TAKES);
-    postponedMs = 0;
+    postponedForMs = 0;
     rooms.newRound(now);
     Quota quota = new Quota(settings, tables);
     quota.saveUp(scheduling.queue().waiting(), timers.wallMs());
@@ -161,7 +161,7 @@
       boolean asLeader = leader && job.partition().equals(Job.LEADER_PARTITION);
       if (asLeader && together && now - takenMs < TAKES_MS) {
         // Looked for a place only when it can be taken: each look costs, and would be for nothing.
-        postponedMs = takenMs + TAKES_MS - now;
+        postponedForMs = takenMs + TAKES_MS - now;
         continue;
       }
       if (!asLeader && !foreign.isEmpty()) {
@@ -370,7 +370,7 @@
         r.load(),
         r.hasImage(job.spec()),
         timers.wallMs() - job.acceptedWallMs());
-    placed++;
+    placedTasks++;
     rooms.book(r, job.spec());
     quota.book(job.spec());
     draft.change(job, index, t -> t.placed(attempt, r.machine(), draft.number()));
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -70,7 +70,7 @@
   private final Tuning tuning;
   private final Settings settings;
   private final String node;
-  private final Placing placing;
+  private final TaskPlacer placing;
   private final LogCompaction compaction;
   private final Conversion conversion;
   private final Map<TaskKey, Exit> exits = new LinkedHashMap<>();
@@ -113,7 +113,7 @@
     this.settings = settings;
     this.node = settings.node();
     this.placing =
-        new Placing(
+        new TaskPlacer(
             timers,
             tables,
             scheduling,
@@ -132,7 +132,7 @@
 
   /** Tasks placed so far, those of transactions that failed too. */
   public long placed() {
-    return placing.placed();
+    return placing.placedTasks();
   }
 
   /** From a stage's last end to the next one's first placement, in milliseconds. */
@@ -184,7 +184,7 @@
 
   /** Marks are of one view: the part records were written anew. */
   public void newView() {
-    placing.newView();
+    placing.onNewView();
   }
 
   /** Taken over: nothing is placed until reports had time to come in, or {@link #settle}. */
@@ -310,11 +310,11 @@
     draftRecords(draft);
     draftStops(draft);
     if (settled() && types.known() && ledger.reachable()) {
-      placing.draft(draft);
-      if (placing.postponedMs() > 0 && !postponed) {
+      placing.placeWaitingTasks(draft);
+      if (placing.postponedForMs() > 0 && !postponed) {
         postponed = true;
         timers.after(
-            placing.postponedMs(),
+            placing.postponedForMs(),
             () -> {
               postponed = false;
               wake();
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -68,11 +68,11 @@
       return;
     }
     preemptScans++;
-    job.setNextPreemptionAtMs(now + Placing.BLOCKED_MS);
+    job.setNextPreemptionAtMs(now + TaskPlacer.BLOCKED_MS);
     JobSpec.Priority strongest = waited < patience ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
     List<FreeCapacity> may = new ArrayList<>();
-    Map<String, Integer> zones = Placing.zones(draft, job);
-    Predicate<CapacityIndex.Cell> scope = Placing.scope(node, asLeader);
+    Map<String, Integer> zones = TaskPlacer.zones(draft, job);
+    Predicate<CapacityIndex.Cell> scope = TaskPlacer.scope(node, asLeader);
     boolean gang = spec.shape() == JobSpec.Shape.GANG;
     if (gang && asLeader) {
       emptyMarked(draft, job, strongest, now);
@@ -81,7 +81,7 @@
     if (lack <= 0) {
       return;
     }
-    rooms.each(spec, c -> scope.test(c) && Placing.zoneAllows(spec, zones, c.zone), may::add);
+    rooms.each(spec, c -> scope.test(c) && TaskPlacer.zoneAllows(spec, zones, c.zone), may::add);
     if (gang) {
       keepToMarkedZone(job, may);
       if (spec.oneZone()) {
