--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -345,7 +345,7 @@
    * time.
    */
   private void deleteOverdue(long wall) {
-    for (Job j : scheduling.leaving()) {
+    for (Job j : scheduling.withdrawnRunningJobs()) {
       if (j.withdrawnWallMs() == 0 || wall - j.withdrawnWallMs() < tuning.overdueMs()) {
         continue;
       }
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -68,7 +68,7 @@
     if (s.shape() == JobSpec.Shape.GANG || manyZones) {
       return Job.LEADER_PARTITION;
     }
-    CapacityIndex rooms = scheduling.rooms();
+    CapacityIndex rooms = scheduling.capacityIndex();
     // Room beside its image, if a part has enough of that for the whole job: elsewhere it would
     // wait for a fetch, which may take longer than its class has to start.
     // The one with most of it, counted far enough that several jobs at once do not meet there.
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -37,7 +37,7 @@
     this.types = types;
     this.tables = tables;
     this.scheduling = scheduling;
-    this.rooms = scheduling.rooms();
+    this.rooms = scheduling.capacityIndex();
     this.tuning = tuning;
     this.limits = limits;
   }
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -29,12 +29,12 @@
   private final Tables tables;
   private final Types types;
   private final String node;
-  private final CapacityIndex rooms = new CapacityIndex();
+  private final CapacityIndex capacityIndex = new CapacityIndex();
   private final JobQueue queue;
-  private final Set<Job> endable = new LinkedHashSet<>();
+  private final Set<Job> finishableJobs = new LinkedHashSet<>();
   private final Set<Job> halting = new LinkedHashSet<>();
-  private final Set<Job> leaving = new LinkedHashSet<>();
-  private final Set<Machine> gone = new LinkedHashSet<>();
+  private final Set<Job> withdrawnRunningJobs = new LinkedHashSet<>();
+  private final Set<Machine> goneMachinesWithTasks = new LinkedHashSet<>();
   private final Set<Machine> shunned = new HashSet<>();
   private final Set<Machine> changed = new LinkedHashSet<>();
   private Predicate<Machine> pending = m -> false;
@@ -51,38 +51,38 @@
   }
 
   /** Machines with a change of their record on the way take no tasks. */
-  void pending(Predicate<Machine> p) {
+  void setPendingFilter(Predicate<Machine> p) {
     pending = p;
   }
 
-  CapacityIndex rooms() {
-    return rooms;
+  CapacityIndex capacityIndex() {
+    return capacityIndex;
   }
 
   /** How many rooms were looked at in all decisions so far: what they cost, whatever the clock. */
-  public long looked() {
-    return rooms.looked();
+  public long machinesExamined() {
+    return capacityIndex.looked();
   }
 
   JobQueue queue() {
     return queue;
   }
 
-  Set<Job> endable() {
-    return endable;
+  Set<Job> finishableJobs() {
+    return finishableJobs;
   }
 
-  Set<Job> halting() {
+  Set<Job> partlyStoppingGangs() {
     return halting;
   }
 
   /** Withdrawn jobs with tasks that may still run. */
-  Set<Job> leaving() {
-    return leaving;
+  Set<Job> withdrawnRunningJobs() {
+    return withdrawnRunningJobs;
   }
 
-  Set<Machine> gone() {
-    return gone;
+  Set<Machine> goneMachinesWithTasks() {
+    return goneMachinesWithTasks;
   }
 
   /** Takes in what has changed in the tables, and in what reports told. */
@@ -94,23 +94,23 @@
       job(j);
     }
     if (v == null) {
-      rooms.clear();
+      capacityIndex.clear();
       epoch = -1;
     } else if (v.epoch() != epoch || typesSeen != types.all().size()) {
       epoch = v.epoch();
       typesSeen = types.all().size();
-      rooms.clear();
+      capacityIndex.clear();
       shunned.clear();
       for (Machine m : new ArrayList<>(tables.machines())) {
-        machine(m);
+        updateMachine(m);
       }
     } else {
-      machines.forEach(this::machine);
+      machines.forEach(this::updateMachine);
     }
   }
 
   /** The machines that have changed since the last call. */
-  public List<Machine> takeChanged() {
+  public List<Machine> drainChangedMachines() {
     List<Machine> out = new ArrayList<>(changed);
     changed.clear();
     return out;
@@ -125,9 +125,9 @@
     }
     queue.changed(j, there);
     boolean over = j.withdrawn() ? j.liveCount() == 0 : j.spec() != null && j.doneCount() == j.taskCount();
-    member(endable, j, there && over);
+    member(finishableJobs, j, there && over);
     member(halting, j, there && halting(j));
-    member(leaving, j, there && j.withdrawn() && j.liveCount() > 0);
+    member(withdrawnRunningJobs, j, there && j.withdrawn() && j.liveCount() > 0);
   }
 
   private static <T> void member(Set<T> set, T t, boolean in) {
@@ -152,13 +152,13 @@
   }
 
   /** The machine, or what this process knows of it, has changed. */
-  void machine(Machine m) {
+  void updateMachine(Machine m) {
     View v = tables.view();
     if (v == null) {
       return;
     }
     boolean there = tables.machine(m.name()) == m;
-    member(gone, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
+    member(goneMachinesWithTasks, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
     String owner = m.owner(v);
     boolean usable =
@@ -174,21 +174,21 @@
       usable = !shun && (answers || !owner.equals(node));
     }
     if (usable) {
-      if (rooms.put(m, t, owner, timers.nowMs())) {
-        rooms.grew();
+      if (capacityIndex.put(m, t, owner, timers.nowMs())) {
+        capacityIndex.grew();
       }
     } else {
-      rooms.remove(m);
+      capacityIndex.remove(m);
     }
   }
 
   /** Machines that were shunned for a while may be used again. */
-  void tick() {
+  void readmitAvoidedMachines() {
     long now = timers.nowMs();
     for (Machine m : new ArrayList<>(shunned)) {
       if (m.quarantinedUntilMs(now) <= now) {
         shunned.remove(m);
-        machine(m);
+        updateMachine(m);
       }
     }
   }
@@ -197,13 +197,13 @@
   void lend(Machine m) {
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
     if (tables.isReserved(m) && t != null && m.phase() == Machine.Phase.UP && !pending.test(m)) {
-      rooms.put(m, t, m.owner(tables.view()), timers.nowMs());
+      capacityIndex.put(m, t, m.owner(tables.view()), timers.nowMs());
     }
   }
 
   void takeBack(Machine m) {
     if (tables.isReserved(m)) {
-      rooms.remove(m);
+      capacityIndex.remove(m);
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -89,7 +89,7 @@
     this.timers = timers;
     this.tables = tables;
     this.scheduling = scheduling;
-    this.rooms = scheduling.rooms();
+    this.rooms = scheduling.capacityIndex();
     this.reservations = new Reservations(tables, scheduling, types, tuning, limits);
     this.givingWay = new VictimSelection(rooms, types, reservations, tuning, settings);
     this.tuning = tuning;
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -106,7 +106,7 @@
     this.ledger = ledger;
     this.tables = tables;
     this.scheduling = scheduling;
-    scheduling.pending(records::containsKey);
+    scheduling.setPendingFilter(records::containsKey);
     this.types = types;
     this.membership = membership;
     this.tuning = tuning;
@@ -161,7 +161,7 @@
 
   private void idleTick() {
     timers.after(IDLE_TICK_MS, this::idleTick);
-    scheduling.tick();
+    scheduling.readmitAvoidedMachines();
     wake();
   }
 
@@ -243,7 +243,7 @@
 
   public void record(Machine m, Machine.Info info) {
     records.put(m, info);
-    scheduling.machine(m);
+    scheduling.updateMachine(m);
     wake();
   }
 
@@ -255,7 +255,7 @@
             e -> {
               boolean silence = e.getValue() != null && e.getValue().phase() == Machine.Phase.LOST;
               if (silence) {
-                scheduling.machine(e.getKey());
+                scheduling.updateMachine(e.getKey());
               }
               return silence;
             });
@@ -434,7 +434,7 @@
   // ---- exits, ends, records ----
 
   private void draftExits(TransactionBuilder draft) {
-    for (Machine m : scheduling.gone()) {
+    for (Machine m : scheduling.goneMachinesWithTasks()) {
       if (node.equals(m.owner(tables.view()))) {
         for (Machine.Slot s : m.slots()) {
           exits.putIfAbsent(
@@ -520,7 +520,7 @@
 
   private void draftEnds(TransactionBuilder draft) {
     Set<Job> candidates = new LinkedHashSet<>(draft.touched());
-    candidates.addAll(scheduling.endable());
+    candidates.addAll(scheduling.finishableJobs());
     for (Job job : candidates) {
       if (!draft.roomToEnd()) {
         return;
@@ -568,7 +568,7 @@
       boolean is = wanted == null ? !m.mayBeForgotten() : !m.phase().canTransitionTo(wanted.phase());
       if (is || tables.machine(m.name()) != m) {
         it.remove();
-        scheduling.machine(m);
+        scheduling.updateMachine(m);
         continue;
       }
       if (!draft.takesMachine(m)) {
@@ -592,7 +592,7 @@
 
   /** A gang with a member being stopped is stopped whole, within the time its mates wait. */
   private void draftStops(TransactionBuilder draft) {
-    for (Job job : scheduling.halting()) {
+    for (Job job : scheduling.partlyStoppingGangs()) {
       for (int i = 0; i < job.taskCount(); i++) {
         if (draft.state(job, i).isLive() && draft.takes(job, 1)) {
           draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -174,7 +174,7 @@
   }
 
   private void registerMetrics(StateServiceLimits limits, WorkerLinks links, String node) {
-    metrics.watch("rooms.looked", () -> scheduling.looked());
+    metrics.watch("rooms.looked", () -> scheduling.machinesExamined());
     metrics.watch("tasks.placed", pipeline::placed);
     metrics.watch("transactions", pipeline::transactions);
     metrics.watch("transactions.drafted", pipeline::drafted);
@@ -260,7 +260,7 @@
   private void tablesChanged() {
     history.resolveDependencies();
     scheduling.update();
-    reporting.tablesChanged(scheduling.takeChanged());
+    reporting.tablesChanged(scheduling.drainChangedMachines());
     pipeline.wake();
   }
 
