--- a/src/main/java/wickdrift/coordination/CapacityIndex.java
+++ b/src/main/java/wickdrift/coordination/CapacityIndex.java
@@ -21,7 +21,7 @@
  */
 final class CapacityIndex {
   /** Machines that are alike but for what is on them. */
-  static final class Cell {
+  static final class MachineGroup {
     final String owner;
     final TypeInfo type;
     final String zone;
@@ -33,7 +33,7 @@
     private double freeGpus;
     private double freeMemoryGb;
 
-    Cell(String owner, TypeInfo type, String zone, boolean spot) {
+    MachineGroup(String owner, TypeInfo type, String zone, boolean spot) {
       this.owner = owner;
       this.type = type;
       this.zone = zone;
@@ -60,15 +60,15 @@
   private static final Listed NOWHERE = new Listed();
 
   /** Most capable first: GPUs, then memory, then CPUs. */
-  private static final Comparator<Cell> CAPABILITY =
-      Comparator.comparingDouble((Cell c) -> -c.type.gpus())
+  private static final Comparator<MachineGroup> CAPABILITY =
+      Comparator.comparingDouble((MachineGroup c) -> -c.type.gpus())
           .thenComparingDouble(c -> -c.type.memoryGb())
           .thenComparingDouble(c -> -c.type.cpus());
 
   private record Place(String owner, String type, String zone, boolean spot) {}
 
-  private final Map<Place, Cell> places = new HashMap<>();
-  private final List<Cell> cells = new ArrayList<>();
+  private final Map<Place, MachineGroup> places = new HashMap<>();
+  private final List<MachineGroup> cells = new ArrayList<>();
   private final Map<Machine, FreeCapacity> byMachine = new LinkedHashMap<>();
   private final Set<FreeCapacity> dirty = new HashSet<>();
 
@@ -81,7 +81,7 @@
   private record Fetch(long untilMs, FreeCapacity room) {}
 
   private long version;
-  private long looked;
+  private long machinesExamined;
   private Predicate<String> preferred = owner -> true;
 
   /**
@@ -102,11 +102,11 @@
   }
 
   /** How many rooms were looked at so far. */
-  long looked() {
-    return looked;
+  long machinesExamined() {
+    return machinesExamined;
   }
 
-  FreeCapacity of(Machine m) {
+  FreeCapacity find(Machine m) {
     return byMachine.get(m);
   }
 
@@ -155,48 +155,48 @@
     }
   }
 
-  private Cell cell(String owner, TypeInfo type, String zone, boolean spot) {
+  private MachineGroup cell(String owner, TypeInfo type, String zone, boolean spot) {
     return places.computeIfAbsent(
         new Place(owner, type.name(), zone, spot),
         k -> {
-          Cell c = new Cell(owner, type, zone, spot);
+          MachineGroup c = new MachineGroup(owner, type, zone, spot);
           cells.add(c);
           cells.sort(CAPABILITY.thenComparing(x -> x.zone + x.spot + x.owner));
           return c;
         });
   }
 
-  private void list(FreeCapacity r, Cell c) {
+  private void list(FreeCapacity r, MachineGroup c) {
     r.cell = c;
     c.all.add(r);
     c.sum(r, 1);
     r.listed.clear();
     r.images(r.listed::add);
-    if (r.fetching()) {
+    if (r.isFetching()) {
       c.fetching.add(r);
       fetches.add(new Fetch(r.fetchesUntilMs(), r));
     }
     for (String i : r.listed) {
       Listed l = c.images.computeIfAbsent(i, k -> new Listed());
       l.all.add(r);
-      if (r.fetching()) {
+      if (r.isFetching()) {
         l.fetching.add(r);
       }
     }
   }
 
   private void unlist(FreeCapacity r) {
-    Cell c = r.cell;
+    MachineGroup c = r.cell;
     c.all.remove(r);
     c.sum(r, -1);
-    if (r.fetching()) {
+    if (r.isFetching()) {
       c.fetching.remove(r);
       fetches.remove(new Fetch(r.fetchesUntilMs(), r));
     }
     for (String i : r.listed) {
       Listed l = c.images.get(i);
       l.all.remove(r);
-      if (r.fetching()) {
+      if (r.isFetching()) {
         l.fetching.remove(r);
       }
       if (l.all.size() == 0) {
@@ -250,10 +250,10 @@
    * the half that is looked at first, those that have the task's image and are not too full for it.
    * So tasks of one image gather, and empty machines are left for gangs.
    */
-  FreeCapacity choose(JobSpec s, Predicate<Cell> allowed) {
-    List<Cell> eligible = new ArrayList<>();
+  FreeCapacity choose(JobSpec s, Predicate<MachineGroup> allowed) {
+    List<MachineGroup> eligible = new ArrayList<>();
     int n = 0;
-    for (Cell c : cells) {
+    for (MachineGroup c : cells) {
       if (c.all.size() > 0 && c.allows(s) && allowed.test(c)) {
         eligible.add(c);
         n += c.all.size();
@@ -270,9 +270,9 @@
       while (from > 0 && CAPABILITY.compare(eligible.get(from - 1), eligible.get(to - 1)) == 0) {
         from--;
       }
-      List<Cell> equals = eligible.subList(from, to);
+      List<MachineGroup> equals = eligible.subList(from, to);
       best = better(inHalf(equals, left, s), best, s);
-      for (Cell c : equals) {
+      for (MachineGroup c : equals) {
         left -= c.all.size();
       }
       to = from;
@@ -280,22 +280,22 @@
     return best != null ? best : anyWithRoom(eligible, s);
   }
 
-  private static Listed listed(Cell c, JobSpec s) {
+  private static Listed listed(MachineGroup c, JobSpec s) {
     return c.images.getOrDefault(s.image(), NOWHERE);
   }
 
-  private static LoadIndex withImage(Cell c, JobSpec s) {
+  private static LoadIndex withImage(MachineGroup c, JobSpec s) {
     return listed(c, s).all;
   }
 
   /**
    * The least loaded with room among the last {@code most} of some machines of equal capability.
    */
-  private FreeCapacity inHalf(List<Cell> equals, int most, JobSpec s) {
+  private FreeCapacity inHalf(List<MachineGroup> equals, int most, JobSpec s) {
     int size = 0;
     int images = 0;
     int rest = 0;
-    for (Cell c : equals) {
+    for (MachineGroup c : equals) {
       double load = mostLoad(s, c.type);
       size += c.all.size();
       images += withImage(c, s).upTo(load);
@@ -305,7 +305,7 @@
     int last = Math.min(most, size);
     int suited = Math.min(images, last);
     if (suited == images) {
-      for (Cell c : equals) {
+      for (MachineGroup c : equals) {
         best = better(best, least(withImage(c, s), 0, s), s);
       }
       int[] start = cut(equals, last - (size - rest), s, false);
@@ -326,7 +326,7 @@
   }
 
   /** Of some machines of a cell, those that neither have the image nor fetch another one. */
-  private static int plain(Cell c, JobSpec s, double load, Count n) {
+  private static int plain(MachineGroup c, JobSpec s, double load, Count n) {
     Listed with = listed(c, s);
     return n.of(c.all, load)
         - n.of(with.all, load)
@@ -339,7 +339,7 @@
    * with the image, or among those that neither have it nor fetch another one. Within one 64th of
    * load the later cell's machines rank later.
    */
-  private int[] cut(List<Cell> equals, int k, JobSpec s, boolean image) {
+  private int[] cut(List<MachineGroup> equals, int k, JobSpec s, boolean image) {
     double most = mostLoad(s, equals.get(0).type);
     int[] start = new int[equals.size()];
     for (int i = 0; i < start.length; i++) {
@@ -349,7 +349,7 @@
     for (int level = LoadIndex.level(most); level >= 0 && left > 0; level--) {
       int at = level;
       for (int i = start.length - 1; i >= 0 && left > 0; i--) {
-        Cell c = equals.get(i);
+        MachineGroup c = equals.get(i);
         LoadIndex list = image ? withImage(c, s) : c.all;
         int counted =
             image ? list.atLevel(level, most) : plain(c, s, most, (l, load) -> l.atLevel(at, load));
@@ -370,13 +370,13 @@
    * From where on, up to a place in a cell, there are {@code k} machines that neither have the
    * image nor fetch another one. Half a large fleet may lie there, so it is searched by halving.
    */
-  private int border(Cell c, Listed with, int end, int k) {
+  private int border(MachineGroup c, Listed with, int end, int k) {
     int from = 0;
     int to = end;
     // Invariant: enough lie behind from, and too few behind to.
     while (to - from > 1) {
       int mid = from + to >>> 1;
-      looked++;
+      machinesExamined++;
       int excluded =
           between(with.all, c, mid, end)
               + between(c.fetching, c, mid, end)
@@ -391,11 +391,11 @@
   }
 
   /** How many of a part of a cell's machines lie between two places of the cell. */
-  private static int between(LoadIndex part, Cell c, int from, int to) {
+  private static int between(LoadIndex part, MachineGroup c, int from, int to) {
     return place(part, c, to) - place(part, c, from);
   }
 
-  private static int place(LoadIndex part, Cell c, int at) {
+  private static int place(LoadIndex part, MachineGroup c, int at) {
     return at < c.all.size() ? part.search(c.all.get(at)) : part.size();
   }
 
@@ -407,7 +407,7 @@
     double most = mostLoad(s, list.get(0).type());
     for (int i = from; i < list.size(); i++) {
       FreeCapacity r = list.get(i);
-      looked++;
+      machinesExamined++;
       if (r.load() > most) {
         return null;
       }
@@ -447,15 +447,15 @@
   }
 
   /** Outside the half: one with the image, then the fullest, so that empty machines stay empty. */
-  private FreeCapacity anyWithRoom(List<Cell> eligible, JobSpec s) {
+  private FreeCapacity anyWithRoom(List<MachineGroup> eligible, JobSpec s) {
     FreeCapacity best = null;
-    for (Cell c : eligible) {
+    for (MachineGroup c : eligible) {
       best = fuller(best, fullest(withImage(c, s), s));
     }
     if (best != null) {
       return best;
     }
-    for (Cell c : eligible) {
+    for (MachineGroup c : eligible) {
       best = fuller(best, fullest(c.all, s));
     }
     return best;
@@ -476,7 +476,7 @@
       return null;
     }
     for (int i = list.upTo(mostLoad(s, list.get(0).type())) - 1; i >= 0; i--) {
-      looked++;
+      machinesExamined++;
       if (list.get(i).fitsWithFetch(s)) {
         return list.get(i);
       }
@@ -486,8 +486,8 @@
 
   // ---- other questions ----
 
-  boolean any(JobSpec s, Predicate<Cell> allowed) {
-    for (Cell c : cells) {
+  boolean any(JobSpec s, Predicate<MachineGroup> allowed) {
+    for (MachineGroup c : cells) {
       if (c.allows(s) && allowed.test(c) && fullest(c.all, s) != null) {
         return true;
       }
@@ -496,14 +496,14 @@
   }
 
   /** In how many of the machines it would fit, counted up to {@code most}. */
-  int count(JobSpec s, Predicate<Cell> allowed, int most) {
+  int count(JobSpec s, Predicate<MachineGroup> allowed, int most) {
     int n = 0;
-    for (Cell c : cells) {
+    for (MachineGroup c : cells) {
       if (!c.allows(s) || !allowed.test(c)) {
         continue;
       }
       for (int i = c.all.upTo(mostLoad(s, c.type)) - 1; i >= 0 && n < most; i--) {
-        looked++;
+        machinesExamined++;
         n += c.all.get(i).fitsWithFetch(s) ? 1 : 0;
       }
     }
@@ -511,14 +511,14 @@
   }
 
   /** Whether so many tasks have room at once, several of them on one machine too. */
-  boolean holds(JobSpec s, Predicate<Cell> allowed, int tasks) {
+  boolean holds(JobSpec s, Predicate<MachineGroup> allowed, int tasks) {
     int left = tasks;
-    for (Cell c : cells) {
+    for (MachineGroup c : cells) {
       if (!c.allows(s) || !allowed.test(c)) {
         continue;
       }
       for (int i = c.all.upTo(mostLoad(s, c.type)) - 1; i >= 0 && left > 0; i--) {
-        looked++;
+        machinesExamined++;
         left -= c.all.get(i).tasksThatFit(s, left);
       }
     }
@@ -533,8 +533,8 @@
     return sorted;
   }
 
-  void each(JobSpec s, Predicate<Cell> allowed, Consumer<FreeCapacity> use) {
-    for (Cell c : cells) {
+  void each(JobSpec s, Predicate<MachineGroup> allowed, Consumer<FreeCapacity> use) {
+    for (MachineGroup c : cells) {
       if (c.allows(s) && allowed.test(c)) {
         for (int i = 0; i < c.all.size(); i++) {
           use.accept(c.all.get(i));
@@ -544,9 +544,9 @@
   }
 
   /** About how many tasks of this kind a part has room for. */
-  double free(JobSpec s, String owner) {
+  double estimateTaskCapacity(JobSpec s, String owner) {
     double sum = 0;
-    for (Cell c : cells) {
+    for (MachineGroup c : cells) {
       if (c.owner.equals(owner) && c.allows(s)) {
         double n = 1e9;
         n = s.cpus() > 0 ? Math.min(n, c.freeCpus / s.cpus()) : n;
@@ -559,25 +559,25 @@
   }
 
   /** The same beside the task's image, counted up to {@code most}. */
-  int freeBesideImage(JobSpec s, String owner, int most) {
+  int taskCapacityWithImage(JobSpec s, String owner, int most) {
     int n = 0;
-    for (Cell c : cells) {
+    for (MachineGroup c : cells) {
       if (!c.owner.equals(owner) || !c.allows(s)) {
         continue;
       }
       LoadIndex l = withImage(c, s);
       int withRoom = l.upTo(mostLoad(s, c.type));
       for (int i = 0; i < withRoom && n < most; i++) {
-        looked++;
+        machinesExamined++;
         n += l.get(i).times(s);
       }
     }
     return Math.min(n, most);
   }
 
-  int machines(JobSpec s) {
+  int countCapableMachines(JobSpec s) {
     int n = 0;
-    for (Cell c : cells) {
+    for (MachineGroup c : cells) {
       n += c.type.canHold(s) ? c.all.size() : 0;
     }
     return n;
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -785,7 +785,7 @@
         QuotaShare left =
             leftOfLimit.computeIfAbsent(team.name(), k -> leftOf(team, usage.of(team.name())));
         int allowed =
-            FreeCapacity.tasksIn(job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
+            FreeCapacity.taskCapacity(job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
         // What its team's limit forbids has no use for a machine: it runs where others have ended.
         // But for the first gang that waits for it: the limit is saved up for that one.
         boolean gang = job.spec().shape() == JobSpec.Shape.GANG;
--- a/src/main/java/wickdrift/coordination/FreeCapacity.java
+++ b/src/main/java/wickdrift/coordination/FreeCapacity.java
@@ -23,7 +23,7 @@
   /** The images it is listed under, and the place; the index of rooms keeps both. */
   final List<String> listed = new ArrayList<>();
 
-  CapacityIndex.Cell cell;
+  CapacityIndex.MachineGroup cell;
 
   /**
    * @param machine null for one that is not there yet
@@ -86,11 +86,11 @@
     if (!fitsWithFetch(s)) {
       return 0;
     }
-    return Math.min(most, tasksIn(s, freeCpus(), freeGpus(), freeMemoryGb()));
+    return Math.min(most, taskCapacity(s, freeCpus(), freeGpus(), freeMemoryGb()));
   }
 
   /** How many tasks of a kind so much has room for. */
-  static int tasksIn(JobSpec s, double cpus, double gpus, double memoryGb) {
+  static int taskCapacity(JobSpec s, double cpus, double gpus, double memoryGb) {
     double n = Integer.MAX_VALUE;
     n = s.cpus() > 0 ? Math.min(n, (cpus + EPS) / s.cpus()) : n;
     n = s.gpus() > 0 ? Math.min(n, (gpus + EPS) / s.gpus()) : n;
@@ -103,7 +103,7 @@
     fetching = fetched != null || fetchesUntilMs > nowMs;
   }
 
-  boolean fetching() {
+  boolean isFetching() {
     return fetching;
   }
 
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -82,12 +82,12 @@
       int promised = waiting.besideImage(s, part) + together.besideImage(s, part);
       // Counted no further than that: with more promised the image is no reason to go there.
       int most = enough + Math.min(promised, BESIDE_MOST);
-      int n = Math.min(enough, rooms.freeBesideImage(s, part, most) - promised);
+      int n = Math.min(enough, rooms.taskCapacityWithImage(s, part, most) - promised);
       if (n > beside) {
         best = part;
         beside = n;
       }
-      double f = rooms.free(s, part) - waiting.tasks(s, part) - together.tasks(s, part);
+      double f = rooms.estimateTaskCapacity(s, part) - waiting.tasks(s, part) - together.tasks(s, part);
       if (f > free + FreeCapacity.EPS) {
         freest = part;
         free = f;
@@ -96,7 +96,7 @@
     if (beside < s.tasks()) {
       best = freest;
     }
-    double total = rooms.machines(s);
+    double total = rooms.countCapableMachines(s);
     double partMachines = total / v.members().size();
     double wanted = s.tasks() * largestShare(s);
     return total > 0 && wanted > tuning.largeShare() * partMachines ? Job.LEADER_PARTITION : best;
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -61,7 +61,7 @@
 
   /** How many rooms were looked at in all decisions so far: what they cost, whatever the clock. */
   public long machinesExamined() {
-    return capacityIndex.looked();
+    return capacityIndex.machinesExamined();
   }
 
   JobQueue queue() {
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -243,12 +243,12 @@
   private boolean imageIsElsewhere(Job job) {
     JobSpec spec = job.spec();
     if (spec.shape() != JobSpec.Shape.SERVICE
-        || rooms.freeBesideImage(spec, node, job.waitingCount()) >= job.waitingCount()) {
+        || rooms.taskCapacityWithImage(spec, node, job.waitingCount()) >= job.waitingCount()) {
       return false;
     }
     int elsewhere = 0;
     for (String member : tables.view().members().keySet()) {
-      elsewhere += member.equals(node) ? 0 : rooms.freeBesideImage(spec, member, job.waitingCount());
+      elsewhere += member.equals(node) ? 0 : rooms.taskCapacityWithImage(spec, member, job.waitingCount());
     }
     return elsewhere >= job.waitingCount();
   }
@@ -264,7 +264,7 @@
         && (failed.types() == null || failed.types().equals(s.types()));
   }
 
-  static Predicate<CapacityIndex.Cell> scope(String node, boolean asLeader) {
+  static Predicate<CapacityIndex.MachineGroup> scope(String node, boolean asLeader) {
     return asLeader ? c -> true : c -> c.owner.equals(node);
   }
 
@@ -278,7 +278,7 @@
       return false;
     }
     Map<String, Integer> zones = zones(draft, job);
-    Predicate<CapacityIndex.Cell> allowed = c -> zoneAllows(job.spec(), zones, c.zone);
+    Predicate<CapacityIndex.MachineGroup> allowed = c -> zoneAllows(job.spec(), zones, c.zone);
     return !rooms.any(job.spec(), scope(node, false).and(allowed))
         && rooms.any(job.spec(), scope(node, true).and(allowed));
   }
@@ -318,7 +318,7 @@
       List<JobSpec> failed) {
     JobSpec spec = job.spec();
     Map<String, Integer> zones = zones(draft, job);
-    Predicate<CapacityIndex.Cell> scope = scope(node, asLeader);
+    Predicate<CapacityIndex.MachineGroup> scope = scope(node, asLeader);
     int placed = 0;
     // Of a job that seems to fail everywhere, one task is enough to see.
     int most = job.isSuspected() ? 1 : TASKS_A_ROUND;
@@ -347,7 +347,7 @@
    * one renews its workers' leases, and all that runs there ends. A machine that has the image is
    * worth more than that.
    */
-  private FreeCapacity chooseFor(JobSpec spec, Predicate<CapacityIndex.Cell> allowed) {
+  private FreeCapacity chooseFor(JobSpec spec, Predicate<CapacityIndex.MachineGroup> allowed) {
     if (spec.shape() != JobSpec.Shape.SERVICE) {
       return rooms.choose(spec, allowed);
     }
@@ -439,7 +439,7 @@
     // Two gangs may have marked a machine: lent anew, its room knows only what is durable, and
     // would be given to the second as well.
     for (Machine m : reservations.of(job)) {
-      FreeCapacity r = rooms.of(m);
+      FreeCapacity r = rooms.find(m);
       if (r != null && tables.isReserved(m)) {
         draft.placedOn(m).forEach(s -> rooms.book(r, s));
       }
--- a/src/main/java/wickdrift/coordination/TypeInfo.java
+++ b/src/main/java/wickdrift/coordination/TypeInfo.java
@@ -44,6 +44,6 @@
 
   /** How many tasks of a kind an empty machine holds. */
   int tasksThatFit(JobSpec s) {
-    return FreeCapacity.tasksIn(s, cpus, gpus, memoryGb);
+    return FreeCapacity.taskCapacity(s, cpus, gpus, memoryGb);
   }
 }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -72,7 +72,7 @@
     JobSpec.Priority strongest = waited < patience ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
     List<FreeCapacity> may = new ArrayList<>();
     Map<String, Integer> zones = TaskPlacer.zones(draft, job);
-    Predicate<CapacityIndex.Cell> scope = TaskPlacer.scope(node, asLeader);
+    Predicate<CapacityIndex.MachineGroup> scope = TaskPlacer.scope(node, asLeader);
     boolean gang = spec.shape() == JobSpec.Shape.GANG;
     if (gang && asLeader) {
       emptyMarked(draft, job, strongest, now);
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -48,7 +48,7 @@
       TypeInfo t = new TypeInfo("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
       Machine m = machine(tables, "m" + (i + 1));
       rooms.put(m, t, "n0", 0);
-      rooms.book(rooms.of(m), spec(0, Double.parseDouble(parts[i]) * gpus));
+      rooms.book(rooms.find(m), spec(0, Double.parseDouble(parts[i]) * gpus));
     }
     return rooms;
   }
@@ -116,9 +116,9 @@
     Machine m = machine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
     rooms.put(m, t, "n0", 0);
     JobSpec first = spec(1, 1);
-    rooms.book(rooms.of(m), first);
+    rooms.book(rooms.find(m), first);
     assertNull(rooms.choose(drawn(1, 1, "other"), c -> true));
-    assertEquals(rooms.of(m), rooms.choose(first, c -> true));
+    assertEquals(rooms.find(m), rooms.choose(first, c -> true));
   }
 
   // ---- the index against the rule written out ----
@@ -147,7 +147,7 @@
   }
 
   private static int group(FreeCapacity r, JobSpec s) {
-    if (tooFull(r, s) || r.fetching() && !r.hasImage(s)) {
+    if (tooFull(r, s) || r.isFetching() && !r.hasImage(s)) {
       return 1;
     }
     return r.hasImage(s) ? 2 : 0;
@@ -213,7 +213,7 @@
         m.markImageReady("img" + random.nextInt(4), 1, 0);
       }
       rooms.put(m, t, "n0", 0);
-      all.add(rooms.of(m));
+      all.add(rooms.find(m));
     }
     int placed = 0;
     for (int n = 0; n < 600; n++) {
@@ -252,11 +252,11 @@
         m.markImageReady("img", 1, 0);
         rooms.put(m, t, "n0", 0);
       }
-      long before = rooms.looked();
+      long before = rooms.machinesExamined();
       for (int n = 0; n < 100; n++) {
         rooms.book(rooms.choose(s, c -> true), s);
       }
-      looked[k] = rooms.looked() - before;
+      looked[k] = rooms.machinesExamined() - before;
     }
     // The border of the half lies within one 64th of load, so some are counted one by one.
     assertTrue(looked[1] < 100 * 700, "looked at " + looked[1]);
