--- a/src/main/java/wickdrift/coordination/CapacityIndex.java
+++ b/src/main/java/wickdrift/coordination/CapacityIndex.java
@@ -346,7 +346,7 @@
       start[i] = (image ? withImage(equals.get(i), s) : equals.get(i).all).upTo(most);
     }
     int left = k;
-    for (int level = LoadIndex.level(most); level >= 0 && left > 0; level--) {
+    for (int level = LoadIndex.bucket(most); level >= 0 && left > 0; level--) {
       int at = level;
       for (int i = start.length - 1; i >= 0 && left > 0; i--) {
         MachineGroup c = equals.get(i);
--- a/src/main/java/wickdrift/coordination/LoadIndex.java
+++ b/src/main/java/wickdrift/coordination/LoadIndex.java
@@ -10,7 +10,7 @@
   private int size;
   private final int[] levels = new int[LEVELS + 1];
 
-  static int level(double load) {
+  static int bucket(double load) {
     return Math.max(0, Math.min(LEVELS, (int) (load * LEVELS + FreeCapacity.EPS)));
   }
 
@@ -63,7 +63,7 @@
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (level(rooms[mid].load()) < level) {
+      if (bucket(rooms[mid].load()) < level) {
         from = mid + 1;
       } else {
         to = mid;
@@ -74,7 +74,7 @@
 
   /** How many of a level have at most this load, which lies in or above it. */
   int atLevel(int level, double most) {
-    return level < level(most) ? levels[level] : upTo(most) - below(level);
+    return level < bucket(most) ? levels[level] : upTo(most) - below(level);
   }
 
   void add(FreeCapacity r) {
@@ -85,7 +85,7 @@
     System.arraycopy(rooms, at, rooms, at + 1, size - at);
     rooms[at] = r;
     size++;
-    levels[level(r.load())]++;
+    levels[bucket(r.load())]++;
   }
 
   /** Call it before the room's load changes. */
@@ -96,6 +96,6 @@
     }
     System.arraycopy(rooms, at + 1, rooms, at, size - at - 1);
     rooms[--size] = null;
-    levels[level(r.load())]--;
+    levels[bucket(r.load())]--;
   }
 }
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -160,7 +160,7 @@
     eligible.sort(
         Comparator.comparingDouble((FreeCapacity r) -> -r.type().gpus())
             .thenComparingInt(r -> group(r, s))
-            .thenComparingInt(r -> LoadIndex.level(r.load()))
+            .thenComparingInt(r -> LoadIndex.bucket(r.load()))
             .thenComparing(r -> r.machine().info().zone())
             .thenComparingDouble(FreeCapacity::load)
             .thenComparingInt(r -> r.machine().number()));
