--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/Conversion.java
@@ -87,7 +87,7 @@
   private boolean part(TransactionBuilder draft, String key) {
     for (Map.Entry<String, Partition> p : tables.partitions().entrySet()) {
       if (Partition.key(p.getKey()).equals(key)) {
-        Partition told = Quota.numbered(p.getValue(), p.getKey(), tables.registry(), settings);
+        Partition told = Quota.toNumberedEncoding(p.getValue(), p.getKey(), tables.registry(), settings);
         draft.write(key, told.toStore(), told.stamp());
         return true;
       }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -387,7 +387,7 @@
       Partition p = tables.partition(n);
       if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
-            p.encoding() == Encoding.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
+            p.encoding() == Encoding.FIRST ? Quota.toNumberedEncoding(p, n, tables.registry(), settings) : p;
         txn.requireStamp(Partition.key(n), p.stamp())
             .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
       }
@@ -611,7 +611,7 @@
       Partition p = tables.partition(m);
       Partition told = p == null ? Partition.empty(0, Encoding.forLevel(next.level())) : p;
       if (next.isOpen(Gate.NUMBERS) && told.encoding() == Encoding.FIRST) {
-        told = Quota.numbered(told, m, tables.registry(), settings);
+        told = Quota.toNumberedEncoding(told, m, tables.registry(), settings);
       }
       txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
       txn.write(Partition.key(m), told.inEpoch(next.epoch()).toStore());
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -85,7 +85,7 @@
   }
 
   /** A part as {@link Encoding#NUMBERED} tells it: what a node may use, as more or less than even. */
-  static Partition numbered(Partition p, String of, NodeRegistry registry, Settings settings) {
+  static Partition toNumberedEncoding(Partition p, String of, NodeRegistry registry, Settings settings) {
     Map<String, QuotaShare> told = new LinkedHashMap<>();
     for (Settings.Team t : settings.teams()) {
       QuotaShare s = p.quotaShares().get(t.name());
@@ -110,7 +110,7 @@
    *
    * @param wallMs the time of day
    */
-  void saveUp(Iterable<Job> waiting, long wallMs) {
+  void holdQuotaForGangs(Iterable<Job> waiting, long wallMs) {
     Set<String> open = new HashSet<>();
     for (String team : teams.keySet()) {
       // Far from its limit there is nothing to save up.
@@ -214,13 +214,13 @@
   // ---- giving share away ----
 
   /** A gift of share from one node to another. */
-  record Gift(String team, String from, String to, Partition giver, Partition taker) {}
+  record Transfer(String team, String donor, String recipient, Partition donorPartition, Partition recipientPartition) {}
 
   /**
    * What this node should give away, or null: spare share goes to a node whose waiting jobs lack
    * it. A leader also gives on behalf of nodes outside the view, which can't place any more.
    */
-  Gift gift(boolean leader, Iterable<Job> waiting) {
+  Transfer proposeTransfer(boolean leader, Iterable<Job> waiting) {
     var view = tables.view();
     for (Job job : waiting) {
       String team = job.spec().team();
@@ -253,7 +253,7 @@
           QuotaShare gift =
               new QuotaShare(Math.min(spare.cpus(), lack.cpus()), Math.min(spare.gpus(), lack.gpus()));
           if (gift.cpus() > FreeCapacity.EPS || gift.gpus() > FreeCapacity.EPS) {
-            return new Gift(
+            return new Transfer(
                 team, giver, taker, moved(team, giver, gift.times(-1)), moved(team, taker, gift));
           }
         }
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -134,7 +134,7 @@
     postponedForMs = 0;
     rooms.newRound(now);
     Quota quota = new Quota(settings, tables);
-    quota.saveUp(scheduling.queue().waiting(), timers.wallMs());
+    quota.holdQuotaForGangs(scheduling.queue().waiting(), timers.wallMs());
     boolean placedAny = false;
     Set<String> foreign = new HashSet<>();
     List<JobSpec> noRoom = new ArrayList<>();
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -605,12 +605,12 @@
   private void draftGift(TransactionBuilder draft) {
     giftLookMs = timers.nowMs();
     Quota quota = new Quota(settings, tables);
-    quota.saveUp(scheduling.queue().waiting(), timers.wallMs());
-    Quota.Gift g = quota.gift(membership.leads(), scheduling.queue().waiting());
+    quota.holdQuotaForGangs(scheduling.queue().waiting(), timers.wallMs());
+    Quota.Transfer g = quota.proposeTransfer(membership.leads(), scheduling.queue().waiting());
     if (g != null) {
-      LOG.info("giving quota of {} from {} to {}", g.team(), g.from(), g.to());
-      draft.write(Partition.key(g.from()), g.giver().toStore(), g.giver().stamp());
-      draft.write(Partition.key(g.to()), g.taker().toStore(), g.taker().stamp());
+      LOG.info("giving quota of {} from {} to {}", g.team(), g.donor(), g.recipient());
+      draft.write(Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
+      draft.write(Partition.key(g.recipient()), g.recipientPartition().toStore(), g.recipientPartition().stamp());
       draft.gives();
       draft.underView();
     }
