--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -21,7 +21,7 @@
    *
    * @param as the priority for whose sake they are stopped: only lower ones are
    */
-  static List<Choice> cheapest(
+  static List<Choice> cheapestChoices(
       List<FreeCapacity> rooms,
       JobSpec spec,
       JobSpec.Priority as,
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -89,7 +89,7 @@
       }
     }
     for (Preemption.Choice c :
-        Preemption.cheapest(
+        Preemption.cheapestChoices(
             may, spec, job.preemptionPriority(), strongest, now, Math.min(lack, PREEMPT_MOST))) {
       if (gang && asLeader) {
         // Else what is stopped for it makes room for others.
@@ -147,7 +147,7 @@
     double least = Double.MAX_VALUE;
     for (List<FreeCapacity> rooms : byZone.values()) {
       List<Preemption.Choice> all =
-          Preemption.cheapest(rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
+          Preemption.cheapestChoices(rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
       double lost = all.stream().mapToDouble(Preemption.Choice::lost).sum();
       if (all.size() == lack && lost < least) {
         least = lost;
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -89,7 +89,7 @@
     }
     StringBuilder got = new StringBuilder();
     for (Preemption.Choice c :
-        Preemption.cheapest(
+        Preemption.cheapestChoices(
             rooms,
             spec(99, rank, 4, "img"),
             spec(99, rank, 4, "img").priority(),
