--- a/src/main/java/wickdrift/coordination/AdmissionQueue.java
+++ b/src/main/java/wickdrift/coordination/AdmissionQueue.java
@@ -76,7 +76,7 @@
    * Lets one wait. Returns who must go for it: null, another that waited, or itself, where nobody
    * has more there than its own team and class.
    */
-  T add(JobSpec spec, T submission) {
+  T offer(JobSpec spec, T submission) {
     Line<T> own = line(key(spec));
     T gone = null;
     if (size >= most) {
@@ -96,7 +96,7 @@
   }
 
   /** Back to where it was: it had left, and could not be written. */
-  void back(JobSpec spec, T submission) {
+  void returnToFront(JobSpec spec, T submission) {
     Line<T> l = line(key(spec));
     l.waiting.addFirst(submission);
     l.clock -= cost(spec.priority());
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -147,7 +147,7 @@
   }
 
   private void enqueue(Submission s) {
-    Submission gone = queue.add(s.spec(), s);
+    Submission gone = queue.offer(s.spec(), s);
     if (gone != null) {
       tooMany(gone.exchange());
     }
@@ -249,7 +249,7 @@
       }
       if (overflows(s.spec()) && router.impossible(s.spec()) == null) {
         if (!batch.isEmpty()) {
-          queue.back(s.spec(), s);
+          queue.returnToFront(s.spec(), s);
           break;
         }
         // By itself, in several steps: the next ones wait for it.
@@ -341,7 +341,7 @@
                   if (known) {
                     status.status(s.exchange(), id);
                   } else {
-                    queue.back(s.spec(), s);
+                    queue.returnToFront(s.spec(), s);
                   }
                 }
               });
@@ -378,6 +378,6 @@
     List<Submission> again = new ArrayList<>();
     batch.values().forEach(again::addAll);
     Collections.reverse(again);
-    again.forEach(s -> queue.back(s.spec(), s));
+    again.forEach(s -> queue.returnToFront(s.spec(), s));
   }
 }
--- a/src/test/java/wickdrift/coordination/AdmissionQueueTest.java
+++ b/src/test/java/wickdrift/coordination/AdmissionQueueTest.java
@@ -35,7 +35,7 @@
   private static AdmissionQueue<String> door(int most, String... waiting) {
     AdmissionQueue<String> d = new AdmissionQueue<>(most);
     for (String w : waiting) {
-      d.add(spec(w), w);
+      d.offer(spec(w), w);
     }
     return d;
   }
@@ -61,7 +61,7 @@
   void teamsOfOneRankTakeTurns(String came, String leave) {
     AdmissionQueue<String> d = new AdmissionQueue<>(99);
     for (char c : came.toCharArray()) {
-      d.add(spec(c + "/x/standard"), c + "/x/standard");
+      d.offer(spec(c + "/x/standard"), c + "/x/standard");
     }
     assertEquals(leave, order(d, leave.length()));
   }
@@ -72,7 +72,7 @@
     AdmissionQueue<String> d = new AdmissionQueue<>(1000);
     for (String rank : List.of("production", "urgent", "standard", "idle")) {
       for (int i = 0; i < 100; i++) {
-        d.add(spec("t/" + rank + "/" + rank), rank);
+        d.offer(spec("t/" + rank + "/" + rank), rank);
       }
     }
     Map<String, Integer> left = new HashMap<>();
@@ -87,9 +87,9 @@
     AdmissionQueue<String> d =
         door(99, "a/x/standard", "a/x/standard", "a/x/standard", "a/x/standard");
     assertEquals("aaa", order(d, 3));
-    d.add(spec("a/x/standard"), "a");
+    d.offer(spec("a/x/standard"), "a");
     for (int i = 0; i < 3; i++) {
-      d.add(spec("b/x/standard"), "b");
+      d.offer(spec("b/x/standard"), "b");
     }
     // Not three of b first, for the three that a has had while b was away.
     assertEquals("babab", order(d, 5));
@@ -99,10 +99,10 @@
   void aSwarmMakesWayForAnother() {
     AdmissionQueue<String> d = new AdmissionQueue<>(3);
     for (String s : List.of("1", "2", "3")) {
-      assertNull(d.add(spec("swarm/x/idle"), s));
+      assertNull(d.offer(spec("swarm/x/idle"), s));
     }
-    assertEquals("4", d.add(spec("swarm/x/idle"), "4"), "its own are no longer than itself");
-    assertEquals("3", d.add(spec("other/y/idle"), "o"), "the last that the swarm sent");
+    assertEquals("4", d.offer(spec("swarm/x/idle"), "4"), "its own are no longer than itself");
+    assertEquals("3", d.offer(spec("other/y/idle"), "o"), "the last that the swarm sent");
     assertEquals(3, d.size());
     assertEquals("o12-", order(d, 4));
   }
@@ -110,9 +110,9 @@
   @Test
   void whatCouldNotBeWrittenIsNextAgain() {
     AdmissionQueue<String> d = door(99, "a/x/standard", "b/x/standard");
-    d.add(spec("a/x/standard"), "second");
+    d.offer(spec("a/x/standard"), "second");
     String first = d.poll();
-    d.back(spec("a/x/standard"), first);
+    d.returnToFront(spec("a/x/standard"), first);
     assertEquals("abs", order(d, 3));
     assertTrue(d.isEmpty());
   }
