--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -43,26 +43,26 @@
             new JobRouter(tables, scheduling, types, settings, tuning),
             new AwaitedJobs(ledger, tables, history),
             status,
-            this::ready);
+            this::isReady);
   }
 
   /** Whether requests can be served at all. */
-  public boolean ready() {
+  public boolean isReady() {
     return ledger.phase() == StateServiceClient.Phase.FOLLOWING && tables.view() != null && types.known();
   }
 
   /** Once that is so, no submission is taken any more. */
-  public void leaving(BooleanSupplier now) {
+  public void refuseSubmissionsWhen(BooleanSupplier now) {
     submissions.leaving(now);
   }
 
   /** Whether no submission waits for its answer. */
-  public boolean idle() {
+  public boolean isIdle() {
     return submissions.idle();
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
-  public long shed() {
+  public long shedStatusRequests() {
     return status.shed();
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** A user asks how a job stands. */
-  public void poll(Exchange x, String id) {
+  public void jobStatus(Exchange x, String id) {
     status.poll(x, id);
   }
 
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -150,7 +150,7 @@
             tuning,
             pauseDetector,
             confirmations);
-    admission.leaving(membership::leaving);
+    admission.refuseSubmissionsWhen(membership::leaving);
     fleet =
         new Fleet(
             timers,
@@ -191,7 +191,7 @@
     metrics.watch("jobs.over", () -> tables.pendingHistory().size());
     metrics.watch("jobs.unclear", () -> tables.dependencies().unresolved().size());
     metrics.watch("log.pages", () -> tables.logPages(node).size());
-    metrics.watch("polls.shed", admission::shed);
+    metrics.watch("polls.shed", admission::shedStatusRequests);
     metrics.watch("loop.late.ms", pauseDetector::lateMs);
     metrics.watch("loop.pauses", pauseDetector::pauses);
     metrics.watch("loop.paused.ms", pauseDetector::pausedMs);
@@ -241,7 +241,7 @@
 
   private void leaveStep(long byMs, Runnable done) {
     long now = pauseDetector.timers().nowMs();
-    if (pipeline.idle() && admission.idle() || now >= byMs) {
+    if (pipeline.idle() && admission.isIdle() || now >= byMs) {
       boolean[] once = new boolean[1];
       Runnable end =
           () -> {
@@ -344,7 +344,7 @@
     } else if (withdraw && post) {
       admission.withdraw(x, id);
     } else if (!withdraw && get) {
-      admission.poll(x, id);
+      admission.jobStatus(x, id);
     } else {
       wrongMethod(x);
     }
@@ -359,6 +359,6 @@
    * a peer is served and we alone are not.
    */
   private boolean healthy() {
-    return admission.ready() && !membership.aloneWithoutState() && !membership.leaving();
+    return admission.isReady() && !membership.aloneWithoutState() && !membership.leaving();
   }
 }
