--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -28,7 +28,7 @@
       Settings settings,
       Tuning tuning,
       PauseDetector pauseDetector,
-      Confirmations confirmations) {
+      WithdrawalConfirmations confirmations) {
     this.ledger = ledger;
     this.tables = tables;
     this.types = types;
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -29,7 +29,7 @@
   private final StateServiceClient ledger;
   private final Tables tables;
   private final PauseDetector pauseDetector;
-  private final Confirmations confirmations;
+  private final WithdrawalConfirmations confirmations;
   private final Tuning tuning;
 
   /** By job, who waits for the read after the one that is out. */
@@ -43,7 +43,7 @@
       StateServiceClient ledger,
       Tables tables,
       PauseDetector pauseDetector,
-      Confirmations confirmations,
+      WithdrawalConfirmations confirmations,
       Settings settings,
       Tuning tuning) {
     this.timers = timers;
--- a/src/main/java/wickdrift/coordination/Confirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -32,8 +32,8 @@
  * earlier owner says, and a later view's owner has read the withdrawal before the view. So it stays
  * proved, whoever fails next: if the owner does, the lease ends. What is over needs no proof.
  */
-public final class Confirmations {
-  private static final Logger LOG = LoggerFactory.getLogger(Confirmations.class);
+public final class WithdrawalConfirmations {
+  private static final Logger LOG = LoggerFactory.getLogger(WithdrawalConfirmations.class);
 
   /** Who asks is answered within this time, kept or not. */
   private static final long WAIT_MS = 700;
@@ -76,11 +76,11 @@
   private final Map<Long, Question> questions = new HashMap<>();
   private long nextId;
   private boolean tidying;
-  private long kept;
-  private long unkept;
+  private long confirmedCount;
+  private long unconfirmedCount;
 
   /** Nothing is asked until somebody waits for an answer. */
-  public Confirmations(
+  public WithdrawalConfirmations(
       Timers timers,
       StateServiceClient ledger,
       Tables tables,
@@ -96,13 +96,13 @@
   }
 
   /** Jobs of which this node found that their withdrawal will be kept. */
-  public long kept() {
-    return kept;
+  public long confirmedCount() {
+    return confirmedCount;
   }
 
   /** Questions that were answered without the word, as it was not proved in time. */
-  public long unkept() {
-    return unkept;
+  public long unconfirmedCount() {
+    return unconfirmedCount;
   }
 
   /**
@@ -131,7 +131,7 @@
           long now = timers.nowMs();
           List<Waiter> late = new ArrayList<>();
           o.waiters.removeIf(w -> w.untilMs <= now && late.add(w));
-          unkept += late.size();
+          unconfirmedCount += late.size();
           late.forEach(w -> w.done.accept(false));
           arm(job, o);
         });
@@ -149,7 +149,7 @@
         return;
       }
       o.kept = true;
-      kept++;
+      confirmedCount++;
     }
     List<Waiter> told = List.copyOf(o.waiters);
     o.waiters.clear();
@@ -210,7 +210,7 @@
   }
 
   /** An owner's answer. Whoever was not asked has nothing to say. */
-  public void answered(PeerFrame.Obeyed a) {
+  public void handleConfirmation(PeerFrame.Obeyed a) {
     Question q = questions.get(a.id());
     if (q == null || !q.owner.equals(tables.registry().name(a.from()))) {
       return;
@@ -233,7 +233,7 @@
    * A peer has told of a withdrawal and asks which of our machines obey us alone. From here on we
    * know, whether the state service serves us or not; what can't be kept is not answered.
    */
-  public void asked(PeerFrame.Withdrawn w) {
+  public void handleConfirmationRequest(PeerFrame.Withdrawn w) {
     boolean knew = tables.isWithdrawalAnnounced(w.job()) || w.rev() <= tables.appliedRev();
     if (!tables.announceWithdrawal(w.job(), w.rev())) {
       LOG.error("too many withdrawals are known ahead of the tables: {} is not", w.job());
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -12,7 +12,7 @@
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Admission;
-import wickdrift.coordination.Confirmations;
+import wickdrift.coordination.WithdrawalConfirmations;
 import wickdrift.coordination.Fleet;
 import wickdrift.coordination.Membership;
 import wickdrift.coordination.PauseDetector;
@@ -52,7 +52,7 @@
   private final TransactionPipeline pipeline;
   private final Relay relay;
   private final Reporting reporting;
-  private final Confirmations confirmations;
+  private final WithdrawalConfirmations confirmations;
   private final Admission admission;
   private final Fleet fleet;
   private final Metrics metrics;
@@ -137,7 +137,7 @@
             settings.node(),
             malformed);
     history = new JobHistory(timers, ledger, tables);
-    confirmations = new Confirmations(timers, ledger, tables, reporting, settings.node(), peers);
+    confirmations = new WithdrawalConfirmations(timers, ledger, tables, reporting, settings.node(), peers);
     admission =
         new Admission(
             timers,
@@ -208,8 +208,8 @@
     metrics.watch("commands.unanswered", links::unanswered);
     metrics.watch("commands.uncertain.machines", links::uncertain);
     metrics.watch("invariants.violated", links.monitor()::violations);
-    metrics.watch("withdrawals.kept", confirmations::kept);
-    metrics.watch("withdrawals.unkept", confirmations::unkept);
+    metrics.watch("withdrawals.kept", confirmations::confirmedCount);
+    metrics.watch("withdrawals.unkept", confirmations::unconfirmedCount);
   }
 
   /** For looking in from outside: what this node holds for durable. */
@@ -281,9 +281,9 @@
     } else if (frame instanceof PeerFrame.Answered a) {
       relay.answered(a);
     } else if (frame instanceof PeerFrame.Withdrawn w) {
-      confirmations.asked(w);
+      confirmations.handleConfirmationRequest(w);
     } else if (frame instanceof PeerFrame.Obeyed o) {
-      confirmations.answered(o);
+      confirmations.handleConfirmation(o);
     } else if (unknownFrames++ == 0) {
       LOG.info("from a peer: a frame that this build does not know, and passes over");
     }
