--- a/src/main/java/wickdrift/coordination/Relay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -16,7 +16,7 @@
  * Passes reports on to the owner of a machine that its worker can't reach. Without this, a
  * controller cut off from the workers alone keeps its lease, and its part's tasks all die.
  */
-public final class Relay {
+public final class ReportRelay {
   private static final long WAIT_MS = 1500;
   private static final int MAX_PENDING = 200;
 
@@ -27,7 +27,7 @@
   private final Map<Long, Exchange> pending = new HashMap<>();
   private long nextId;
 
-  public Relay(
+  public ReportRelay(
       Timers timers, String node, NodeRegistry registry, Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
     this.node = node;
@@ -36,7 +36,7 @@
   }
 
   /** Passes a report on; false if that can't be done. The answer, or 421, follows in time. */
-  public boolean pass(Exchange x, String owner) {
+  public boolean forward(Exchange x, String owner) {
     Consumer<ByteBuffer> peer = peers.get(owner);
     int number = registry.numberOf(node);
     if (peer == null || number < 0 || pending.size() >= MAX_PENDING) {
@@ -56,7 +56,7 @@
   }
 
   /** A peer's answer to a report that was passed on. */
-  public void answered(PeerFrame.Answered a) {
+  public void handleReply(PeerFrame.Answered a) {
     Exchange x = pending.remove(a.id());
     if (x == null) {
       return;
@@ -69,7 +69,7 @@
   }
 
   /** A report that a peer passed on to us, as a request whose answer goes back to that peer. */
-  public Exchange received(PeerFrame.Relayed r) {
+  public Exchange exchangeFor(PeerFrame.Relayed r) {
     return new Exchange() {
       @Override
       public String method() {
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -44,7 +44,7 @@
   private final TransactionPipeline pipeline;
   private final Tuning tuning;
   private final String node;
-  private final Relay relay;
+  private final ReportRelay relay;
   private final Zones zones;
   private final MalformedMessages malformed;
   private final WorkerLinks links;
@@ -76,7 +76,7 @@
       TransactionPipeline pipeline,
       Tuning tuning,
       Caller caller,
-      Relay relay,
+      ReportRelay relay,
       PauseDetector pauseDetector,
       Zones zones,
       WorkerLinks links,
@@ -240,7 +240,7 @@
               || before != null
                   && r.epoch() == before.epoch()
                   && owner.equals(before.owner(r.machine(), r.zone()));
-      if (left && mayRelay && relay.pass(x, owner)) {
+      if (left && mayRelay && relay.forward(x, owner)) {
         return;
       }
       sentAway.add(r.machine());
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -16,7 +16,7 @@
 import wickdrift.coordination.Fleet;
 import wickdrift.coordination.Membership;
 import wickdrift.coordination.PauseDetector;
-import wickdrift.coordination.Relay;
+import wickdrift.coordination.ReportRelay;
 import wickdrift.coordination.Reporting;
 import wickdrift.coordination.SchedulingState;
 import wickdrift.coordination.TransactionPipeline;
@@ -50,7 +50,7 @@
   private final JobHistory history;
   private final Membership membership;
   private final TransactionPipeline pipeline;
-  private final Relay relay;
+  private final ReportRelay relay;
   private final Reporting reporting;
   private final WithdrawalConfirmations confirmations;
   private final Admission admission;
@@ -114,7 +114,7 @@
             malformed);
     membership =
         new Membership(timers, ledger, tables, tuning, settings, levels, incarnation, peers);
-    relay = new Relay(timers, settings.node(), tables.registry(), peers);
+    relay = new ReportRelay(timers, settings.node(), tables.registry(), peers);
     pipeline =
         new TransactionPipeline(
             timers, ledger, tables, scheduling, types, membership, tuning, settings);
@@ -277,9 +277,9 @@
     if (frame instanceof PeerFrame.Standing s) {
       membership.peerStands(s);
     } else if (frame instanceof PeerFrame.Relayed r) {
-      reporting.relayed(relay.received(r));
+      reporting.relayed(relay.exchangeFor(r));
     } else if (frame instanceof PeerFrame.Answered a) {
-      relay.answered(a);
+      relay.handleReply(a);
     } else if (frame instanceof PeerFrame.Withdrawn w) {
       confirmations.handleConfirmationRequest(w);
     } else if (frame instanceof PeerFrame.Obeyed o) {
