--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -76,7 +76,7 @@
 
   private final Map<String, Settings.Team> byName = new HashMap<>();
   private final TeamUsage usage;
-  private final Promised waitingByPartition = new Promised();
+  private final QueuedDemand waitingByPartition = new QueuedDemand();
 
   JobQueue(Settings settings, TeamUsage usage) {
     this.usage = usage;
@@ -118,11 +118,11 @@
       t.stale = true;
     }
     place(j, counts && j.waitingCount() > 0);
-    waitingByPartition.changed(j, counts ? j.waitingCount() : 0);
+    waitingByPartition.update(j, counts ? j.waitingCount() : 0);
   }
 
   /** What waits at each part. */
-  Promised waitingByPartition() {
+  QueuedDemand waitingByPartition() {
     return waitingByPartition;
   }
 
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -61,7 +61,7 @@
   /**
    * The part with most free room for it; gangs and what is large against a part go to the leader.
    */
-  String route(JobSpec s, Promised together) {
+  String route(JobSpec s, QueuedDemand together) {
     View v = tables.view();
     // A part holds its own zone's machines first: what must be in several is for who sees all.
     boolean manyZones = s.spread() && s.tasks() > 1 && v.partitionsAreZonal();
@@ -73,13 +73,13 @@
     // wait for a fetch, which may take longer than its class has to start.
     // The one with most of it, counted far enough that several jobs at once do not meet there.
     String best = v.owner(s.id());
-    Promised waiting = scheduling.queue().waitingByPartition();
+    QueuedDemand waiting = scheduling.queue().waitingByPartition();
     int enough = s.tasks() + BESIDE_MOST;
     int beside = Integer.MIN_VALUE;
     double free = Double.NEGATIVE_INFINITY;
     String freest = best;
     for (String part : inOrder(v, best)) {
-      int promised = waiting.besideImage(s, part) + together.besideImage(s, part);
+      int promised = waiting.tasksWithImage(s, part) + together.tasksWithImage(s, part);
       // Counted no further than that: with more promised the image is no reason to go there.
       int most = enough + Math.min(promised, BESIDE_MOST);
       int n = Math.min(enough, rooms.taskCapacityWithImage(s, part, most) - promised);
@@ -87,7 +87,7 @@
         best = part;
         beside = n;
       }
-      double f = rooms.estimateTaskCapacity(s, part) - waiting.tasks(s, part) - together.tasks(s, part);
+      double f = rooms.estimateTaskCapacity(s, part) - waiting.equivalentTasks(s, part) - together.equivalentTasks(s, part);
       if (f > free + FreeCapacity.EPS) {
         freest = part;
         free = f;
--- a/src/main/java/wickdrift/coordination/Promised.java
+++ b/src/main/java/wickdrift/coordination/QueuedDemand.java
@@ -10,7 +10,7 @@
  * free for the next job. Without that, all that comes before the first of it is placed goes to one
  * part, the largest, while the others stand empty. Kept up to date by the changes of jobs.
  */
-final class Promised {
+final class QueuedDemand {
   private record Need(
       String part, String image, int tasks, double cpus, double gpus, double memoryGb) {
     static Need of(JobSpec s, String part, int n) {
@@ -37,7 +37,7 @@
   private final Map<String, Sum> sums = new HashMap<>();
 
   /** So many of the job's tasks wait now. */
-  void changed(Job j, int waiting) {
+  void update(Job j, int waiting) {
     Need now = waiting > 0 ? Need.of(j.spec(), j.partition(), waiting) : null;
     Need old = now == null ? needs.remove(j) : needs.put(j, now);
     if (old != null) {
@@ -58,7 +58,7 @@
   }
 
   /** How many tasks of this kind would take what is promised at a part. */
-  double tasks(JobSpec s, String part) {
+  double equivalentTasks(JobSpec s, String part) {
     Sum sum = sums.get(part);
     if (sum == null) {
       return 0;
@@ -71,7 +71,7 @@
   }
 
   /** How many tasks with this image wait at a part. */
-  int besideImage(JobSpec s, String part) {
+  int tasksWithImage(JobSpec s, String part) {
     Sum sum = sums.get(part);
     return sum == null ? 0 : sum.tasksByImage.getOrDefault(s.image(), 0);
   }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -205,7 +205,7 @@
   /** A transaction for one job alone, whose names are written. */
   private void batchOf(Submission s, AwaitsOverflow more) {
     Transaction txn = new Transaction();
-    put(txn, s.spec(), more, new Promised());
+    put(txn, s.spec(), more, new QueuedDemand());
     ledger.commit(
         txn,
         StateServiceClient.WritePriority.USER,
@@ -215,7 +215,7 @@
         });
   }
 
-  private void put(Transaction txn, JobSpec spec, AwaitsOverflow more, Promised together) {
+  private void put(Transaction txn, JobSpec spec, AwaitsOverflow more, QueuedDemand together) {
     String id = spec.id();
     txn.requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
     String part = router.route(spec, together);
@@ -234,7 +234,7 @@
 
   private void accept() {
     Map<String, List<Submission>> batch = new LinkedHashMap<>();
-    Promised together = new Promised();
+    QueuedDemand together = new QueuedDemand();
     Transaction txn = new Transaction();
     while (!queue.isEmpty() && batch.size() < ledger.limits().maxTransactionChanges()) {
       Submission s = queue.poll();
--- a/src/test/java/wickdrift/coordination/PromisedTest.java
+++ b/src/test/java/wickdrift/coordination/QueuedDemandTest.java
@@ -17,7 +17,7 @@
 import wickdrift.sim.SimJobs;
 
 /** What waits at a part is counted as room that is taken. */
-class PromisedTest {
+class QueuedDemandTest {
   private static final String ID = "req-000001";
 
   private static JobSpec spec(int tasks, double gpus) throws Exception {
@@ -49,28 +49,28 @@
     "4, 2, 4, 4"
   })
   void countsTheScarcest(int waiting, double gpus, double next, double tasks) throws Exception {
-    Promised p = new Promised();
-    p.changed(job("n1", 9, gpus), waiting);
-    assertEquals(tasks, p.tasks(spec(1, next), "n1"), 1e-9);
-    assertEquals(0, p.tasks(spec(1, next), "n2"), 1e-9);
-    assertEquals(waiting, p.besideImage(spec(1, next), "n1"));
+    QueuedDemand p = new QueuedDemand();
+    p.update(job("n1", 9, gpus), waiting);
+    assertEquals(tasks, p.equivalentTasks(spec(1, next), "n1"), 1e-9);
+    assertEquals(0, p.equivalentTasks(spec(1, next), "n2"), 1e-9);
+    assertEquals(waiting, p.tasksWithImage(spec(1, next), "n1"));
   }
 
   @Test
   void followsAJob() throws Exception {
-    Promised p = new Promised();
+    QueuedDemand p = new QueuedDemand();
     Job j = job("n1", 9, 1);
-    p.changed(j, 9);
-    p.changed(j, 4);
-    assertEquals(4, p.tasks(spec(1, 1), "n1"), 1e-9);
+    p.update(j, 9);
+    p.update(j, 4);
+    assertEquals(4, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
     p.add(spec(2, 1), "n1");
-    assertEquals(6, p.tasks(spec(1, 1), "n1"), 1e-9);
+    assertEquals(6, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
     // Handed to another part.
     assertSame(j, job("n2", 9, 1));
-    p.changed(j, 4);
-    assertEquals(2, p.tasks(spec(1, 1), "n1"), 1e-9);
-    assertEquals(4, p.tasks(spec(1, 1), "n2"), 1e-9);
-    p.changed(j, 0);
-    assertEquals(0, p.tasks(spec(1, 1), "n2"), 1e-9);
+    p.update(j, 4);
+    assertEquals(2, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
+    assertEquals(4, p.equivalentTasks(spec(1, 1), "n2"), 1e-9);
+    p.update(j, 0);
+    assertEquals(0, p.equivalentTasks(spec(1, 1), "n2"), 1e-9);
   }
 }
