--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -53,12 +53,12 @@
 
   /** Once that is so, no submission is taken any more. */
   public void refuseSubmissionsWhen(BooleanSupplier now) {
-    submissions.leaving(now);
+    submissions.stopAcceptingWhen(now);
   }
 
   /** Whether no submission waits for its answer. */
   public boolean isIdle() {
-    return submissions.idle();
+    return submissions.isIdle();
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -91,12 +91,12 @@
   }
 
   /** Once that is so, no submission is taken any more. */
-  void leaving(BooleanSupplier now) {
+  void stopAcceptingWhen(BooleanSupplier now) {
     leaving = now;
   }
 
   /** Whether no submission waits for its answer. */
-  boolean idle() {
+  boolean isIdle() {
     return !busy && batchesOut == 0 && queue.isEmpty();
   }
 
