--- a/src/main/java/wickdrift/coordination/SilenceWatch.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -15,8 +15,8 @@
  * Looks regularly for machines that are silent or deaf, for workers whose lease has surely ended,
  * and for commands that only a higher epoch can make void.
  */
-final class SilenceWatch {
-  private static final Logger LOG = LoggerFactory.getLogger(SilenceWatch.class);
+final class MachineHealthMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
   private static final long PERIOD_MS = 500;
 
   /** A run that is unanswered for so long, and unwanted, is made void by a higher epoch. */
@@ -37,7 +37,7 @@
   private long epoch;
   private long epochSinceMs;
 
-  SilenceWatch(
+  MachineHealthMonitor(
       Timers timers,
       Tables tables,
       Membership membership,
@@ -63,7 +63,7 @@
   }
 
   /** An epoch has begun, as this node knows it. */
-  void epochBegins(long newEpoch, long nowMs) {
+  void onEpochStarted(long newEpoch, long nowMs) {
     epoch = newEpoch;
     epochSinceMs = nowMs;
   }
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -50,7 +50,7 @@
   private final WorkerLinks links;
   private final CommandPlanner planner;
   private final DirectCommands directCommands;
-  private final SilenceWatch silenceWatch;
+  private final MachineHealthMonitor silenceWatch;
 
   /** Machines that were told of their owner in this view. */
   private final Set<String> sentAway = new HashSet<>();
@@ -99,7 +99,7 @@
     directCommands =
         new DirectCommands(timers, tables, membership, links, planner, caller, leaseMs, malformed);
     silenceWatch =
-        new SilenceWatch(
+        new MachineHealthMonitor(
             timers, tables, membership, pipeline, tuning, pauseDetector, zones, links, node);
   }
 
@@ -133,7 +133,7 @@
     viewEpoch = v.epoch();
     sentAway.clear();
     viewSinceMs = timers.nowMs();
-    silenceWatch.epochBegins(viewEpoch, viewSinceMs);
+    silenceWatch.onEpochStarted(viewEpoch, viewSinceMs);
     LOG.info(
         "epoch {}: members with incarnations {}, leader {}, read at revision {}",
         v.epoch(),
