--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -41,7 +41,7 @@
             ledger,
             tables,
             new JobRouter(tables, scheduling, types, settings, tuning),
-            new AwaitedJobs(ledger, tables, history),
+            new DependencyValidator(ledger, tables, history),
             status,
             this::isReady);
   }
--- a/src/main/java/wickdrift/coordination/AwaitedJobs.java
+++ b/src/main/java/wickdrift/coordination/DependencyValidator.java
@@ -8,7 +8,7 @@
 import wickdrift.protocol.JobSpec;
 
 /** Whether the jobs that a submission awaits were accepted, and can be awaited. */
-final class AwaitedJobs {
+final class DependencyValidator {
 
   /** What was found. Where nothing can be said yet the user is sent away. */
   interface Outcome {
@@ -21,7 +21,7 @@
   private final Tables tables;
   private final JobHistory history;
 
-  AwaitedJobs(StateServiceClient ledger, Tables tables, JobHistory history) {
+  DependencyValidator(StateServiceClient ledger, Tables tables, JobHistory history) {
     this.ledger = ledger;
     this.tables = tables;
     this.history = history;
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -43,7 +43,7 @@
   private final StateServiceClient ledger;
   private final Tables tables;
   private final JobRouter router;
-  private final AwaitedJobs awaited;
+  private final DependencyValidator awaited;
   private final JobStatus status;
   private final BooleanSupplier ready;
   private final AdmissionQueue<Submission> queue = new AdmissionQueue<>(MAX_QUEUE);
@@ -57,8 +57,8 @@
 
   private long newestBatch;
 
-  private final AwaitedJobs.Outcome onNames =
-      new AwaitedJobs.Outcome() {
+  private final DependencyValidator.Outcome onNames =
+      new DependencyValidator.Outcome() {
         @Override
         public void known(Submission s) {
           enqueue(s);
@@ -78,7 +78,7 @@
       StateServiceClient ledger,
       Tables tables,
       JobRouter router,
-      AwaitedJobs awaited,
+      DependencyValidator awaited,
       JobStatus status,
       BooleanSupplier ready) {
     this.timers = timers;
