--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -21,9 +21,9 @@
  * nothing of an older form is left, that is made durable; should a transaction that was long under
  * way bring another such record, it is converted too, and the level's end of work told anew.
  */
-final class Conversion {
+final class EncodingMigration {
   /** Of the budget of writes, so much must be left. */
-  static final double EASE = 0.5;
+  static final double MIN_WRITE_BUDGET_FRACTION = 0.5;
 
   /** At most one record in so long. */
   private static final long GAP_MS = 250;
@@ -36,7 +36,7 @@
   private final String node;
   private long nextMs;
 
-  Conversion(
+  EncodingMigration(
       Timers timers, StateServiceClient ledger, Tables tables, Membership membership, Settings settings) {
     this.timers = timers;
     this.ledger = ledger;
@@ -47,7 +47,7 @@
   }
 
   /** Puts the next record into a draft that is empty so far. */
-  void draft(TransactionBuilder draft) {
+  void addNextRecord(TransactionBuilder draft) {
     long now = timers.nowMs();
     if (tables.encoding() == Encoding.FIRST || now < nextMs) {
       return;
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -72,7 +72,7 @@
   private final String node;
   private final TaskPlacer placing;
   private final LogCompaction compaction;
-  private final Conversion conversion;
+  private final EncodingMigration conversion;
   private final Map<TaskKey, Exit> exits = new LinkedHashMap<>();
   private final Map<Machine, Machine.Info> records = new LinkedHashMap<>();
 
@@ -123,7 +123,7 @@
             ledger.limits(),
             this::leadSettled);
     this.compaction = new LogCompaction(timers, ledger, tables, membership, tuning, node);
-    this.conversion = new Conversion(timers, ledger, tables, membership, settings);
+    this.conversion = new EncodingMigration(timers, ledger, tables, membership, settings);
   }
 
   public void start() {
@@ -326,8 +326,8 @@
       draftGift(draft);
     }
     compaction.draft(draft);
-    if (draft.empty() && ledger.writeBudgetFraction() > Conversion.EASE) {
-      conversion.draft(draft);
+    if (draft.empty() && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION) {
+      conversion.addNextRecord(draft);
     }
     draftMoves(draft);
     owed = draft.wanted();
@@ -544,7 +544,7 @@
    */
   private void draftMoves(TransactionBuilder draft) {
     boolean many = tables.pendingHistory().size() > MOVES_LATE_MOST;
-    if (!many && !(draft.empty() && ledger.writeBudgetFraction() > Conversion.EASE)) {
+    if (!many && !(draft.empty() && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION)) {
       return;
     }
     for (Map.Entry<String, Tables.PendingHistoryEntry> e : tables.pendingHistory().entrySet()) {
