--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -148,7 +148,7 @@
       leadSinceMs = Long.MIN_VALUE;
       return;
     }
-    if (leadSinceMs < pauseDetector.listeningSinceMs()) {
+    if (leadSinceMs < pauseDetector.uninterruptedSinceMs()) {
       // A new leader, or one that stood still: what it was about to do was judged by another's
       // time. What is still so is found again.
       leadSinceMs = now;
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -66,7 +66,7 @@
    * submissions and withdrawals wait in the same line.
    */
   void poll(Exchange x, String id) {
-    if (pauseDetector.lateMs() > tuning.busyMs() && tables.terminalState(id) == null) {
+    if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(id) == null) {
       shed++;
       UserRequests.later(x);
     } else {
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -88,7 +88,7 @@
         needsHigherEpoch |= needsHigherEpoch(machine, view, now);
       }
     }
-    zones.judge(pauseDetector.listeningSinceMs(), now);
+    zones.judge(pauseDetector.uninterruptedSinceMs(), now);
     if (needsHigherEpoch) {
       // Only a higher epoch, shown by the worker, proves that a command can't arrive any more.
       membership.raiseEpoch();
@@ -98,7 +98,7 @@
   private void silence(Machine machine, boolean up, boolean known, long now) {
     // A change of view is no news of a machine that was ours before: with one every few seconds
     // none would ever be found silent.
-    long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.listeningSinceMs());
+    long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
     if (known && silent > tuning.quietMs()) {
       machine.markReportsOverdue();
       zones.silent(machine.info().zone());
--- a/src/main/java/wickdrift/coordination/PauseDetector.java
+++ b/src/main/java/wickdrift/coordination/PauseDetector.java
@@ -9,10 +9,10 @@
 
 /**
  * Notices, in one place, that this process stood still while its clocks ran on. Whatever wakes it
- * first, a timer, a request or an answer, comes through {@link #beat}; a gap since the last one
+ * first, a timer, a request or an answer, comes through {@link #recordActivity}; a gap since the last one
  * that no ordinary work explains is a pause. Nothing was heard in it, so the clock proves nothing
  * about others: no machine silent, no boot overdue, no peer dead. Who judges by silence asks {@link
- * #listeningSinceMs}.
+ * #uninterruptedSinceMs}.
  */
 public final class PauseDetector {
   private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
@@ -22,11 +22,11 @@
   private final long stillMs;
   private final List<LongConsumer> wakers = new ArrayList<>();
   private long lastMs;
-  private long listeningSinceMs;
+  private long uninterruptedSinceMs;
   private long dueMs;
-  private long lateMs;
-  private long pauses;
-  private long pausedMs;
+  private long timerDelayMs;
+  private long pauseCount;
+  private long totalPausedMs;
 
   /**
    * @param stillMs a longer gap than this is a pause; the beat and a slow processor take some
@@ -35,65 +35,65 @@
     this.timers = timers;
     this.stillMs = stillMs;
     this.lastMs = timers.nowMs();
-    this.listeningSinceMs = lastMs;
+    this.uninterruptedSinceMs = lastMs;
   }
 
   /** Begins to beat. */
   public void start() {
     // Whatever lies between making the process and its first turn is no pause.
     lastMs = timers.nowMs();
-    listeningSinceMs = lastMs;
+    uninterruptedSinceMs = lastMs;
     dueMs = lastMs;
     tick();
   }
 
   private void tick() {
-    lateMs = Math.max(0, timers.nowMs() - dueMs);
+    timerDelayMs = Math.max(0, timers.nowMs() - dueMs);
     dueMs = timers.nowMs() + BEAT_MS;
     timers.after(BEAT_MS, this::tick);
-    beat();
+    recordActivity();
   }
 
   /** By how much the last beat was late: how long what comes in waits for its turn. */
-  public long lateMs() {
-    return lateMs;
+  public long timerDelayMs() {
+    return timerDelayMs;
   }
 
   /** Told, with how long the pause was, before anything else is done after it. */
-  public void onWaking(LongConsumer waker) {
+  public void onResume(LongConsumer waker) {
     wakers.add(waker);
   }
 
   /** Something has come in. */
-  public void beat() {
+  public void recordActivity() {
     long now = timers.nowMs();
     long gap = now - lastMs;
     lastMs = now;
     if (gap <= stillMs) {
       return;
     }
-    pauses++;
-    pausedMs += gap;
-    listeningSinceMs = now;
+    pauseCount++;
+    totalPausedMs += gap;
+    uninterruptedSinceMs = now;
     LOG.warn("stood still for {} ms: what is known is caught up before anything is decided", gap);
     wakers.forEach(w -> w.accept(gap));
   }
 
   /** Since when this process has listened without a pause. */
-  public long listeningSinceMs() {
-    return listeningSinceMs;
+  public long uninterruptedSinceMs() {
+    return uninterruptedSinceMs;
   }
 
-  public long pauses() {
-    return pauses;
+  public long pauseCount() {
+    return pauseCount;
   }
 
-  public long pausedMs() {
-    return pausedMs;
+  public long totalPausedMs() {
+    return totalPausedMs;
   }
 
   /** Timers whose actions beat first: after a pause all of them are due at once. */
-  public Timers timers() {
+  public Timers monitoredTimers() {
     return new Timers() {
       @Override
       public long nowMs() {
@@ -110,7 +110,7 @@
         timers.after(
             delayMs,
             () -> {
-              beat();
+              recordActivity();
               action.run();
             });
       }
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -85,7 +85,7 @@
       LevelRange levels) {
     this.metrics = metrics;
     pauseDetector = new PauseDetector(clock, tuning.stillMs());
-    Timers timers = pauseDetector.timers();
+    Timers timers = pauseDetector.monitoredTimers();
     Caller caller =
         (address, method, path, body, timeoutMs, done) ->
             calls.call(
@@ -95,7 +95,7 @@
                 body,
                 timeoutMs,
                 a -> {
-                  pauseDetector.beat();
+                  pauseDetector.recordActivity();
                   done.accept(a);
                 });
     Types types = new Types();
@@ -168,8 +168,8 @@
             incarnation,
             malformed);
     // In this order: what was drawn from silence is dropped after nothing is decided any more.
-    pauseDetector.onWaking(ms -> membership.woke());
-    pauseDetector.onWaking(ms -> pipeline.woke());
+    pauseDetector.onResume(ms -> membership.woke());
+    pauseDetector.onResume(ms -> pipeline.woke());
     registerMetrics(limits, links, settings.node());
   }
 
@@ -192,9 +192,9 @@
     metrics.watch("jobs.unclear", () -> tables.dependencies().unresolved().size());
     metrics.watch("log.pages", () -> tables.logPages(node).size());
     metrics.watch("polls.shed", admission::shedStatusRequests);
-    metrics.watch("loop.late.ms", pauseDetector::lateMs);
-    metrics.watch("loop.pauses", pauseDetector::pauses);
-    metrics.watch("loop.paused.ms", pauseDetector::pausedMs);
+    metrics.watch("loop.late.ms", pauseDetector::timerDelayMs);
+    metrics.watch("loop.pauses", pauseDetector::pauseCount);
+    metrics.watch("loop.paused.ms", pauseDetector::totalPausedMs);
     metrics.watch("state.writes.ease", ledger::writeBudgetFraction);
     metrics.watch("state.level", tables::level);
     metrics.watch("state.barred", () -> tables.blockedReason() == null ? 0 : 1);
@@ -236,11 +236,11 @@
    */
   public void leave(long withinMs, Runnable done) {
     membership.leave();
-    leaveStep(pauseDetector.timers().nowMs() + withinMs, done);
+    leaveStep(pauseDetector.monitoredTimers().nowMs() + withinMs, done);
   }
 
   private void leaveStep(long byMs, Runnable done) {
-    long now = pauseDetector.timers().nowMs();
+    long now = pauseDetector.monitoredTimers().nowMs();
     if (pipeline.idle() && admission.isIdle() || now >= byMs) {
       boolean[] once = new boolean[1];
       Runnable end =
@@ -251,9 +251,9 @@
             }
           };
       membership.giveBack(end);
-      pauseDetector.timers().after(Math.max(0, byMs - now), end);
+      pauseDetector.monitoredTimers().after(Math.max(0, byMs - now), end);
     } else {
-      pauseDetector.timers().after(LEAVE_STEP_MS, () -> leaveStep(byMs, done));
+      pauseDetector.monitoredTimers().after(LEAVE_STEP_MS, () -> leaveStep(byMs, done));
     }
   }
 
@@ -266,7 +266,7 @@
 
   /** Takes a frame that came in on the link between controllers. */
   public void peerFrame(ByteBuffer bytes) {
-    pauseDetector.beat();
+    pauseDetector.recordActivity();
     PeerFrame frame;
     try {
       frame = PeerFrame.decode(bytes);
@@ -291,7 +291,7 @@
 
   /** Every request of users, workers and the load balancer comes in here. */
   public void handle(Exchange x) {
-    pauseDetector.beat();
+    pauseDetector.recordActivity();
     metrics.request();
     String path = x.path();
     int query = path.indexOf('?');
