--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -305,7 +305,7 @@
     CommandEvent event = pass.event(kind, attempt, "booked, not shown");
     boolean cancelled = slot.job().withdrawnOrAnnounced();
     boolean booked = slot.state().isLive() && slot.state().machine() == pass.machine;
-    boolean holdsLease = membership.standing() == Membership.Standing.MEMBER;
+    boolean holdsLease = membership.status() == Membership.Status.MEMBER;
     if (!monitor.check(Invariant.NO_START_OF_A_CANCELLED_JOB, !cancelled, event)
         || !monitor.check(Invariant.NO_START_OF_AN_ENDED_ATTEMPT, booked && !exiting(slot), event)
         || !monitor.check(Invariant.NO_START_WITHOUT_A_LEASE, holdsLease, event)) {
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -166,7 +166,7 @@
     if (proves) {
       link.commands.shown(report.epoch(), report.tenure());
     }
-    if (membership.standing() == Membership.Standing.MEMBER) {
+    if (membership.status() == Membership.Status.MEMBER) {
       send(machine, true);
     }
   }
--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -53,7 +53,7 @@
       return;
     }
     nextMs = now + GAP_MS;
-    boolean leads = membership.leads();
+    boolean leads = membership.isLeader();
     for (String key : tables.keysInOldEncoding()) {
       if (page(draft, key) || leads && (chunk(draft, key) || part(draft, key))) {
         return;
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -141,9 +141,9 @@
     if (now - typesAtMs > (types.known() ? TYPES_MS : 1000)) {
       askTypes();
     }
-    if (!membership.leads()
+    if (!membership.isLeader()
         || ledger.phase() != StateServiceClient.Phase.FOLLOWING
-        || membership.outdated()
+        || membership.isViewOutdated()
         || !types.known()) {
       leadSinceMs = Long.MIN_VALUE;
       return;
@@ -276,7 +276,7 @@
             return;
           }
           listing = false;
-          if (membership.leads()) {
+          if (membership.isLeader()) {
             compare(got);
           }
         });
@@ -657,7 +657,7 @@
   }
 
   private void ask(Rental r, int tries) {
-    if (!membership.leads()) {
+    if (!membership.isLeader()) {
       // Not ours to rent any more, perhaps since the answer to the last try was lost.
       rentals.remove(r);
       return;
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -52,7 +52,7 @@
    */
   void draft(TransactionBuilder draft) {
     List<String> logs = new ArrayList<>(List.of(node));
-    if (membership.leads()) {
+    if (membership.isLeader()) {
       // A node outside the view can't write: the leader does it.
       for (String n : tables.nodesWithLogPages()) {
         if (!tables.view().members().containsKey(n)) {
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -71,7 +71,7 @@
   private void watch() {
     timers.after(PERIOD_MS, this::watch);
     View view = tables.view();
-    if (view == null || membership.standing() != Membership.Standing.MEMBER) {
+    if (view == null || membership.status() != Membership.Status.MEMBER) {
       return;
     }
     long now = timers.nowMs();
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -42,7 +42,7 @@
   private static final long BARRIER_MS = 1500;
 
   /** How this node stands. */
-  public enum Standing {
+  public enum Status {
     /** No lease, or the view does not hold this incarnation. */
     OUTSIDE,
     /** In the view with a lease that surely holds. */
@@ -125,7 +125,7 @@
   }
 
   /** What this node may do now. */
-  public Standing standing() {
+  public Status status() {
     View v = tables.view();
     // What can't be read whole, or stands at a level that this build does not speak, proves
     // nothing.
@@ -133,20 +133,20 @@
         || stage == Stage.GONE
         || tables.blockedReason() != null
         || !incarnation.equals(v.members().get(node))) {
-      return Standing.OUTSIDE;
+      return Status.OUTSIDE;
     }
     long now = timers.nowMs();
     if (now < leaseUntilMs && caughtUp) {
-      return Standing.MEMBER;
+      return Status.MEMBER;
     }
-    return now < leaseUntilMs + tuning.graceMs() ? Standing.GRACE : Standing.OUTSIDE;
+    return now < leaseUntilMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
   }
 
   /**
    * This process has stood still. Its lease may hold, but the view may have changed: it decides
    * nothing, and answers no report with an epoch that may be superseded, until it has caught up.
    */
-  public void woke() {
+  public void onProcessResumed() {
     caughtUp = false;
     catchUp();
   }
@@ -170,7 +170,7 @@
   }
 
   /** Whether this node is there with a lease that holds, and the view has no room for it. */
-  public boolean spare() {
+  public boolean isSpare() {
     return timers.nowMs() < leaseUntilMs
         && caughtUp
         && stage == Stage.SERVING
@@ -178,12 +178,12 @@
         && incarnation.equals(tables.members().get(node));
   }
 
-  public boolean leads() {
-    return standing() == Standing.MEMBER && node.equals(tables.view().leader());
+  public boolean isLeader() {
+    return status() == Status.MEMBER && node.equals(tables.view().leader());
   }
 
   /** True when a peer has shown a view newer than ours: ours must not be acted on. */
-  public boolean outdated() {
+  public boolean isViewOutdated() {
     return tables.view() != null && peerEpoch > tables.view().epoch();
   }
 
@@ -191,7 +191,7 @@
    * True when we are not served by the state service, and a peer says that it is, or none is heard:
    * who has lost both has only its workers, and users are better off anywhere else.
    */
-  public boolean aloneWithoutState() {
+  public boolean isIsolated() {
     if (ledger.reachable()) {
       return false;
     }
@@ -354,7 +354,7 @@
    * rises would stay outside for ever.
    */
   private void keepRoster() {
-    if (writing || !leads()) {
+    if (writing || !isLeader()) {
       return;
     }
     NodeRegistry registry = tables.registry();
@@ -379,7 +379,7 @@
    * rewritten nobody places anything: what was prepared before is conditional on them alone.
    */
   private void fenceParts() {
-    if (writing || !leads()) {
+    if (writing || !isLeader()) {
       return;
     }
     Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
@@ -409,7 +409,7 @@
   }
 
   /** Whether this process was told to end. */
-  public boolean leaving() {
+  public boolean isLeaving() {
     return stage != Stage.SERVING;
   }
 
@@ -418,7 +418,7 @@
    *
    * @param done called once the state service has answered, or has not in time
    */
-  public void giveBack(Runnable done) {
+  public void releaseLease(Runnable done) {
     if (stage == Stage.GONE || tether == 0) {
       to(Stage.GONE, "without a lease");
       done.run();
@@ -584,7 +584,7 @@
     View v = tables.view();
     // Spares are there too.
     boolean whole = tables.members().entrySet().containsAll(v.members().entrySet());
-    if (!proposing && standing() == Standing.MEMBER && whole) {
+    if (!proposing && status() == Status.MEMBER && whole) {
       propose(v.withNextEpoch(), Map.of());
     }
   }
@@ -687,7 +687,7 @@
     peers.values().forEach(p -> p.accept(frame.duplicate()));
   }
 
-  public void peerStands(PeerFrame.Standing s) {
+  public void handlePeerStatus(PeerFrame.Standing s) {
     heard.put(s.from(), new Heard(s.stateOk(), timers.nowMs(), s.writes()));
     peerEpoch = Math.max(peerEpoch, s.epoch());
   }
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/Reporting.java
@@ -115,7 +115,7 @@
     if (v != null && v.epoch() != viewEpoch) {
       viewChanged(v);
     }
-    if (v != null && membership.standing() == Membership.Standing.MEMBER) {
+    if (v != null && membership.status() == Membership.Status.MEMBER) {
       for (Machine m : changed) {
         if (owned.contains(m.name()) && m.pollChanged()) {
           directCommands.send(m, true);
@@ -222,13 +222,13 @@
       x.reply(503, null, 1);
       return;
     }
-    if (r.epoch() > v.epoch() || membership.outdated()) {
+    if (r.epoch() > v.epoch() || membership.isViewOutdated()) {
       // Someone else commands by now: catch up, and let the worker find them.
       ledger.barrier(2000, ok -> {});
       x.reply(421, Map.of());
       return;
     }
-    Membership.Standing standing = membership.standing();
+    Membership.Status standing = membership.status();
     String owner = v.owner(r.machine(), r.zone());
     if (!owner.equals(node)) {
       // A worker that knows this epoch has been answered by its owner, and has left it: it can't
@@ -245,11 +245,11 @@
       }
       sentAway.add(r.machine());
       // A spare knows as much as a member; who is cut off from the store may not.
-      boolean knows = standing == Membership.Standing.MEMBER || membership.spare();
+      boolean knows = standing == Membership.Status.MEMBER || membership.isSpare();
       x.reply(421, knows ? Map.of("upstream", owner) : Map.of());
       return;
     }
-    if (standing == Membership.Standing.OUTSIDE) {
+    if (standing == Membership.Status.OUTSIDE) {
       x.reply(503, null, 1);
       return;
     }
@@ -278,7 +278,7 @@
       }
       note(m, r, proves);
       // What may be a copy proves nothing: it is answered, so that the next one shows our token.
-      boolean whole = standing == Membership.Standing.MEMBER && proves;
+      boolean whole = standing == Membership.Status.MEMBER && proves;
       orders = planner.plan(m, r, new CommandPlanner.Scope(whole, true));
     } else {
       // Its answer renews the lease too, should the worker still wait for it.
@@ -337,13 +337,13 @@
    * of it is over for good, whoever holds authority.
    */
   public void stop(Job job) {
-    Membership.Standing standing = membership.standing();
-    if (standing == Membership.Standing.OUTSIDE) {
+    Membership.Status standing = membership.status();
+    if (standing == Membership.Status.OUTSIDE) {
       return;
     }
     for (Machine m : job.machines()) {
       if (owned.contains(m.name())) {
-        directCommands.send(m, standing == Membership.Standing.MEMBER);
+        directCommands.send(m, standing == Membership.Status.MEMBER);
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -277,9 +277,9 @@
   private void cycle() {
     if (phase != Phase.READY
         || ledger.phase() != StateServiceClient.Phase.FOLLOWING
-        || membership.standing() != Membership.Standing.MEMBER
-        || membership.outdated()
-        || membership.leaving()
+        || membership.status() != Membership.Status.MEMBER
+        || membership.isViewOutdated()
+        || membership.isLeaving()
         || tables.registry().numberOf(node) < 0) {
       return;
     }
@@ -396,7 +396,7 @@
     afterBarrier(
         () -> {
           Partition p = tables.currentPartition(node);
-          if (p == null || membership.standing() != Membership.Standing.MEMBER) {
+          if (p == null || membership.status() != Membership.Status.MEMBER) {
             // Outside the view nothing is placed, and joining again rewrites the record.
             timers.after(REFUSED_MS, this::fence);
             return;
@@ -579,7 +579,7 @@
   }
 
   private void draftOrphans(TransactionBuilder draft) {
-    if (!membership.leads()) {
+    if (!membership.isLeader()) {
       return;
     }
     for (String key : tables.orphanedKeys()) {
@@ -606,7 +606,7 @@
     giftLookMs = timers.nowMs();
     Quota quota = new Quota(settings, tables);
     quota.holdQuotaForGangs(scheduling.queue().waiting(), timers.wallMs());
-    Quota.Transfer g = quota.proposeTransfer(membership.leads(), scheduling.queue().waiting());
+    Quota.Transfer g = quota.proposeTransfer(membership.isLeader(), scheduling.queue().waiting());
     if (g != null) {
       LOG.info("giving quota of {} from {} to {}", g.team(), g.donor(), g.recipient());
       draft.write(Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -150,7 +150,7 @@
             tuning,
             pauseDetector,
             confirmations);
-    admission.refuseSubmissionsWhen(membership::leaving);
+    admission.refuseSubmissionsWhen(membership::isLeaving);
     fleet =
         new Fleet(
             timers,
@@ -168,7 +168,7 @@
             incarnation,
             malformed);
     // In this order: what was drawn from silence is dropped after nothing is decided any more.
-    pauseDetector.onResume(ms -> membership.woke());
+    pauseDetector.onResume(ms -> membership.onProcessResumed());
     pauseDetector.onResume(ms -> pipeline.woke());
     registerMetrics(limits, links, settings.node());
   }
@@ -250,7 +250,7 @@
               done.run();
             }
           };
-      membership.giveBack(end);
+      membership.releaseLease(end);
       pauseDetector.monitoredTimers().after(Math.max(0, byMs - now), end);
     } else {
       pauseDetector.monitoredTimers().after(LEAVE_STEP_MS, () -> leaveStep(byMs, done));
@@ -275,7 +275,7 @@
       return;
     }
     if (frame instanceof PeerFrame.Standing s) {
-      membership.peerStands(s);
+      membership.handlePeerStatus(s);
     } else if (frame instanceof PeerFrame.Relayed r) {
       reporting.relayed(relay.exchangeFor(r));
     } else if (frame instanceof PeerFrame.Answered a) {
@@ -359,6 +359,6 @@
    * a peer is served and we alone are not.
    */
   private boolean healthy() {
-    return admission.isReady() && !membership.aloneWithoutState() && !membership.leaving();
+    return admission.isReady() && !membership.isIsolated() && !membership.isLeaving();
   }
 }
