--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -63,7 +63,7 @@
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
   public long shedStatusRequests() {
-    return status.shed();
+    return status.shedCount();
   }
 
   /** A job is submitted, perhaps not for the first time. */
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -36,7 +36,7 @@
   private final Map<String, List<Exchange>> lookUps = new HashMap<>();
 
   private final TokenBucket reads;
-  private long shed;
+  private long shedCount;
 
   JobStatus(
       Timers timers,
@@ -57,8 +57,8 @@
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
-  long shed() {
-    return shed;
+  long shedCount() {
+    return shedCount;
   }
 
   /**
@@ -67,7 +67,7 @@
    */
   void poll(Exchange x, String id) {
     if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(id) == null) {
-      shed++;
+      shedCount++;
       UserRequests.later(x);
     } else {
       status(x, id);
@@ -133,7 +133,7 @@
     } else if (next == null && reads.tryAcquire(1, 0, timers.nowMs())) {
       read(id, List.of(x));
     } else {
-      shed++;
+      shedCount++;
       UserRequests.later(x);
     }
   }
