--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -29,8 +29,8 @@
  * Answers the reports of the workers of this node's part, and knows which of its machines obey it
  * alone. What a worker is told is decided by {@link CommandPlanner}.
  */
-public final class Reporting {
-  private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
+public final class ReportHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
   /** A command that was sent straight and in answers has come by then, or does not come. */
   private static final long IGNORED_MS = 3500;
@@ -68,7 +68,7 @@
   private Set<String> owned = new HashSet<>();
 
   /** Answers no report before the tables are loaded. */
-  public Reporting(
+  public ReportHandler(
       Timers timers,
       StateServiceClient ledger,
       Tables tables,
@@ -188,12 +188,12 @@
 
   // ---- reports ----
 
-  public void hello(Exchange x) {
+  public void handleReport(Exchange x) {
     hello(x, true);
   }
 
   /** A report that a peer passed on: never passed on again. */
-  public void relayed(Exchange x) {
+  public void handleRelayedReport(Exchange x) {
     hello(x, false);
   }
 
@@ -336,7 +336,7 @@
    * Stops a job whose withdrawal a peer has told of. Without the state service too: what is there
    * of it is over for good, whoever holds authority.
    */
-  public void stop(Job job) {
+  public void haltTasksOf(Job job) {
     Membership.Status standing = membership.status();
     if (standing == Membership.Status.OUTSIDE) {
       return;
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -69,7 +69,7 @@
   private final Timers timers;
   private final StateServiceClient ledger;
   private final Tables tables;
-  private final Reporting reporting;
+  private final ReportHandler reporting;
   private final String node;
   private final Map<String, Consumer<ByteBuffer>> peers;
   private final Map<String, Open> open = new HashMap<>();
@@ -84,7 +84,7 @@
       Timers timers,
       StateServiceClient ledger,
       Tables tables,
-      Reporting reporting,
+      ReportHandler reporting,
       String node,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
@@ -241,7 +241,7 @@
     }
     Job job = tables.job(w.job());
     if (!knew && job != null) {
-      reporting.stop(job);
+      reporting.haltTasksOf(job);
     }
     View v = tables.view();
     Consumer<ByteBuffer> peer = peers.get(tables.registry().name(w.from()));
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -17,7 +17,7 @@
 import wickdrift.coordination.Membership;
 import wickdrift.coordination.PauseDetector;
 import wickdrift.coordination.ReportRelay;
-import wickdrift.coordination.Reporting;
+import wickdrift.coordination.ReportHandler;
 import wickdrift.coordination.SchedulingState;
 import wickdrift.coordination.TransactionPipeline;
 import wickdrift.coordination.Tuning;
@@ -51,7 +51,7 @@
   private final Membership membership;
   private final TransactionPipeline pipeline;
   private final ReportRelay relay;
-  private final Reporting reporting;
+  private final ReportHandler reporting;
   private final WithdrawalConfirmations confirmations;
   private final Admission admission;
   private final Fleet fleet;
@@ -121,7 +121,7 @@
     Zones zones = new Zones(tuning.quietMs());
     WorkerLinks links = new WorkerLinks(timers);
     reporting =
-        new Reporting(
+        new ReportHandler(
             timers,
             ledger,
             tables,
@@ -277,7 +277,7 @@
     if (frame instanceof PeerFrame.Standing s) {
       membership.handlePeerStatus(s);
     } else if (frame instanceof PeerFrame.Relayed r) {
-      reporting.relayed(relay.exchangeFor(r));
+      reporting.handleRelayedReport(relay.exchangeFor(r));
     } else if (frame instanceof PeerFrame.Answered a) {
       relay.handleReply(a);
     } else if (frame instanceof PeerFrame.Withdrawn w) {
@@ -308,7 +308,7 @@
     boolean get = x.method().equals("GET");
     if (path.equals("/hello")) {
       if (post) {
-        reporting.hello(x);
+        reporting.handleReport(x);
       } else {
         wrongMethod(x);
       }
