--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -355,7 +355,7 @@
    * its fetch. Once so, it stays so: a later view's owner has read of the withdrawal. Where a lease
    * that nobody renews would outlast a cancellation, nothing of the job may be left at all.
    */
-  public boolean obeys(Machine m, String job) {
+  public boolean canConfirmWithdrawal(Machine m, String job) {
     View v = tables.view();
     Report r = m.report();
     if (v == null || !node.equals(m.owner(v)) || v.epoch() != viewEpoch) {
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -176,7 +176,7 @@
         continue;
       }
       String owner = m.owner(v);
-      if (owner.equals(node) && reporting.obeys(m, id)) {
+      if (owner.equals(node) && reporting.canConfirmWithdrawal(m, id)) {
         o.proved.add(m.name());
       } else {
         left.computeIfAbsent(owner, k -> new ArrayList<>()).add(m.name());
@@ -255,7 +255,7 @@
     BitSet places = new BitSet();
     for (int i = 0; i < w.machines().size(); i++) {
       Machine m = tables.machine(w.machines().get(i));
-      places.set(i, m != null && reporting.obeys(m, w.job()));
+      places.set(i, m != null && reporting.canConfirmWithdrawal(m, w.job()));
     }
     peer.accept(new PeerFrame.Obeyed(number, w.id(), places.toByteArray()).encode());
   }
