--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -85,7 +85,7 @@
     }
 
     void note(CommandEvent.Kind kind, TaskAttempt attempt, String reason) {
-      links.note(kind, machine, attempt, report, tables.view().epoch(), reason);
+      links.recordEvent(kind, machine, attempt, report, tables.view().epoch(), reason);
     }
   }
 
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -28,7 +28,7 @@
   static final int MAX_ORDERS = 400;
 
   /** An answer that has not come by then is not waited for any more. */
-  static final long ANSWER_MS = 3000;
+  static final long ANSWER_TIMEOUT_MS = 3000;
 
   private static final int OK = 200;
   private static final int REFUSED = 409;
@@ -122,7 +122,7 @@
         "POST",
         "/orders",
         MessageCodec.encode(body),
-        ANSWER_MS,
+        ANSWER_TIMEOUT_MS,
         answer -> answered(machine, link, command, answer));
   }
 
@@ -156,7 +156,7 @@
       links.restarted(machine, report, view.epoch());
       return;
     }
-    links.note(CommandEvent.Kind.DIRECT_ANSWERED, machine, report, view.epoch(), "");
+    links.recordEvent(CommandEvent.Kind.DIRECT_ANSWERED, machine, report, view.epoch(), "");
     Report last = machine.report();
     if (last == null || report.notNewerThan(last)) {
       return;
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -114,7 +114,7 @@
     long base = machine.latestLeaseRenewalMs();
     if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
       // No one can have renewed its lease since: the worker has killed all it had.
-      links.note(
+      links.recordEvent(
           CommandEvent.Kind.LEASE_LAPSED,
           machine,
           machine.report(),
@@ -137,10 +137,10 @@
    * be cleared for that, for longer than a lease: what is not cleared makes reports grow.
    */
   private boolean uncertainStop(Machine machine, long now) {
-    WorkerCommands commands = links.known(machine);
+    WorkerCommands commands = links.commandsIfKnown(machine);
     if (commands == null
         || commands.quiet()
-        || now - machine.lastReportMs() > DirectCommands.ANSWER_MS) {
+        || now - machine.lastReportMs() > DirectCommands.ANSWER_TIMEOUT_MS) {
       return false;
     }
     for (Machine.Slot slot : machine.slots()) {
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -370,7 +370,7 @@
     if (verdict.allowed()) {
       verdict = shownHarmless(commands, r, job);
     }
-    links.note(CommandEvent.Kind.CONFIRMATION, m, r, viewEpoch, job + ": " + verdict);
+    links.recordEvent(CommandEvent.Kind.CONFIRMATION, m, r, viewEpoch, job + ": " + verdict);
     return verdict.allowed();
   }
 
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -25,7 +25,7 @@
   private final Map<Machine, WorkerLink> links = new HashMap<>();
   private final RecentEvents events = new RecentEvents(EVENTS_KEPT);
   private final SafetyMonitor monitor = new SafetyMonitor(events);
-  private long restarts;
+  private long workerRestarts;
   private long unanswered;
 
   /** No links at first. */
@@ -39,17 +39,17 @@
   }
 
   /** Workers that were found to have begun anew under the same name. */
-  public long restarts() {
-    return restarts;
+  public long workerRestarts() {
+    return workerRestarts;
   }
 
   /** Commands sent straight to workers that were given up without an answer. */
-  public long unanswered() {
+  public long unansweredCommands() {
     return unanswered;
   }
 
   /** Machines to which a run that was sent straight may still arrive. */
-  public long uncertain() {
+  public long machinesWithOutstandingRuns() {
     return links.values().stream().filter(l -> !l.commands.quiet()).count();
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** The same if anything ever was, else null. */
-  WorkerCommands known(Machine machine) {
+  WorkerCommands commandsIfKnown(Machine machine) {
     WorkerLink link = links.get(machine);
     return link == null ? null : link.commands;
   }
@@ -97,20 +97,20 @@
         report.tenure(),
         report.tick(),
         epoch);
-    restarts++;
+    workerRestarts++;
     machine.onWorkerRestart(epoch);
     commands(machine).workerRestarted();
-    note(CommandEvent.Kind.WORKER_RESTARTED, machine, NO_ATTEMPT, report, epoch, "");
+    recordEvent(CommandEvent.Kind.WORKER_RESTARTED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
   /** A command was given up without an answer. */
   void unanswered(Machine machine, Report report, long epoch) {
     unanswered++;
-    note(CommandEvent.Kind.DIRECT_UNANSWERED, machine, NO_ATTEMPT, report, epoch, "");
+    recordEvent(CommandEvent.Kind.DIRECT_UNANSWERED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
   /** Records a step with the report on which it rests, which may be null. */
-  void note(
+  void recordEvent(
       CommandEvent.Kind kind,
       Machine machine,
       TaskAttempt attempt,
@@ -125,8 +125,8 @@
   }
 
   /** The same of a whole machine. */
-  void note(CommandEvent.Kind kind, Machine machine, Report report, long epoch, String reason) {
-    note(kind, machine, NO_ATTEMPT, report, epoch, reason);
+  void recordEvent(CommandEvent.Kind kind, Machine machine, Report report, long epoch, String reason) {
+    recordEvent(kind, machine, NO_ATTEMPT, report, epoch, reason);
   }
 
   CommandEvent event(
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -204,9 +204,9 @@
     metrics.watch("state.malformed", () -> malformed.count(MalformedMessages.Sender.STATE_SERVICE));
     metrics.watch("cloud.malformed", () -> malformed.count(MalformedMessages.Sender.CLOUD));
     metrics.watch("workers.malformed", () -> malformed.count(MalformedMessages.Sender.WORKER));
-    metrics.watch("workers.restarted", links::restarts);
-    metrics.watch("commands.unanswered", links::unanswered);
-    metrics.watch("commands.uncertain.machines", links::uncertain);
+    metrics.watch("workers.restarted", links::workerRestarts);
+    metrics.watch("commands.unanswered", links::unansweredCommands);
+    metrics.watch("commands.uncertain.machines", links::machinesWithOutstandingRuns);
     metrics.watch("invariants.violated", links.monitor()::violations);
     metrics.watch("withdrawals.kept", confirmations::confirmedCount);
     metrics.watch("withdrawals.unkept", confirmations::unconfirmedCount);
