--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -168,7 +168,7 @@
     recordRented();
     retireIdle();
     deleteUnwanted();
-    if ((pipeline.leadSettled() || fromNothing) && ledger.reachable()) {
+    if ((pipeline.isLeaderSettled() || fromNothing) && ledger.reachable()) {
       rent();
     }
   }
@@ -300,8 +300,8 @@
           Machine m = tables.getOrCreateMachine(name);
           if (l.phase.equals("failed")) {
             condemn(name, "it failed");
-          } else if (m.phase() == Machine.Phase.UNKNOWN && !pipeline.recording(m)) {
-            pipeline.record(
+          } else if (m.phase() == Machine.Phase.UNKNOWN && !pipeline.hasPendingRecord(m)) {
+            pipeline.enqueueRecord(
                 m,
                 new Machine.Info(
                     l.type,
@@ -384,8 +384,8 @@
           }
         }
         case GONE -> {
-          if (m.slots().isEmpty() && !pipeline.recording(m)) {
-            pipeline.record(m, null);
+          if (m.slots().isEmpty() && !pipeline.hasPendingRecord(m)) {
+            pipeline.enqueueRecord(m, null);
           }
         }
         default -> {}
@@ -418,7 +418,7 @@
             Machine m = tables.machine(n);
             if (m != null && m.info() != null) {
               // The answer is the proof that nothing runs there any more.
-              pipeline.record(m, m.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
+              pipeline.enqueueRecord(m, m.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
             }
           }
         });
@@ -461,8 +461,8 @@
       if (wanted(m)) {
         continue;
       }
-      if (!pipeline.recording(m)) {
-        pipeline.record(m, m.info().withPhase(Machine.Phase.DRAINING, timers.wallMs()));
+      if (!pipeline.hasPendingRecord(m)) {
+        pipeline.enqueueRecord(m, m.info().withPhase(Machine.Phase.DRAINING, timers.wallMs()));
       }
       idle--;
     }
@@ -512,8 +512,8 @@
               if (m.phase() != Machine.Phase.UNKNOWN) {
                 return true;
               }
-              if (!pipeline.recording(m)) {
-                pipeline.record(m, e.getValue());
+              if (!pipeline.hasPendingRecord(m)) {
+                pipeline.enqueueRecord(m, e.getValue());
               }
               return false;
             });
@@ -547,7 +547,7 @@
     coming.keySet().stream().map(Kind::zone).filter(zones::dark).forEach(closed::add);
     // Where many are found at once, as by the first list of a new leader, records take a while.
     for (Machine m : tables.machines()) {
-      Machine.Info i = m.phase() == Machine.Phase.UNKNOWN ? pipeline.recorded(m) : null;
+      Machine.Info i = m.phase() == Machine.Phase.UNKNOWN ? pipeline.pendingRecord(m) : null;
       if (i != null && (i.phase() == Machine.Phase.UP || i.phase() == Machine.Phase.BOOTING)) {
         coming.merge(new Kind(i.type(), i.zone(), i.spot()), 1, Integer::sum);
       }
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -104,9 +104,9 @@
       zones.silent(machine.info().zone());
     }
     boolean deaf = machine.unreachableForCommandsSinceMs() > 0 && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
-    if (up && (deaf || silent > tuning.lostMs()) && !pipeline.recording(machine)) {
+    if (up && (deaf || silent > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
       LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
-      pipeline.record(machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
+      pipeline.enqueueRecord(machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
   }
 
@@ -120,7 +120,7 @@
           machine.report(),
           view.epoch(),
           "not renewed for " + (now - base) + " ms");
-      pipeline.lapsed(machine);
+      pipeline.onWorkerLeaseExpired(machine);
       links.forgetRuns(machine);
     }
   }
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -312,8 +312,8 @@
           case UP -> wanted == Machine.Phase.DRAINING;
           case DRAINING, GONE -> false;
         };
-    if (change && !pipeline.recording(m)) {
-      pipeline.record(m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
+    if (change && !pipeline.hasPendingRecord(m)) {
+      pipeline.enqueueRecord(m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
     }
   }
 
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -121,7 +121,7 @@
             tuning,
             settings,
             ledger.limits(),
-            this::leadSettled);
+            this::isLeaderSettled);
     this.compaction = new LogCompaction(timers, ledger, tables, membership, tuning, node);
     this.conversion = new EncodingMigration(timers, ledger, tables, membership, settings);
   }
@@ -131,7 +131,7 @@
   }
 
   /** Tasks placed so far, those of transactions that failed too. */
-  public long placed() {
+  public long placedTasks() {
     return placing.placedTasks();
   }
 
@@ -141,32 +141,32 @@
   }
 
   /** Whether no transaction is out: what was begun is durable, or its failure is known. */
-  public boolean idle() {
+  public boolean isIdle() {
     return phase == Phase.READY;
   }
 
-  public long transactions() {
+  public long transactionCount() {
     return transactions;
   }
 
   /** Drafts that were put together, those with nothing in them too. */
-  public long drafted() {
+  public long builtTransactionCount() {
     return drafted;
   }
 
   /** Times that nothing was drafted, as too little could be paid yet. */
-  public long unpaid() {
+  public long cyclesWithoutBudget() {
     return unpaid;
   }
 
   private void idleTick() {
     timers.after(IDLE_TICK_MS, this::idleTick);
     scheduling.readmitAvoidedMachines();
-    wake();
+    scheduleCycle();
   }
 
   /** Something may be there to write. */
-  public void wake() {
+  public void scheduleCycle() {
     if (phase != Phase.READY || armed) {
       return;
     }
@@ -195,7 +195,7 @@
   /** All known machines have reported. */
   public void settle() {
     settledAtMs = Math.min(settledAtMs, timers.nowMs());
-    wake();
+    scheduleCycle();
   }
 
   /** The lead was taken over: what the leader places waits too. */
@@ -207,7 +207,7 @@
     return timers.nowMs() >= settledAtMs;
   }
 
-  public boolean leadSettled() {
+  public boolean isLeaderSettled() {
     return settled() && timers.nowMs() >= leadSettledAtMs;
   }
 
@@ -217,7 +217,7 @@
     if (exits.putIfAbsent(new TaskKey(job.id(), index), exit) != null) {
       return false;
     }
-    wake();
+    scheduleCycle();
     return true;
   }
 
@@ -231,7 +231,7 @@
   }
 
   /** No one can have renewed the worker's lease: it has killed all it had. */
-  public void lapsed(Machine m) {
+  public void onWorkerLeaseExpired(Machine m) {
     int fresh = 0;
     for (Machine.Slot s : m.slots()) {
       fresh += exited(s.job(), s.index(), s.state().attempt(), m, null) ? 1 : 0;
@@ -241,14 +241,14 @@
     }
   }
 
-  public void record(Machine m, Machine.Info info) {
+  public void enqueueRecord(Machine m, Machine.Info info) {
     records.put(m, info);
     scheduling.updateMachine(m);
-    wake();
+    scheduleCycle();
   }
 
   /** After a pause: silence that this process did not listen to proves nothing. */
-  public void woke() {
+  public void onProcessResumed() {
     records
         .entrySet()
         .removeIf(
@@ -264,11 +264,11 @@
   }
 
   /** What is about to be recorded of a machine, or null. */
-  public Machine.Info recorded(Machine m) {
+  public Machine.Info pendingRecord(Machine m) {
     return records.get(m);
   }
 
-  public boolean recording(Machine m) {
+  public boolean hasPendingRecord(Machine m) {
     return records.containsKey(m);
   }
 
@@ -292,7 +292,7 @@
     int payable = ledger.affordableChanges(most);
     if (payable < Math.min(most, Math.max(LEAST_CHANGES, owed))) {
       unpaid++;
-      wake();
+      scheduleCycle();
       return;
     }
     drafted++;
@@ -317,7 +317,7 @@
             placing.postponedForMs(),
             () -> {
               postponed = false;
-              wake();
+              scheduleCycle();
             });
       }
     }
@@ -333,7 +333,7 @@
     owed = draft.wanted();
     if (draft.empty()) {
       if (owed > 0) {
-        wake();
+        scheduleCycle();
       }
       return;
     }
@@ -385,7 +385,7 @@
 
   private void ready() {
     phase = Phase.READY;
-    wake();
+    scheduleCycle();
   }
 
   /**
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -169,16 +169,16 @@
             malformed);
     // In this order: what was drawn from silence is dropped after nothing is decided any more.
     pauseDetector.onResume(ms -> membership.onProcessResumed());
-    pauseDetector.onResume(ms -> pipeline.woke());
+    pauseDetector.onResume(ms -> pipeline.onProcessResumed());
     registerMetrics(limits, links, settings.node());
   }
 
   private void registerMetrics(StateServiceLimits limits, WorkerLinks links, String node) {
     metrics.watch("rooms.looked", () -> scheduling.machinesExamined());
-    metrics.watch("tasks.placed", pipeline::placed);
-    metrics.watch("transactions", pipeline::transactions);
-    metrics.watch("transactions.drafted", pipeline::drafted);
-    metrics.watch("transactions.unpaid", pipeline::unpaid);
+    metrics.watch("tasks.placed", pipeline::placedTasks);
+    metrics.watch("transactions", pipeline::transactionCount);
+    metrics.watch("transactions.drafted", pipeline::builtTransactionCount);
+    metrics.watch("transactions.unpaid", pipeline::cyclesWithoutBudget);
     metrics.watch("transactions.refused.by.budget", ledger::refusedByBudget);
     metrics.watch("transactions.refused.by.store", ledger::refusedByStore);
     metrics.watch("transactions.failed.by.condition", ledger::failedByCondition);
@@ -241,7 +241,7 @@
 
   private void leaveStep(long byMs, Runnable done) {
     long now = pauseDetector.monitoredTimers().nowMs();
-    if (pipeline.idle() && admission.isIdle() || now >= byMs) {
+    if (pipeline.isIdle() && admission.isIdle() || now >= byMs) {
       boolean[] once = new boolean[1];
       Runnable end =
           () -> {
@@ -261,7 +261,7 @@
     history.resolveDependencies();
     scheduling.update();
     reporting.tablesChanged(scheduling.drainChangedMachines());
-    pipeline.wake();
+    pipeline.scheduleCycle();
   }
 
   /** Takes a frame that came in on the link between controllers. */
