--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -61,9 +61,9 @@
     }
     boolean left = !tables.keysInOldEncoding().isEmpty();
     if (leads && left != tables.registry().convertedLevel() < tables.level()) {
-      draft.when(View.KEY, tables.viewStamp());
+      draft.addCondition(View.KEY, tables.viewStamp());
       if (left) {
-        draft.when(NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
+        draft.addCondition(NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
         draft.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
       } else {
         draft.write(
@@ -108,7 +108,7 @@
     int chunk = Integer.parseInt(name.substring(slash + 1));
     int most = ledger.limits().targetValueBytes();
     Object value = job.chunkToStore(chunk, ledger.rev(), job::task, tables.encoding(), most);
-    draft.when(job.key(), job.stamp());
+    draft.addCondition(job.key(), job.stamp());
     draft.write(key, value, job.chunkStamp(chunk));
     return true;
   }
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -77,10 +77,10 @@
     for (Map.Entry<Job, Set<Integer>> e : needed.chunks().entrySet()) {
       Job job = e.getKey();
       for (int c : e.getValue()) {
-        if (!draft.hasRoom() || !draft.hasConditions()) {
+        if (!draft.canAddWrites() || !draft.canAddConditions()) {
           return;
         }
-        draft.when(job.key(), job.stamp());
+        draft.addCondition(job.key(), job.stamp());
         Object value = job.chunkToStore(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
         if (tooLarge(value, job.chunkKey(c))) {
           return;
@@ -89,7 +89,7 @@
       }
     }
     for (String shelf : needed.archiveBuckets()) {
-      if (!draft.hasRoom() || !draft.hasConditions()) {
+      if (!draft.canAddWrites() || !draft.canAddConditions()) {
         return;
       }
       Map<String, Object> value = tables.encodeArchiveBucket(shelf, rev);
@@ -99,8 +99,8 @@
       draft.write(Tables.archiveBucketKey(shelf), value, tables.archiveBucket(shelf).stamp());
     }
     // In the same transaction: if a chunk can't be stored, the page stays.
-    if (draft.hasRoom() && draft.hasConditions()) {
-      draft.when(p.key(), p.stamp());
+    if (draft.canAddWrites() && draft.canAddConditions()) {
+      draft.addCondition(p.key(), p.stamp());
       draft.delete(p.key());
     }
   }
@@ -123,8 +123,8 @@
     nextShelvesMs = now + SHELVES_MS;
     long oldest = tables.oldestEntryRev();
     for (Map.Entry<String, Tables.ArchiveBucket> e : tables.archiveBuckets().entrySet()) {
-      if (e.getValue().rev() < oldest && tables.isArchiveBucketEmpty(e.getKey()) && draft.hasRoom()) {
-        draft.when(Tables.archiveBucketKey(e.getKey()), e.getValue().stamp());
+      if (e.getValue().rev() < oldest && tables.isArchiveBucketEmpty(e.getKey()) && draft.canAddWrites()) {
+        draft.addCondition(Tables.archiveBucketKey(e.getKey()), e.getValue().stamp());
         draft.delete(Tables.archiveBucketKey(e.getKey()));
       }
     }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -85,7 +85,7 @@
       names = names.stream().sorted().limit(maxMarks()).toList();
       if (p != null
           && !p.reserved().equals(names)
-          && draft.hasRoom()
+          && draft.canAddWrites()
           && !draft.touches(Partition.key(member))) {
         draft.write(Partition.key(member), p.withReserved(names).toStore(), p.stamp());
       }
@@ -98,7 +98,7 @@
       if (job.spec().shape() == JobSpec.Shape.GANG
           && job.partition().equals(Job.LEADER_PARTITION)
           && job.liveCount() == 0
-          && draft.live(job) == 0
+          && draft.liveTaskCount(job) == 0
           && !job.isSuspected()) {
         gangs.add(job);
       }
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -144,7 +144,7 @@
     rooms.prefer(owner -> owner.equals(node) || foreign.contains(owner));
     int narrowed = 0;
     for (Job job : scheduling.queue().waiting()) {
-      if (!draft.hasConditions() || !draft.takes(job, 1) || tries >= TRIES_A_ROUND) {
+      if (!draft.canAddConditions() || !draft.fitsInPage(job, 1) || tries >= TRIES_A_ROUND) {
         break;
       }
       if (!node.equals(v.placer(job.partition(), job.id()))
@@ -169,14 +169,14 @@
         continue;
       }
       List<JobSpec> failed = asLeader ? noRoomAnywhere : noRoom;
-      int before = draft.live(job);
+      int before = draft.liveTaskCount(job);
       // A gang that has marked machines has room that nobody else saw.
       boolean hopeless =
           reservations.of(job).isEmpty()
               && failed.stream().anyMatch(f -> needsNoLess(job.spec(), f));
-      if (!asLeader && draft.hasRoom() && imageIsElsewhere(job)) {
+      if (!asLeader && draft.canAddWrites() && imageIsElsewhere(job)) {
         // The leader, who sees all parts, places it beside the image at once.
-        draft.handOver(job, Job.LEADER_PARTITION);
+        draft.moveToPartition(job, Job.LEADER_PARTITION);
         continue;
       }
       narrow = false;
@@ -188,13 +188,13 @@
           placeTasks(draft, job, asLeader, quota, v, foreign, failed);
         }
       }
-      if (draft.live(job) > before) {
+      if (draft.liveTaskCount(job) > before) {
         placedAny = true;
         if (before == 0 && job.doneCount() == 0 && !job.awaits().isEmpty()) {
           stageDelays.recordValue(
               Math.max(0, Math.min(DELAY_MOST_MS, timers.wallMs() - job.readyWallMs())));
         }
-        draft.when(job.key(), job.stamp());
+        draft.addCondition(job.key(), job.stamp());
         job.resetWaiting();
         if (job.isSuspected()) {
           job.scheduleNextProbe(now);
@@ -204,7 +204,7 @@
       if (narrow) {
         // There is room: it is not blocked, and nothing is stopped for it.
         if (!tables.isOpen(Gate.TAKES)) {
-          draft.wantAll();
+          draft.requestMaxWrites();
         }
         if (++narrowed >= NARROWED_A_ROUND) {
           break;
@@ -212,10 +212,10 @@
         continue;
       }
       job.setBlocked(rooms.version(), now + BLOCKED_MS);
-      if (draft.hasRoom()) {
+      if (draft.canAddWrites()) {
         givingWay.draft(draft, job, asLeader, quota, now);
-        if (!asLeader && draft.hasRoom() && handOver(draft, job, now)) {
-          draft.handOver(job, Job.LEADER_PARTITION);
+        if (!asLeader && draft.canAddWrites() && handOver(draft, job, now)) {
+          draft.moveToPartition(job, Job.LEADER_PARTITION);
         }
       }
     }
@@ -226,14 +226,14 @@
       takenMs = now;
     }
     if (placedAny) {
-      draft.underView();
+      draft.requireCurrentView();
       if (!draft.touches(Partition.key(node))) {
-        draft.when(Partition.key(node), mine.stamp());
+        draft.addCondition(Partition.key(node), mine.stamp());
       }
     }
     if (placedAny && !leader && tables.isOpen(Gate.TAKES)) {
       // The leader may have taken machines of ours with those of others.
-      draft.when(Tables.CLAIMS_KEY, tables.claimsStamp());
+      draft.addCondition(Tables.CLAIMS_KEY, tables.claimsStamp());
     }
   }
 
@@ -286,11 +286,11 @@
   /** How many of the job's live attempts are in each zone, as durable plus drafted. */
   static Map<String, Integer> zones(TransactionBuilder draft, Job job) {
     Map<String, Integer> n = new HashMap<>();
-    if (!job.spec().oneZone() && !job.spec().spread() || draft.live(job) == 0) {
+    if (!job.spec().oneZone() && !job.spec().spread() || draft.liveTaskCount(job) == 0) {
       return n;
     }
     for (int i = 0; i < job.taskCount(); i++) {
-      TaskState s = draft.state(job, i);
+      TaskState s = draft.taskState(job, i);
       if (s.isLive()) {
         Machine.Info info = s.machine().info();
         // A machine whose record is gone may be in any zone; the mark blocks a one-zone job.
@@ -323,10 +323,10 @@
     // Of a job that seems to fail everywhere, one task is enough to see.
     int most = job.isSuspected() ? 1 : TASKS_A_ROUND;
     for (int i = job.nextWaiting(0); i >= 0 && placed < most; i = job.nextWaiting(i + 1)) {
-      if (draft.state(job, i).phase() != TaskState.Phase.WAITING) {
+      if (draft.taskState(job, i).phase() != TaskState.Phase.WAITING) {
         continue;
       }
-      if (!draft.takes(job, 1) || !quota.allows(job)) {
+      if (!draft.fitsInPage(job, 1) || !quota.allows(job)) {
         return;
       }
       FreeCapacity r = chooseFor(spec, c -> scope.test(c) && zoneAllows(spec, zones, c.zone));
@@ -336,7 +336,7 @@
       if (r == null || !reserve(draft, r, v, foreign)) {
         return;
       }
-      put(draft, job, i, draft.state(job, i).attempt() + 1, r, quota);
+      put(draft, job, i, draft.taskState(job, i).attempt() + 1, r, quota);
       zones.merge(r.machine().info().zone(), 1, Integer::sum);
       placed++;
     }
@@ -373,7 +373,7 @@
     placedTasks++;
     rooms.book(r, job.spec());
     quota.book(job.spec());
-    draft.change(job, index, t -> t.placed(attempt, r.machine(), draft.number()));
+    draft.changeTask(job, index, t -> t.placed(attempt, r.machine(), draft.nodeNumber()));
   }
 
   /**
@@ -389,7 +389,7 @@
     if (p == null) {
       return false;
     }
-    if (!draft.hasRoom(takes(1, foreign)) || !draft.hasConditions()) {
+    if (!draft.canAddWrites(takes(1, foreign)) || !draft.canAddConditions()) {
       narrow = true;
       return false;
     }
@@ -398,12 +398,12 @@
     } else if (foreign.size() == 1) {
       // One write for all of them. It fails whatever any owner has under way, so it is not used
       // for one, nor more often than now and then; the leader's jobs wait for that.
-      draft.unwrite(Partition.key(foreign.iterator().next()));
+      draft.removeWrite(Partition.key(foreign.iterator().next()));
       draft.write(Tables.CLAIMS_KEY, Map.of("epoch", v.epoch()), tables.claimsStamp());
     }
     // The owner's own placements leave its part's record alone. Those that we have not seen yet
     // are in its log: if it has written since, what we took for room may be gone.
-    draft.whenLogStands(owner);
+    draft.requireUnchangedLog(owner);
     foreign.add(owner);
     return true;
   }
@@ -417,20 +417,20 @@
   private void placeGang(
       TransactionBuilder draft, Job job, Quota quota, View v, Set<String> foreign) {
     JobSpec spec = job.spec();
-    if (draft.live(job) > 0 || draft.done(job) > 0 && job.waitingCount() == 0) {
+    if (draft.liveTaskCount(job) > 0 || draft.doneTaskCount(job) > 0 && job.waitingCount() == 0) {
       return;
     }
     // Counted as drafted: members whose exits are in this transaction wait from then on.
     int waiting = 0;
     int attempt = 0;
     for (int i = 0; i < job.taskCount(); i++) {
-      attempt = Math.max(attempt, draft.state(job, i).attempt());
-      waiting += draft.state(job, i).phase() == TaskState.Phase.WAITING ? 1 : 0;
+      attempt = Math.max(attempt, draft.taskState(job, i).attempt());
+      waiting += draft.taskState(job, i).phase() == TaskState.Phase.WAITING ? 1 : 0;
     }
     if (!quota.allows(spec, waiting)) {
       return;
     }
-    if (!draft.takesWhole(job, waiting, 0)) {
+    if (!draft.fitsWholeGang(job, waiting, 0)) {
       // The page is full: known before machines are looked for.
       narrow = true;
       return;
@@ -441,7 +441,7 @@
     for (Machine m : reservations.of(job)) {
       FreeCapacity r = rooms.find(m);
       if (r != null && tables.isReserved(m)) {
-        draft.placedOn(m).forEach(s -> rooms.book(r, s));
+        draft.placementsOn(m).forEach(s -> rooms.book(r, s));
       }
     }
     List<FreeCapacity> chosen = gangRooms(job, waiting);
@@ -452,9 +452,9 @@
       owners.remove(node);
       owners.removeAll(foreign);
       int writes = takes(owners.size(), foreign);
-      if (!draft.takesWhole(job, waiting, writes)
-          || !draft.hasRoom(writes)
-          || !draft.hasConditions(CONDITIONS_AN_OWNER * owners.size() + 4)) {
+      if (!draft.fitsWholeGang(job, waiting, writes)
+          || !draft.canAddWrites(writes)
+          || !draft.canAddConditions(CONDITIONS_AN_OWNER * owners.size() + 4)) {
         narrow = true;
         chosen = null;
       }
@@ -467,7 +467,7 @@
     if (chosen != null) {
       int k = 0;
       for (int i = 0; i < job.taskCount(); i++) {
-        if (draft.state(job, i).phase() == TaskState.Phase.WAITING) {
+        if (draft.taskState(job, i).phase() == TaskState.Phase.WAITING) {
           put(draft, job, i, attempt + 1, chosen.get(k++), quota);
         }
       }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -83,16 +83,16 @@
   }
 
   /** This node's durable number, which its placements carry. */
-  int number() {
+  int nodeNumber() {
     return number;
   }
 
-  boolean hasRoom() {
-    return hasRoom(1);
+  boolean canAddWrites() {
+    return canAddWrites(1);
   }
 
   /** Room for so many more writes, besides that of the page. */
-  boolean hasRoom(int n) {
+  boolean canAddWrites(int n) {
     if (n == 0 || 1 + others + n <= maxChanges) {
       return true;
     }
@@ -106,7 +106,7 @@
    * Something was left out that is dear to write: the next transaction is to be as wide as may be,
    * for one wide one holds more of that than several narrow ones of as many changes.
    */
-  void wantAll() {
+  void requestMaxWrites() {
     wanted = mostChanges;
   }
 
@@ -119,11 +119,11 @@
   }
 
   /** Room for the conditions that placing one more job brings. */
-  boolean hasConditions() {
-    return hasConditions(4);
+  boolean canAddConditions() {
+    return canAddConditions(4);
   }
 
-  boolean hasConditions(int n) {
+  boolean canAddConditions(int n) {
     return txn.conditions().size() + others + n < CONDITIONS_AN_OP * mostChanges;
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** What is placed here on a machine, besides what the tables tell. */
-  List<JobSpec> placedOn(Machine m) {
+  List<JobSpec> placementsOn(Machine m) {
     return placed.getOrDefault(m, List.of());
   }
 
@@ -149,14 +149,14 @@
     places = true;
   }
 
-  TaskState state(Job job, int index) {
+  TaskState taskState(Job job, int index) {
     Map<Integer, TaskState> m = tasks.get(job);
     TaskState s = m == null ? null : m.get(index);
     return s == null ? job.task(index) : s;
   }
 
   /** Whether so many more changes of the job's tasks fit into the page. */
-  boolean takes(Job job, int n) {
+  boolean fitsInPage(Job job, int n) {
     return bytesWith(job, n) <= pageBytes;
   }
 
@@ -164,9 +164,9 @@
    * Whether all of a large gang fits, which starts in one transaction or not at all: it may take as
    * many pages as the transaction has room for, besides {@code others} writes.
    */
-  boolean takesWhole(Job job, int n, int others) {
+  boolean fitsWholeGang(Job job, int n, int others) {
     int pages = bytesWith(job, n) / (pageBytes - ENTRY_TASKS * TASK_BYTES * 2) + 1;
-    return takes(job, n) || hasRoom(pages + others);
+    return fitsInPage(job, n) || canAddWrites(pages + others);
   }
 
   private int bytesWith(Job job, int n) {
@@ -178,8 +178,8 @@
     return PAGE_OVERHEAD + bytes + 4 * ENTRY_BYTES + m.name().length() <= pageBytes;
   }
 
-  void change(Job job, int index, UnaryOperator<TaskState> how) {
-    TaskState old = state(job, index);
+  void changeTask(Job job, int index, UnaryOperator<TaskState> how) {
+    TaskState old = taskState(job, index);
     TaskState next = how.apply(old);
     if (next == old) {
       return;
@@ -202,17 +202,17 @@
 
   /** An attempt is over; {@code why} as the worker said, or null when it was lost. */
   void exit(Job job, int index, String why) {
-    change(job, index, t -> t.exited(why));
+    changeTask(job, index, t -> t.exited(why));
     if (Report.ERROR.equals(why)) {
       failed.computeIfAbsent(job, k -> new HashSet<>()).add(index);
     }
   }
 
-  int live(Job job) {
+  int liveTaskCount(Job job) {
     return job.liveCount() + liveDelta.getOrDefault(job, 0);
   }
 
-  int done(Job job) {
+  int doneTaskCount(Job job) {
     int n = job.doneCount();
     for (Map.Entry<Integer, TaskState> t : tasks.getOrDefault(job, Map.of()).entrySet()) {
       boolean was = job.task(t.getKey()).phase() == TaskState.Phase.DONE;
@@ -238,7 +238,7 @@
     others += opsForEnd();
     for (int c = 0; c < job.chunkCount(); c++) {
       // What does not fit is left as an orphan and deleted later.
-      if (job.chunkStamp(c) > 0 && hasRoom()) {
+      if (job.chunkStamp(c) > 0 && canAddWrites()) {
         delete(job.chunkKey(c));
       }
     }
@@ -261,13 +261,13 @@
   }
 
   boolean roomToMove() {
-    return hasRoom(OPS_FOR_MOVE) && hasConditions();
+    return canAddWrites(OPS_FOR_MOVE) && canAddConditions();
   }
 
   boolean roomToEnd() {
     // Below the level as it was: with room for a chunk beside it.
     int n = tables.isOpen(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
-    return hasRoom(n) && hasConditions();
+    return canAddWrites(n) && canAddConditions();
   }
 
   private int opsForEnd() {
@@ -275,7 +275,7 @@
   }
 
   /** Hands a job that is not withdrawn to another part. */
-  void handOver(Job job, String part) {
+  void moveToPartition(Job job, String part) {
     write(job.key(), job.toStore(part, 0), job.stamp());
   }
 
@@ -302,24 +302,24 @@
   }
 
   /** Takes back a write, and its condition. */
-  void unwrite(String key) {
+  void removeWrite(String key) {
     txn.remove(key);
     others--;
   }
 
-  void when(String key, long stamp) {
+  void addCondition(String key, long stamp) {
     txn.requireStamp(key, stamp);
   }
 
   /** On condition that the view is the one of the tables, since that is what a change rewrites. */
-  void underView() {
+  void requireCurrentView() {
     if (tables.isOpen(Gate.VIEWS)) {
       txn.requireStamp(View.KEY, tables.viewStamp());
     }
   }
 
   /** On condition that a node has written nothing to its log that we have not seen. */
-  void whenLogStands(String of) {
+  void requireUnchangedLog(String of) {
     var last = tables.logPages(of).lastEntry();
     if (last != null) {
       txn.requireStamp(last.getValue().key(), last.getValue().stamp());
@@ -382,7 +382,7 @@
     return last;
   }
 
-  Transaction finish() {
+  Transaction build() {
     List<Object> entries = entries();
     var last = tables.logPages(node).lastEntry();
     LogPage page = last == null ? null : last.getValue();
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -344,7 +344,7 @@
     phase = Phase.BUSY;
     transactions++;
     boolean places = draft.places();
-    Transaction txn = draft.finish();
+    Transaction txn = draft.build();
     ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> committed(r, places));
   }
 
@@ -455,7 +455,7 @@
         it.remove();
         continue;
       }
-      if (!draft.takes(job, 1)) {
+      if (!draft.fitsInPage(job, 1)) {
         break;
       }
       if (x.lostIn > 0 && !underView(draft)) {
@@ -476,7 +476,7 @@
    */
   private boolean underView(TransactionBuilder draft) {
     if (tables.isOpen(Gate.VIEWS)) {
-      draft.underView();
+      draft.requireCurrentView();
       return true;
     }
     Partition mine = tables.partition(node);
@@ -484,15 +484,15 @@
       return false;
     }
     if (!draft.touches(Partition.key(node))) {
-      draft.when(Partition.key(node), mine.stamp());
+      draft.addCondition(Partition.key(node), mine.stamp());
     }
     return true;
   }
 
   /** A gang is done, or lost, together: when one task is done, every one is. */
   private void draftGangExit(TransactionBuilder draft, Job job, int index, String why) {
-    boolean done = Report.DONE.equals(why) || draft.done(job) > 0;
-    TaskState was = draft.state(job, index);
+    boolean done = Report.DONE.equals(why) || draft.doneTaskCount(job) > 0;
+    TaskState was = draft.taskState(job, index);
     if (!done && job.taskCount() > 1 && was.stop() == TaskState.Stop.NONE) {
       LOG.info(
           "gang {} attempt {} has lost member {} on {} ({}), {} s after it was placed",
@@ -505,15 +505,15 @@
     }
     draft.exit(job, index, done ? Report.DONE : why);
     for (int i = 0; i < job.taskCount(); i++) {
-      TaskState s = draft.state(job, i);
-      if (i == index || !draft.takes(job, 1)) {
+      TaskState s = draft.taskState(job, i);
+      if (i == index || !draft.fitsInPage(job, 1)) {
         continue;
       }
       if (done && s.phase() == TaskState.Phase.WAITING) {
-        draft.change(job, i, TaskState::doneWithGang);
+        draft.changeTask(job, i, TaskState::doneWithGang);
       } else if (s.isLive() && !done) {
         // The others cannot go on without it; a new attempt needs all of this one to be over.
-        draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
+        draft.changeTask(job, i, t -> t.stopping(TaskState.Stop.SAVE));
       }
     }
   }
@@ -528,10 +528,10 @@
       boolean mine = node.equals(tables.view().placer(job.partition(), job.id()));
       if (draft.touched().contains(job) || mine) {
         if (job.withdrawn()) {
-          if (draft.live(job) == 0) {
+          if (draft.liveTaskCount(job) == 0) {
             draft.end(job, TerminalState.WITHDRAWN, timers.wallMs());
           }
-        } else if (draft.done(job) == job.taskCount()) {
+        } else if (draft.doneTaskCount(job) == job.taskCount()) {
           draft.end(job, TerminalState.DONE, timers.wallMs());
         }
       }
@@ -583,7 +583,7 @@
       return;
     }
     for (String key : tables.orphanedKeys()) {
-      if (!draft.hasRoom()) {
+      if (!draft.canAddWrites()) {
         return;
       }
       draft.delete(key);
@@ -594,8 +594,8 @@
   private void draftStops(TransactionBuilder draft) {
     for (Job job : scheduling.partlyStoppingGangs()) {
       for (int i = 0; i < job.taskCount(); i++) {
-        if (draft.state(job, i).isLive() && draft.takes(job, 1)) {
-          draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
+        if (draft.taskState(job, i).isLive() && draft.fitsInPage(job, 1)) {
+          draft.changeTask(job, i, t -> t.stopping(TaskState.Stop.SAVE));
         }
       }
     }
@@ -612,7 +612,7 @@
       draft.write(Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
       draft.write(Partition.key(g.recipient()), g.recipientPartition().toStore(), g.recipientPartition().stamp());
       draft.gives();
-      draft.underView();
+      draft.requireCurrentView();
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -101,11 +101,11 @@
 
   private void stop(TransactionBuilder draft, Job job, Preemption.Choice c) {
     for (Machine.Slot s : c.victims()) {
-      if (draft.takes(s.job(), 1)) {
-        if (draft.state(s.job(), s.index()).stop() == TaskState.Stop.NONE) {
+      if (draft.fitsInPage(s.job(), 1)) {
+        if (draft.taskState(s.job(), s.index()).stop() == TaskState.Stop.NONE) {
           LOG.info("{} gives way to {}", s.taskName(), job.id());
         }
-        draft.change(
+        draft.changeTask(
             s.job(), s.index(), t -> t.isLive() ? t.stopping(Preemption.how(s.job().spec())) : t);
       }
     }
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -33,13 +33,13 @@
     t.apply(List.of(new StateServiceClient.Change("w/j/req-000001", record, 3)), 3);
     Job job = t.job("req-000001");
     TransactionBuilder d = new TransactionBuilder(t, "n0", 16, 16, PAGE);
-    assertTrue(d.takesWhole(job, size, 3));
+    assertTrue(d.fitsWholeGang(job, size, 3));
     for (int i = 0; i < size; i++) {
       String machine = String.format("i-%06d", i);
-      d.change(job, i, x -> x.placed(1, t.getOrCreateMachine(machine), 0));
+      d.changeTask(job, i, x -> x.placed(1, t.getOrCreateMachine(machine), 0));
     }
     List<StateServiceClient.Change> news = new ArrayList<>();
-    for (Object o : (List<?>) d.finish().toRequest().get("then")) {
+    for (Object o : (List<?>) d.build().toRequest().get("then")) {
       Document w = Document.of(o);
       assertTrue(
           MessageCodec.jsonSize(w.raw("v")) <= PAGE,
@@ -53,6 +53,6 @@
     t.apply(news, 4);
     assertEquals(size, job.liveCount());
     // One exit at a time must fit however large the gang is: it must not hold up the others'.
-    assertTrue(new TransactionBuilder(t, "n0", 16, 16, PAGE).takes(job, 1));
+    assertTrue(new TransactionBuilder(t, "n0", 16, 16, PAGE).fitsInPage(job, 1));
   }
 }
