--- a/src/main/java/wickdrift/coordination/commands/RecentEvents.java
+++ b/src/main/java/wickdrift/coordination/commands/RecentEvents.java
@@ -31,7 +31,7 @@
   }
 
   /** The last events of a machine, the oldest first. */
-  public List<CommandEvent> of(String machine) {
+  public List<CommandEvent> eventsOf(String machine) {
     List<CommandEvent> found = new ArrayList<>();
     for (long i = Math.max(0, added - ring.length); i < added; i++) {
       CommandEvent event = ring[(int) (i % ring.length)];
--- a/src/test/java/wickdrift/coordination/commands/SafetyMonitorTest.java
+++ b/src/test/java/wickdrift/coordination/commands/SafetyMonitorTest.java
@@ -31,11 +31,11 @@
   @Test
   void theRecordKeepsTheLastEventsOfAllMachinesTogether() {
     RecentEvents events = new RecentEvents(3);
-    assertEquals(List.of(), events.of("a"));
+    assertEquals(List.of(), events.eventsOf("a"));
     for (int i = 1; i <= 5; i++) {
       events.add(event(i % 2 == 0 ? "a" : "b", i));
     }
-    assertEquals(List.of(event("a", 4)), events.of("a"));
-    assertEquals(List.of(event("b", 3), event("b", 5)), events.of("b"));
+    assertEquals(List.of(event("a", 4)), events.eventsOf("a"));
+    assertEquals(List.of(event("b", 3), event("b", 5)), events.eventsOf("b"));
   }
 }
