--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -146,7 +146,7 @@
     }
     TaskAttempt attempt = attempt(entry);
     Verdict verdict = pass.commands.mayClear(attempt, pass.scope.own, pass.machine.epochAcknowledged());
-    if (verdict.allowed()) {
+    if (verdict.isAllowed()) {
       addClear(pass, entry, verdict);
     }
   }
@@ -231,7 +231,7 @@
       Report.Entry entry = pass.shown.get(slot.taskName());
       TaskAttempt attempt = attempt(slot);
       if (entry != null && entry.attempt() == attempt.attempt()) {
-        boolean first = pass.commands.seen(attempt, pass.report.tick(), pass.report.tenure());
+        boolean first = pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
         if (first && pass.scope.own) {
           // It was told to run this, and does.
           pass.machine.markReachableForCommands();
@@ -260,11 +260,11 @@
     Verdict verdict =
         pass.commands.mayEnd(
             attempt,
-            new WorkerCommands.Absence(
+            new WorkerCommands.AbsenceEvidence(
                 pass.scope.own, machine.epochAcknowledged(), report.tenure(), deaf, slot.mustStop()));
-    if (verdict == Verdict.PROVED) {
+    if (verdict == Verdict.PROVEN) {
       lost(pass, slot, attempt, verdict);
-    } else if (pass.commands.wasSeen(attempt) || slot.mustStop()) {
+    } else if (pass.commands.wasReported(attempt) || slot.mustStop()) {
       if (verdict == Verdict.DIRECT_RUN_UNANSWERED) {
         pass.note(CommandEvent.Kind.END_REFUSED, attempt, verdict.name());
       }
@@ -272,7 +272,7 @@
       // Nothing reaches it: what is told now could only come late. Its next session proves that it
       // has not got this.
       if (!pass.commands.knows(attempt)) {
-        pass.commands.sent(attempt, report.tick(), report.tenure(), timers.nowMs());
+        pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
       }
     } else if (machine.phase() != Machine.Phase.GONE
         && (pass.scope.own || !pass.commands.sentAfter(attempt, report.tick()))) {
@@ -290,7 +290,7 @@
     }
     if (pipeline.exited(slot.job(), slot.index(), attempt.attempt(), pass.machine, null)) {
       links.record(event);
-      if (pass.commands.wasSeen(attempt)) {
+      if (pass.commands.wasReported(attempt)) {
         LOG.info(
             "{} has lost {}, tenure {}", pass.machine.name(), attempt.task(), pass.report.tenure());
       }
@@ -312,7 +312,7 @@
       return;
     }
     Report report = pass.report;
-    pass.commands.sent(attempt, report.tick(), report.tenure(), timers.nowMs());
+    pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
     pass.orders.add(new Order.Run(slot.job().id(), slot.index(), attempt.attempt()));
     links.record(event);
   }
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -116,7 +116,7 @@
     body.put("tenure", session);
     body.put("orders", orders.stream().map(Order::toWire).toList());
     link.sent(machine.report());
-    link.commands.sentDirectly(command);
+    link.commands.directCommandSent(command);
     caller.call(
         machine.report().address(),
         "POST",
@@ -137,7 +137,7 @@
       return;
     }
     // Executed, or refused for good: either way this command can't come again.
-    link.commands.answered(command);
+    link.commands.directCommandAnswered(command);
     machine.markReachableForCommands();
     View view = tables.view();
     if (!links.isCurrent(machine, link) || view == null) {
@@ -164,7 +164,7 @@
     boolean proves = machine.receiveReply(report, view.epoch(), timers.nowMs());
     machine.setEpochAcknowledged(proves && report.epoch() == view.epoch());
     if (proves) {
-      link.commands.shown(report.epoch(), report.tenure());
+      link.commands.epochReported(report.epoch(), report.tenure());
     }
     if (membership.status() == Membership.Status.MEMBER) {
       send(machine, true);
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -115,7 +115,7 @@
     if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
       // No one can have renewed its lease since: the worker has killed all it had.
       links.recordEvent(
-          CommandEvent.Kind.LEASE_LAPSED,
+          CommandEvent.Kind.LEASE_EXPIRED,
           machine,
           machine.report(),
           view.epoch(),
@@ -139,16 +139,16 @@
   private boolean uncertainStop(Machine machine, long now) {
     WorkerCommands commands = links.commandsIfKnown(machine);
     if (commands == null
-        || commands.quiet()
+        || commands.hasNoOutstandingRuns()
         || now - machine.lastReportMs() > DirectCommands.ANSWER_TIMEOUT_MS) {
       return false;
     }
     for (Machine.Slot slot : machine.slots()) {
       TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
-      if (slot.mustStop() && commands.outstandingFor(attempt, epoch, UNCERTAIN_MS, now)) {
+      if (slot.mustStop() && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_MS, now)) {
         return true;
       }
     }
-    return commands.clearOverdue(epoch, tuning.lapseMs(), now);
+    return commands.isClearOverdue(epoch, tuning.lapseMs(), now);
   }
 }
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -270,7 +270,7 @@
       boolean proves = m.receiveReport(r, v.epoch(), now);
       m.setEpochAcknowledged(proves && r.epoch() == v.epoch());
       if (proves) {
-        links.commands(m).shown(r.epoch(), r.tenure());
+        links.commands(m).epochReported(r.epoch(), r.tenure());
       }
       m.updateCommandReachability(r, proves, ignores(m, r, now), leaseMs, now);
       if (unheard.remove(m.name()) && unheard.isEmpty()) {
@@ -366,12 +366,12 @@
     }
     WorkerCommands commands = links.commands(m);
     // One that was sent and shown is asked for too: it may be under way once more.
-    Verdict verdict = commands.mayStartNothingOf(job);
-    if (verdict.allowed()) {
+    Verdict verdict = commands.verifyNoRunPending(job);
+    if (verdict.isAllowed()) {
       verdict = shownHarmless(commands, r, job);
     }
     links.recordEvent(CommandEvent.Kind.CONFIRMATION, m, r, viewEpoch, job + ": " + verdict);
-    return verdict.allowed();
+    return verdict.isAllowed();
   }
 
   private Verdict shownHarmless(WorkerCommands commands, Report r, String job) {
@@ -384,6 +384,6 @@
         return Verdict.ANSWER_UNDER_WAY;
       }
     }
-    return Verdict.PROVED;
+    return Verdict.PROVEN;
   }
 }
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -50,7 +50,7 @@
 
   /** Machines to which a run that was sent straight may still arrive. */
   public long machinesWithOutstandingRuns() {
-    return links.values().stream().filter(l -> !l.commands.quiet()).count();
+    return links.values().stream().filter(l -> !l.commands.hasNoOutstandingRuns()).count();
   }
 
   /** The link to a machine's worker, a new one if there is none. */
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -50,7 +50,7 @@
    * @param deaf nothing seems to reach the worker
    * @param unwanted the attempt is to end
    */
-  public record Absence(
+  public record AbsenceEvidence(
       boolean ownReport, boolean epochShown, long session, boolean deaf, boolean unwanted) {}
 
   private final List<DirectRuns> outstanding = new ArrayList<>();
@@ -65,19 +65,19 @@
   // ---- what was sent, and what became of it ----
 
   /** A command with runs is sent straight to the worker. */
-  public void sentDirectly(DirectRuns command) {
+  public void directCommandSent(DirectRuns command) {
     if (!command.runs().isEmpty()) {
       outstanding.add(command);
     }
   }
 
   /** It was executed, or refused for good: it, and no other, can't arrive any more. */
-  public void answered(DirectRuns command) {
+  public void directCommandAnswered(DirectRuns command) {
     outstanding.removeIf(c -> c == command);
   }
 
   /** The attempt is told to run, in whatever way. */
-  public void sent(TaskAttempt run, long tick, long session, long nowMs) {
+  public void runSent(TaskAttempt run, long tick, long session, long nowMs) {
     LastRun before = last(run);
     long since = before == null || before.life < life ? nowMs : before.sinceMs;
     lastRuns.put(run.task(), new LastRun(run.attempt(), tick, false, session, life, since));
@@ -88,14 +88,14 @@
    *
    * @return whether it was told to run, and is seen for the first time since
    */
-  public boolean seen(TaskAttempt run, long tick, long session) {
+  public boolean attemptReported(TaskAttempt run, long tick, long session) {
     LastRun before = lastRuns.get(run.task());
     lastRuns.put(run.task(), new LastRun(run.attempt(), tick, true, session, life, 0));
     return before != null && !before.seen;
   }
 
   /** A report that is surely no copy has shown this epoch and session. */
-  public void shown(long epoch, long session) {
+  public void epochReported(long epoch, long session) {
     outstanding.removeIf(c -> epoch > c.epoch() || session > c.session());
     clearsRefused.removeIf(a -> !runOutstanding(a));
   }
@@ -141,7 +141,7 @@
   }
 
   /** Whether a run of the attempt has been outstanding under this epoch for longer than that. */
-  public boolean outstandingFor(TaskAttempt attempt, long epoch, long longerThanMs, long nowMs) {
+  public boolean isRunOutstandingLongerThan(TaskAttempt attempt, long epoch, long longerThanMs, long nowMs) {
     for (DirectRuns c : outstanding) {
       if (c.epoch() == epoch && nowMs - c.sentMs() > longerThanMs && c.runs().contains(attempt)) {
         return true;
@@ -151,12 +151,12 @@
   }
 
   /** Whether an ended attempt has been waiting for longer than that to be cleared. */
-  public boolean clearOverdue(long epoch, long longerThanMs, long nowMs) {
-    return clearsRefused.stream().anyMatch(a -> outstandingFor(a, epoch, longerThanMs, nowMs));
+  public boolean isClearOverdue(long epoch, long longerThanMs, long nowMs) {
+    return clearsRefused.stream().anyMatch(a -> isRunOutstandingLongerThan(a, epoch, longerThanMs, nowMs));
   }
 
   /** Whether nothing is outstanding. */
-  public boolean quiet() {
+  public boolean hasNoOutstandingRuns() {
     return outstanding.isEmpty();
   }
 
@@ -168,22 +168,22 @@
   /** Whether an ended attempt may be removed from the worker, after which a run starts it anew. */
   public Verdict mayClear(TaskAttempt attempt, boolean ownReport, boolean epochShown) {
     if (!ownReport) {
-      return Verdict.NOT_AN_OWN_REPORT;
+      return Verdict.NOT_WORKER_INITIATED;
     }
     if (!epochShown) {
-      return Verdict.EPOCH_NOT_SHOWN;
+      return Verdict.EPOCH_NOT_REPORTED;
     }
     if (runOutstanding(attempt)) {
       clearsRefused.add(attempt);
       return Verdict.DIRECT_RUN_UNANSWERED;
     }
-    return Verdict.PROVED;
+    return Verdict.PROVEN;
   }
 
   /** Whether an attempt that a report does not show is over. */
-  public Verdict mayEnd(TaskAttempt attempt, Absence is) {
+  public Verdict mayEnd(TaskAttempt attempt, AbsenceEvidence is) {
     if (!is.ownReport) {
-      return Verdict.NOT_AN_OWN_REPORT;
+      return Verdict.NOT_WORKER_INITIATED;
     }
     LastRun last = last(attempt);
     if (last != null && last.seen && last.life == life && last.session == is.session) {
@@ -193,20 +193,20 @@
       return Verdict.DIRECT_RUN_UNANSWERED;
     }
     if (last != null && last.seen) {
-      return Verdict.PROVED;
+      return Verdict.PROVEN;
     }
     if (is.unwanted && is.epochShown) {
-      return Verdict.PROVED;
+      return Verdict.PROVEN;
     }
     boolean sentEarlier = last != null && (last.life < life || last.session < is.session);
     if ((is.unwanted || is.deaf) && sentEarlier) {
-      return Verdict.PROVED;
+      return Verdict.PROVEN;
     }
-    return is.unwanted ? Verdict.EPOCH_NOT_SHOWN : Verdict.SESSION_GOES_ON;
+    return is.unwanted ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_GOES_ON;
   }
 
   /** Whether no run of any task of the job may still arrive. */
-  public Verdict mayStartNothingOf(String job) {
+  public Verdict verifyNoRunPending(String job) {
     for (DirectRuns c : outstanding) {
       if (c.runs().stream().anyMatch(a -> a.isOf(job))) {
         return Verdict.DIRECT_RUN_UNANSWERED;
@@ -218,7 +218,7 @@
         return Verdict.ANSWER_UNDER_WAY;
       }
     }
-    return Verdict.PROVED;
+    return Verdict.PROVEN;
   }
 
   /** Whether the attempt was told to run, or seen, since it is known here. */
@@ -227,7 +227,7 @@
   }
 
   /** Whether a report has shown the attempt. */
-  public boolean wasSeen(TaskAttempt attempt) {
+  public boolean wasReported(TaskAttempt attempt) {
     LastRun last = last(attempt);
     return last != null && last.seen;
   }
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -50,14 +50,14 @@
     long session = SESSION;
     for (char step : steps.toCharArray()) {
       switch (step) {
-        case 'A' -> commands.sentDirectly(first);
-        case 'B' -> commands.sentDirectly(second);
-        case 'a' -> commands.answered(first);
-        case 'b' -> commands.answered(second);
-        case 'r' -> commands.sent(ATTEMPT, 1, SESSION, 0);
-        case 's' -> commands.seen(ATTEMPT, 2, SESSION);
-        case 'e' -> commands.shown(EPOCH + 1, session);
-        case 'n' -> commands.shown(EPOCH, ++session);
+        case 'A' -> commands.directCommandSent(first);
+        case 'B' -> commands.directCommandSent(second);
+        case 'a' -> commands.directCommandAnswered(first);
+        case 'b' -> commands.directCommandAnswered(second);
+        case 'r' -> commands.runSent(ATTEMPT, 1, SESSION, 0);
+        case 's' -> commands.attemptReported(ATTEMPT, 2, SESSION);
+        case 'e' -> commands.epochReported(EPOCH + 1, session);
+        case 'n' -> commands.epochReported(EPOCH, ++session);
         case 'R' -> commands.workerRestarted();
         default -> assertEquals('-', step);
       }
@@ -65,8 +65,8 @@
     assertEquals(clear, commands.mayClear(ATTEMPT, true, true));
     assertEquals(
         end,
-        commands.mayEnd(ATTEMPT, new WorkerCommands.Absence(true, true, session, false, true)));
-    assertEquals(confirm, commands.mayStartNothingOf(JOB));
+        commands.mayEnd(ATTEMPT, new WorkerCommands.AbsenceEvidence(true, true, session, false, true)));
+    assertEquals(confirm, commands.verifyNoRunPending(JOB));
   }
 
   private static WorkerCommands.DirectRuns direct() {
@@ -88,37 +88,37 @@
   void whatAbsenceProves(
       boolean own, boolean epochShown, long session, boolean deaf, boolean unwanted, Verdict is) {
     WorkerCommands commands = new WorkerCommands();
-    commands.sent(ATTEMPT, 1, SESSION, 0);
+    commands.runSent(ATTEMPT, 1, SESSION, 0);
     assertEquals(
         is,
         commands.mayEnd(
-            ATTEMPT, new WorkerCommands.Absence(own, epochShown, session, deaf, unwanted)));
+            ATTEMPT, new WorkerCommands.AbsenceEvidence(own, epochShown, session, deaf, unwanted)));
   }
 
   @Test
   void aClearIsRefusedWithoutAnOwnReportOrTheEpoch() {
     WorkerCommands commands = new WorkerCommands();
-    assertEquals(Verdict.NOT_AN_OWN_REPORT, commands.mayClear(ATTEMPT, false, true));
-    assertEquals(Verdict.EPOCH_NOT_SHOWN, commands.mayClear(ATTEMPT, true, false));
+    assertEquals(Verdict.NOT_WORKER_INITIATED, commands.mayClear(ATTEMPT, false, true));
+    assertEquals(Verdict.EPOCH_NOT_REPORTED, commands.mayClear(ATTEMPT, true, false));
   }
 
   @Test
   void anotherJobWhoseNameBeginsAlikeIsNotConcerned() {
     WorkerCommands commands = new WorkerCommands();
-    commands.sentDirectly(
+    commands.directCommandSent(
         new WorkerCommands.DirectRuns(EPOCH, SESSION, 0, List.of(new TaskAttempt(JOB + "0/0", 1))));
-    assertEquals(Verdict.PROVED, commands.mayStartNothingOf(JOB));
+    assertEquals(Verdict.PROVEN, commands.verifyNoRunPending(JOB));
   }
 
   @Test
   void aRefusedClearIsOverdueUntilAHigherEpochIsShown() {
     WorkerCommands commands = new WorkerCommands();
-    commands.sentDirectly(direct());
-    assertFalse(commands.clearOverdue(EPOCH, 100, 200), "no clear was refused yet");
+    commands.directCommandSent(direct());
+    assertFalse(commands.isClearOverdue(EPOCH, 100, 200), "no clear was refused yet");
     commands.mayClear(ATTEMPT, true, true);
-    assertFalse(commands.clearOverdue(EPOCH, 100, 100));
-    assertTrue(commands.clearOverdue(EPOCH, 100, 101));
-    commands.shown(EPOCH + 1, SESSION);
-    assertFalse(commands.clearOverdue(EPOCH, 100, 200));
+    assertFalse(commands.isClearOverdue(EPOCH, 100, 100));
+    assertTrue(commands.isClearOverdue(EPOCH, 100, 101));
+    commands.epochReported(EPOCH + 1, SESSION);
+    assertFalse(commands.isClearOverdue(EPOCH, 100, 200));
   }
 }
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsWalkTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsWalkTest.java
@@ -97,11 +97,11 @@
     String task = "req-000001/" + random.nextInt(TASKS);
     TaskAttempt run = attemptOf(task);
     boolean synced = worker.epoch == epoch && worker.epoch >= trustedFrom;
-    if (synced && !worker.held.contains(run) && !commands.wasSeen(run)) {
+    if (synced && !worker.held.contains(run) && !commands.wasReported(run)) {
       WorkerCommands.DirectRuns sent =
           new WorkerCommands.DirectRuns(epoch, worker.session, 0, List.of(run));
-      commands.sentDirectly(sent);
-      commands.sent(run, worker.tick, worker.session, 0);
+      commands.directCommandSent(sent);
+      commands.runSent(run, worker.tick, worker.session, 0);
       onTheWay.add(new Message(epoch, worker.session, run, sent));
     }
   }
@@ -114,7 +114,7 @@
     Message message = onTheWay.remove(random.nextInt(onTheWay.size()));
     execute(message, seed);
     if (random.nextInt(3) > 0) {
-      commands.answered(message.sent);
+      commands.directCommandAnswered(message.sent);
     }
   }
 
@@ -147,9 +147,9 @@
       raiseForTheRestarted();
       return;
     }
-    commands.shown(worker.epoch, worker.session);
+    commands.epochReported(worker.epoch, worker.session);
     for (TaskAttempt ended : Set.copyOf(worker.ended)) {
-      if (over.contains(ended) && commands.mayClear(ended, true, true).allowed()) {
+      if (over.contains(ended) && commands.mayClear(ended, true, true).isAllowed()) {
         worker.ended.remove(ended);
         clears++;
       }
@@ -167,26 +167,26 @@
 
   private void planBooked(TaskAttempt attempt) {
     if (worker.held.contains(attempt)) {
-      commands.seen(attempt, worker.tick, worker.session);
+      commands.attemptReported(attempt, worker.tick, worker.session);
       return;
     }
     if (worker.ended.contains(attempt)) {
-      commands.seen(attempt, worker.tick, worker.session);
+      commands.attemptReported(attempt, worker.tick, worker.session);
       next(attempt);
       return;
     }
     boolean unwanted = random.nextInt(4) == 0;
     Verdict verdict =
         commands.mayEnd(
-            attempt, new WorkerCommands.Absence(true, true, worker.session, false, unwanted));
+            attempt, new WorkerCommands.AbsenceEvidence(true, true, worker.session, false, unwanted));
     if (verdict == Verdict.WORKER_RESTARTED) {
       commands.workerRestarted();
       trustedFrom = epoch + 1;
-    } else if (verdict.allowed()) {
+    } else if (verdict.isAllowed()) {
       ends++;
       next(attempt);
-    } else if (!commands.wasSeen(attempt) && !unwanted) {
-      commands.sent(attempt, worker.tick, worker.session, 0);
+    } else if (!commands.wasReported(attempt) && !unwanted) {
+      commands.runSent(attempt, worker.tick, worker.session, 0);
       inAnswer.add(new Message(epoch, worker.session, attempt, null));
     }
   }
