--- a/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
@@ -79,7 +79,7 @@
         if (!r.includes(next)) {
           waits.add(name + " speaks levels " + r);
         }
-      } else if (!word.without().contains(name)) {
+      } else if (!word.ignoredNodes().contains(name)) {
         NodeRecord a = registry.nodeRecord(name);
         if (a == null) {
           waits.add(name + " is down and has announced nothing");
--- a/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -13,16 +13,16 @@
  * that are not waited for. Stored as {@code w/c/word}; every rise is conditional on it.
  *
  * @param heldGates labels of gates; one that nobody here knows holds back every rise
- * @param without names of controllers
+ * @param ignoredNodes names of controllers
  */
-public record OperatorOverrides(List<String> heldGates, List<String> without, long stamp, Map<String, Object> extra) {
+public record OperatorOverrides(List<String> heldGates, List<String> ignoredNodes, long stamp, Map<String, Object> extra) {
   public static final String KEY = NodeRegistry.PREFIX + "word";
   public static final OperatorOverrides NONE = new OperatorOverrides(List.of(), List.of(), 0, Map.of());
 
   public Map<String, Object> toStore() {
     Map<String, Object> m = new LinkedHashMap<>(extra);
     m.put("held", new ArrayList<>(heldGates));
-    m.put("without", new ArrayList<>(without));
+    m.put("without", new ArrayList<>(ignoredNodes));
     return m;
   }
 
@@ -36,11 +36,11 @@
   }
 
   public OperatorOverrides withGateHeld(String gate, boolean on) {
-    return new OperatorOverrides(change(heldGates, gate, on), without, stamp, extra);
+    return new OperatorOverrides(change(heldGates, gate, on), ignoredNodes, stamp, extra);
   }
 
   public OperatorOverrides withNodeIgnored(String name, boolean on) {
-    return new OperatorOverrides(heldGates, change(without, name, on), stamp, extra);
+    return new OperatorOverrides(heldGates, change(ignoredNodes, name, on), stamp, extra);
   }
 
   private static List<String> change(List<String> list, String name, boolean on) {
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -76,7 +76,7 @@
         m.put(
             "levels",
             live ? t.memberLevels().get(name).toString() : a == null ? "" : a.levels().toString());
-        m.put("waitedFor", !t.registry().overrides().without().contains(name));
+        m.put("waitedFor", !t.registry().overrides().ignoredNodes().contains(name));
         list.add(m);
       }
       Map<String, Object> all = new LinkedHashMap<>();
@@ -153,9 +153,9 @@
         return fail(NO, "the state has just changed; nothing was done, try again");
       }
       if (json) {
-        print(Map.of("held", next.heldGates(), "without", next.without()));
+        print(Map.of("held", next.heldGates(), "without", next.ignoredNodes()));
       } else {
-        out().println("held: " + next.heldGates() + ", not waited for: " + next.without());
+        out().println("held: " + next.heldGates() + ", not waited for: " + next.ignoredNodes());
       }
       return OK;
     }
@@ -214,9 +214,9 @@
     OperatorOverrides next(Tables t, Settings settings) {
       OperatorOverrides word = t.registry().overrides();
       if (undo) {
-        return word.without().contains(name)
+        return word.ignoredNodes().contains(name)
             ? word.withNodeIgnored(name, false)
-            : refuse(BAD_INPUT, name + " is waited for; not so: " + word.without());
+            : refuse(BAD_INPUT, name + " is waited for; not so: " + word.ignoredNodes());
       }
       if (!controllers(t, settings).contains(name)) {
         return refuse(
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -441,7 +441,7 @@
       w.run(8000);
       assertEquals(0, l.run(new LevelCommand(), "without", "n1"));
       w.run(1000);
-      assertEquals(List.of("n1"), w.tables("n0").registry().overrides().without());
+      assertEquals(List.of("n1"), w.tables("n0").registry().overrides().ignoredNodes());
       assertEquals(0, l.run(new LevelCommand(), "without", "n1", "--undo"));
       String file = dir.resolve("kept").toString();
       assertEquals(0, l.run(new StateCommand(), "dump", file));
