--- a/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
+++ b/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
@@ -54,7 +54,8 @@
     crc.update((names.size() + "," + each(valueBytes)).getBytes(StandardCharsets.UTF_8));
     names.forEach(n -> crc.update(n.getBytes(StandardCharsets.UTF_8)));
     int per = each(valueBytes);
-    return new AwaitsOverflow(job, Long.toHexString(crc.getValue()), (names.size() + per - 1) / per);
+    return new AwaitsOverflow(
+        job, Long.toHexString(crc.getValue()), (names.size() + per - 1) / per);
   }
 
   /** The records of those names, by key. */
--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -122,7 +122,8 @@
         continue;
       }
       long ready = 0;
-      Job.DependencyState now = complete(j) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
+      Job.DependencyState now =
+          complete(j) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
       for (String a : j.awaits()) {
         TerminalState e = end(a);
         Job x = e == null ? unfinished.apply(a) : null;
@@ -144,7 +145,8 @@
         j.to(now, ready);
       }
       // Those after it draw from whether it is clear, and whether it is withdrawn.
-      boolean clear = (was == Job.DependencyState.UNRESOLVED) != (now == Job.DependencyState.UNRESOLVED);
+      boolean clear =
+          (was == Job.DependencyState.UNRESOLVED) != (now == Job.DependencyState.UNRESOLVED);
       if (clear || wasOff != j.withdrawn()) {
         open.addAll(dependents(j.id()));
       }
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -117,8 +117,10 @@
    * @param startByWallMs when it must start so that the last of them is done in time;
    *     Long.MAX_VALUE: no matter when
    */
-  public record InheritedUrgency(JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
-    static final InheritedUrgency NONE = new InheritedUrgency(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
+  public record InheritedUrgency(
+      JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
+    static final InheritedUrgency NONE =
+        new InheritedUrgency(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
 
     InheritedUrgency and(InheritedUrgency o) {
       return new InheritedUrgency(
--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -74,7 +74,8 @@
     // The chains' questions are put again with each change; some were answered meanwhile.
     next.entrySet()
         .removeIf(
-            e -> e.getValue().isEmpty() && !tables.dependencies().unresolved().contains(e.getKey()));
+            e ->
+                e.getValue().isEmpty() && !tables.dependencies().unresolved().contains(e.getKey()));
     if (!next.isEmpty()) {
       TreeMap<String, List<Consumer<LookupResult>>> open = next;
       next = new TreeMap<>();
@@ -110,7 +111,8 @@
         });
   }
 
-  private void take(StateServiceClient.ListResult l, TreeMap<String, List<Consumer<LookupResult>>> open) {
+  private void take(
+      StateServiceClient.ListResult l, TreeMap<String, List<Consumer<LookupResult>>> open) {
     String last = null;
     for (StateServiceClient.Change c : l.entries()) {
       last = c.key().substring(PREFIX.length());
--- a/src/main/java/wickdrift/bookkeeping/LogEntry.java
+++ b/src/main/java/wickdrift/bookkeeping/LogEntry.java
@@ -56,7 +56,13 @@
       return start(FORGOTTEN, name);
     }
     return start(
-        MACHINE, name, info.type(), info.zone(), info.spot(), info.phase().ordinal(), info.phaseSinceWallMs());
+        MACHINE,
+        name,
+        info.type(),
+        info.zone(),
+        info.spot(),
+        info.phase().ordinal(),
+        info.phaseSinceWallMs());
   }
 
   static String kind(List<?> e) throws BadMessage {
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -465,7 +465,8 @@
    * @param ignored whether it lacks a task that it was long since told to run
    * @param leaseMs of the workers
    */
-  public void updateCommandReachability(Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
+  public void updateCommandReachability(
+      Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
     // Had the last answer reached it, its lease could not have ended yet.
     boolean lapsed =
         own != null && r.tenure() > own.tenure() && nowMs - answeredMs < leaseMs * 3 / 4;
--- a/src/main/java/wickdrift/bookkeeping/Partition.java
+++ b/src/main/java/wickdrift/bookkeeping/Partition.java
@@ -16,9 +16,9 @@
  *
  * @param reserved machines that the leader has marked; the owner places nothing on them
  * @param encoding of the stored record, see {@link Encoding}
- * @param quotaShares by team, where it is not an even part of the limit that this node may use: in form
- *     1 what it may use; since form 2 what it was given beyond its even part, below 0 what it gave
- *     away, so that all together sum to nothing whatever the limit is
+ * @param quotaShares by team, where it is not an even part of the limit that this node may use: in
+ *     form 1 what it may use; since form 2 what it was given beyond its even part, below 0 what it
+ *     gave away, so that all together sum to nothing whatever the limit is
  * @param extra fields that this build does not know; they survive a rewriting
  */
 public record Partition(
--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -267,7 +267,8 @@
    * to the limit.
    */
   public void setOtherMembersWriteRate(double perSecond, double most) {
-    double ours = Math.min(most, Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED - perSecond));
+    double ours =
+        Math.min(most, Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED - perSecond));
     writes.setRate(ours, fairWriteRate);
     double users = fairUserWrites / fairWriteRate;
     userWrites.setRate(ours * users, fairUserWrites);
@@ -707,7 +708,9 @@
           case AUTHORITY -> writes.tryAcquire(n, -1e9, now);
           // Only one of them may be short: what was taken from the first is not to be lost.
           case USER ->
-              userWrites.canAcquire(n, 0, now) && writes.tryAcquire(n, 0, now) && userWrites.tryAcquire(n, 0, now);
+              userWrites.canAcquire(n, 0, now)
+                  && writes.tryAcquire(n, 0, now)
+                  && userWrites.tryAcquire(n, 0, now);
           case WORK -> takeForWork(n, now);
         };
     if (n > 0 && !allowed) {
@@ -753,7 +756,10 @@
           failedByCondition++;
           Document d = Document.parse(a.body());
           return new CommitResult(
-              Outcome.CONDITION_FAILED, d.count("ledgerRev"), new HashSet<>(d.texts("failed")), false);
+              Outcome.CONDITION_FAILED,
+              d.count("ledgerRev"),
+              new HashSet<>(d.texts("failed")),
+              false);
         case 429:
           refusedByStore++;
           writes.drain();
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -14,11 +14,11 @@
 import java.util.TreeSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.NodeRecord;
+import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 
@@ -555,7 +555,8 @@
     if (LogEntry.aboutMachine(e)) {
       if (rev > archiveBucket(Machine.archiveBucketOf(subject)).rev) {
         Machine m = getOrCreateMachine(subject);
-        boolean applies = kind.equals(LogEntry.MACHINE) ? m.transitionTo(LogEntry.info(e)) : m.forget();
+        boolean applies =
+            kind.equals(LogEntry.MACHINE) ? m.transitionTo(LogEntry.info(e)) : m.forget();
         if (!applies) {
           LOG.debug("void: {} of {}", e, m.phase());
         }
@@ -586,7 +587,11 @@
       boolean applies =
           switch (kind) {
             case LogEntry.PLACED ->
-                j.applyPlacement(index, attempt, getOrCreateMachine(LogEntry.text(e, i + 2)), LogEntry.number(e, 2));
+                j.applyPlacement(
+                    index,
+                    attempt,
+                    getOrCreateMachine(LogEntry.text(e, i + 2)),
+                    LogEntry.number(e, 2));
             case LogEntry.EXITED -> j.applyExit(index, attempt, LogEntry.number(e, i + 2));
             case LogEntry.STOPPED ->
                 j.applyStop(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
@@ -680,7 +685,9 @@
   private static long holds(StateServiceClient.Change c) {
     boolean stored = Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
     try {
-      return stored && c.value() != null ? Encoding.decode(c.value(), newestReadableEncoding(c.key())).count("rev") : 0;
+      return stored && c.value() != null
+          ? Encoding.decode(c.value(), newestReadableEncoding(c.key())).count("rev")
+          : 0;
     } catch (BadMessage e) {
       return 0;
     }
--- a/src/main/java/wickdrift/bookkeeping/TeamUsage.java
+++ b/src/main/java/wickdrift/bookkeeping/TeamUsage.java
@@ -51,6 +51,8 @@
   public Partition.QuotaShare placedBy(String team, int number) {
     Int2ObjectHashMap<Amount> all = teams.get(team);
     Amount of = all == null ? null : all.get(number);
-    return of == null ? Partition.QuotaShare.NONE : new Partition.QuotaShare(of.cpus / UNIT, of.gpus / UNIT);
+    return of == null
+        ? Partition.QuotaShare.NONE
+        : new Partition.QuotaShare(of.cpus / UNIT, of.gpus / UNIT);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -19,8 +19,8 @@
  * epoch, and makes every placement that was prepared before fail.
  *
  * @param zones where the members are; those without a zone are left out
- * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before: parts that were last
- *     written under an earlier one may still let something through that was prepared by then
+ * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before: parts that were
+ *     last written under an earlier one may still let something through that was prepared by then
  * @param extra fields that this build does not know; they survive a rewriting
  */
 public record View(
@@ -90,7 +90,9 @@
     Document d = Encoding.decode(value, Encoding.NUMBERED);
     Map<String, String> zones = d.raw("zones") == null ? Map.of() : texts(d.raw("zones"));
     long level = d.count(LEVEL, 1);
-    if (level < 1 || level > Integer.MAX_VALUE || Encoding.versionOf(value) != Encoding.forLevel((int) level)) {
+    if (level < 1
+        || level > Integer.MAX_VALUE
+        || Encoding.versionOf(value) != Encoding.forLevel((int) level)) {
       throw new BadMessage("level " + level + " does not go with the record's form");
     }
     return new View(
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
@@ -55,7 +55,9 @@
     return new TreeMap<>(Map.of(NAMES, new ArrayList<>(names)));
   }
 
-  /** The value of {@link #CONVERTED_LEVEL_KEY}: nothing older than the forms of that level is left. */
+  /**
+   * The value of {@link #CONVERTED_LEVEL_KEY}: nothing older than the forms of that level is left.
+   */
   public static Map<String, Object> encodeConvertedLevel(int level) {
     return new TreeMap<>(Map.of("level", level));
   }
@@ -78,7 +80,8 @@
         list = names;
         initialNamesStamp = d == null ? 0 : stamp;
       }
-      case "word" -> overrides = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
+      case "word" ->
+          overrides = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
       case "done" -> {
         convertedLevel = d == null ? 0 : (int) d.count("level");
         convertedLevelStamp = d == null ? 0 : stamp;
--- a/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -15,9 +15,11 @@
  * @param heldGates labels of gates; one that nobody here knows holds back every rise
  * @param ignoredNodes names of controllers
  */
-public record OperatorOverrides(List<String> heldGates, List<String> ignoredNodes, long stamp, Map<String, Object> extra) {
+public record OperatorOverrides(
+    List<String> heldGates, List<String> ignoredNodes, long stamp, Map<String, Object> extra) {
   public static final String KEY = NodeRegistry.PREFIX + "word";
-  public static final OperatorOverrides NONE = new OperatorOverrides(List.of(), List.of(), 0, Map.of());
+  public static final OperatorOverrides NONE =
+      new OperatorOverrides(List.of(), List.of(), 0, Map.of());
 
   public Map<String, Object> toStore() {
     Map<String, Object> m = new LinkedHashMap<>(extra);
--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -48,7 +48,9 @@
 
   /** Whether requests can be served at all. */
   public boolean isReady() {
-    return ledger.phase() == StateServiceClient.Phase.FOLLOWING && tables.view() != null && types.known();
+    return ledger.phase() == StateServiceClient.Phase.FOLLOWING
+        && tables.view() != null
+        && types.known();
   }
 
   /** Once that is so, no submission is taken any more. */
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -117,7 +117,8 @@
 
   private void planShown(Pass pass, Report.Entry entry) {
     Job job = tables.job(entry.job());
-    TaskState state = job == null || entry.index() >= job.taskCount() ? null : job.task(entry.index());
+    TaskState state =
+        job == null || entry.index() >= job.taskCount() ? null : job.task(entry.index());
     boolean booked =
         state != null
             && state.isLive()
@@ -145,7 +146,8 @@
       return;
     }
     TaskAttempt attempt = attempt(entry);
-    Verdict verdict = pass.commands.mayClear(attempt, pass.scope.own, pass.machine.epochAcknowledged());
+    Verdict verdict =
+        pass.commands.mayClear(attempt, pass.scope.own, pass.machine.epochAcknowledged());
     if (verdict.isAllowed()) {
       addClear(pass, entry, verdict);
     }
@@ -231,7 +233,8 @@
       Report.Entry entry = pass.shown.get(slot.taskName());
       TaskAttempt attempt = attempt(slot);
       if (entry != null && entry.attempt() == attempt.attempt()) {
-        boolean first = pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
+        boolean first =
+            pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
         if (first && pass.scope.own) {
           // It was told to run this, and does.
           pass.machine.markReachableForCommands();
@@ -261,7 +264,11 @@
         pass.commands.mayEnd(
             attempt,
             new WorkerCommands.AbsenceEvidence(
-                pass.scope.own, machine.epochAcknowledged(), report.tenure(), deaf, slot.mustStop()));
+                pass.scope.own,
+                machine.epochAcknowledged(),
+                report.tenure(),
+                deaf,
+                slot.mustStop()));
     if (verdict == Verdict.PROVEN) {
       lost(pass, slot, attempt, verdict);
     } else if (pass.commands.wasReported(attempt) || slot.mustStop()) {
--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Encoding;
@@ -37,7 +37,11 @@
   private long nextMs;
 
   EncodingMigration(
-      Timers timers, StateServiceClient ledger, Tables tables, Membership membership, Settings settings) {
+      Timers timers,
+      StateServiceClient ledger,
+      Tables tables,
+      Membership membership,
+      Settings settings) {
     this.timers = timers;
     this.ledger = ledger;
     this.tables = tables;
@@ -63,7 +67,8 @@
     if (leads && left != tables.registry().convertedLevel() < tables.level()) {
       draft.addCondition(View.KEY, tables.viewStamp());
       if (left) {
-        draft.addCondition(NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
+        draft.addCondition(
+            NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
         draft.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
       } else {
         draft.write(
@@ -77,7 +82,8 @@
   private boolean page(TransactionBuilder draft, String key) {
     for (LogPage p : tables.logPages(node).values()) {
       if (p.key().equals(key)) {
-        draft.write(key, LogPage.encode(p, tables.encoding(), List.of(), tables::isObsolete), p.stamp());
+        draft.write(
+            key, LogPage.encode(p, tables.encoding(), List.of(), tables::isObsolete), p.stamp());
         return true;
       }
     }
@@ -87,7 +93,8 @@
   private boolean part(TransactionBuilder draft, String key) {
     for (Map.Entry<String, Partition> p : tables.partitions().entrySet()) {
       if (Partition.key(p.getKey()).equals(key)) {
-        Partition told = Quota.toNumberedEncoding(p.getValue(), p.getKey(), tables.registry(), settings);
+        Partition told =
+            Quota.toNumberedEncoding(p.getValue(), p.getKey(), tables.registry(), settings);
         draft.write(key, told.toStore(), told.stamp());
         return true;
       }
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition.QuotaShare;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TeamUsage;
+import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -317,7 +317,8 @@
         continue;
       }
       boolean couldBeListed =
-          everListed.containsKey(m.name()) || timers.wallMs() - m.info().phaseSinceWallMs() > 3 * lag;
+          everListed.containsKey(m.name())
+              || timers.wallMs() - m.info().phaseSinceWallMs() > 3 * lag;
       boolean heard = m.lastReportMs() > 0 && now - m.lastReportMs() < 2 * lag;
       if (couldBeListed && !heard) {
         absentSince.putIfAbsent(m.name(), now);
@@ -785,7 +786,8 @@
         QuotaShare left =
             leftOfLimit.computeIfAbsent(team.name(), k -> leftOf(team, usage.of(team.name())));
         int allowed =
-            FreeCapacity.taskCapacity(job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
+            FreeCapacity.taskCapacity(
+                job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
         // What its team's limit forbids has no use for a machine: it runs where others have ended.
         // But for the first gang that waits for it: the limit is saved up for that one.
         boolean gang = job.spec().shape() == JobSpec.Shape.GANG;
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -87,7 +87,10 @@
         best = part;
         beside = n;
       }
-      double f = rooms.estimateTaskCapacity(s, part) - waiting.equivalentTasks(s, part) - together.equivalentTasks(s, part);
+      double f =
+          rooms.estimateTaskCapacity(s, part)
+              - waiting.equivalentTasks(s, part)
+              - together.equivalentTasks(s, part);
       if (f > free + FreeCapacity.EPS) {
         freest = part;
         free = f;
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TerminalState;
+import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.settings.Settings;
@@ -118,7 +118,9 @@
       return;
     }
     String phase = job.liveCount() > 0 ? "running" : "pending";
-    x.reply(200, Map.of("ref", id, "phase", phase, "done", job.doneCount(), "running", job.liveCount()));
+    x.reply(
+        200,
+        Map.of("ref", id, "phase", phase, "done", job.doneCount(), "running", job.liveCount()));
   }
 
   /**
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.StateServiceLimits;
-import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Timers;
@@ -81,7 +81,8 @@
           return;
         }
         draft.addCondition(job.key(), job.stamp());
-        Object value = job.chunkToStore(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
+        Object value =
+            job.chunkToStore(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
         if (tooLarge(value, job.chunkKey(c))) {
           return;
         }
@@ -123,7 +124,9 @@
     nextShelvesMs = now + SHELVES_MS;
     long oldest = tables.oldestEntryRev();
     for (Map.Entry<String, Tables.ArchiveBucket> e : tables.archiveBuckets().entrySet()) {
-      if (e.getValue().rev() < oldest && tables.isArchiveBucketEmpty(e.getKey()) && draft.canAddWrites()) {
+      if (e.getValue().rev() < oldest
+          && tables.isArchiveBucketEmpty(e.getKey())
+          && draft.canAddWrites()) {
         draft.addCondition(Tables.archiveBucketKey(e.getKey()), e.getValue().stamp());
         draft.delete(Tables.archiveBucketKey(e.getKey()));
       }
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -103,10 +103,13 @@
       machine.markReportsOverdue();
       zones.silent(machine.info().zone());
     }
-    boolean deaf = machine.unreachableForCommandsSinceMs() > 0 && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
+    boolean deaf =
+        machine.unreachableForCommandsSinceMs() > 0
+            && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
     if (up && (deaf || silent > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
       LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
-      pipeline.enqueueRecord(machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
+      pipeline.enqueueRecord(
+          machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
   }
 
@@ -128,7 +131,8 @@
   private boolean needsHigherEpoch(Machine machine, View view, long now) {
     // One that has begun anew is trusted again with a higher token; no more often than that has
     // time to reach the workers.
-    boolean anew = machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
+    boolean anew =
+        machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
     return anew || uncertainStop(machine, now);
   }
 
@@ -145,7 +149,8 @@
     }
     for (Machine.Slot slot : machine.slots()) {
       TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
-      if (slot.mustStop() && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_MS, now)) {
+      if (slot.mustStop()
+          && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_MS, now)) {
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -13,17 +13,17 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.LevelUpgrade;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.PeerFrame;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
@@ -280,7 +280,8 @@
         return;
       }
       // Before anyone has a number: else two might be given one of different lists.
-      txn.requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0).write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
+      txn.requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
+          .write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
     }
     if (known == null || !known.levels().equals(levels) || !known.peers().equals(names)) {
       int number = registry.numberOf(node) < 0 ? registry.nextNumber() : registry.numberOf(node);
@@ -296,7 +297,8 @@
       member.put("inc", incarnation);
       member.put("zone", settings.zone());
       levels.addTo(member);
-      txn.requireStamp("w/m/" + node, tables.memberStamp(node)).write("w/m/" + node, member, tether);
+      txn.requireStamp("w/m/" + node, tables.memberStamp(node))
+          .write("w/m/" + node, member, tether);
     }
     if (txn.changeCount() == 0) {
       return;
@@ -335,7 +337,9 @@
               + " is in force: the settings name "
               + names
               + ", and the others go by "
-              + (registry.hasStoredInitialNames() ? registry.initialNames() : v.members().keySet()));
+              + (registry.hasStoredInitialNames()
+                  ? registry.initialNames()
+                  : v.members().keySet()));
     }
     return same;
   }
@@ -370,7 +374,10 @@
     }
     if (txn.changeCount() > 0) {
       writing = true;
-      ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> ledger.barrier(2000, ok -> writing = false));
+      ledger.commit(
+          txn,
+          StateServiceClient.WritePriority.WORK,
+          r -> ledger.barrier(2000, ok -> writing = false));
     }
   }
 
@@ -387,7 +394,9 @@
       Partition p = tables.partition(n);
       if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
-            p.encoding() == Encoding.FIRST ? Quota.toNumberedEncoding(p, n, tables.registry(), settings) : p;
+            p.encoding() == Encoding.FIRST
+                ? Quota.toNumberedEncoding(p, n, tables.registry(), settings)
+                : p;
         txn.requireStamp(Partition.key(n), p.stamp())
             .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
       }
@@ -395,7 +404,10 @@
     if (txn.changeCount() > 0) {
       LOG.info("writing {} parts anew for the view to count", txn.changeCount());
       writing = true;
-      ledger.commit(txn, StateServiceClient.WritePriority.AUTHORITY, r -> ledger.barrier(2000, ok -> writing = false));
+      ledger.commit(
+          txn,
+          StateServiceClient.WritePriority.AUTHORITY,
+          r -> ledger.barrier(2000, ok -> writing = false));
     }
   }
 
@@ -591,7 +603,10 @@
 
   private void propose(View next, Map<String, Long> conditions) {
     proposing = true;
-    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp()).write(View.KEY, next.toStore());
+    Transaction txn =
+        new Transaction()
+            .requireStamp(View.KEY, tables.viewStamp())
+            .write(View.KEY, next.toStore());
     next.members().keySet().forEach(m -> txn.requireStamp("w/m/" + m, tables.memberStamp(m)));
     // Rewriting the parts makes whatever was prepared under the old view fail. Those of nodes in
     // neither view were rewritten when they left: nothing of theirs can come any more. Since what
@@ -682,7 +697,8 @@
       return;
     }
     ByteBuffer frame =
-        new PeerFrame.Standing(number, epoch, ledger.reachable(), (int) Math.ceil(ledger.recentWriteRate()))
+        new PeerFrame.Standing(
+                number, epoch, ledger.reachable(), (int) Math.ceil(ledger.recentWriteRate()))
             .encode();
     peers.values().forEach(p -> p.accept(frame.duplicate()));
   }
--- a/src/main/java/wickdrift/coordination/PauseDetector.java
+++ b/src/main/java/wickdrift/coordination/PauseDetector.java
@@ -9,10 +9,10 @@
 
 /**
  * Notices, in one place, that this process stood still while its clocks ran on. Whatever wakes it
- * first, a timer, a request or an answer, comes through {@link #recordActivity}; a gap since the last one
- * that no ordinary work explains is a pause. Nothing was heard in it, so the clock proves nothing
- * about others: no machine silent, no boot overdue, no peer dead. Who judges by silence asks {@link
- * #uninterruptedSinceMs}.
+ * first, a timer, a request or an answer, comes through {@link #recordActivity}; a gap since the
+ * last one that no ordinary work explains is a pause. Nothing was heard in it, so the clock proves
+ * nothing about others: no machine silent, no boot overdue, no peer dead. Who judges by silence
+ * asks {@link #uninterruptedSinceMs}.
  */
 public final class PauseDetector {
   private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -84,8 +84,11 @@
         : QuotaShare.NONE;
   }
 
-  /** A part as {@link Encoding#NUMBERED} tells it: what a node may use, as more or less than even. */
-  static Partition toNumberedEncoding(Partition p, String of, NodeRegistry registry, Settings settings) {
+  /**
+   * A part as {@link Encoding#NUMBERED} tells it: what a node may use, as more or less than even.
+   */
+  static Partition toNumberedEncoding(
+      Partition p, String of, NodeRegistry registry, Settings settings) {
     Map<String, QuotaShare> told = new LinkedHashMap<>();
     for (Settings.Team t : settings.teams()) {
       QuotaShare s = p.quotaShares().get(t.name());
@@ -97,7 +100,8 @@
   }
 
   private QuotaShare left(String team, String of) {
-    QuotaShare left = share(team, of).minus(tables.usage().placedBy(team, tables.registry().numberOf(of)));
+    QuotaShare left =
+        share(team, of).minus(tables.usage().placedBy(team, tables.registry().numberOf(of)));
     return of.equals(node) ? left.minus(booked.getOrDefault(team, QuotaShare.NONE)) : left;
   }
 
@@ -214,7 +218,12 @@
   // ---- giving share away ----
 
   /** A gift of share from one node to another. */
-  record Transfer(String team, String donor, String recipient, Partition donorPartition, Partition recipientPartition) {}
+  record Transfer(
+      String team,
+      String donor,
+      String recipient,
+      Partition donorPartition,
+      Partition recipientPartition) {}
 
   /**
    * What this node should give away, or null: spare share goes to a node whose waiting jobs lack
@@ -241,7 +250,8 @@
         }
         QuotaShare spare =
             positive(
-                left(team, giver).minus(needed.getOrDefault(new Key(team, giver), QuotaShare.NONE)));
+                left(team, giver)
+                    .minus(needed.getOrDefault(new Key(team, giver), QuotaShare.NONE)));
         for (String taker : takers()) {
           // One outside the view needs what it is short of: a limit that was lowered left it less
           // than it had given away, and until it has that back the others may use too much.
@@ -251,7 +261,8 @@
           }
           QuotaShare lack = positive(need.minus(left(team, taker)));
           QuotaShare gift =
-              new QuotaShare(Math.min(spare.cpus(), lack.cpus()), Math.min(spare.gpus(), lack.gpus()));
+              new QuotaShare(
+                  Math.min(spare.cpus(), lack.cpus()), Math.min(spare.gpus(), lack.gpus()));
           if (gift.cpus() > FreeCapacity.EPS || gift.gpus() > FreeCapacity.EPS) {
             return new Transfer(
                 team, giver, taker, moved(team, giver, gift.times(-1)), moved(team, taker, gift));
@@ -289,7 +300,9 @@
   private Partition moved(String team, String of, QuotaShare by) {
     Partition p = part(of);
     QuotaShare was =
-        p.encoding() == Encoding.FIRST ? share(team, of) : p.quotaShares().getOrDefault(team, QuotaShare.NONE);
+        p.encoding() == Encoding.FIRST
+            ? share(team, of)
+            : p.quotaShares().getOrDefault(team, QuotaShare.NONE);
     return p.withQuotaShare(team, was.plus(by));
   }
 
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -8,8 +8,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.coordination.commands.CommandEvent;
@@ -313,7 +313,8 @@
           case DRAINING, GONE -> false;
         };
     if (change && !pipeline.hasPendingRecord(m)) {
-      pipeline.enqueueRecord(m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
+      pipeline.enqueueRecord(
+          m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
     }
   }
 
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.JobSpec;
@@ -33,7 +33,11 @@
   private long nextMarksMs;
 
   Reservations(
-      Tables tables, SchedulingState scheduling, Types types, Tuning tuning, StateServiceLimits limits) {
+      Tables tables,
+      SchedulingState scheduling,
+      Types types,
+      Tuning tuning,
+      StateServiceLimits limits) {
     this.types = types;
     this.tables = tables;
     this.scheduling = scheduling;
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -124,7 +124,8 @@
       LOG.info("{} fails wherever it runs: next try in {} s", j.id(), (j.retryAtMs() - now) / 1000);
     }
     queue.changed(j, there);
-    boolean over = j.withdrawn() ? j.liveCount() == 0 : j.spec() != null && j.doneCount() == j.taskCount();
+    boolean over =
+        j.withdrawn() ? j.liveCount() == 0 : j.spec() != null && j.doneCount() == j.taskCount();
     member(finishableJobs, j, there && over);
     member(halting, j, there && halting(j));
     member(withdrawnRunningJobs, j, there && j.withdrawn() && j.liveCount() > 0);
@@ -158,7 +159,8 @@
       return;
     }
     boolean there = tables.machine(m.name()) == m;
-    member(goneMachinesWithTasks, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
+    member(
+        goneMachinesWithTasks, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
     String owner = m.owner(v);
     boolean usable =
@@ -170,7 +172,8 @@
     if (usable) {
       boolean shun = m.quarantinedUntilMs(timers.nowMs()) > timers.nowMs();
       member(shunned, m, shun);
-      boolean answers = m.provedAlive() && !m.reportsOverdue() && m.unreachableForCommandsSinceMs() == 0;
+      boolean answers =
+          m.provedAlive() && !m.reportsOverdue() && m.unreachableForCommandsSinceMs() == 0;
       usable = !shun && (answers || !owner.equals(node));
     }
     if (usable) {
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import wickdrift.bookkeeping.AwaitsOverflow;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.AwaitsOverflow;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.level.Gate;
@@ -167,7 +167,8 @@
    */
   private void writeNames(Submission s, AwaitsOverflow more) {
     List<Map.Entry<String, Object>> open =
-        new ArrayList<>(more.values(s.spec().awaits(), ledger.limits().targetValueBytes()).entrySet());
+        new ArrayList<>(
+            more.values(s.spec().awaits(), ledger.limits().targetValueBytes()).entrySet());
     writeNames(s, more, open);
   }
 
@@ -177,7 +178,8 @@
       return;
     }
     String id = s.spec().id();
-    Transaction txn = new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
+    Transaction txn =
+        new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
     int n = Math.min(open.size(), ledger.limits().maxTransactionChanges() / 2);
     open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
     ledger.commit(
@@ -308,7 +310,8 @@
         ok -> {
           if (!ok) {
             UserRequests.later(s.exchange());
-          } else if (tables.job(s.spec().id()) != null || tables.terminalState(s.spec().id()) != null) {
+          } else if (tables.job(s.spec().id()) != null
+              || tables.terminalState(s.spec().id()) != null) {
             status.answerStatus(s.exchange(), s.spec().id());
           } else {
             ledger.read(
@@ -336,7 +339,8 @@
           batch.forEach(
               (id, all) -> {
                 boolean known =
-                    r.failedKeys().contains(Job.key(id)) || r.failedKeys().contains(Job.terminalStateKey(id));
+                    r.failedKeys().contains(Job.key(id))
+                        || r.failedKeys().contains(Job.terminalStateKey(id));
                 for (Submission s : all) {
                   if (known) {
                     status.status(s.exchange(), id);
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -13,9 +13,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.View;
@@ -248,7 +248,8 @@
     }
     int elsewhere = 0;
     for (String member : tables.view().members().keySet()) {
-      elsewhere += member.equals(node) ? 0 : rooms.taskCapacityWithImage(spec, member, job.waitingCount());
+      elsewhere +=
+          member.equals(node) ? 0 : rooms.taskCapacityWithImage(spec, member, job.waitingCount());
     }
     return elsewhere >= job.waitingCount();
   }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.LogPage;
+import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
@@ -361,7 +361,8 @@
                 .addAll(List.of(i, next.attempt(), next.machine().name()));
           }
           if (next.isLive() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
-            to(stopped, LogEntry.stopped(job.id(), next.stop()), 2).addAll(List.of(i, next.attempt()));
+            to(stopped, LogEntry.stopped(job.id(), next.stop()), 2)
+                .addAll(List.of(i, next.attempt()));
           }
         });
     // In this order: what is placed may follow on an exit, what is stopped on a placement.
@@ -413,7 +414,8 @@
   private long write(LogPage page, long number, List<Object> run) {
     long to = page == null ? number + 1 : number;
     txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::isObsolete));
+    txn.write(
+        LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::isObsolete));
     return to;
   }
 }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
@@ -326,7 +326,8 @@
       draftGift(draft);
     }
     compaction.draft(draft);
-    if (draft.empty() && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION) {
+    if (draft.empty()
+        && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION) {
       conversion.addNextRecord(draft);
     }
     draftMoves(draft);
@@ -451,7 +452,11 @@
       Exit x = e.getValue();
       // Under another view someone else may have owned the machine, and have answered its worker.
       boolean stale = x.lostIn > 0 && x.lostIn != tables.view().epoch();
-      if (stale || s == null || !s.isLive() || s.attempt() != x.attempt || s.machine() != x.machine) {
+      if (stale
+          || s == null
+          || !s.isLive()
+          || s.attempt() != x.attempt
+          || s.machine() != x.machine) {
         it.remove();
         continue;
       }
@@ -544,7 +549,9 @@
    */
   private void draftMoves(TransactionBuilder draft) {
     boolean many = tables.pendingHistory().size() > MOVES_LATE_MOST;
-    if (!many && !(draft.empty() && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION)) {
+    if (!many
+        && !(draft.empty()
+            && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION)) {
       return;
     }
     for (Map.Entry<String, Tables.PendingHistoryEntry> e : tables.pendingHistory().entrySet()) {
@@ -565,7 +572,8 @@
       Machine.Info wanted = e.getValue();
       // One that no longer follows on what is known would be void, and be written for ever; so
       // would one of a machine that was forgotten meanwhile, as when two leaders returned it.
-      boolean is = wanted == null ? !m.mayBeForgotten() : !m.phase().canTransitionTo(wanted.phase());
+      boolean is =
+          wanted == null ? !m.mayBeForgotten() : !m.phase().canTransitionTo(wanted.phase());
       if (is || tables.machine(m.name()) != m) {
         it.remove();
         scheduling.updateMachine(m);
@@ -609,8 +617,12 @@
     Quota.Transfer g = quota.proposeTransfer(membership.isLeader(), scheduling.queue().waiting());
     if (g != null) {
       LOG.info("giving quota of {} from {} to {}", g.team(), g.donor(), g.recipient());
-      draft.write(Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
-      draft.write(Partition.key(g.recipient()), g.recipientPartition().toStore(), g.recipientPartition().stamp());
+      draft.write(
+          Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
+      draft.write(
+          Partition.key(g.recipient()),
+          g.recipientPartition().toStore(),
+          g.recipientPartition().stamp());
       draft.gives();
       draft.requireCurrentView();
     }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -119,7 +119,8 @@
       Preemption.Choice c =
           t == null
               ? null
-              : Preemption.on(new FreeCapacity(m, t), job.spec(), job.preemptionPriority(), strongest, now);
+              : Preemption.on(
+                  new FreeCapacity(m, t), job.spec(), job.preemptionPriority(), strongest, now);
       if (c != null) {
         stop(draft, job, c);
       }
@@ -147,7 +148,8 @@
     double least = Double.MAX_VALUE;
     for (List<FreeCapacity> rooms : byZone.values()) {
       List<Preemption.Choice> all =
-          Preemption.cheapestChoices(rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
+          Preemption.cheapestChoices(
+              rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
       double lost = all.stream().mapToDouble(Preemption.Choice::lost).sum();
       if (all.size() == lack && lost < least) {
         least = lost;
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -125,7 +125,8 @@
   }
 
   /** The same of a whole machine. */
-  void recordEvent(CommandEvent.Kind kind, Machine machine, Report report, long epoch, String reason) {
+  void recordEvent(
+      CommandEvent.Kind kind, Machine machine, Report report, long epoch, String reason) {
     recordEvent(kind, machine, NO_ATTEMPT, report, epoch, reason);
   }
 
--- a/src/main/java/wickdrift/coordination/commands/SafetyMonitor.java
+++ b/src/main/java/wickdrift/coordination/commands/SafetyMonitor.java
@@ -49,7 +49,10 @@
     }
     violations.merge(invariant, 1L, Long::sum);
     LOG.error(
-        "invariant violated: {}: {}; last events: {}", invariant, what, events.eventsOf(what.machine()));
+        "invariant violated: {}: {}; last events: {}",
+        invariant,
+        what,
+        events.eventsOf(what.machine()));
     return false;
   }
 
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -141,7 +141,8 @@
   }
 
   /** Whether a run of the attempt has been outstanding under this epoch for longer than that. */
-  public boolean isRunOutstandingLongerThan(TaskAttempt attempt, long epoch, long longerThanMs, long nowMs) {
+  public boolean isRunOutstandingLongerThan(
+      TaskAttempt attempt, long epoch, long longerThanMs, long nowMs) {
     for (DirectRuns c : outstanding) {
       if (c.epoch() == epoch && nowMs - c.sentMs() > longerThanMs && c.runs().contains(attempt)) {
         return true;
@@ -152,7 +153,8 @@
 
   /** Whether an ended attempt has been waiting for longer than that to be cleared. */
   public boolean isClearOverdue(long epoch, long longerThanMs, long nowMs) {
-    return clearsRefused.stream().anyMatch(a -> isRunOutstandingLongerThan(a, epoch, longerThanMs, nowMs));
+    return clearsRefused.stream()
+        .anyMatch(a -> isRunOutstandingLongerThan(a, epoch, longerThanMs, nowMs));
   }
 
   /** Whether nothing is outstanding. */
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -12,16 +12,16 @@
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Admission;
-import wickdrift.coordination.WithdrawalConfirmations;
 import wickdrift.coordination.Fleet;
 import wickdrift.coordination.Membership;
 import wickdrift.coordination.PauseDetector;
-import wickdrift.coordination.ReportRelay;
 import wickdrift.coordination.ReportHandler;
+import wickdrift.coordination.ReportRelay;
 import wickdrift.coordination.SchedulingState;
 import wickdrift.coordination.TransactionPipeline;
 import wickdrift.coordination.Tuning;
 import wickdrift.coordination.Types;
+import wickdrift.coordination.WithdrawalConfirmations;
 import wickdrift.coordination.WorkerLinks;
 import wickdrift.coordination.Zones;
 import wickdrift.protocol.BadMessage;
@@ -102,7 +102,8 @@
     tables = new Tables(settings.nodeNames(), levels, this::tablesChanged);
     scheduling = new SchedulingState(timers, tables, types, settings);
     StateServiceLimits limits =
-        new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> tables.isOpen(Gate.LIMITS));
+        new StateServiceLimits(
+            settings.stateLimits(), settings.nextLimits(), () -> tables.isOpen(Gate.LIMITS));
     ledger =
         new StateServiceClient(
             timers,
@@ -137,7 +138,8 @@
             settings.node(),
             malformed);
     history = new JobHistory(timers, ledger, tables);
-    confirmations = new WithdrawalConfirmations(timers, ledger, tables, reporting, settings.node(), peers);
+    confirmations =
+        new WithdrawalConfirmations(timers, ledger, tables, reporting, settings.node(), peers);
     admission =
         new Admission(
             timers,
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -10,10 +10,10 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.LevelUpgrade;
 import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.LevelUpgrade;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.settings.Settings;
 
@@ -195,7 +195,8 @@
       return t.registry().overrides().heldGates().contains(gate)
           ? t.registry().overrides().withGateHeld(gate, false)
           : refuse(
-              BAD_INPUT, "gate " + gate + " is not held back; held: " + t.registry().overrides().heldGates());
+              BAD_INPUT,
+              "gate " + gate + " is not held back; held: " + t.registry().overrides().heldGates());
     }
   }
 
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.TreeSet;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.Transaction;
@@ -68,7 +68,9 @@
               + " records, as "
               + there.all().firstKey());
     }
-    if (view == null && !Records.commit(store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, mark))) {
+    if (view == null
+        && !Records.commit(
+            store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, mark))) {
       throw new Refused("the store has just been written to by another");
     }
     Object last = plan.remove(View.KEY);
@@ -127,7 +129,9 @@
       for (int c = 0; c < j.chunkCount(); c++) {
         Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
-          out.put(j.chunkKey(c), j.chunkToStore(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
+          out.put(
+              j.chunkKey(c),
+              j.chunkToStore(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
         }
       }
     }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -11,11 +11,11 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.NodeRecord;
+import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.protocol.BadMessage;
 
 /** What of the stored state a build can't read, and what contradicts itself. A pure function. */
@@ -112,7 +112,8 @@
         error(key, "is of form " + p.encoding() + ", which level " + v.level() + " does not have");
       }
       told &= p.encoding() == Encoding.NUMBERED;
-      p.quotaShares().forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
+      p.quotaShares()
+          .forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
     }
     if (told) {
       sums.forEach(
@@ -136,7 +137,8 @@
     for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
       try {
         boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunkKey(e.getKey());
-        if (Encoding.versionOf(e.getValue().value()) > (dense ? Encoding.DENSE : Encoding.forLevel(v.level()))) {
+        if (Encoding.versionOf(e.getValue().value())
+            > (dense ? Encoding.DENSE : Encoding.forLevel(v.level()))) {
           error(e.getKey(), "is of a form that level " + v.level() + " does not have");
         }
       } catch (BadMessage x) {
@@ -180,7 +182,9 @@
     TreeSet<Integer> unknown = new TreeSet<>();
     for (Job j : t.jobs()) {
       if (records.all().containsKey(Job.terminalStateKey(j.id()))) {
-        error(j.key(), "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
+        error(
+            j.key(),
+            "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
       }
       for (int i = 0; i < j.taskCount(); i++) {
         if (j.task(i).isLive() && t.registry().name(j.task(i).placer()) == null) {
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -53,7 +53,8 @@
       if (levels != null) {
         String[] ends = levels.split("-");
         try {
-          range = new LevelRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
+          range =
+              new LevelRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
         } catch (IllegalArgumentException e) {
           return fail(BAD_INPUT, "--levels: " + levels + " is no range of levels, as 1-2 is");
         }
@@ -143,7 +144,8 @@
         return fail(BAD_FILE, file + ": " + e.getMessage());
       }
       try {
-        StateServiceLimits limits = new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> true);
+        StateServiceLimits limits =
+            new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> true);
         int written = new Restore(store, limits).run(records);
         if (json) {
           print(Map.of("revision", records.rev(), "written", written));
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -174,8 +174,8 @@
   /**
    * @param otherwise where a field is missing; null: all must be there
    */
-  private static StateServiceLimits.Bounds bounds(UnmodifiableConfig c, String key, StateServiceLimits.Bounds otherwise)
-      throws Invalid {
+  private static StateServiceLimits.Bounds bounds(
+      UnmodifiableConfig c, String key, StateServiceLimits.Bounds otherwise) throws Invalid {
     boolean all = otherwise == null;
     StateServiceLimits.Bounds b =
         new StateServiceLimits.Bounds(
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -148,7 +148,10 @@
       } else if (n.accepted && n.over == null && (off(n) || ready(n)) && r.nextInt(3) == 0) {
         n.over = off(n) ? "withdrawn" : "done";
         news.add(put(Job.key(id(n.number)), null));
-        news.add(put(Job.terminalStateKey(id(n.number)), new TerminalState(n.over, 1, rev).toStore(true)));
+        news.add(
+            put(
+                Job.terminalStateKey(id(n.number)),
+                new TerminalState(n.over, 1, rev).toStore(true)));
       }
       t.apply(news, rev);
       resolve(t);
@@ -180,9 +183,11 @@
     for (String id : List.copyOf(t.dependencies().unresolved())) {
       for (Job j : t.dependencies().dependents(id)) {
         assertTrue(
-            j.dependencyState() == Job.DependencyState.UNRESOLVED || j.withdrawn(), j.id() + " is clear without " + id);
+            j.dependencyState() == Job.DependencyState.UNRESOLVED || j.withdrawn(),
+            j.id() + " is clear without " + id);
       }
-      t.rememberTerminalState(id, TerminalState.parse(Document.of(store.get(Job.terminalStateKey(id)))));
+      t.rememberTerminalState(
+          id, TerminalState.parse(Document.of(store.get(Job.terminalStateKey(id)))));
     }
   }
 
@@ -233,7 +238,9 @@
       n++;
     }
     t.load(all, rev);
-    assertEquals(1000 + 1 + 1, t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
+    assertEquals(
+        1000 + 1 + 1,
+        t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
     rev++;
     t.apply(
         List.of(
@@ -244,7 +251,9 @@
                 rev),
             new StateServiceClient.Change(Job.key(id(hub)), null, rev)),
         rev);
-    assertEquals(2001, t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
+    assertEquals(
+        2001,
+        t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
     t.drainChangedJobs();
     // A withdrawal of the first reaches the last, and nobody else is looked at.
     rev++;
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -50,7 +50,10 @@
   private static Job job(Tables t, int number) {
     try {
       JobSpec s = JobSpec.parse(doc(SimJobs.job(number, "batch", 9, 1, 10)));
-      apply(t, new StateServiceClient.Change(Job.key(s.id()), raw(Job.toStore(s, null, 5, "n0", 0)), number));
+      apply(
+          t,
+          new StateServiceClient.Change(
+              Job.key(s.id()), raw(Job.toStore(s, null, 5, "n0", 0)), number));
       return t.job(s.id());
     } catch (BadMessage e) {
       throw new AssertionError(e);
@@ -61,8 +64,8 @@
     t.apply(List.of(c), c[c.length - 1].stamp());
   }
 
-  private static StateServiceClient.Change page(Tables t, String node, long stamp, List<Object> entry)
-      throws BadMessage {
+  private static StateServiceClient.Change page(
+      Tables t, String node, long stamp, List<Object> entry) throws BadMessage {
     var last = t.logPages(node).lastEntry();
     LogPage old = last == null ? null : last.getValue();
     Object v = LogPage.encode(old, 1, List.of(entry), (r, e) -> false);
@@ -86,7 +89,8 @@
     states.put(70, TaskState.NEW.placed(4, m, 2).stopping(TaskState.Stop.SAVE));
     states.put(71, TaskState.waiting(9));
     StateServiceClient.Change chunk =
-        new StateServiceClient.Change("w/t/req-000001/1", raw(j.encodeChunk(1, 9, states::get)), 10);
+        new StateServiceClient.Change(
+            "w/t/req-000001/1", raw(j.encodeChunk(1, 9, states::get)), 10);
     t.reset();
     t.load(List.of(job("batch", 100), chunk), 12);
     Job again = t.job(JOB);
@@ -148,7 +152,8 @@
   @Test
   void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
     Tables t = withJob(2);
-    StateServiceClient.Change placed = page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change placed =
+        page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
     StateServiceClient.Change exited = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
     t.apply(List.of(exited, placed), 11);
     assertEquals(TaskState.Phase.DONE, t.job(JOB).task(0).phase());
@@ -203,11 +208,13 @@
     Tables t = withJob(2);
     apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1")));
     Job j = t.job(JOB);
-    StateServiceClient.Change chunk = new StateServiceClient.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
+    StateServiceClient.Change chunk =
+        new StateServiceClient.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
     StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 0));
     apply(t, exit);
     apply(t, chunk);
-    StateServiceClient.Change again = page(t, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
+    StateServiceClient.Change again =
+        page(t, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
     apply(t, again);
     // The same from the start: the pages first, as they were read, then the rest.
     Tables fresh = new Tables(List.of(), LevelRange.BUILD, () -> {});
@@ -225,7 +232,8 @@
   void aLoadLeavesNewerEntriesToTheWatch() throws BadMessage {
     Tables t = withJob(2);
     StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
-    StateServiceClient.Change placed = page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change placed =
+        page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
     Tables fresh = new Tables(List.of(), LevelRange.BUILD, () -> {});
     // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
     fresh.load(List.of(exit, job("batch", 2)), 9);
@@ -296,7 +304,8 @@
       int index = j.doneCount();
       int attempt = j.task(index).attempt() + 1;
       assertTrue(j.applyPlacement(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
-      assertTrue(j.applyExit(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
+      assertTrue(
+          j.applyExit(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
     }
     assertEquals(shunS * 1000, t.getOrCreateMachine("i-1").quarantinedUntilMs(0));
     assertEquals(suspect, jobs.get('a').isSuspected());
@@ -414,14 +423,18 @@
     t.apply(
         List.of(
             new StateServiceClient.Change(
-                LogPage.key("n0", 1), raw(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)), 20)),
+                LogPage.key("n0", 1),
+                raw(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)),
+                20)),
         20);
     assertEquals(64, j.liveCount());
     Object stored = j.chunkToStore(0, 21, j::task, 2, most);
     assertEquals(form, Encoding.versionOf(raw(stored)));
     assertTrue(MessageCodec.jsonSize(stored) <= most, "size " + MessageCodec.jsonSize(stored));
     Tables again = withJob(64);
-    again.load(List.of(job("batch", 64), new StateServiceClient.Change(j.chunkKey(0), raw(stored), 21)), 21);
+    again.load(
+        List.of(job("batch", 64), new StateServiceClient.Change(j.chunkKey(0), raw(stored), 21)),
+        21);
     for (int i = 0; i < 64; i++) {
       assertEquals(j.task(i).attempt(), again.job(JOB).task(i).attempt());
       assertEquals(j.task(i).machine().name(), again.job(JOB).task(i).machine().name());
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -82,7 +82,9 @@
     if (said != null) {
       String[] word = said.split(" ");
       OperatorOverrides w =
-          word[0].equals("held") ? OperatorOverrides.NONE.withGateHeld(word[1], true) : OperatorOverrides.NONE.withNodeIgnored(word[1], true);
+          word[0].equals("held")
+              ? OperatorOverrides.NONE.withGateHeld(word[1], true)
+              : OperatorOverrides.NONE.withNodeIgnored(word[1], true);
       registry.apply("word", doc(w.toStore()), 30);
     }
     if (done > 0) {
@@ -137,7 +139,8 @@
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
     registry.apply("list", doc(NodeRegistry.encodeInitialNames(List.of("a", "b", "c"))), 1);
     assertEquals(3, registry.nextNumber());
-    registry.apply("7", doc(NodeRecord.create(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
+    registry.apply(
+        "7", doc(NodeRecord.create(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
     assertEquals(8, registry.nextNumber());
     assertEquals(7, registry.numberOf("z"));
     assertEquals("c", registry.name(2));
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.bookkeeping.LogEntry;
-import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.LogPage;
+import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
@@ -61,7 +61,8 @@
     var v = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
     long rev = 1 + tables.machines().size();
     StateServiceClient.Change c =
-        new StateServiceClient.Change(LogPage.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
+        new StateServiceClient.Change(
+            LogPage.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
     tables.apply(List.of(c), rev);
     return tables.machine(name);
   }
@@ -103,7 +104,8 @@
   void loadIsTheLargestBookedShare() {
     TypeInfo t = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
     FreeCapacity r =
-        new FreeCapacity(new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
+        new FreeCapacity(
+            new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
     r.book(spec(5, 1));
     assertEquals(0.5, r.load(), 1e-9);
   }
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceClient;
-import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.LogPage;
+import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
@@ -29,7 +29,8 @@
 
   private void apply(String key, Object value) throws BadMessage {
     rev++;
-    StateServiceClient.Change c = new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
+    StateServiceClient.Change c =
+        new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
     tables.apply(List.of(c), rev);
   }
 
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -65,7 +65,8 @@
     assertEquals(clear, commands.mayClear(ATTEMPT, true, true));
     assertEquals(
         end,
-        commands.mayEnd(ATTEMPT, new WorkerCommands.AbsenceEvidence(true, true, session, false, true)));
+        commands.mayEnd(
+            ATTEMPT, new WorkerCommands.AbsenceEvidence(true, true, session, false, true)));
     assertEquals(confirm, commands.verifyNoRunPending(JOB));
   }
 
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsWalkTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsWalkTest.java
@@ -178,7 +178,8 @@
     boolean unwanted = random.nextInt(4) == 0;
     Verdict verdict =
         commands.mayEnd(
-            attempt, new WorkerCommands.AbsenceEvidence(true, true, worker.session, false, unwanted));
+            attempt,
+            new WorkerCommands.AbsenceEvidence(true, true, worker.session, false, unwanted));
     if (verdict == Verdict.WORKER_RESTARTED) {
       commands.workerRestarted();
       trustedFrom = epoch + 1;
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -4,10 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.StateServiceClient;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.Document;
@@ -65,7 +65,9 @@
               0));
       for (int c = 0; c * Job.TASKS_PER_CHUNK < size; c++) {
         List<Object> live = new ArrayList<>();
-        for (int i = c * Job.TASKS_PER_CHUNK; i < Math.min(size, (c + 1) * Job.TASKS_PER_CHUNK); i++) {
+        for (int i = c * Job.TASKS_PER_CHUNK;
+            i < Math.min(size, (c + 1) * Job.TASKS_PER_CHUNK);
+            i++) {
           live.add(List.of(i, 1, name((next + i) % machines), j % 5, 0));
         }
         Map<String, Object> chunk = new LinkedHashMap<>();
@@ -84,7 +86,8 @@
     return String.format("i-%06d", i);
   }
 
-  private static void put(List<StateServiceClient.Change> all, String key, Object value) throws Exception {
+  private static void put(List<StateServiceClient.Change> all, String key, Object value)
+      throws Exception {
     all.add(new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
   }
 }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -36,8 +36,8 @@
 import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Encoding;
-import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.operator.LevelCommand;
 import wickdrift.operator.Records;
 import wickdrift.operator.Restore;
@@ -116,7 +116,11 @@
     assertNull(t.blockedReason());
     StringBuilder b = new StringBuilder(SimWorld.digest(t));
     for (int n = 0; n < 3; n++) {
-      b.append("n").append(n).append(' ').append(t.usage().placedBy("vision", n).gpus()).append('\n');
+      b.append("n")
+          .append(n)
+          .append(' ')
+          .append(t.usage().placedBy("vision", n).gpus())
+          .append('\n');
     }
     assertEquals(g.digest, b.toString());
     assertEquals(
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -210,7 +210,10 @@
     boolean rolls = t.ordinal() >= Trouble.MIXED_THEN_RISES.ordinal();
     SimWorld w =
         world(
-            seed, seed % 2 == 0 ? "aab" : "aabbb", rolls ? OLD : LevelRange.BUILD, rolls ? SMALLER : "");
+            seed,
+            seed % 2 == 0 ? "aab" : "aabbb",
+            rolls ? OLD : LevelRange.BUILD,
+            rolls ? SMALLER : "");
     w.run(8000);
     Random r = new Random(seed);
     int base = 0;
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -22,8 +22,8 @@
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -388,7 +388,9 @@
     w.state().writers.clear();
     w.run(20_000);
     assertNotNull(w.tables("n1").blockedReason());
-    assertTrue(w.tables("n1").blockedReason().contains("level " + inForce), w.tables("n1").blockedReason());
+    assertTrue(
+        w.tables("n1").blockedReason().contains("level " + inForce),
+        w.tables("n1").blockedReason());
     assertFalse(w.state().writers.contains("n1"), "it wrote");
     assertFalse(w.tables("n0").members().containsKey("n1"));
     for (String path : List.of("GET /up", "POST /api/jobs", "GET /api/jobs/req-000001")) {
@@ -407,7 +409,8 @@
     for (String held : List.of(Gate.NUMBERS.label(), "a-gate-of-tomorrow")) {
       SimWorld w = old(371, "aaa");
       List<String> finite = load(w, 20, 40_000);
-      w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(held, true).toStore());
+      w.state()
+          .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(held, true).toStore());
       w.run(5000);
       for (String n : w.nodes) {
         replace(w, n);
@@ -452,11 +455,19 @@
             met[0] = true;
             switch (what) {
               case "word" ->
-                  w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
+                  w.state()
+                      .force(
+                          OperatorOverrides.KEY,
+                          OperatorOverrides.NONE
+                              .withGateHeld(Gate.NUMBERS.label(), true)
+                              .toStore());
               case "live" -> w.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
               case "back" -> w.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
               case "announced" -> w.state().force("w/c/3", less);
-              default -> w.state().force(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(w.nodes));
+              default ->
+                  w.state()
+                      .force(
+                          NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(w.nodes));
             }
             w.clock.after(60, () -> assertEquals(1, level(w, from), what));
           }
@@ -481,7 +492,8 @@
     }
     w.run(20_000);
     assertEquals(1, level(w, "n0"));
-    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
+    w.state()
+        .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
     untilLevel(w, NEW);
     // It does come back, of the old build: outside; of the new one: in.
     w.startNode("n3");
@@ -506,7 +518,8 @@
     for (String n : all.keySet()) {
       Partition p = w.tables("n0").partition(n);
       sum += first.contains(n) ? w.setup.gpusMax() / first.size() : 0;
-      sum += p == null ? 0 : p.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
+      sum +=
+          p == null ? 0 : p.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
     }
     return sum;
   }
@@ -596,7 +609,10 @@
   @Test
   void theListOfAllChangesAtOnceBeforeTheSwitch() {
     SimWorld w = old(396, "aaa");
-    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
+    w.state()
+        .force(
+            OperatorOverrides.KEY,
+            OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
     w.run(6000);
     for (String n : w.nodes) {
       replace(w, n);
@@ -753,7 +769,8 @@
   }
 
   private static Document read(SimWorld w, String key) throws BadMessage {
-    return Encoding.decode(MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Encoding.NUMBERED);
+    return Encoding.decode(
+        MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Encoding.NUMBERED);
   }
 
   /** Told to end, a controller gives its lease back: the others need not wait for its end. */
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -473,7 +473,8 @@
           Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
           boolean old =
               !(v instanceof String)
-                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(e.getKey())) > Encoding.versionOf(v);
+                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(e.getKey()))
+                      > Encoding.versionOf(v);
           if (old) {
             unfenced.add(key + " while " + e.getKey() + " is of an older form");
           }
@@ -523,7 +524,8 @@
   }
 
   private long level() throws BadMessage {
-    return Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED)
+    return Encoding.decode(
+            MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED)
         .count("level", 1);
   }
 
@@ -539,7 +541,8 @@
     Object view = value("w/v");
     return view != null
         && Document.of(
-                    Encoding.decode(MessageCodec.decode(MessageCodec.encode(view)), Encoding.NUMBERED)
+                    Encoding.decode(
+                            MessageCodec.decode(MessageCodec.encode(view)), Encoding.NUMBERED)
                         .raw("members"))
                 .raw(node)
             != null;
--- a/src/test/java/wickdrift/sim/UnlistedTest.java
+++ b/src/test/java/wickdrift/sim/UnlistedTest.java
@@ -220,7 +220,8 @@
             Machine any = w.tables("n0").machine(m.name);
             String owner = any == null ? "n0" : any.owner(w.tables("n0").view());
             Machine is = w.tables(owner).machine(m.name);
-            if (is != null && (is.unreachableForCommandsSinceMs() > 0 || is.phase() != Machine.Phase.UP)) {
+            if (is != null
+                && (is.unreachableForCommandsSinceMs() > 0 || is.phase() != Machine.Phase.UP)) {
               more[0] += before[0] >= 0 ? Math.max(0, is.slots().size() - before[0]) : 0;
               before[0] = is.slots().size();
               emptyAt[0] = emptyAt[0] == 0 && is.slots().isEmpty() ? w.clock.nowMs() : emptyAt[0];
