--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -60,44 +60,44 @@
   }
 
   /** The jobs of which it must be read how they ended. */
-  public TreeSet<String> unknown() {
+  public TreeSet<String> unresolved() {
     return unknown;
   }
 
   /** The jobs that await one. */
-  public Set<Job> after(String id) {
+  public Set<Job> dependents(String id) {
     return after.getOrDefault(id, Set.of());
   }
 
   // ---- changes ----
 
   /** A job appeared in the tables; its names may be there in part. */
-  void joined(Job j) {
+  void jobAdded(Job j) {
     j.awaits().forEach(a -> after.computeIfAbsent(a, k -> new LinkedHashSet<>()).add(j));
     unknown.remove(j.id());
     // A load brings jobs in the order of their ids: those that await it may have come before.
     j.pull(pulled(j));
     lend(j);
     settle(j);
-    after(j.id()).forEach(this::settle);
+    dependents(j.id()).forEach(this::settle);
   }
 
   /** A job was withdrawn by its user, or its names are all there. */
-  void changed(Job j) {
+  void jobChanged(Job j) {
     settle(j);
-    after(j.id()).forEach(this::settle);
+    dependents(j.id()).forEach(this::settle);
   }
 
   /** It is known how a job ended. */
-  void ended(String id, TerminalState how) {
+  void jobTerminated(String id, TerminalState how) {
     unknown.remove(id);
     if (after.containsKey(id) && ends.put(id, how) == null) {
-      List.copyOf(after(id)).forEach(this::settle);
+      List.copyOf(dependents(id)).forEach(this::settle);
     }
   }
 
   /** A job is out of the tables. */
-  void left(Job j) {
+  void jobRemoved(Job j) {
     for (String a : j.awaits()) {
       Set<Job> others = after.get(a);
       if (others != null && others.remove(j) && others.isEmpty()) {
@@ -106,7 +106,7 @@
         unknown.remove(a);
       }
     }
-    List.copyOf(after(j.id())).forEach(this::settle);
+    List.copyOf(dependents(j.id())).forEach(this::settle);
     takeBack(j);
   }
 
@@ -116,37 +116,39 @@
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(first));
     while (!open.isEmpty()) {
       Job j = open.poll();
-      Job.Stage was = j.stage();
+      Job.DependencyState was = j.dependencyState();
       boolean wasOff = j.withdrawn();
-      if (was == Job.Stage.READY || was == Job.Stage.WITHDRAWN) {
+      if (was == Job.DependencyState.READY || was == Job.DependencyState.WITHDRAWN) {
         continue;
       }
       long ready = 0;
-      Job.Stage now = complete(j) ? Job.Stage.READY : Job.Stage.UNCLEAR;
+      Job.DependencyState now =
+          complete(j) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
       for (String a : j.awaits()) {
         TerminalState e = end(a);
         Job x = e == null ? unfinished.apply(a) : null;
         if (e != null ? !e.done() : x != null && x.withdrawn()) {
-          now = Job.Stage.WITHDRAWN;
+          now = Job.DependencyState.WITHDRAWN;
           break;
         } else if (e != null) {
           ready = Math.max(ready, e.atWallMs());
         } else if (x == null) {
           unknown.add(a);
-          now = Job.Stage.UNCLEAR;
-        } else if (x.stage() == Job.Stage.UNCLEAR) {
-          now = Job.Stage.UNCLEAR;
-        } else if (now == Job.Stage.READY) {
-          now = Job.Stage.WAITS;
+          now = Job.DependencyState.UNRESOLVED;
+        } else if (x.dependencyState() == Job.DependencyState.UNRESOLVED) {
+          now = Job.DependencyState.UNRESOLVED;
+        } else if (now == Job.DependencyState.READY) {
+          now = Job.DependencyState.WAITING;
         }
       }
       if (now != was) {
         j.to(now, ready);
       }
       // Those after it draw from whether it is clear, and whether it is withdrawn.
-      boolean clear = (was == Job.Stage.UNCLEAR) != (now == Job.Stage.UNCLEAR);
+      boolean clear =
+          (was == Job.DependencyState.UNRESOLVED) != (now == Job.DependencyState.UNRESOLVED);
       if (clear || wasOff != j.withdrawn()) {
-        open.addAll(after(j.id()));
+        open.addAll(dependents(j.id()));
       }
     }
   }
@@ -168,16 +170,16 @@
   // ---- what the last of a chain lends to the first ----
 
   /** What those that await a job lend to it. */
-  private Job.Pull pulled(Job j) {
-    Job.Pull p = Job.Pull.NONE;
-    for (Job d : after(j.id())) {
+  private Job.InheritedUrgency pulled(Job j) {
+    Job.InheritedUrgency p = Job.InheritedUrgency.NONE;
+    for (Job d : dependents(j.id())) {
       p = p.and(lent(d, j));
     }
     return p;
   }
 
   /** What a job lends to one that it awaits. */
-  private static Job.Pull lent(Job by, Job to) {
+  private static Job.InheritedUrgency lent(Job by, Job to) {
     boolean same = by.spec().team().equals(to.spec().team());
     JobSpec s = by.spec();
     long mustEnd =
@@ -185,9 +187,9 @@
             ? Long.MAX_VALUE
             : by.acceptedWallMs() + (long) (s.deadlineS() * 1000);
     long mustStart = Math.min(less(mustEnd, s.estimateS()), by.startByWallMs());
-    return new Job.Pull(
-        by.rank(),
-        same ? by.teamRank() : JobSpec.Priority.LOW,
+    return new Job.InheritedUrgency(
+        by.effectivePriority(),
+        same ? by.preemptionPriority() : JobSpec.Priority.LOW,
         less(mustStart, to.spec().estimateS()));
   }
 
@@ -201,7 +203,7 @@
     for (int steps = 0; !open.isEmpty(); steps++) {
       Job j = open.poll();
       for (Job x : awaited(j)) {
-        Job.Pull now = x.pull().and(lent(j, x));
+        Job.InheritedUrgency now = x.pull().and(lent(j, x));
         if (!now.equals(x.pull())) {
           x.pull(now);
           open.add(x);
@@ -219,7 +221,7 @@
     ArrayDeque<Job> open = new ArrayDeque<>(awaited(gone));
     for (int steps = 0; !open.isEmpty() && steps <= MOST_STEPS; steps++) {
       Job x = open.poll();
-      Job.Pull now = pulled(x);
+      Job.InheritedUrgency now = pulled(x);
       if (!now.equals(x.pull())) {
         x.pull(now);
         open.addAll(awaited(x));
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -21,17 +21,17 @@
 /** One unfinished job: what was submitted, and its tasks, in chunks that are stored together. */
 public final class Job {
   /** Tasks a chunk: all live, a chunk takes about 2 KB, below the smallest value limit known. */
-  public static final int CHUNK = 64;
+  public static final int TASKS_PER_CHUNK = 64;
 
   /**
    * How a job stands to those that it awaits, as {@link DependencyGraph} draws it. It goes from the
    * top down, and the last two are final.
    */
-  public enum Stage {
+  public enum DependencyState {
     /** What became of one that it awaits is not known here yet. */
-    UNCLEAR,
+    UNRESOLVED,
     /** One that it awaits is not done. */
-    WAITS,
+    WAITING,
     /** All are done: it may start. */
     READY,
     /** One was withdrawn, so this one is. */
@@ -39,7 +39,7 @@
   }
 
   /** The owner of a job that only the leader places. */
-  public static final String LEADER = "*";
+  public static final String LEADER_PARTITION = "*";
 
   private static final String CHUNKS = "w/t/";
 
@@ -51,7 +51,7 @@
   private static final int PROBE_DOUBLINGS = 4;
 
   private final String id;
-  private final Usage usage;
+  private final TeamUsage usage;
   private final Consumer<Job> onChange;
   private boolean noted;
   private JobSpec spec;
@@ -90,19 +90,19 @@
 
   // Drawn by the chains.
   private List<String> awaits = List.of();
-  private Overflow overflow;
-  private Stage stage = Stage.UNCLEAR;
+  private AwaitsOverflow overflow;
+  private DependencyState dependencyState = DependencyState.UNRESOLVED;
   private long readyWallMs;
-  private Pull pull = Pull.NONE;
+  private InheritedUrgency pull = InheritedUrgency.NONE;
   private long blockedVersion = -1;
   private long blockedUntilMs;
   private long preemptAtMs;
 
   /**
    * @param usage told of each attempt that begins or ends
-   * @param onChange told once of each run of changes, until {@link #seen} is called
+   * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
    */
-  Job(String id, Usage usage, Consumer<Job> onChange) {
+  Job(String id, TeamUsage usage, Consumer<Job> onChange) {
     this.id = id;
     this.usage = usage;
     this.onChange = onChange;
@@ -117,11 +117,13 @@
    * @param startByWallMs when it must start so that the last of them is done in time;
    *     Long.MAX_VALUE: no matter when
    */
-  public record Pull(JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
-    static final Pull NONE = new Pull(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
+  public record InheritedUrgency(
+      JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
+    static final InheritedUrgency NONE =
+        new InheritedUrgency(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
 
-    Pull and(Pull o) {
-      return new Pull(
+    InheritedUrgency and(InheritedUrgency o) {
+      return new InheritedUrgency(
           higher(rank, o.rank),
           higher(teamRank, o.teamRank),
           Math.min(startByWallMs, o.startByWallMs));
@@ -140,7 +142,7 @@
   }
 
   /** The changes so far were taken note of. */
-  void seen() {
+  void acknowledgeChanges() {
     noted = false;
   }
 
@@ -148,7 +150,7 @@
     return "w/j/" + id;
   }
 
-  public static String finalKey(String id) {
+  public static String terminalStateKey(String id) {
     return "w/d/" + id;
   }
 
@@ -157,7 +159,7 @@
   }
 
   /** Whether a key is that of a chunk, of whatever job. */
-  public static boolean isChunk(String key) {
+  public static boolean isChunkKey(String key) {
     return key.startsWith(CHUNKS);
   }
 
@@ -169,7 +171,7 @@
    * @param withdrawnWallMs 0 if it is not withdrawn
    */
   public static Map<String, Object> toStore(
-      JobSpec spec, Overflow more, long acceptedWallMs, String part, long withdrawnWallMs) {
+      JobSpec spec, AwaitsOverflow more, long acceptedWallMs, String part, long withdrawnWallMs) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("spec", described(spec, more));
     if (more != null) {
@@ -183,7 +185,7 @@
   }
 
   /** What was submitted, without names that are in records of their own. */
-  private static Map<String, Object> described(JobSpec spec, Overflow more) {
+  private static Map<String, Object> described(JobSpec spec, AwaitsOverflow more) {
     return (more == null ? spec : spec.awaiting(List.of())).toStore();
   }
 
@@ -207,31 +209,31 @@
    * What stands in a job's place when it is over, since {@link
    * wickdrift.bookkeeping.level.Gate#AWAITS}, until its end is moved to its lasting place.
    */
-  public static Map<String, Object> overToStore(TerminalState how) {
+  public static Map<String, Object> terminalToStore(TerminalState how) {
     return new LinkedHashMap<>(Map.of("over", how.toStore(true)));
   }
 
-  void record(Document d, long newStamp) throws BadMessage {
+  void applyRecord(Document d, long newStamp) throws BadMessage {
     Document s = Document.of(d.raw("spec"));
     specExtra = JobSpec.unknownFields(s);
     if (spec == null) {
       spec = JobSpec.parse(s);
       tasks = new TaskState[spec.tasks()];
       Arrays.fill(tasks, TaskState.NEW);
-      chunkStamps = new long[chunks()];
-      chunkRevs = new long[chunks()];
+      chunkStamps = new long[chunkCount()];
+      chunkRevs = new long[chunkCount()];
       waiting = tasks.length;
       waitingTasks = new BitSet(tasks.length);
       waitingTasks.set(0, tasks.length);
       awaits = spec.awaits();
-      overflow = d.raw("more") == null ? null : Overflow.parse(id, d.raw("more"));
+      overflow = d.raw("more") == null ? null : AwaitsOverflow.parse(id, d.raw("more"));
     }
     acceptedWallMs = d.count("at");
     part = d.text("part");
     extra = d.without("spec", "more", "at", "part", "off", "offAt");
     boolean off = d.flag("off");
     if (off && !withdrawn) {
-      machines().forEach(Machine::touch);
+      machines().forEach(Machine::markChanged);
     }
     withdrawn = off;
     withdrawnWallMs = d.count("offAt", 0);
@@ -244,7 +246,7 @@
     Set<Machine> out = new LinkedHashSet<>();
     int left = live;
     for (int i = 0; i < tasks.length && left > 0; i++) {
-      if (tasks[i].live()) {
+      if (tasks[i].isLive()) {
         out.add(tasks[i].machine());
         left--;
       }
@@ -253,19 +255,19 @@
   }
 
   /** Told by a peer to be withdrawn: nothing of it is started or kept from now on. */
-  void foretold() {
+  void announceWithdrawal() {
     foretold = true;
-    machines().forEach(Machine::touch);
+    machines().forEach(Machine::markChanged);
   }
 
   // ---- chunks ----
 
-  public int chunks() {
-    return (spec.tasks() + CHUNK - 1) / CHUNK;
+  public int chunkCount() {
+    return (spec.tasks() + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK;
   }
 
   public int chunkEnd(int chunk) {
-    return Math.min(spec.tasks(), (chunk + 1) * CHUNK);
+    return Math.min(spec.tasks(), (chunk + 1) * TASKS_PER_CHUNK);
   }
 
   public long chunkStamp(int chunk) {
@@ -273,7 +275,7 @@
   }
 
   /** Up to which revision the stored chunk holds what the logs say. */
-  public long chunkRev(int chunk) {
+  public long chunkRevision(int chunk) {
     return chunkRevs[chunk];
   }
 
@@ -285,7 +287,7 @@
     List<Object> doneRanges = new ArrayList<>();
     List<Object> liveOnes = new ArrayList<>();
     List<Object> tried = new ArrayList<>();
-    int from = chunk * CHUNK;
+    int from = chunk * TASKS_PER_CHUNK;
     int runStart = -1;
     for (int i = from; i <= chunkEnd(chunk); i++) {
       TaskState s = i < chunkEnd(chunk) ? states.apply(i) : null;
@@ -297,7 +299,7 @@
         doneRanges.add(i - runStart);
         runStart = -1;
       }
-      if (s != null && s.live()) {
+      if (s != null && s.isLive()) {
         liveOnes.add(List.of(i, s.attempt(), s.machine().name(), s.placer(), s.stop().ordinal()));
       } else if (s != null && !isDone && s.attempt() > 0) {
         tried.add(List.of(i, s.attempt()));
@@ -315,11 +317,11 @@
    * The chunk as it is to be stored. Where it would be larger than a value may be, each machine is
    * named once, and of the tasks the numbers alone are told, as one text.
    */
-  public Object storeChunk(
+  public Object chunkToStore(
       int chunk, long rev, IntFunction<TaskState> states, int form, int valueBytes) {
     Map<String, Object> m = encodeChunk(chunk, rev, states);
-    Object value = Form.wrap(form, m);
-    if (form < Form.NUMBERED || MessageCodec.jsonSize(value) <= valueBytes) {
+    Object value = Encoding.wrap(form, m);
+    if (form < Encoding.NUMBERED || MessageCodec.jsonSize(value) <= valueBytes) {
       return value;
     }
     List<Object> machines = new ArrayList<>();
@@ -341,7 +343,7 @@
       tried.append(l.get(0)).append(',').append(l.get(1)).append(',');
     }
     m.put("tried", List.of(tried.toString()));
-    return Form.wrap(Form.DENSE, m);
+    return Encoding.wrap(Encoding.DENSE, m);
   }
 
   /** Lists of so many numbers, from a text of all of them. */
@@ -387,7 +389,7 @@
   }
 
   /** A chunk was stored, or deleted: those who follow the logs know its content already. */
-  void chunkStored(int chunk, Document d, long newStamp) throws BadMessage {
+  void onChunkStored(int chunk, Document d, long newStamp) throws BadMessage {
     if (chunk < 0 || chunk >= chunkStamps.length) {
       throw new BadMessage("no such chunk");
     }
@@ -404,8 +406,8 @@
   void restoreChunk(
       int chunk, Document d, long newStamp, java.util.function.Function<String, Machine> find)
       throws BadMessage {
-    chunkStored(chunk, d, newStamp);
-    int from = chunk * CHUNK;
+    onChunkStored(chunk, d, newStamp);
+    int from = chunk * TASKS_PER_CHUNK;
     int end = chunkEnd(chunk);
     TaskState[] fresh = new TaskState[end - from];
     Arrays.fill(fresh, TaskState.NEW);
@@ -440,7 +442,7 @@
 
   // ---- what the logs say; false: it does not follow on what is known, and is void ----
 
-  boolean placed(int index, int attempt, Machine on, int placer) {
+  boolean applyPlacement(int index, int attempt, Machine on, int placer) {
     TaskState s = tasks[index];
     if (s.phase() != TaskState.Phase.WAITING || attempt <= s.attempt()) {
       return false;
@@ -449,34 +451,34 @@
     return true;
   }
 
-  boolean exited(int index, int attempt, int how) {
+  boolean applyExit(int index, int attempt, int how) {
     TaskState s = tasks[index];
-    if (!s.live() || s.attempt() != attempt) {
+    if (!s.isLive() || s.attempt() != attempt) {
       return false;
     }
     Machine on = s.machine();
-    set(index, s.exited(how == Entry.DONE ? Report.DONE : null));
-    if (how == Entry.DONE) {
+    set(index, s.exited(how == LogEntry.EXIT_DONE ? Report.DONE : null));
+    if (how == LogEntry.EXIT_DONE) {
       on.worked();
       blame(null);
-    } else if (how == Entry.FAILED) {
+    } else if (how == LogEntry.EXIT_FAILED) {
       failures++;
       on.failed(this);
       blame(on);
     }
-    doneTogether();
+    completeGang();
     return true;
   }
 
   /** It failed on a machine, or (null) has shown that it can work. */
   private void blame(Machine on) {
-    boolean was = suspect();
+    boolean was = isSuspected();
     if (on == null) {
       worked = true;
     } else {
       failedOn.add(on);
     }
-    if (suspect() != was) {
+    if (isSuspected() != was) {
       failedOn.forEach(Machine::judgedAnew);
     }
     if (worked) {
@@ -489,13 +491,13 @@
    * of it was ever done. All nodes draw this from the logs, so whoever places it knows, and a job
    * that was submitted with a mistake gets no machine shunned.
    */
-  public boolean suspect() {
+  public boolean isSuspected() {
     return !worked && done == 0 && failedOn.size() >= SUSPECT_MACHINES;
   }
 
-  boolean stopped(int index, int attempt, TaskState.Stop how) {
+  boolean applyStop(int index, int attempt, TaskState.Stop how) {
     TaskState s = tasks[index];
-    if (!s.live() || s.attempt() != attempt) {
+    if (!s.isLive() || s.attempt() != attempt) {
       return false;
     }
     set(index, s.stopping(how));
@@ -503,7 +505,7 @@
   }
 
   /** A gang completes together: when one task is done, those that have exited are done too. */
-  void doneTogether() {
+  void completeGang() {
     if (spec.shape() == JobSpec.Shape.GANG && done > 0) {
       for (int i = 0; i < tasks.length; i++) {
         if (tasks[i].phase() == TaskState.Phase.WAITING) {
@@ -519,19 +521,19 @@
 
   private void set(int index, TaskState next) {
     TaskState old = tasks[index];
-    if (old.live() && old.machine() != next.machine()) {
+    if (old.isLive() && old.machine() != next.machine()) {
       old.machine().remove(this, index);
     }
-    if (next.live() && old.machine() != next.machine()) {
+    if (next.isLive() && old.machine() != next.machine()) {
       next.machine().add(new Machine.Slot(this, index));
     }
-    if (next.live() && next.stop() != old.stop()) {
-      next.machine().touch();
+    if (next.isLive() && next.stop() != old.stop()) {
+      next.machine().markChanged();
     }
-    if (old.live() && (!next.live() || next.placer() != old.placer())) {
+    if (old.isLive() && (!next.isLive() || next.placer() != old.placer())) {
       usage.add(spec, old.placer(), -1);
     }
-    if (next.live() && (!old.live() || next.placer() != old.placer())) {
+    if (next.isLive() && (!old.isLive() || next.placer() != old.placer())) {
       usage.add(spec, next.placer(), 1);
     }
     note();
@@ -551,13 +553,13 @@
   }
 
   /** The job is over: nothing of it is booked any more. */
-  void drop() {
+  void releaseTasks() {
     if (spec == null) {
       return;
     }
     note();
     for (int i = 0; i < tasks.length && live > 0; i++) {
-      if (tasks[i].live()) {
+      if (tasks[i].isLive()) {
         set(i, TaskState.waiting(tasks[i].attempt()));
       }
     }
@@ -581,7 +583,7 @@
     return acceptedWallMs;
   }
 
-  public String part() {
+  public String partition() {
     return part;
   }
 
@@ -592,16 +594,16 @@
 
   /** Withdrawn by its user, or with one that it awaits. Final. */
   public boolean withdrawn() {
-    return withdrawn || stage == Stage.WITHDRAWN;
+    return withdrawn || dependencyState == DependencyState.WITHDRAWN;
   }
 
   /** Withdrawn, or known to be ahead of what the tables say: what is there of it is to end. */
-  public boolean calledOff() {
+  public boolean withdrawnOrAnnounced() {
     return withdrawn() || foretold;
   }
 
   /** Whether its user has withdrawn it itself: what its record says. */
-  public boolean withdrawnItself() {
+  public boolean withdrawnByUser() {
     return withdrawn;
   }
 
@@ -613,24 +615,24 @@
   }
 
   /** Where the names are that its own record has no room for, or null. */
-  public Overflow overflow() {
+  public AwaitsOverflow overflow() {
     return overflow;
   }
 
-  void awaits(List<String> all) {
+  void setAwaits(List<String> all) {
     awaits = all;
   }
 
-  public Stage stage() {
-    return stage;
+  public DependencyState dependencyState() {
+    return dependencyState;
   }
 
   /** The one function by which its stage changes. */
-  void to(Stage next, long nowReadyWallMs) {
-    if (stage == Stage.READY || stage == Stage.WITHDRAWN) {
-      throw new IllegalStateException(id + " is " + stage + " and can't become " + next);
+  void to(DependencyState next, long nowReadyWallMs) {
+    if (dependencyState == DependencyState.READY || dependencyState == DependencyState.WITHDRAWN) {
+      throw new IllegalStateException(id + " is " + dependencyState + " and can't become " + next);
     }
-    stage = next;
+    dependencyState = next;
     readyWallMs = nowReadyWallMs;
     note();
   }
@@ -640,24 +642,24 @@
     return Math.max(acceptedWallMs, readyWallMs);
   }
 
-  void pull(Pull now) {
+  void pull(InheritedUrgency now) {
     if (!now.equals(pull)) {
       pull = now;
       note();
     }
   }
 
-  Pull pull() {
+  InheritedUrgency pull() {
     return pull;
   }
 
   /** As what it is served and, while it runs, spared. */
-  public JobSpec.Priority rank() {
+  public JobSpec.Priority effectivePriority() {
     return higher(spec.priority(), pull.rank);
   }
 
   /** As what it may stop the work of others. */
-  public JobSpec.Priority teamRank() {
+  public JobSpec.Priority preemptionPriority() {
     return higher(spec.priority(), pull.teamRank);
   }
 
@@ -675,19 +677,19 @@
     return waitingTasks.nextSetBit(from);
   }
 
-  public int size() {
+  public int taskCount() {
     return tasks.length;
   }
 
-  public int waiting() {
+  public int waitingCount() {
     return waiting;
   }
 
-  public int live() {
+  public int liveCount() {
     return live;
   }
 
-  public int done() {
+  public int doneCount() {
     return done;
   }
 
@@ -698,7 +700,7 @@
   }
 
   /** A worker would not start it: later and later. */
-  public void refused(long nowMs) {
+  public void backOffAfterRefusal(long nowMs) {
     refusals++;
     if (refusals > 3) {
       retryAtMs = nowMs + Math.min(30_000L, 500L << Math.min(refusals - 3, 6));
@@ -709,11 +711,11 @@
    * Takes note of failures since the last call: a suspect waits longer after each round of them;
    * true if there was one.
    */
-  public boolean backOff(long nowMs) {
+  public boolean backOffAfterFailures(long nowMs) {
     boolean failed = failuresSeen != failures;
     failuresSeen = failures;
-    if (failed && suspect()) {
-      probed(nowMs);
+    if (failed && isSuspected()) {
+      scheduleNextProbe(nowMs);
       probes++;
       return true;
     }
@@ -721,7 +723,7 @@
   }
 
   /** One task of a suspect was placed, to see: the next one waits. */
-  public void probed(long nowMs) {
+  public void scheduleNextProbe(long nowMs) {
     retryAtMs = Math.max(retryAtMs, nowMs + (PROBE_MS << Math.min(probes, PROBE_DOUBLINGS)));
   }
 
@@ -733,21 +735,21 @@
   }
 
   /** When it may look again for what to stop in its favour. */
-  public long preemptAtMs() {
+  public long nextPreemptionAtMs() {
     return preemptAtMs;
   }
 
-  public void preemptAtMs(long ms) {
+  public void setNextPreemptionAtMs(long ms) {
     preemptAtMs = ms;
   }
 
-  public void notWaiting() {
+  public void resetWaiting() {
     waitingSinceMs = 0;
     blockedVersion = -1;
   }
 
   /** No room was found for it when the index of rooms had this version. */
-  public void blocked(long version, long untilMs) {
+  public void setBlocked(long version, long untilMs) {
     blockedVersion = version;
     blockedUntilMs = untilMs;
   }
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -26,7 +26,7 @@
     GONE;
 
     /** Changes come from several nodes; one that does not follow on what is known is void. */
-    public boolean mayBecome(Phase next) {
+    public boolean canTransitionTo(Phase next) {
       return switch (this) {
         case UNKNOWN -> next != UNKNOWN;
         case BOOTING -> next != UNKNOWN && next != BOOTING;
@@ -39,8 +39,8 @@
   }
 
   /** The durable part. */
-  public record Info(String type, String zone, boolean spot, Phase phase, long atMs) {
-    public Info with(Phase next, long nowWallMs) {
+  public record Info(String type, String zone, boolean spot, Phase phase, long phaseSinceWallMs) {
+    public Info withPhase(Phase next, long nowWallMs) {
       return new Info(type, zone, spot, next, nowWallMs);
     }
   }
@@ -69,13 +69,13 @@
     }
 
     /** The task's name, as workers know it. */
-    public String task() {
+    public String taskName() {
       return job.id() + "/" + index;
     }
 
     /** Whether the attempt is to end: its job was withdrawn, or it is being stopped. */
-    public boolean unwanted() {
-      return job.calledOff() || state().stop() != TaskState.Stop.NONE;
+    public boolean mustStop() {
+      return job.withdrawnOrAnnounced() || state().stop() != TaskState.Stop.NONE;
     }
 
     public long ageMs(long nowMs) {
@@ -85,7 +85,7 @@
     /**
      * How much longer it may run, by its owner's estimate; what outlives that, half as long again.
      */
-    public double leftMs(long nowMs) {
+    public double estimatedRemainingMs(long nowMs) {
       double estimate = job.spec().estimateS() * 1000;
       if (job.spec().shape() == JobSpec.Shape.SERVICE) {
         return Double.MAX_VALUE;
@@ -172,7 +172,7 @@
 
   /**
    * @param number its dense number in this process
-   * @param onChange told once of each run of changes, until {@link #seen} is called
+   * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
    */
   Machine(String name, int number, Consumer<Machine> onChange) {
     this.name = name;
@@ -188,7 +188,7 @@
   }
 
   /** The changes so far were taken note of. */
-  void seen() {
+  void acknowledgeChanges() {
     noted = false;
   }
 
@@ -217,7 +217,7 @@
   }
 
   /** Machines whose names differ in the last letter only are stored together. */
-  public static String shelf(String name) {
+  public static String archiveBucketOf(String name) {
     return name.substring(0, Math.max(1, name.length() - 1));
   }
 
@@ -229,7 +229,7 @@
     return info == null ? Phase.UNKNOWN : info.phase();
   }
 
-  public List<Slot> live() {
+  public List<Slot> slots() {
     return live;
   }
 
@@ -263,8 +263,8 @@
   /**
    * The one function by which its phase changes: false if that does not follow on what is known.
    */
-  boolean become(Info next) {
-    if (!phase().mayBecome(next.phase())) {
+  boolean transitionTo(Info next) {
+    if (!phase().canTransitionTo(next.phase())) {
       return false;
     }
     info = next;
@@ -286,13 +286,13 @@
     return true;
   }
 
-  void touch() {
+  void markChanged() {
     changed = true;
     note();
   }
 
   /** Whether what should be there has changed since the last call. */
-  public boolean takeChanged() {
+  public boolean pollChanged() {
     boolean was = changed;
     changed = false;
     return was;
@@ -325,7 +325,7 @@
   // ---- images: what this process can tell; the cache keeps the most recently used ----
 
   /** Notes the images of what is booked here; call it before asking about images. */
-  public void noteImages(long nowMs, double cacheGb) {
+  public void updateImages(long nowMs, double cacheGb) {
     for (Slot s : live) {
       if (s.sinceMs == 0) {
         s.sinceMs = nowMs;
@@ -347,7 +347,7 @@
   }
 
   /** A report shows a task that needs it past its fetch. */
-  public void imageReady(String image, double gb, long nowMs) {
+  public void markImageReady(String image, double gb, long nowMs) {
     Image i = images.computeIfAbsent(image, k -> new Image(gb, nowMs));
     if (!i.ready) {
       i.ready = true;
@@ -365,7 +365,7 @@
   }
 
   /** Until when it is taken to fetch images, as far as this process can tell. */
-  public long fetchesUntilMs(double gbPerS) {
+  public long estimatedFetchEndMs(double gbPerS) {
     long until = 0;
     for (Image i : images.values()) {
       if (!i.ready && gbPerS > 0) {
@@ -389,8 +389,8 @@
    *     answered with. A copy may be the first that a new owner hears, and must not make a dead
    *     machine look alive; so until one is proved the machine takes no task, and silence goes on
    */
-  public boolean heard(Report r, long epochNow, long nowMs) {
-    boolean proves = learnt(r, epochNow, nowMs);
+  public boolean receiveReport(Report r, long epochNow, long nowMs) {
+    boolean proves = receiveReply(r, epochNow, nowMs);
     if (proves) {
       if (quiet) {
         note();
@@ -405,7 +405,7 @@
    * The same of what it answered to a command. That it answers does not end its silence: a worker
    * that reaches no controller does too, and loses all it has with its lease.
    */
-  public boolean learnt(Report r, long epochNow, long nowMs) {
+  public boolean receiveReply(Report r, long epochNow, long nowMs) {
     boolean answered = answeredEpoch > 0 && r.epoch() >= answeredEpoch;
     boolean proves = r.epoch() >= trustedFrom && (r.epoch() == epochNow || answered);
     if (report == null || proves && !proved) {
@@ -424,17 +424,17 @@
   }
 
   /** From which token on its reports count; 0: any. */
-  public long trustedFrom() {
+  public long trustedFromEpoch() {
     return trustedFrom;
   }
 
   /** Whether it has shown, since it is ours, that it is there now. */
-  public boolean proved() {
+  public boolean provedAlive() {
     return proved;
   }
 
   /** Whether a report is older than one that came by itself: nobody waits for its answer. */
-  public boolean hasOwnNewerThan(Report r) {
+  public boolean hasNewerUnsolicitedReport(Report r) {
     return own != null && r.notNewerThan(own);
   }
 
@@ -445,7 +445,7 @@
    *
    * @param epochNow the highest token that the one before may have seen
    */
-  public void restarted(long epochNow) {
+  public void onWorkerRestart(long epochNow) {
     trustedFrom = epochNow + 1;
     synced = false;
     shownEpoch = -1;
@@ -453,7 +453,7 @@
     own = null;
     proved = false;
     answeredEpoch = 0;
-    hears();
+    markReachableForCommands();
     note();
   }
 
@@ -461,11 +461,12 @@
    * What a report that came by itself tells of whether its worker hears. Never judged by our having
    * answered alone: an answer may be lost with nobody deaf, and a worker may be slow.
    *
-   * @param proves as {@link #heard} said of it
+   * @param proves as {@link #receiveReport} said of it
    * @param ignored whether it lacks a task that it was long since told to run
    * @param leaseMs of the workers
    */
-  public void listens(Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
+  public void updateCommandReachability(
+      Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
     // Had the last answer reached it, its lease could not have ended yet.
     boolean lapsed =
         own != null && r.tenure() > own.tenure() && nowMs - answeredMs < leaseMs * 3 / 4;
@@ -476,7 +477,7 @@
       own = r;
     }
     if (rose) {
-      hears();
+      markReachableForCommands();
     } else if (lapsed || ignored || unheeded >= UNHEEDED_MOST) {
       if (deafSinceMs == 0) {
         deafSinceMs = nowMs;
@@ -486,7 +487,7 @@
   }
 
   /** Something that it was told has surely reached it. */
-  public void hears() {
+  public void markReachableForCommands() {
     unheeded = 0;
     if (deafSinceMs > 0) {
       deafSinceMs = 0;
@@ -495,12 +496,12 @@
   }
 
   /** Since when nothing reaches it, as its own reports show; 0: no reason to think so. */
-  public long deafSinceMs() {
+  public long unreachableForCommandsSinceMs() {
     return deafSinceMs;
   }
 
   /** A new owner starts with no report: an old one proves nothing to it. */
-  public void forgetReports(long lapseBase, long nowMs) {
+  public void resetReports(long lapseBase, long nowMs) {
     ownedSinceMs = nowMs;
     note();
     report = null;
@@ -521,25 +522,25 @@
   }
 
   /** Its worker has missed two reports: until the next one it takes no new task. */
-  public void quiet() {
+  public void markReportsOverdue() {
     if (!quiet && report != null) {
       quiet = true;
       note();
     }
   }
 
-  public boolean isQuiet() {
+  public boolean reportsOverdue() {
     return quiet;
   }
 
-  public long heardMs() {
+  public long lastReportMs() {
     return heardMs;
   }
 
   /**
    * @param epoch of the answer
    */
-  public void answered(long nowMs, long epoch) {
+  public void recordAnswer(long nowMs, long epoch) {
     answeredEpoch = epoch;
     answeredMs = nowMs;
     lapseBaseMs = Math.max(lapseBaseMs, nowMs);
@@ -550,16 +551,16 @@
   }
 
   /** The latest time at which anyone may have renewed the worker's lease. */
-  public long lapseBaseMs() {
+  public long latestLeaseRenewalMs() {
     return lapseBaseMs;
   }
 
   /** True once a report has shown our own epoch: then no older controller can command it. */
-  public boolean synced() {
+  public boolean epochAcknowledged() {
     return synced;
   }
 
-  public void synced(boolean value) {
+  public void setEpochAcknowledged(boolean value) {
     synced = value;
   }
 
@@ -584,10 +585,10 @@
   }
 
   /** How many jobs failed here, of those whose failures are not taken for their own. */
-  public int accused() {
+  public int failedJobCount() {
     int n = 0;
     for (Job j : accusers) {
-      n += j.suspect() ? 0 : 1;
+      n += j.isSuspected() ? 0 : 1;
     }
     return n;
   }
@@ -596,12 +597,12 @@
    * Until when nothing goes here; 0: no reason. One job's failure may be its own, so it is a short
    * while; failures of several jobs, one after the other, are the machine's.
    */
-  public long shunUntilMs(long nowMs) {
+  public long quarantinedUntilMs(long nowMs) {
     if (faultsSeen != faults) {
       faultsSeen = faults;
       faultAtMs = nowMs;
     }
-    int n = accused();
+    int n = failedJobCount();
     if (n == 0) {
       return 0;
     }
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -14,55 +14,55 @@
 import java.util.TreeSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.level.Announcement;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
+import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 
 /** All that is durable, as of the ledger's revision. Changed by the ledger's changes alone. */
-public final class Tables implements Ledger.Applier {
+public final class Tables implements StateServiceClient.ChangeListener {
   private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
 
   /**
    * The record that a leader rewrites when it takes machines of several parts, since {@link
    * Gate#TAKES}: every owner's placement is conditional on it.
    */
-  public static final String TAKES_KEY = "w/x";
+  public static final String CLAIMS_KEY = "w/x";
 
   private static final int FINISHED_KEPT = 4096;
   private static final int FORETOLD_MOST = 20_000;
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, Partition> parts = new HashMap<>();
+  private final Map<String, Partition> partitions = new HashMap<>();
   private final Map<String, String> members = new TreeMap<>();
   private final Map<String, String> memberZones = new TreeMap<>();
   private final Map<String, Long> memberStamps = new HashMap<>();
-  private final Map<String, Range> memberLevels = new HashMap<>();
+  private final Map<String, LevelRange> memberLevels = new HashMap<>();
   private final NodeRegistry registry;
-  private final Range levels;
+  private final LevelRange levels;
 
   /** What can't be read, by key, and why. While there is any nothing is decided. */
   private final Map<String, String> unreadable = new LinkedHashMap<>();
 
   /** Whether something that could not be read was passed over, which only a new load mends. */
-  private boolean missed;
+  private boolean needsReload;
 
-  private String barred;
+  private String blockedReason;
 
   /** Pages, chunks and parts of a form older than the newest that is known here. */
-  private final TreeSet<String> oldForms = new TreeSet<>();
+  private final TreeSet<String> keysInOldEncoding = new TreeSet<>();
 
-  private static final TreeMap<Long, Page> EMPTY_LOG = new TreeMap<>();
-  private static final Shelf NO_SHELF = new Shelf(0, 0, Map.of());
+  private static final TreeMap<Long, LogPage> EMPTY_LOG = new TreeMap<>();
+  private static final ArchiveBucket NO_SHELF = new ArchiveBucket(0, 0, Map.of());
 
-  private final Map<String, TreeMap<Long, Page>> logs = new HashMap<>();
-  private final Map<String, Shelf> shelves = new HashMap<>();
+  private final Map<String, TreeMap<Long, LogPage>> nodesWithLogPages = new HashMap<>();
+  private final Map<String, ArchiveBucket> archiveBuckets = new HashMap<>();
   private long appliedRev;
-  private final TreeSet<String> orphans = new TreeSet<>();
+  private final TreeSet<String> orphanedKeys = new TreeSet<>();
   private final Map<String, TerminalState> finished =
       new LinkedHashMap<>(256, 0.75f, true) {
         @Override
@@ -70,13 +70,13 @@
           return size() > FINISHED_KEPT;
         }
       };
-  private final DependencyGraph dependencies = new DependencyGraph(jobs::get, this::finished);
+  private final DependencyGraph dependencies = new DependencyGraph(jobs::get, this::terminalState);
 
   /** Jobs that are over and whose end stands in their own record still, with its stamp. */
-  private final Map<String, Over> over = new LinkedHashMap<>();
+  private final Map<String, PendingHistoryEntry> pendingHistory = new LinkedHashMap<>();
 
   /** How a job ended, and the stamp of the record that says so. */
-  public record Over(TerminalState how, long stamp) {}
+  public record PendingHistoryEntry(TerminalState terminalState, long stamp) {}
 
   /** Names of awaited jobs, by record, until their job has them all. */
   private final TreeMap<String, List<String>> names = new TreeMap<>();
@@ -89,8 +89,8 @@
 
   private View view;
   private long viewStamp;
-  private long takesStamp;
-  private final Usage usage = new Usage();
+  private long claimsStamp;
+  private final TeamUsage usage = new TeamUsage();
   private final Runnable onApplied;
   private final List<Machine> changedMachines = new ArrayList<>();
   private final List<Job> changedJobs = new ArrayList<>();
@@ -102,7 +102,7 @@
    * @param levels what this build reads and writes
    * @param onApplied called after each run of changes
    */
-  public Tables(List<String> names, Range levels, Runnable onApplied) {
+  public Tables(List<String> names, LevelRange levels, Runnable onApplied) {
     this.registry = new NodeRegistry(names);
     this.levels = levels;
     this.onApplied = onApplied;
@@ -121,27 +121,27 @@
   }
 
   /** Whether what a gate stands for is switched on, as of the tables' revision. */
-  public boolean open(Gate gate) {
+  public boolean isOpen(Gate gate) {
     return level() >= gate.level();
   }
 
   /** In which form the records that changed it are written at the level in force. */
-  public int form() {
-    return Form.at(level());
+  public int encoding() {
+    return Encoding.forLevel(level());
   }
 
   /** Why nothing may be decided from these tables, or null. */
-  public String barred() {
-    return barred;
+  public String blockedReason() {
+    return blockedReason;
   }
 
   /** The keys of pages, chunks and parts whose form is older than the level in force asks for. */
-  public TreeSet<String> oldForms() {
-    return form() == Form.FIRST ? new TreeSet<>() : oldForms;
+  public TreeSet<String> keysInOldEncoding() {
+    return encoding() == Encoding.FIRST ? new TreeSet<>() : keysInOldEncoding;
   }
 
   /** What of the stored state can't be read, by key, with why. */
-  public Map<String, String> unreadable() {
+  public Map<String, String> unreadableRecords() {
     return unreadable;
   }
 
@@ -157,12 +157,12 @@
               + " of the stored state is in force, and this build speaks "
               + levels;
     }
-    if (now != null && !now.equals(barred)) {
+    if (now != null && !now.equals(blockedReason)) {
       LOG.error("stays outside and decides nothing: {}", now);
-    } else if (now == null && barred != null) {
+    } else if (now == null && blockedReason != null) {
       LOG.warn("understands the stored state again");
     }
-    barred = now;
+    blockedReason = now;
   }
 
   private void unreadable(String key, Exception why) {
@@ -170,52 +170,52 @@
   }
 
   @Override
-  public boolean missed() {
-    return missed && unreadable.isEmpty();
+  public boolean needsReload() {
+    return needsReload && unreadable.isEmpty();
   }
 
-  private void noteForm(Ledger.Change c) throws BadMessage {
-    if (c.value() != null && Form.of(c.value()) < Form.NUMBERED) {
-      oldForms.add(c.key());
+  private void noteForm(StateServiceClient.Change c) throws BadMessage {
+    if (c.value() != null && Encoding.versionOf(c.value()) < Encoding.NUMBERED) {
+      keysInOldEncoding.add(c.key());
     } else {
-      oldForms.remove(c.key());
+      keysInOldEncoding.remove(c.key());
     }
   }
 
   // ---- what has changed: those who keep indices ask after each run of changes ----
 
   /** The machines changed since the last call, each once, those that are gone too. */
-  public List<Machine> takeChangedMachines() {
+  public List<Machine> drainChangedMachines() {
     List<Machine> out = new ArrayList<>(changedMachines);
     changedMachines.clear();
-    out.forEach(Machine::seen);
+    out.forEach(Machine::acknowledgeChanges);
     return out;
   }
 
   /** The jobs changed since the last call, each once, those that are over too. */
-  public List<Job> takeChangedJobs() {
+  public List<Job> drainChangedJobs() {
     List<Job> out = new ArrayList<>(changedJobs);
     changedJobs.clear();
-    out.forEach(Job::seen);
+    out.forEach(Job::acknowledgeChanges);
     return out;
   }
 
-  public Usage usage() {
+  public TeamUsage usage() {
     return usage;
   }
 
   /** Whether a gang that waits has marked the machine. */
-  public boolean marked(Machine m) {
+  public boolean isReserved(Machine m) {
     return marked.contains(m.name());
   }
 
   private void remark() {
     Set<String> now = new HashSet<>();
     // Where a change of view leaves the parts alone, marks are of the epoch that they tell.
-    boolean ofView = open(Gate.VIEWS);
-    parts.values().stream()
+    boolean ofView = isOpen(Gate.VIEWS);
+    partitions.values().stream()
         .filter(p -> !ofView || p.epoch() == view.epoch())
-        .forEach(p -> now.addAll(p.taken()));
+        .forEach(p -> now.addAll(p.reserved()));
     if (!now.equals(marked)) {
       Set<String> differ = new HashSet<>(now);
       differ.addAll(marked);
@@ -224,7 +224,7 @@
       for (String name : differ) {
         Machine m = machines.get(name);
         if (m != null) {
-          m.touch();
+          m.markChanged();
         }
       }
     }
@@ -247,17 +247,17 @@
   }
 
   /** The machine of that name; made up when a report or the cloud names it first. */
-  public Machine machineOrNew(String name) {
+  public Machine getOrCreateMachine(String name) {
     return machines.computeIfAbsent(
         name, k -> new Machine(k, machineNumbers++, changedMachines::add));
   }
 
-  public Partition part(String node) {
-    return parts.get(node);
+  public Partition partition(String node) {
+    return partitions.get(node);
   }
 
-  public Map<String, Partition> parts() {
-    return parts;
+  public Map<String, Partition> partitions() {
+    return partitions;
   }
 
   /**
@@ -265,12 +265,12 @@
    * was not written under this view marks nothing, and one that was never written is empty. Null
    * before that level, if it is not there.
    */
-  public Partition partNow(String node) {
-    Partition p = parts.get(node);
-    if (!open(Gate.VIEWS)) {
+  public Partition currentPartition(String node) {
+    Partition p = partitions.get(node);
+    if (!isOpen(Gate.VIEWS)) {
       return p;
     }
-    Partition is = p == null ? Partition.fresh(view.epoch(), form()) : p;
+    Partition is = p == null ? Partition.empty(view.epoch(), encoding()) : p;
     return is.epoch() == view.epoch() ? is : is.inEpoch(view.epoch());
   }
 
@@ -278,12 +278,12 @@
    * The parts that were last written before placements were conditional on the view: something that
    * was prepared by then is conditional on those records alone, and may come yet.
    */
-  public List<String> unfencedParts() {
+  public List<String> unfencedPartitions() {
     List<String> out = new ArrayList<>();
-    if (open(Gate.VIEWS)) {
-      parts.forEach(
+    if (isOpen(Gate.VIEWS)) {
+      partitions.forEach(
           (n, p) -> {
-            if (p.epoch() < view.since()) {
+            if (p.epoch() < view.viewsGateEpoch()) {
               out.add(n);
             }
           });
@@ -312,25 +312,25 @@
     return viewStamp;
   }
 
-  /** The stamp of {@link #TAKES_KEY}; 0 while no leader has taken any. */
-  public long takesStamp() {
-    return takesStamp;
+  /** The stamp of {@link #CLAIMS_KEY}; 0 while no leader has taken any. */
+  public long claimsStamp() {
+    return claimsStamp;
   }
 
   /** Chunk records whose job is over, left to be deleted. */
-  public TreeSet<String> orphans() {
-    return orphans;
+  public TreeSet<String> orphanedKeys() {
+    return orphanedKeys;
   }
 
   /** How a job ended, if it is remembered here. Final, so never out of date. */
-  public TerminalState finished(String id) {
-    Over o = over.get(id);
-    return o != null ? o.how : finished.get(id);
+  public TerminalState terminalState(String id) {
+    PendingHistoryEntry o = pendingHistory.get(id);
+    return o != null ? o.terminalState : finished.get(id);
   }
 
   /** The ends that are to be moved to their lasting place, oldest first. */
-  public Map<String, Over> over() {
-    return over;
+  public Map<String, PendingHistoryEntry> pendingHistory() {
+    return pendingHistory;
   }
 
   /**
@@ -340,7 +340,7 @@
    * @param rev a revision as of which the job's record says it
    * @return false if so much is known ahead already that it can't be kept
    */
-  public boolean foretell(String id, long rev) {
+  public boolean announceWithdrawal(String id, long rev) {
     if (rev <= appliedRev || foretold.containsKey(id)) {
       return true;
     }
@@ -350,13 +350,13 @@
     foretold.put(id, rev);
     Job j = jobs.get(id);
     if (j != null) {
-      j.foretold();
+      j.announceWithdrawal();
     }
     return true;
   }
 
   /** Whether a job is known to be withdrawn ahead of what the tables say. */
-  public boolean foretold(String id) {
+  public boolean isWithdrawalAnnounced(String id) {
     return foretold.containsKey(id);
   }
 
@@ -365,9 +365,9 @@
     foretold.values().removeIf(told -> told <= rev);
   }
 
-  public void rememberFinished(String id, TerminalState how) {
+  public void rememberTerminalState(String id, TerminalState how) {
     finished.put(id, how);
-    dependencies.ended(id, how);
+    dependencies.jobTerminated(id, how);
   }
 
   /** Which jobs await which. */
@@ -377,16 +377,16 @@
 
   @Override
   public void reset() {
-    jobs.values().forEach(Job::drop);
+    jobs.values().forEach(Job::releaseTasks);
     jobs.clear();
     dependencies.reset();
     names.clear();
-    over.clear();
+    pendingHistory.clear();
     machines.values().forEach(m -> m.restore(null));
-    shelves.clear();
-    logs.clear();
+    archiveBuckets.clear();
+    nodesWithLogPages.clear();
     appliedRev = 0;
-    parts.clear();
+    partitions.clear();
     remark();
     members.clear();
     memberZones.clear();
@@ -394,24 +394,24 @@
     memberLevels.clear();
     registry.reset();
     unreadable.clear();
-    missed = false;
-    oldForms.clear();
-    orphans.clear();
+    needsReload = false;
+    keysInOldEncoding.clear();
+    orphanedKeys.clear();
     view = null;
     viewStamp = 0;
-    takesStamp = 0;
+    claimsStamp = 0;
   }
 
   // ---- the logs ----
 
   /** A node's pages, oldest first. */
-  public TreeMap<Long, Page> log(String node) {
-    return logs.getOrDefault(node, EMPTY_LOG);
+  public TreeMap<Long, LogPage> logPages(String node) {
+    return nodesWithLogPages.getOrDefault(node, EMPTY_LOG);
   }
 
   /** The nodes that have pages. */
-  public Set<String> logs() {
-    return logs.keySet();
+  public Set<String> nodesWithLogPages() {
+    return nodesWithLogPages.keySet();
   }
 
   /** The revision up to which all is applied. */
@@ -420,36 +420,36 @@
   }
 
   /** What is stored of machines whose names differ in the last letter only. */
-  public record Shelf(long stamp, long rev, Map<String, Object> extra) {}
+  public record ArchiveBucket(long stamp, long rev, Map<String, Object> extra) {}
 
-  public Shelf shelf(String name) {
-    return shelves.getOrDefault(name, NO_SHELF);
+  public ArchiveBucket archiveBucket(String name) {
+    return archiveBuckets.getOrDefault(name, NO_SHELF);
   }
 
-  public Map<String, Shelf> shelves() {
-    return shelves;
+  public Map<String, ArchiveBucket> archiveBuckets() {
+    return archiveBuckets;
   }
 
-  public static String shelfKey(String shelf) {
+  public static String archiveBucketKey(String shelf) {
     return "w/h/" + shelf;
   }
 
   /** The machines of a shelf as of a revision. */
-  public Map<String, Object> encodeShelf(String shelf, long rev) {
+  public Map<String, Object> encodeArchiveBucket(String shelf, long rev) {
     List<Object> list = new ArrayList<>();
     for (Machine m : onShelf(shelf)) {
       if (m.info() != null) {
-        list.add(Entry.machine(m.name(), m.info()));
+        list.add(LogEntry.machine(m.name(), m.info()));
       }
     }
-    Map<String, Object> out = new LinkedHashMap<>(shelf(shelf).extra);
+    Map<String, Object> out = new LinkedHashMap<>(archiveBucket(shelf).extra);
     out.put("rev", rev);
     out.put("m", list);
     return out;
   }
 
-  public boolean emptyShelf(String shelf) {
-    return onShelf(shelf).stream().allMatch(m -> m.info() == null && m.live().isEmpty());
+  public boolean isArchiveBucketEmpty(String shelf) {
+    return onShelf(shelf).stream().allMatch(m -> m.info() == null && m.slots().isEmpty());
   }
 
   private List<Machine> onShelf(String shelf) {
@@ -458,7 +458,7 @@
       if (!m.name().startsWith(shelf)) {
         break;
       }
-      if (Machine.shelf(m.name()).equals(shelf)) {
+      if (Machine.archiveBucketOf(m.name()).equals(shelf)) {
         out.add(m);
       }
     }
@@ -466,19 +466,19 @@
   }
 
   /** Whether nobody needs an entry any more: its job is over, or what it says is stored. */
-  public boolean dead(long rev, List<?> entry) {
+  public boolean isObsolete(long rev, List<?> entry) {
     try {
-      String subject = Entry.subject(entry);
-      if (Entry.aboutMachine(entry)) {
-        return rev <= shelf(Machine.shelf(subject)).rev;
+      String subject = LogEntry.subject(entry);
+      if (LogEntry.aboutMachine(entry)) {
+        return rev <= archiveBucket(Machine.archiveBucketOf(subject)).rev;
       }
       Job j = jobs.get(subject);
       if (j == null) {
         return true;
       }
-      int width = Entry.width(entry);
-      for (int i = Entry.first(entry); i + width <= entry.size(); i += width) {
-        if (rev > j.chunkRev(Entry.number(entry, i) / Job.CHUNK)) {
+      int width = LogEntry.width(entry);
+      for (int i = LogEntry.first(entry); i + width <= entry.size(); i += width) {
+        if (rev > j.chunkRevision(LogEntry.number(entry, i) / Job.TASKS_PER_CHUNK)) {
           return false;
         }
       }
@@ -490,28 +490,28 @@
   }
 
   /** What must be stored before a page may go: chunks of jobs, and shelves of machines. */
-  public record Needed(Map<Job, Set<Integer>> chunks, Set<String> shelves) {}
+  public record RequiredWrites(Map<Job, Set<Integer>> chunks, Set<String> archiveBuckets) {}
 
   /** What a page still speaks of that no later record holds. */
-  public Needed needed(Page p) {
-    Needed n = new Needed(new LinkedHashMap<>(), new LinkedHashSet<>());
-    for (Page.Run r : p.runs()) {
+  public RequiredWrites requiredWrites(LogPage p) {
+    RequiredWrites n = new RequiredWrites(new LinkedHashMap<>(), new LinkedHashSet<>());
+    for (LogPage.Run r : p.runs()) {
       for (Object o : r.entries()) {
         List<?> e = (List<?>) o;
-        if (dead(r.rev(), e)) {
+        if (isObsolete(r.rev(), e)) {
           continue;
         }
         try {
-          if (Entry.aboutMachine(e)) {
-            n.shelves.add(Machine.shelf(Entry.subject(e)));
+          if (LogEntry.aboutMachine(e)) {
+            n.archiveBuckets.add(Machine.archiveBucketOf(LogEntry.subject(e)));
             continue;
           }
-          Job j = jobs.get(Entry.subject(e));
-          int width = Entry.width(e);
-          for (int i = Entry.first(e); i + width <= e.size(); i += width) {
+          Job j = jobs.get(LogEntry.subject(e));
+          int width = LogEntry.width(e);
+          for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
             n.chunks
                 .computeIfAbsent(j, k -> new LinkedHashSet<>())
-                .add(Entry.number(e, i) / Job.CHUNK);
+                .add(LogEntry.number(e, i) / Job.TASKS_PER_CHUNK);
           }
         } catch (BadMessage x) {
           LOG.error("unreadable entry: {}", x.getMessage());
@@ -522,11 +522,11 @@
   }
 
   /** No page holds anything older than this. */
-  public long oldestEntry() {
+  public long oldestEntryRev() {
     long oldest = Long.MAX_VALUE;
-    for (TreeMap<Long, Page> pages : logs.values()) {
-      for (Page p : pages.values()) {
-        for (Page.Run r : p.runs()) {
+    for (TreeMap<Long, LogPage> pages : nodesWithLogPages.values()) {
+      for (LogPage p : pages.values()) {
+        for (LogPage.Run r : p.runs()) {
           oldest = Math.min(oldest, r.rev());
         }
       }
@@ -535,7 +535,7 @@
   }
 
   /** Never passes over an entry in silence: others may have drawn something from it. */
-  private void run(String page, Page.Run run) {
+  private void run(String page, LogPage.Run run) {
     for (Object o : run.entries()) {
       try {
         if (!(o instanceof List<?> e)) {
@@ -544,52 +544,57 @@
         entry(run.rev(), e);
       } catch (BadMessage | RuntimeException x) {
         unreadable(page, x);
-        missed = true;
+        needsReload = true;
       }
     }
   }
 
   private void entry(long rev, List<?> e) throws BadMessage {
-    String kind = Entry.kind(e);
-    String subject = Entry.subject(e);
-    if (Entry.aboutMachine(e)) {
-      if (rev > shelf(Machine.shelf(subject)).rev) {
-        Machine m = machineOrNew(subject);
-        boolean applies = kind.equals(Entry.MACHINE) ? m.become(Entry.info(e)) : m.forget();
+    String kind = LogEntry.kind(e);
+    String subject = LogEntry.subject(e);
+    if (LogEntry.aboutMachine(e)) {
+      if (rev > archiveBucket(Machine.archiveBucketOf(subject)).rev) {
+        Machine m = getOrCreateMachine(subject);
+        boolean applies =
+            kind.equals(LogEntry.MACHINE) ? m.transitionTo(LogEntry.info(e)) : m.forget();
         if (!applies) {
           LOG.debug("void: {} of {}", e, m.phase());
         }
-        if (m.info() == null && m.live().isEmpty()) {
+        if (m.info() == null && m.slots().isEmpty()) {
           machines.remove(subject);
         }
       }
       return;
     }
-    Entry.known(kind);
-    int width = Entry.width(e);
-    if ((e.size() - Entry.first(e)) % width != 0) {
+    LogEntry.known(kind);
+    int width = LogEntry.width(e);
+    if ((e.size() - LogEntry.first(e)) % width != 0) {
       throw new BadMessage("an entry that ends early");
     }
-    if (kind.equals(Entry.PLACED) && Entry.number(e, 2) > Announcement.MOST_NUMBER) {
-      throw new BadMessage("no controller has the number " + Entry.number(e, 2));
+    if (kind.equals(LogEntry.PLACED) && LogEntry.number(e, 2) > NodeRecord.MOST_NUMBER) {
+      throw new BadMessage("no controller has the number " + LogEntry.number(e, 2));
     }
     Job j = jobs.get(subject);
     if (j == null) {
       return;
     }
-    for (int i = Entry.first(e); i + width <= e.size(); i += width) {
-      int index = Entry.number(e, i);
-      int attempt = Entry.number(e, i + 1);
-      if (index >= j.size() || rev <= j.chunkRev(index / Job.CHUNK)) {
+    for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
+      int index = LogEntry.number(e, i);
+      int attempt = LogEntry.number(e, i + 1);
+      if (index >= j.taskCount() || rev <= j.chunkRevision(index / Job.TASKS_PER_CHUNK)) {
         continue;
       }
       boolean applies =
           switch (kind) {
-            case Entry.PLACED ->
-                j.placed(index, attempt, machineOrNew(Entry.text(e, i + 2)), Entry.number(e, 2));
-            case Entry.EXITED -> j.exited(index, attempt, Entry.number(e, i + 2));
-            case Entry.STOPPED ->
-                j.stopped(index, attempt, TaskState.Stop.values()[Entry.number(e, 2)]);
+            case LogEntry.PLACED ->
+                j.applyPlacement(
+                    index,
+                    attempt,
+                    getOrCreateMachine(LogEntry.text(e, i + 2)),
+                    LogEntry.number(e, 2));
+            case LogEntry.EXITED -> j.applyExit(index, attempt, LogEntry.number(e, i + 2));
+            case LogEntry.STOPPED ->
+                j.applyStop(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
             default -> throw new BadMessage("unknown kind " + kind);
           };
       if (!applies) {
@@ -606,19 +611,19 @@
    * is newer than {@code rev} in the logs comes again, in its order, as changes.
    */
   @Override
-  public void load(List<Ledger.Change> all, long rev) {
-    record Of(String page, Page.Run run) {}
+  public void load(List<StateServiceClient.Change> all, long rev) {
+    record Of(String page, LogPage.Run run) {}
     List<Of> runs = new ArrayList<>();
-    for (Ledger.Change c : all) {
-      if (!Page.isPage(c.key()) && !Job.isChunk(c.key())) {
+    for (StateServiceClient.Change c : all) {
+      if (!LogPage.isPage(c.key()) && !Job.isChunkKey(c.key())) {
         apply(c, true);
       }
     }
-    for (Ledger.Change c : all) {
-      if (Job.isChunk(c.key())) {
+    for (StateServiceClient.Change c : all) {
+      if (Job.isChunkKey(c.key())) {
         apply(c, true);
-      } else if (Page.isPage(c.key())) {
-        Page p = page(c);
+      } else if (LogPage.isPage(c.key())) {
+        LogPage p = page(c);
         if (p != null) {
           p.runs().forEach(r -> runs.add(new Of(c.key(), r)));
         }
@@ -630,9 +635,9 @@
         run(o.page, o.run);
       }
     }
-    jobs.values().forEach(Job::doneTogether);
+    jobs.values().forEach(Job::completeGang);
     // Named by what a log still says of tasks that are over; itself it was forgotten long ago.
-    machines.values().removeIf(m -> m.info() == null && m.live().isEmpty() && m.report() == null);
+    machines.values().removeIf(m -> m.info() == null && m.slots().isEmpty() && m.report() == null);
     appliedTo(rev);
     bar();
   }
@@ -646,13 +651,13 @@
 
   /** Takes changes in the order of their revisions, whatever the order in which they come. */
   @Override
-  public void apply(List<Ledger.Change> news, long rev) {
+  public void apply(List<StateServiceClient.Change> news, long rev) {
     List<Step> steps = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (Ledger.Change c : news) {
-      if (Page.isPage(c.key())) {
-        Page p = page(c);
-        for (Page.Run r : p == null ? List.<Page.Run>of() : p.runs()) {
+    for (StateServiceClient.Change c : news) {
+      if (LogPage.isPage(c.key())) {
+        LogPage p = page(c);
+        for (LogPage.Run r : p == null ? List.<LogPage.Run>of() : p.runs()) {
           // A page that changed twice comes twice, and each time whole; and a large transaction
           // writes several pages under one revision.
           if (r.rev() > appliedRev && seen.add(r.rev() + c.key())) {
@@ -677,57 +682,59 @@
   }
 
   /** Up to which revision a chunk or a shelf holds what the logs say; 0 for other records. */
-  private static long holds(Ledger.Change c) {
-    boolean stored = Job.isChunk(c.key()) || c.key().startsWith("w/h/");
+  private static long holds(StateServiceClient.Change c) {
+    boolean stored = Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
     try {
-      return stored && c.value() != null ? Form.read(c.value(), formOf(c.key())).count("rev") : 0;
+      return stored && c.value() != null
+          ? Encoding.decode(c.value(), newestReadableEncoding(c.key())).count("rev")
+          : 0;
     } catch (BadMessage e) {
       return 0;
     }
   }
 
   /** Notes a page as it is now; null when it is gone or can't be read. */
-  private Page page(Ledger.Change c) {
-    String node = Page.node(c.key());
+  private LogPage page(StateServiceClient.Change c) {
+    String node = LogPage.node(c.key());
     try {
       if (c.value() == null) {
-        TreeMap<Long, Page> pages = logs.get(node);
+        TreeMap<Long, LogPage> pages = nodesWithLogPages.get(node);
         if (pages != null) {
-          pages.remove(Page.number(c.key()));
+          pages.remove(LogPage.number(c.key()));
           if (pages.isEmpty()) {
-            logs.remove(node);
+            nodesWithLogPages.remove(node);
           }
         }
         unreadable.remove(c.key());
         noteForm(c);
         return null;
       }
-      Page p = Page.parse(c.key(), c.value(), c.stamp());
-      logs.computeIfAbsent(node, k -> new TreeMap<>()).put(p.number(), p);
+      LogPage p = LogPage.parse(c.key(), c.value(), c.stamp());
+      nodesWithLogPages.computeIfAbsent(node, k -> new TreeMap<>()).put(p.number(), p);
       noteForm(c);
       return p;
     } catch (BadMessage | RuntimeException e) {
       unreadable(c.key(), e);
-      missed = true;
+      needsReload = true;
       return null;
     }
   }
 
-  private void apply(Ledger.Change c, boolean whole) {
+  private void apply(StateServiceClient.Change c, boolean whole) {
     try {
       applyChecked(c, whole);
       unreadable.remove(c.key());
     } catch (BadMessage | RuntimeException e) {
       // A record we cannot read is left alone: acting on half of it would be worse.
       unreadable(c.key(), e);
-      missed |= Job.isChunk(c.key()) || c.key().startsWith("w/h/");
+      needsReload |= Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
     }
   }
 
   /** The newest form that this build reads of what a key holds. */
-  public static int formOf(String key) {
-    boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || Page.isPage(key);
-    return Job.isChunk(key) ? Form.DENSE : numbered ? Form.NUMBERED : Form.FIRST;
+  public static int newestReadableEncoding(String key) {
+    boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || LogPage.isPage(key);
+    return Job.isChunkKey(key) ? Encoding.DENSE : numbered ? Encoding.NUMBERED : Encoding.FIRST;
   }
 
   /** A job is over: what is left of it is to be deleted in time. */
@@ -735,21 +742,21 @@
     if (j == null) {
       return;
     }
-    for (int k = 0; k < j.chunks(); k++) {
+    for (int k = 0; k < j.chunkCount(); k++) {
       if (j.chunkStamp(k) > 0) {
-        orphans.add(j.chunkKey(k));
+        orphanedKeys.add(j.chunkKey(k));
       }
     }
     for (int k = 0; j.overflow() != null && k < j.overflow().records(); k++) {
-      orphans.add(j.overflow().key(k));
+      orphanedKeys.add(j.overflow().key(k));
     }
-    j.drop();
-    dependencies.left(j);
+    j.releaseTasks();
+    dependencies.jobRemoved(j);
   }
 
   /** Gives a job the names that its own record has no room for, once all are there. */
   private boolean gather(Job j) {
-    Overflow o = j.overflow();
+    AwaitsOverflow o = j.overflow();
     List<String> all = new ArrayList<>();
     for (int k = 0; o != null && k < o.records(); k++) {
       List<String> some = names.get(o.key(k));
@@ -759,7 +766,7 @@
       all.addAll(some);
     }
     if (o != null) {
-      j.awaits(List.copyOf(all));
+      j.setAwaits(List.copyOf(all));
       for (int k = 0; k < o.records(); k++) {
         names.remove(o.key(k));
       }
@@ -767,13 +774,13 @@
     return o != null;
   }
 
-  private static void unknown(Ledger.Change c) throws BadMessage {
+  private static void unknown(StateServiceClient.Change c) throws BadMessage {
     if (c.value() != null) {
       throw new BadMessage("nobody here knows such a record");
     }
   }
 
-  private void applyChecked(Ledger.Change c, boolean whole) throws BadMessage {
+  private void applyChecked(StateServiceClient.Change c, boolean whole) throws BadMessage {
     String key = c.key();
     if (key.equals(View.KEY)) {
       View read = c.value() == null ? null : View.parse(c.value());
@@ -782,8 +789,8 @@
       remark();
       return;
     }
-    if (key.equals(TAKES_KEY)) {
-      takesStamp = c.value() == null ? 0 : c.stamp();
+    if (key.equals(CLAIMS_KEY)) {
+      claimsStamp = c.value() == null ? 0 : c.stamp();
       return;
     }
     if (key.length() < 5 || key.charAt(3) != '/') {
@@ -791,15 +798,15 @@
       return;
     }
     String name = key.substring(4);
-    Document d = c.value() == null ? null : Form.read(c.value(), formOf(key));
+    Document d = c.value() == null ? null : Encoding.decode(c.value(), newestReadableEncoding(key));
     switch (key.charAt(2)) {
       case 'c' -> registry.apply(name, d, c.stamp());
       case 'j' -> {
-        over.remove(name);
+        pendingHistory.remove(name);
         if (d != null && d.raw("over") != null) {
           TerminalState how = TerminalState.parse(Document.of(d.raw("over")));
-          over.put(name, new Over(how, c.stamp()));
-          rememberFinished(name, how);
+          pendingHistory.put(name, new PendingHistoryEntry(how, c.stamp()));
+          rememberTerminalState(name, how);
           drop(jobs.remove(name));
         } else if (c.value() == null) {
           drop(jobs.remove(name));
@@ -807,18 +814,18 @@
           Job j = jobs.get(name);
           if (j == null) {
             j = new Job(name, usage, changedJobs::add);
-            j.record(d, c.stamp());
+            j.applyRecord(d, c.stamp());
             jobs.put(name, j);
             if (foretold.containsKey(name)) {
-              j.foretold();
+              j.announceWithdrawal();
             }
             gather(j);
-            dependencies.joined(j);
+            dependencies.jobAdded(j);
           } else {
-            boolean was = j.withdrawnItself();
-            j.record(d, c.stamp());
-            if (was != j.withdrawnItself()) {
-              dependencies.changed(j);
+            boolean was = j.withdrawnByUser();
+            j.applyRecord(d, c.stamp());
+            if (was != j.withdrawnByUser()) {
+              dependencies.jobChanged(j);
             }
           }
         }
@@ -826,13 +833,13 @@
       case 'a' -> {
         if (d == null) {
           names.remove(key);
-          orphans.remove(key);
+          orphanedKeys.remove(key);
           return;
         }
-        names.put(key, Overflow.names(d));
-        Job j = jobs.get(Overflow.job(key));
+        names.put(key, AwaitsOverflow.parseNames(d));
+        Job j = jobs.get(AwaitsOverflow.jobOfKey(key));
         if (j != null && j.overflow() != null && j.awaits().isEmpty() && gather(j)) {
-          dependencies.joined(j);
+          dependencies.jobAdded(j);
         }
       }
       case 't' -> {
@@ -841,22 +848,22 @@
         int chunk = Integer.parseInt(name.substring(slash + 1));
         long stamp = c.value() == null ? 0 : c.stamp();
         if (j != null && whole) {
-          j.restoreChunk(chunk, d, stamp, this::machineOrNew);
+          j.restoreChunk(chunk, d, stamp, this::getOrCreateMachine);
         } else if (j != null) {
-          j.chunkStored(chunk, d, stamp);
+          j.onChunkStored(chunk, d, stamp);
         } else if (c.value() != null) {
-          orphans.add(key);
+          orphanedKeys.add(key);
         } else {
-          orphans.remove(key);
+          orphanedKeys.remove(key);
         }
         noteForm(c);
       }
       case 'h' -> shelve(name, d, c.stamp(), whole);
       case 'p' -> {
         if (c.value() == null) {
-          parts.remove(name);
+          partitions.remove(name);
         } else {
-          parts.put(name, Partition.parse(c.value(), c.stamp()));
+          partitions.put(name, Partition.parse(c.value(), c.stamp()));
         }
         noteForm(c);
         remark();
@@ -864,7 +871,7 @@
       case 'm' -> member(name, c.value(), c.stamp());
       case 'd' -> {
         if (d != null) {
-          rememberFinished(name, TerminalState.parse(d));
+          rememberTerminalState(name, TerminalState.parse(d));
         }
       }
       default -> unknown(c);
@@ -884,12 +891,12 @@
       return;
     }
     memberStamps.put(name, stamp);
-    memberLevels.put(name, Range.FIRST);
+    memberLevels.put(name, LevelRange.FIRST);
     try {
-      Document d = Form.read(value, Form.FIRST);
+      Document d = Encoding.decode(value, Encoding.FIRST);
       String incarnation = d.text("inc");
       String zone = d.textOrNull("zone");
-      memberLevels.put(name, Range.parse(d));
+      memberLevels.put(name, LevelRange.parse(d));
       members.put(name, incarnation);
       if (zone != null && !zone.isEmpty()) {
         memberZones.put(name, zone);
@@ -900,27 +907,27 @@
   }
 
   /** All whose record is there, with the levels that they speak, readable members or not. */
-  public Map<String, Range> announcedLive() {
+  public Map<String, LevelRange> memberLevels() {
     return memberLevels;
   }
 
   private void shelve(String shelf, Document d, long stamp, boolean whole) throws BadMessage {
     if (d == null) {
-      shelves.remove(shelf);
+      archiveBuckets.remove(shelf);
       return;
     }
-    shelves.put(shelf, new Shelf(stamp, d.count("rev"), d.without("rev", "m")));
+    archiveBuckets.put(shelf, new ArchiveBucket(stamp, d.count("rev"), d.without("rev", "m")));
     if (whole) {
       onShelf(shelf).forEach(m -> m.restore(null));
       for (Object o : d.list("m")) {
         List<?> e = (List<?>) o;
-        machineOrNew(Entry.subject(e)).restore(Entry.info(e));
+        getOrCreateMachine(LogEntry.subject(e)).restore(LogEntry.info(e));
       }
     }
   }
 
   @Override
-  public void applied() {
+  public void changesApplied() {
     onApplied.run();
   }
 }
--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 import wickdrift.bookkeeping.JobHistory;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Exchange;
@@ -10,7 +10,7 @@
 
 /** The users' interface: submissions, status and withdrawals. */
 public final class Admission {
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Types types;
   private final Submissions submissions;
@@ -20,7 +20,7 @@
   /** Wires the handlers of users' requests. */
   public Admission(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       JobHistory history,
       SchedulingState scheduling,
@@ -28,7 +28,7 @@
       Settings settings,
       Tuning tuning,
       PauseDetector pauseDetector,
-      Confirmations confirmations) {
+      WithdrawalConfirmations confirmations) {
     this.ledger = ledger;
     this.tables = tables;
     this.types = types;
@@ -41,29 +41,31 @@
             ledger,
             tables,
             new JobRouter(tables, scheduling, types, settings, tuning),
-            new AwaitedJobs(ledger, tables, history),
+            new DependencyValidator(ledger, tables, history),
             status,
-            this::ready);
+            this::isReady);
   }
 
   /** Whether requests can be served at all. */
-  public boolean ready() {
-    return ledger.phase() == Ledger.Phase.FOLLOWING && tables.view() != null && types.known();
+  public boolean isReady() {
+    return ledger.phase() == StateServiceClient.Phase.FOLLOWING
+        && tables.view() != null
+        && types.known();
   }
 
   /** Once that is so, no submission is taken any more. */
-  public void leaving(BooleanSupplier now) {
-    submissions.leaving(now);
+  public void refuseSubmissionsWhen(BooleanSupplier now) {
+    submissions.stopAcceptingWhen(now);
   }
 
   /** Whether no submission waits for its answer. */
-  public boolean idle() {
-    return submissions.idle();
+  public boolean isIdle() {
+    return submissions.isIdle();
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
-  public long shed() {
-    return status.shed();
+  public long shedStatusRequests() {
+    return status.shedCount();
   }
 
   /** A job is submitted, perhaps not for the first time. */
@@ -72,7 +74,7 @@
   }
 
   /** A user asks how a job stands. */
-  public void poll(Exchange x, String id) {
+  public void jobStatus(Exchange x, String id) {
     status.poll(x, id);
   }
 
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -85,7 +85,7 @@
     }
 
     void note(CommandEvent.Kind kind, TaskAttempt attempt, String reason) {
-      links.note(kind, machine, attempt, report, tables.view().epoch(), reason);
+      links.recordEvent(kind, machine, attempt, report, tables.view().epoch(), reason);
     }
   }
 
@@ -117,10 +117,11 @@
 
   private void planShown(Pass pass, Report.Entry entry) {
     Job job = tables.job(entry.job());
-    TaskState state = job == null || entry.index() >= job.size() ? null : job.task(entry.index());
+    TaskState state =
+        job == null || entry.index() >= job.taskCount() ? null : job.task(entry.index());
     boolean booked =
         state != null
-            && state.live()
+            && state.isLive()
             && state.machine() == pass.machine
             && state.attempt() == entry.attempt();
     boolean exited = entry.phase() == Report.Phase.EXITED;
@@ -130,7 +131,7 @@
       planExited(pass, job, state, entry);
     } else {
       if (entry.phase() != Report.Phase.FETCHING) {
-        pass.machine.imageReady(job.spec().image(), job.spec().imageGb(), timers.nowMs());
+        pass.machine.markImageReady(job.spec().image(), job.spec().imageGb(), timers.nowMs());
       }
       halt(pass, job, state, entry);
     }
@@ -139,14 +140,15 @@
   /** Nothing durable stands for it: it is over, or was never to be. */
   private void planUnbooked(Pass pass, Report.Entry entry) {
     if (entry.phase() != Report.Phase.EXITED) {
-      if (pass.scope.authority || tables.foretold(entry.job())) {
+      if (pass.scope.authority || tables.isWithdrawalAnnounced(entry.job())) {
         addHalt(pass, entry, 0, "not booked");
       }
       return;
     }
     TaskAttempt attempt = attempt(entry);
-    Verdict verdict = pass.commands.mayClear(attempt, pass.scope.own, pass.machine.synced());
-    if (verdict.allowed()) {
+    Verdict verdict =
+        pass.commands.mayClear(attempt, pass.scope.own, pass.machine.epochAcknowledged());
+    if (verdict.isAllowed()) {
       addClear(pass, entry, verdict);
     }
   }
@@ -163,7 +165,7 @@
       }
       return;
     }
-    if (alone && !pass.machine.synced()) {
+    if (alone && !pass.machine.epochAcknowledged()) {
       // Of all ends only this one may be followed by the same attempt running again, and whoever
       // shows an older epoch may be a copy from before that.
       return;
@@ -182,15 +184,15 @@
    * give up their fetches and begin anew, again and again. It goes on waiting, so often at most.
    */
   private boolean goesOnWaiting(Pass pass, Job job, TaskState state, Report.Entry entry) {
-    return !job.calledOff()
+    return !job.withdrawnOrAnnounced()
         && state.stop() == TaskState.Stop.NONE
-        && job.live() == job.size()
+        && job.liveCount() == job.taskCount()
         && !pipeline.exiting(job, entry.index(), entry.attempt())
         && pass.commands.waits(attempt(entry)) < WAITS_MOST;
   }
 
   private void halt(Pass pass, Job job, TaskState state, Report.Entry entry) {
-    if (job.calledOff()) {
+    if (job.withdrawnOrAnnounced()) {
       addHalt(pass, entry, 0, "job called off");
     } else if (state.stop() == TaskState.Stop.KILL) {
       addHalt(pass, entry, 0, "to be stopped");
@@ -208,14 +210,14 @@
     String machine = pass.machine.name();
     if (Report.ERROR.equals(entry.why())) {
       // Told once a round by all of a suspect's tasks together.
-      if (!job.suspect()) {
+      if (!job.isSuspected()) {
         LOG.info("{} failed on {}", entry.task(), machine);
       }
     } else if (Report.FULL.equals(entry.why())
         || Report.UNKNOWN.equals(entry.why())
         || Report.BUSY.equals(entry.why())) {
       LOG.info("{} refused {}: {}", machine, entry.task(), entry.why());
-      job.refused(timers.nowMs());
+      job.backOffAfterRefusal(timers.nowMs());
     }
   }
 
@@ -224,17 +226,18 @@
   private void planBooked(Pass pass) {
     if (pass.scope.own) {
       Set<String> booked = new HashSet<>();
-      pass.machine.live().forEach(slot -> booked.add(slot.task()));
+      pass.machine.slots().forEach(slot -> booked.add(slot.taskName()));
       pass.commands.retain(booked);
     }
-    for (Machine.Slot slot : pass.machine.live()) {
-      Report.Entry entry = pass.shown.get(slot.task());
+    for (Machine.Slot slot : pass.machine.slots()) {
+      Report.Entry entry = pass.shown.get(slot.taskName());
       TaskAttempt attempt = attempt(slot);
       if (entry != null && entry.attempt() == attempt.attempt()) {
-        boolean first = pass.commands.seen(attempt, pass.report.tick(), pass.report.tenure());
+        boolean first =
+            pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
         if (first && pass.scope.own) {
           // It was told to run this, and does.
-          pass.machine.hears();
+          pass.machine.markReachableForCommands();
         }
       } else if (entry == null && !exiting(slot)) {
         // Where another attempt is here still, ours starts when it is gone; and what is known to be
@@ -256,15 +259,19 @@
   private Verdict planAbsent(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     Machine machine = pass.machine;
     Report report = pass.report;
-    boolean deaf = machine.deafSinceMs() > 0;
+    boolean deaf = machine.unreachableForCommandsSinceMs() > 0;
     Verdict verdict =
         pass.commands.mayEnd(
             attempt,
-            new WorkerCommands.Absence(
-                pass.scope.own, machine.synced(), report.tenure(), deaf, slot.unwanted()));
-    if (verdict == Verdict.PROVED) {
+            new WorkerCommands.AbsenceEvidence(
+                pass.scope.own,
+                machine.epochAcknowledged(),
+                report.tenure(),
+                deaf,
+                slot.mustStop()));
+    if (verdict == Verdict.PROVEN) {
       lost(pass, slot, attempt, verdict);
-    } else if (pass.commands.wasSeen(attempt) || slot.unwanted()) {
+    } else if (pass.commands.wasReported(attempt) || slot.mustStop()) {
       if (verdict == Verdict.DIRECT_RUN_UNANSWERED) {
         pass.note(CommandEvent.Kind.END_REFUSED, attempt, verdict.name());
       }
@@ -272,7 +279,7 @@
       // Nothing reaches it: what is told now could only come late. Its next session proves that it
       // has not got this.
       if (!pass.commands.knows(attempt)) {
-        pass.commands.sent(attempt, report.tick(), report.tenure(), timers.nowMs());
+        pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
       }
     } else if (machine.phase() != Machine.Phase.GONE
         && (pass.scope.own || !pass.commands.sentAfter(attempt, report.tick()))) {
@@ -290,7 +297,7 @@
     }
     if (pipeline.exited(slot.job(), slot.index(), attempt.attempt(), pass.machine, null)) {
       links.record(event);
-      if (pass.commands.wasSeen(attempt)) {
+      if (pass.commands.wasReported(attempt)) {
         LOG.info(
             "{} has lost {}, tenure {}", pass.machine.name(), attempt.task(), pass.report.tenure());
       }
@@ -303,16 +310,16 @@
     CommandEvent.Kind kind =
         pass.scope.own ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
     CommandEvent event = pass.event(kind, attempt, "booked, not shown");
-    boolean cancelled = slot.job().calledOff();
-    boolean booked = slot.state().live() && slot.state().machine() == pass.machine;
-    boolean holdsLease = membership.standing() == Membership.Standing.MEMBER;
+    boolean cancelled = slot.job().withdrawnOrAnnounced();
+    boolean booked = slot.state().isLive() && slot.state().machine() == pass.machine;
+    boolean holdsLease = membership.status() == Membership.Status.MEMBER;
     if (!monitor.check(Invariant.NO_START_OF_A_CANCELLED_JOB, !cancelled, event)
         || !monitor.check(Invariant.NO_START_OF_AN_ENDED_ATTEMPT, booked && !exiting(slot), event)
         || !monitor.check(Invariant.NO_START_WITHOUT_A_LEASE, holdsLease, event)) {
       return;
     }
     Report report = pass.report;
-    pass.commands.sent(attempt, report.tick(), report.tenure(), timers.nowMs());
+    pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
     pass.orders.add(new Order.Run(slot.job().id(), slot.index(), attempt.attempt()));
     links.record(event);
   }
@@ -337,6 +344,6 @@
   }
 
   private static TaskAttempt attempt(Machine.Slot slot) {
-    return new TaskAttempt(slot.task(), slot.state().attempt());
+    return new TaskAttempt(slot.taskName(), slot.state().attempt());
   }
 }
--- a/src/main/java/wickdrift/coordination/AwaitedJobs.java
+++ b/src/main/java/wickdrift/coordination/DependencyValidator.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import wickdrift.bookkeeping.Job;
 import wickdrift.bookkeeping.JobHistory;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.JobSpec;
 
 /** Whether the jobs that a submission awaits were accepted, and can be awaited. */
-final class AwaitedJobs {
+final class DependencyValidator {
 
   /** What was found. Where nothing can be said yet the user is sent away. */
   interface Outcome {
@@ -17,11 +17,11 @@
     void refused(Submission s, String why);
   }
 
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final JobHistory history;
 
-  AwaitedJobs(Ledger ledger, Tables tables, JobHistory history) {
+  DependencyValidator(StateServiceClient ledger, Tables tables, JobHistory history) {
     this.ledger = ledger;
     this.tables = tables;
     this.history = history;
@@ -52,7 +52,7 @@
 
   private List<String> unknownNames(JobSpec spec) {
     return spec.awaits().stream()
-        .filter(a -> tables.job(a) == null && tables.finished(a) == null)
+        .filter(a -> tables.job(a) == null && tables.terminalState(a) == null)
         .toList();
   }
 
@@ -61,14 +61,14 @@
     String[] never = new String[1];
     boolean[] unsaid = new boolean[1];
     for (String id : unknown) {
-      history.ask(
+      history.lookUp(
           id,
           a -> {
-            if (a == JobHistory.Answer.NONE) {
+            if (a == JobHistory.LookupResult.UNAVAILABLE) {
               unsaid[0] = true;
-            } else if (a == JobHistory.Answer.NOT_OVER
+            } else if (a == JobHistory.LookupResult.NOT_TERMINAL
                 && tables.job(id) == null
-                && tables.finished(id) == null) {
+                && tables.terminalState(id) == null) {
               never[0] = id;
             }
             if (--left[0] > 0) {
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -28,7 +28,7 @@
   static final int MAX_ORDERS = 400;
 
   /** An answer that has not come by then is not waited for any more. */
-  static final long ANSWER_MS = 3000;
+  static final long ANSWER_TIMEOUT_MS = 3000;
 
   private static final int OK = 200;
   private static final int REFUSED = 409;
@@ -73,7 +73,7 @@
     Report report = machine.report();
     WorkerLink link = links.of(machine);
     if (report == null
-        || !machine.synced()
+        || !machine.epochAcknowledged()
         || link.inFlight
         || machine.phase() == Machine.Phase.LOST) {
       return;
@@ -116,13 +116,13 @@
     body.put("tenure", session);
     body.put("orders", orders.stream().map(Order::toWire).toList());
     link.sent(machine.report());
-    link.commands.sentDirectly(command);
+    link.commands.directCommandSent(command);
     caller.call(
         machine.report().address(),
         "POST",
         "/orders",
         MessageCodec.encode(body),
-        ANSWER_MS,
+        ANSWER_TIMEOUT_MS,
         answer -> answered(machine, link, command, answer));
   }
 
@@ -137,8 +137,8 @@
       return;
     }
     // Executed, or refused for good: either way this command can't come again.
-    link.commands.answered(command);
-    machine.hears();
+    link.commands.directCommandAnswered(command);
+    machine.markReachableForCommands();
     View view = tables.view();
     if (!links.isCurrent(machine, link) || view == null) {
       return;
@@ -156,17 +156,17 @@
       links.restarted(machine, report, view.epoch());
       return;
     }
-    links.note(CommandEvent.Kind.DIRECT_ANSWERED, machine, report, view.epoch(), "");
+    links.recordEvent(CommandEvent.Kind.DIRECT_ANSWERED, machine, report, view.epoch(), "");
     Report last = machine.report();
     if (last == null || report.notNewerThan(last)) {
       return;
     }
-    boolean proves = machine.learnt(report, view.epoch(), timers.nowMs());
-    machine.synced(proves && report.epoch() == view.epoch());
+    boolean proves = machine.receiveReply(report, view.epoch(), timers.nowMs());
+    machine.setEpochAcknowledged(proves && report.epoch() == view.epoch());
     if (proves) {
-      link.commands.shown(report.epoch(), report.tenure());
+      link.commands.epochReported(report.epoch(), report.tenure());
     }
-    if (membership.standing() == Membership.Standing.MEMBER) {
+    if (membership.status() == Membership.Status.MEMBER) {
       send(machine, true);
     }
   }
--- a/src/main/java/wickdrift/coordination/Conversion.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.Map;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
@@ -21,23 +21,27 @@
  * nothing of an older form is left, that is made durable; should a transaction that was long under
  * way bring another such record, it is converted too, and the level's end of work told anew.
  */
-final class Conversion {
+final class EncodingMigration {
   /** Of the budget of writes, so much must be left. */
-  static final double EASE = 0.5;
+  static final double MIN_WRITE_BUDGET_FRACTION = 0.5;
 
   /** At most one record in so long. */
   private static final long GAP_MS = 250;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Membership membership;
   private final Settings settings;
   private final String node;
   private long nextMs;
 
-  Conversion(
-      Timers timers, Ledger ledger, Tables tables, Membership membership, Settings settings) {
+  EncodingMigration(
+      Timers timers,
+      StateServiceClient ledger,
+      Tables tables,
+      Membership membership,
+      Settings settings) {
     this.timers = timers;
     this.ledger = ledger;
     this.tables = tables;
@@ -47,37 +51,39 @@
   }
 
   /** Puts the next record into a draft that is empty so far. */
-  void draft(TransactionBuilder draft) {
+  void addNextRecord(TransactionBuilder draft) {
     long now = timers.nowMs();
-    if (tables.form() == Form.FIRST || now < nextMs) {
+    if (tables.encoding() == Encoding.FIRST || now < nextMs) {
       return;
     }
     nextMs = now + GAP_MS;
-    boolean leads = membership.leads();
-    for (String key : tables.oldForms()) {
+    boolean leads = membership.isLeader();
+    for (String key : tables.keysInOldEncoding()) {
       if (page(draft, key) || leads && (chunk(draft, key) || part(draft, key))) {
         return;
       }
     }
-    boolean left = !tables.oldForms().isEmpty();
-    if (leads && left != tables.registry().doneLevel() < tables.level()) {
-      draft.when(View.KEY, tables.viewStamp());
+    boolean left = !tables.keysInOldEncoding().isEmpty();
+    if (leads && left != tables.registry().convertedLevel() < tables.level()) {
+      draft.addCondition(View.KEY, tables.viewStamp());
       if (left) {
-        draft.when(NodeRegistry.DONE, tables.registry().doneStamp());
-        draft.delete(NodeRegistry.DONE);
+        draft.addCondition(
+            NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
+        draft.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
       } else {
         draft.write(
-            NodeRegistry.DONE,
-            NodeRegistry.doneToStore(tables.level()),
-            tables.registry().doneStamp());
+            NodeRegistry.CONVERTED_LEVEL_KEY,
+            NodeRegistry.encodeConvertedLevel(tables.level()),
+            tables.registry().convertedLevelStamp());
       }
     }
   }
 
   private boolean page(TransactionBuilder draft, String key) {
-    for (Page p : tables.log(node).values()) {
+    for (LogPage p : tables.logPages(node).values()) {
       if (p.key().equals(key)) {
-        draft.write(key, Page.value(p, tables.form(), List.of(), tables::dead), p.stamp());
+        draft.write(
+            key, LogPage.encode(p, tables.encoding(), List.of(), tables::isObsolete), p.stamp());
         return true;
       }
     }
@@ -85,9 +91,10 @@
   }
 
   private boolean part(TransactionBuilder draft, String key) {
-    for (Map.Entry<String, Partition> p : tables.parts().entrySet()) {
+    for (Map.Entry<String, Partition> p : tables.partitions().entrySet()) {
       if (Partition.key(p.getKey()).equals(key)) {
-        Partition told = Quota.numbered(p.getValue(), p.getKey(), tables.registry(), settings);
+        Partition told =
+            Quota.toNumberedEncoding(p.getValue(), p.getKey(), tables.registry(), settings);
         draft.write(key, told.toStore(), told.stamp());
         return true;
       }
@@ -96,7 +103,7 @@
   }
 
   private boolean chunk(TransactionBuilder draft, String key) {
-    if (!Job.isChunk(key)) {
+    if (!Job.isChunkKey(key)) {
       return false;
     }
     String name = key.substring(key.indexOf('/', 2) + 1);
@@ -106,9 +113,9 @@
       return false;
     }
     int chunk = Integer.parseInt(name.substring(slash + 1));
-    int most = ledger.limits().usedBytes();
-    Object value = job.storeChunk(chunk, ledger.rev(), job::task, tables.form(), most);
-    draft.when(job.key(), job.stamp());
+    int most = ledger.limits().targetValueBytes();
+    Object value = job.chunkToStore(chunk, ledger.rev(), job::task, tables.encoding(), most);
+    draft.addCondition(job.key(), job.stamp());
     draft.write(key, value, job.chunkStamp(chunk));
     return true;
   }
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.Bucket;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Partition.Share;
+import wickdrift.bookkeeping.Partition.QuotaShare;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Usage;
+import wickdrift.bookkeeping.TeamUsage;
+import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -56,7 +56,7 @@
 
   private final Timers timers;
   private final Caller caller;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final Types types;
@@ -68,7 +68,7 @@
   private final PauseDetector pauseDetector;
   private final Zones zones;
   private final MalformedMessages malformed;
-  private final Bucket calls;
+  private final TokenBucket calls;
 
   private final Map<String, Long> absentSince = new HashMap<>();
   private final Map<String, Boolean> everListed = new HashMap<>();
@@ -102,7 +102,7 @@
   public Fleet(
       Timers timers,
       Caller caller,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       SchedulingState scheduling,
       Types types,
@@ -128,7 +128,7 @@
     this.pauseDetector = pauseDetector;
     this.zones = zones;
     this.malformed = malformed;
-    this.calls = new Bucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
+    this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
   }
 
   public void start() {
@@ -141,14 +141,14 @@
     if (now - typesAtMs > (types.known() ? TYPES_MS : 1000)) {
       askTypes();
     }
-    if (!membership.leads()
-        || ledger.phase() != Ledger.Phase.FOLLOWING
-        || membership.outdated()
+    if (!membership.isLeader()
+        || ledger.phase() != StateServiceClient.Phase.FOLLOWING
+        || membership.isViewOutdated()
         || !types.known()) {
       leadSinceMs = Long.MIN_VALUE;
       return;
     }
-    if (leadSinceMs < pauseDetector.listeningSinceMs()) {
+    if (leadSinceMs < pauseDetector.uninterruptedSinceMs()) {
       // A new leader, or one that stood still: what it was about to do was judged by another's
       // time. What is still so is found again.
       leadSinceMs = now;
@@ -168,7 +168,7 @@
     recordRented();
     retireIdle();
     deleteUnwanted();
-    if ((pipeline.leadSettled() || fromNothing) && ledger.reachable()) {
+    if ((pipeline.isLeaderSettled() || fromNothing) && ledger.reachable()) {
       rent();
     }
   }
@@ -183,7 +183,7 @@
       TypeInfo t = m.info() == null ? null : types.find(m.info().type());
       if (t != null && m.phase() == Machine.Phase.UP) {
         byLoad[(int) Math.min(4, new FreeCapacity(m, t).load() * 4 + FreeCapacity.EPS)]++;
-        fetching += m.fetchesUntilMs(t.fetchGbPerS()) > timers.nowMs() ? 1 : 0;
+        fetching += m.estimatedFetchEndMs(t.fetchGbPerS()) > timers.nowMs() ? 1 : 0;
       }
     }
     LOG.info(
@@ -197,7 +197,7 @@
   // ---- types ----
 
   private void askTypes() {
-    if (askingTypes || !calls.take(1, 0, timers.nowMs())) {
+    if (askingTypes || !calls.tryAcquire(1, 0, timers.nowMs())) {
       return;
     }
     askingTypes = true;
@@ -236,7 +236,7 @@
   }
 
   private void page(String from, Map<String, Listed> got) {
-    if (!calls.take(1, 0, timers.nowMs())) {
+    if (!calls.tryAcquire(1, 0, timers.nowMs())) {
       listing = false;
       return;
     }
@@ -276,7 +276,7 @@
             return;
           }
           listing = false;
-          if (membership.leads()) {
+          if (membership.isLeader()) {
             compare(got);
           }
         });
@@ -297,11 +297,11 @@
           if (deleted.containsKey(name)) {
             return;
           }
-          Machine m = tables.machineOrNew(name);
+          Machine m = tables.getOrCreateMachine(name);
           if (l.phase.equals("failed")) {
             condemn(name, "it failed");
-          } else if (m.phase() == Machine.Phase.UNKNOWN && !pipeline.recording(m)) {
-            pipeline.record(
+          } else if (m.phase() == Machine.Phase.UNKNOWN && !pipeline.hasPendingRecord(m)) {
+            pipeline.enqueueRecord(
                 m,
                 new Machine.Info(
                     l.type,
@@ -317,8 +317,9 @@
         continue;
       }
       boolean couldBeListed =
-          everListed.containsKey(m.name()) || timers.wallMs() - m.info().atMs() > 3 * lag;
-      boolean heard = m.heardMs() > 0 && now - m.heardMs() < 2 * lag;
+          everListed.containsKey(m.name())
+              || timers.wallMs() - m.info().phaseSinceWallMs() > 3 * lag;
+      boolean heard = m.lastReportMs() > 0 && now - m.lastReportMs() < 2 * lag;
       if (couldBeListed && !heard) {
         absentSince.putIfAbsent(m.name(), now);
         if (now - absentSince.get(m.name()) > 2 * lag) {
@@ -345,7 +346,7 @@
    * time.
    */
   private void deleteOverdue(long wall) {
-    for (Job j : scheduling.leaving()) {
+    for (Job j : scheduling.withdrawnRunningJobs()) {
       if (j.withdrawnWallMs() == 0 || wall - j.withdrawnWallMs() < tuning.overdueMs()) {
         continue;
       }
@@ -363,7 +364,7 @@
       if (i == null) {
         continue;
       }
-      long age = wall - i.atMs();
+      long age = wall - i.phaseSinceWallMs();
       switch (i.phase()) {
         case BOOTING -> {
           TypeInfo t = types.find(i.type());
@@ -379,19 +380,19 @@
           }
         }
         case DRAINING -> {
-          if (m.live().isEmpty() && age > 1000) {
+          if (m.slots().isEmpty() && age > 1000) {
             condemn(m.name(), "it is empty and not needed");
           }
         }
         case GONE -> {
-          if (m.live().isEmpty() && !pipeline.recording(m)) {
-            pipeline.record(m, null);
+          if (m.slots().isEmpty() && !pipeline.hasPendingRecord(m)) {
+            pipeline.enqueueRecord(m, null);
           }
         }
         default -> {}
       }
     }
-    if (condemned.isEmpty() || deleting || !calls.take(1, 0, timers.nowMs())) {
+    if (condemned.isEmpty() || deleting || !calls.tryAcquire(1, 0, timers.nowMs())) {
       return;
     }
     List<String> names = new ArrayList<>();
@@ -418,7 +419,7 @@
             Machine m = tables.machine(n);
             if (m != null && m.info() != null) {
               // The answer is the proof that nothing runs there any more.
-              pipeline.record(m, m.info().with(Machine.Phase.GONE, timers.wallMs()));
+              pipeline.enqueueRecord(m, m.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
             }
           }
         });
@@ -445,7 +446,7 @@
     int idle = 0;
     List<Machine> candidates = new ArrayList<>();
     for (Machine m : tables.machines()) {
-      if (m.phase() != Machine.Phase.UP || !m.live().isEmpty()) {
+      if (m.phase() != Machine.Phase.UP || !m.slots().isEmpty()) {
         emptySince.remove(m.name());
         continue;
       }
@@ -461,8 +462,8 @@
       if (wanted(m)) {
         continue;
       }
-      if (!pipeline.recording(m)) {
-        pipeline.record(m, m.info().with(Machine.Phase.DRAINING, timers.wallMs()));
+      if (!pipeline.hasPendingRecord(m)) {
+        pipeline.enqueueRecord(m, m.info().withPhase(Machine.Phase.DRAINING, timers.wallMs()));
       }
       idle--;
     }
@@ -508,12 +509,12 @@
         .entrySet()
         .removeIf(
             e -> {
-              Machine m = tables.machineOrNew(e.getKey());
+              Machine m = tables.getOrCreateMachine(e.getKey());
               if (m.phase() != Machine.Phase.UNKNOWN) {
                 return true;
               }
-              if (!pipeline.recording(m)) {
-                pipeline.record(m, e.getValue());
+              if (!pipeline.hasPendingRecord(m)) {
+                pipeline.enqueueRecord(m, e.getValue());
               }
               return false;
             });
@@ -537,7 +538,7 @@
       }
       boolean usable = m.phase() == Machine.Phase.UP || m.phase() == Machine.Phase.BOOTING;
       // One that fails whatever it is given is no room.
-      if (t != null && usable && m.accused() < 2) {
+      if (t != null && usable && m.failedJobCount() < 2) {
         rooms.add(new FreeCapacity(m, t));
       }
     }
@@ -547,7 +548,7 @@
     coming.keySet().stream().map(Kind::zone).filter(zones::dark).forEach(closed::add);
     // Where many are found at once, as by the first list of a new leader, records take a while.
     for (Machine m : tables.machines()) {
-      Machine.Info i = m.phase() == Machine.Phase.UNKNOWN ? pipeline.recorded(m) : null;
+      Machine.Info i = m.phase() == Machine.Phase.UNKNOWN ? pipeline.pendingRecord(m) : null;
       if (i != null && (i.phase() == Machine.Phase.UP || i.phase() == Machine.Phase.BOOTING)) {
         coming.merge(new Kind(i.type(), i.zone(), i.spot()), 1, Integer::sum);
       }
@@ -565,7 +566,7 @@
             this::pick);
     for (Map.Entry<Kind, Integer> e : wanted.entrySet()) {
       int n = Math.min(e.getValue(), RENT_MOST);
-      if (n > 0 && calls.take(1, 1, timers.nowMs())) {
+      if (n > 0 && calls.tryAcquire(1, 1, timers.nowMs())) {
         View v = tables.view();
         // Never used by anyone else: the epoch, this process and a counter are in it.
         String claim =
@@ -589,7 +590,7 @@
       FreeCapacity r = it.next();
       Machine.Info i = r.machine().info();
       if (i.phase() == Machine.Phase.BOOTING
-          && wall - i.atMs() > r.type().bootS() * 1000 * tuning.overdueBoots()) {
+          && wall - i.phaseSinceWallMs() > r.type().bootS() * 1000 * tuning.overdueBoots()) {
         it.remove();
         most--;
       }
@@ -657,7 +658,7 @@
   }
 
   private void ask(Rental r, int tries) {
-    if (!membership.leads()) {
+    if (!membership.isLeader()) {
       // Not ours to rent any more, perhaps since the answer to the last try was lost.
       rentals.remove(r);
       return;
@@ -754,7 +755,7 @@
         long nowMs,
         Settings settings,
         Types types,
-        Usage usage,
+        TeamUsage usage,
         List<FreeCapacity> rooms,
         List<Virtual> coming,
         Picker picker) {
@@ -769,23 +770,24 @@
       Map<Kind, Integer> wanted = new LinkedHashMap<>();
       Map<String, Integer> perZone = new HashMap<>();
       bins.forEach(b -> perZone.merge(b.zone, 1, Integer::sum));
-      Map<String, Share> leftOfLimit = new HashMap<>();
+      Map<String, QuotaShare> leftOfLimit = new HashMap<>();
       Set<String> savedFor = new HashSet<>();
       int seen = 0;
       int fresh = 0;
       for (Job job : waiting) {
-        Settings.Team team = Queue.team(settings, job.spec().team());
-        if (team == null || job.suspect() && job.retryAtMs() > nowMs) {
+        Settings.Team team = JobQueue.findTeam(settings, job.spec().team());
+        if (team == null || job.isSuspected() && job.retryAtMs() > nowMs) {
           continue;
         }
         // What seems to fail everywhere is tried, not provided for.
-        boolean one = job.suspect() && job.spec().shape() != JobSpec.Shape.GANG;
-        int most = one ? 1 : job.waiting();
-        Share need = new Share(job.spec().cpus(), job.spec().gpus());
-        Share left =
+        boolean one = job.isSuspected() && job.spec().shape() != JobSpec.Shape.GANG;
+        int most = one ? 1 : job.waitingCount();
+        QuotaShare need = new QuotaShare(job.spec().cpus(), job.spec().gpus());
+        QuotaShare left =
             leftOfLimit.computeIfAbsent(team.name(), k -> leftOf(team, usage.of(team.name())));
         int allowed =
-            FreeCapacity.tasksIn(job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
+            FreeCapacity.taskCapacity(
+                job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
         // What its team's limit forbids has no use for a machine: it runs where others have ended.
         // But for the first gang that waits for it: the limit is saved up for that one.
         boolean gang = job.spec().shape() == JobSpec.Shape.GANG;
@@ -830,8 +832,8 @@
     }
 
     /** What a team may use beyond what it does; without end where it has no limit. */
-    private static Share leftOf(Settings.Team team, Share used) {
-      return new Share(
+    private static QuotaShare leftOf(Settings.Team team, QuotaShare used) {
+      return new QuotaShare(
           team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.POSITIVE_INFINITY,
           team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/wickdrift/coordination/Queue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -10,7 +10,7 @@
 import java.util.NoSuchElementException;
 import java.util.TreeMap;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Usage;
+import wickdrift.bookkeeping.TeamUsage;
 import wickdrift.settings.Settings;
 
 /**
@@ -19,7 +19,7 @@
  * must start to be done in time (without a deadline: by age). Kept up to date by the changes of
  * jobs; no round sorts them anew.
  */
-final class Queue {
+final class JobQueue {
   private record Age(long acceptedMs, String id) {}
 
   private static final Comparator<Age> BY_AGE =
@@ -75,10 +75,10 @@
       new TreeMap<>(Comparator.comparingInt(Class::priority).thenComparingInt(Class::borrowed));
 
   private final Map<String, Settings.Team> byName = new HashMap<>();
-  private final Usage usage;
-  private final Promised promised = new Promised();
+  private final TeamUsage usage;
+  private final QueuedDemand waitingByPartition = new QueuedDemand();
 
-  Queue(Settings settings, Usage usage) {
+  JobQueue(Settings settings, TeamUsage usage) {
     this.usage = usage;
     settings.teams().forEach(t -> teams.put(t.name(), new Team(t)));
     settings.teams().forEach(t -> byName.put(t.name(), t));
@@ -102,10 +102,10 @@
       return;
     }
     // What waits for others holds nothing, asks for nothing, and is in nobody's way.
-    boolean counts = there && !j.withdrawn() && j.stage() == Job.Stage.READY;
+    boolean counts = there && !j.withdrawn() && j.dependencyState() == Job.DependencyState.READY;
     Team t = teams.get(j.spec().team());
     if (t != null && t.guarantees()) {
-      int n = counts ? j.size() - j.done() : 0;
+      int n = counts ? j.taskCount() - j.doneCount() : 0;
       Need need = new Need(n * j.spec().cpus(), n * j.spec().gpus());
       Need old = counts ? t.needs.put(j, need) : t.needs.remove(j);
       t.cpus += need.cpus - (old == null ? 0 : old.cpus);
@@ -117,13 +117,13 @@
       }
       t.stale = true;
     }
-    place(j, counts && j.waiting() > 0);
-    promised.changed(j, counts ? j.waiting() : 0);
+    place(j, counts && j.waitingCount() > 0);
+    waitingByPartition.update(j, counts ? j.waitingCount() : 0);
   }
 
   /** What waits at each part. */
-  Promised promised() {
-    return promised;
+  QueuedDemand waitingByPartition() {
+    return waitingByPartition;
   }
 
   private void place(Job j, boolean waits) {
@@ -133,7 +133,7 @@
       Team t = teams.get(j.spec().team());
       boolean in =
           t != null && t.guarantees() && (t.beyond == null || BY_AGE.compare(age(j), t.beyond) < 0);
-      now = new Place(j.rank().ordinal(), in ? 0 : 1, startBy(j));
+      now = new Place(j.effectivePriority().ordinal(), in ? 0 : 1, startBy(j));
     }
     if (now == null ? old == null : now.equals(old)) {
       return;
@@ -226,7 +226,7 @@
     if (beyond == null ? t.beyond != null : !beyond.equals(t.beyond)) {
       t.beyond = beyond;
       for (Job j : t.jobs.values()) {
-        place(j, j.waiting() > 0);
+        place(j, j.waitingCount() > 0);
       }
     }
   }
@@ -239,7 +239,7 @@
     return waiting.isEmpty();
   }
 
-  static Settings.Team team(Settings settings, String name) {
+  static Settings.Team findTeam(Settings settings, String name) {
     for (Settings.Team t : settings.teams()) {
       if (t.name().equals(name)) {
         return t;
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -32,7 +32,7 @@
 
   /** Why the job can never run, or null. */
   String impossible(JobSpec s) {
-    Settings.Team team = Queue.team(settings, s.team());
+    Settings.Team team = JobQueue.findTeam(settings, s.team());
     if (team == null) {
       return "unknown team";
     }
@@ -61,33 +61,36 @@
   /**
    * The part with most free room for it; gangs and what is large against a part go to the leader.
    */
-  String route(JobSpec s, Promised together) {
+  String route(JobSpec s, QueuedDemand together) {
     View v = tables.view();
     // A part holds its own zone's machines first: what must be in several is for who sees all.
-    boolean manyZones = s.spread() && s.tasks() > 1 && v.partsKeepToZones();
+    boolean manyZones = s.spread() && s.tasks() > 1 && v.partitionsAreZonal();
     if (s.shape() == JobSpec.Shape.GANG || manyZones) {
-      return Job.LEADER;
+      return Job.LEADER_PARTITION;
     }
-    CapacityIndex rooms = scheduling.rooms();
+    CapacityIndex rooms = scheduling.capacityIndex();
     // Room beside its image, if a part has enough of that for the whole job: elsewhere it would
     // wait for a fetch, which may take longer than its class has to start.
     // The one with most of it, counted far enough that several jobs at once do not meet there.
     String best = v.owner(s.id());
-    Promised waiting = scheduling.queue().promised();
+    QueuedDemand waiting = scheduling.queue().waitingByPartition();
     int enough = s.tasks() + BESIDE_MOST;
     int beside = Integer.MIN_VALUE;
     double free = Double.NEGATIVE_INFINITY;
     String freest = best;
     for (String part : inOrder(v, best)) {
-      int promised = waiting.besideImage(s, part) + together.besideImage(s, part);
+      int promised = waiting.tasksWithImage(s, part) + together.tasksWithImage(s, part);
       // Counted no further than that: with more promised the image is no reason to go there.
       int most = enough + Math.min(promised, BESIDE_MOST);
-      int n = Math.min(enough, rooms.freeBesideImage(s, part, most) - promised);
+      int n = Math.min(enough, rooms.taskCapacityWithImage(s, part, most) - promised);
       if (n > beside) {
         best = part;
         beside = n;
       }
-      double f = rooms.free(s, part) - waiting.tasks(s, part) - together.tasks(s, part);
+      double f =
+          rooms.estimateTaskCapacity(s, part)
+              - waiting.equivalentTasks(s, part)
+              - together.equivalentTasks(s, part);
       if (f > free + FreeCapacity.EPS) {
         freest = part;
         free = f;
@@ -96,10 +99,10 @@
     if (beside < s.tasks()) {
       best = freest;
     }
-    double total = rooms.machines(s);
+    double total = rooms.countCapableMachines(s);
     double partMachines = total / v.members().size();
     double wanted = s.tasks() * largestShare(s);
-    return total > 0 && wanted > tuning.largeShare() * partMachines ? Job.LEADER : best;
+    return total > 0 && wanted > tuning.largeShare() * partMachines ? Job.LEADER_PARTITION : best;
   }
 
   /** The members, the one that the hash names first: it is taken among equals. */
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.Bucket;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TerminalState;
+import wickdrift.bookkeeping.TokenBucket;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.settings.Settings;
@@ -26,24 +26,24 @@
   private static final int LOOK_UPS_MOST = 64;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final PauseDetector pauseDetector;
-  private final Confirmations confirmations;
+  private final WithdrawalConfirmations confirmations;
   private final Tuning tuning;
 
   /** By job, who waits for the read after the one that is out. */
   private final Map<String, List<Exchange>> lookUps = new HashMap<>();
 
-  private final Bucket reads;
-  private long shed;
+  private final TokenBucket reads;
+  private long shedCount;
 
   JobStatus(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       PauseDetector pauseDetector,
-      Confirmations confirmations,
+      WithdrawalConfirmations confirmations,
       Settings settings,
       Tuning tuning) {
     this.timers = timers;
@@ -53,12 +53,12 @@
     this.confirmations = confirmations;
     this.tuning = tuning;
     double share = settings.stateLimits().rps() / (settings.peers().size() + 1);
-    this.reads = new Bucket(share * tuning.lookUpShare(), timers.nowMs());
+    this.reads = new TokenBucket(share * tuning.lookUpShare(), timers.nowMs());
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
-  long shed() {
-    return shed;
+  long shedCount() {
+    return shedCount;
   }
 
   /**
@@ -66,8 +66,8 @@
    * submissions and withdrawals wait in the same line.
    */
   void poll(Exchange x, String id) {
-    if (pauseDetector.lateMs() > tuning.busyMs() && tables.finished(id) == null) {
-      shed++;
+    if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(id) == null) {
+      shedCount++;
       UserRequests.later(x);
     } else {
       status(x, id);
@@ -76,13 +76,13 @@
 
   /** Answers from tables that are no older than this request. */
   void status(Exchange x, String id) {
-    TerminalState fin = tables.finished(id);
+    TerminalState fin = tables.terminalState(id);
     if (fin != null) {
       // Final: no node can have told anyone anything newer.
       answerFinal(x, id, fin);
       return;
     }
-    if (ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       UserRequests.later(x);
       return;
     }
@@ -99,16 +99,16 @@
 
   void answerStatus(Exchange x, String id) {
     Job job = tables.job(id);
-    if (job == null && tables.finished(id) != null) {
+    if (job == null && tables.terminalState(id) != null) {
       // It has ended since it was asked for; where that is kept for good it may not stand yet.
-      answerFinal(x, id, tables.finished(id));
+      answerFinal(x, id, tables.terminalState(id));
       return;
     }
     if (job == null) {
       lookUp(x, id);
       return;
     }
-    if (job.stage() == Job.Stage.UNCLEAR && !job.withdrawn()) {
+    if (job.dependencyState() == Job.DependencyState.UNRESOLVED && !job.withdrawn()) {
       // It may have been withdrawn with one that it awaits, and someone may have been told so.
       UserRequests.later(x);
       return;
@@ -117,8 +117,10 @@
       tellWithdrawn(x, id);
       return;
     }
-    String phase = job.live() > 0 ? "running" : "pending";
-    x.reply(200, Map.of("ref", id, "phase", phase, "done", job.done(), "running", job.live()));
+    String phase = job.liveCount() > 0 ? "running" : "pending";
+    x.reply(
+        200,
+        Map.of("ref", id, "phase", phase, "done", job.doneCount(), "running", job.liveCount()));
   }
 
   /**
@@ -130,10 +132,10 @@
     List<Exchange> next = lookUps.get(id);
     if (next != null && next.size() < LOOK_UPS_MOST) {
       next.add(x);
-    } else if (next == null && reads.take(1, 0, timers.nowMs())) {
+    } else if (next == null && reads.tryAcquire(1, 0, timers.nowMs())) {
       read(id, List.of(x));
     } else {
-      shed++;
+      shedCount++;
       UserRequests.later(x);
     }
   }
@@ -141,7 +143,7 @@
   private void read(String id, List<Exchange> asking) {
     lookUps.put(id, new ArrayList<>());
     ledger.read(
-        Job.finalKey(id),
+        Job.terminalStateKey(id),
         r -> {
           List<Exchange> next = lookUps.remove(id);
           if (!next.isEmpty()) {
@@ -167,7 +169,7 @@
   void answerFinal(Exchange x, String id, Document value) {
     try {
       TerminalState how = TerminalState.parse(value);
-      tables.rememberFinished(id, how);
+      tables.rememberTerminalState(id, how);
       answerFinal(x, id, how);
     } catch (BadMessage e) {
       LOG.error("unreadable final record of {}: {}", id, e.getMessage());
@@ -183,14 +185,14 @@
     confirmations.whenKept(
         id,
         kept -> {
-          TerminalState fin = tables.finished(id);
+          TerminalState fin = tables.terminalState(id);
           Job job = tables.job(id);
           if (fin != null) {
             answerFinal(x, id, fin);
           } else if (!kept) {
             UserRequests.later(x);
           } else {
-            int done = job == null ? 0 : job.done();
+            int done = job == null ? 0 : job.doneCount();
             x.reply(
                 200,
                 Map.of("ref", id, "phase", TerminalState.WITHDRAWN, "done", done, "running", 0));
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
-import wickdrift.bookkeeping.Limits;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.LogPage;
+import wickdrift.bookkeeping.StateServiceClient;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Timers;
@@ -21,18 +21,18 @@
   private static final long SHELVES_MS = 5000;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Membership membership;
   private final Tuning tuning;
   private final String node;
-  private final Limits limits;
+  private final StateServiceLimits limits;
   private final Set<String> told = new HashSet<>();
   private long nextShelvesMs;
 
   LogCompaction(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Membership membership,
       Tuning tuning,
@@ -52,9 +52,9 @@
    */
   void draft(TransactionBuilder draft) {
     List<String> logs = new ArrayList<>(List.of(node));
-    if (membership.leads()) {
+    if (membership.isLeader()) {
       // A node outside the view can't write: the leader does it.
-      for (String n : tables.logs()) {
+      for (String n : tables.nodesWithLogPages()) {
         if (!tables.view().members().containsKey(n)) {
           logs.add(n);
         }
@@ -62,7 +62,7 @@
       forgetShelves(draft);
     }
     for (String n : logs) {
-      var pages = tables.log(n);
+      var pages = tables.logPages(n);
       // What has ended by the time its page is the oldest needs no folding.
       int keep = n.equals(node) ? tuning.logPages() : 0;
       if (pages.size() > (draft.empty() ? keep : 2 * keep)) {
@@ -71,43 +71,44 @@
     }
   }
 
-  private void fold(TransactionBuilder draft, Page p) {
-    Tables.Needed needed = tables.needed(p);
+  private void fold(TransactionBuilder draft, LogPage p) {
+    Tables.RequiredWrites needed = tables.requiredWrites(p);
     long rev = ledger.rev();
     for (Map.Entry<Job, Set<Integer>> e : needed.chunks().entrySet()) {
       Job job = e.getKey();
       for (int c : e.getValue()) {
-        if (!draft.hasRoom() || !draft.hasConditions()) {
+        if (!draft.canAddWrites() || !draft.canAddConditions()) {
           return;
         }
-        draft.when(job.key(), job.stamp());
-        Object value = job.storeChunk(c, rev, job::task, tables.form(), limits.usedBytes());
+        draft.addCondition(job.key(), job.stamp());
+        Object value =
+            job.chunkToStore(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
         if (tooLarge(value, job.chunkKey(c))) {
           return;
         }
         draft.write(job.chunkKey(c), value, job.chunkStamp(c));
       }
     }
-    for (String shelf : needed.shelves()) {
-      if (!draft.hasRoom() || !draft.hasConditions()) {
+    for (String shelf : needed.archiveBuckets()) {
+      if (!draft.canAddWrites() || !draft.canAddConditions()) {
         return;
       }
-      Map<String, Object> value = tables.encodeShelf(shelf, rev);
-      if (tooLarge(value, Tables.shelfKey(shelf))) {
+      Map<String, Object> value = tables.encodeArchiveBucket(shelf, rev);
+      if (tooLarge(value, Tables.archiveBucketKey(shelf))) {
         return;
       }
-      draft.write(Tables.shelfKey(shelf), value, tables.shelf(shelf).stamp());
+      draft.write(Tables.archiveBucketKey(shelf), value, tables.archiveBucket(shelf).stamp());
     }
     // In the same transaction: if a chunk can't be stored, the page stays.
-    if (draft.hasRoom() && draft.hasConditions()) {
-      draft.when(p.key(), p.stamp());
+    if (draft.canAddWrites() && draft.canAddConditions()) {
+      draft.addCondition(p.key(), p.stamp());
       draft.delete(p.key());
     }
   }
 
   /** Then its page stays: what it says is nowhere else. Told once a record. */
   private boolean tooLarge(Object value, String key) {
-    boolean over = MessageCodec.jsonSize(value) > limits.valueBytes();
+    boolean over = MessageCodec.jsonSize(value) > limits.maxValueBytes();
     if (over && told.add(key)) {
       LOG.error("{} would be larger than a value may be: the page that needs it stays", key);
     }
@@ -121,11 +122,13 @@
       return;
     }
     nextShelvesMs = now + SHELVES_MS;
-    long oldest = tables.oldestEntry();
-    for (Map.Entry<String, Tables.Shelf> e : tables.shelves().entrySet()) {
-      if (e.getValue().rev() < oldest && tables.emptyShelf(e.getKey()) && draft.hasRoom()) {
-        draft.when(Tables.shelfKey(e.getKey()), e.getValue().stamp());
-        draft.delete(Tables.shelfKey(e.getKey()));
+    long oldest = tables.oldestEntryRev();
+    for (Map.Entry<String, Tables.ArchiveBucket> e : tables.archiveBuckets().entrySet()) {
+      if (e.getValue().rev() < oldest
+          && tables.isArchiveBucketEmpty(e.getKey())
+          && draft.canAddWrites()) {
+        draft.addCondition(Tables.archiveBucketKey(e.getKey()), e.getValue().stamp());
+        draft.delete(Tables.archiveBucketKey(e.getKey()));
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/SilenceWatch.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -15,8 +15,8 @@
  * Looks regularly for machines that are silent or deaf, for workers whose lease has surely ended,
  * and for commands that only a higher epoch can make void.
  */
-final class SilenceWatch {
-  private static final Logger LOG = LoggerFactory.getLogger(SilenceWatch.class);
+final class MachineHealthMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
   private static final long PERIOD_MS = 500;
 
   /** A run that is unanswered for so long, and unwanted, is made void by a higher epoch. */
@@ -37,7 +37,7 @@
   private long epoch;
   private long epochSinceMs;
 
-  SilenceWatch(
+  MachineHealthMonitor(
       Timers timers,
       Tables tables,
       Membership membership,
@@ -63,7 +63,7 @@
   }
 
   /** An epoch has begun, as this node knows it. */
-  void epochBegins(long newEpoch, long nowMs) {
+  void onEpochStarted(long newEpoch, long nowMs) {
     epoch = newEpoch;
     epochSinceMs = nowMs;
   }
@@ -71,7 +71,7 @@
   private void watch() {
     timers.after(PERIOD_MS, this::watch);
     View view = tables.view();
-    if (view == null || membership.standing() != Membership.Standing.MEMBER) {
+    if (view == null || membership.status() != Membership.Status.MEMBER) {
       return;
     }
     long now = timers.nowMs();
@@ -88,7 +88,7 @@
         needsHigherEpoch |= needsHigherEpoch(machine, view, now);
       }
     }
-    zones.judge(pauseDetector.listeningSinceMs(), now);
+    zones.judge(pauseDetector.uninterruptedSinceMs(), now);
     if (needsHigherEpoch) {
       // Only a higher epoch, shown by the worker, proves that a command can't arrive any more.
       membership.raiseEpoch();
@@ -98,29 +98,32 @@
   private void silence(Machine machine, boolean up, boolean known, long now) {
     // A change of view is no news of a machine that was ours before: with one every few seconds
     // none would ever be found silent.
-    long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.listeningSinceMs());
+    long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
     if (known && silent > tuning.quietMs()) {
-      machine.quiet();
+      machine.markReportsOverdue();
       zones.silent(machine.info().zone());
     }
-    boolean deaf = machine.deafSinceMs() > 0 && now - machine.deafSinceMs() > tuning.lostMs();
-    if (up && (deaf || silent > tuning.lostMs()) && !pipeline.recording(machine)) {
+    boolean deaf =
+        machine.unreachableForCommandsSinceMs() > 0
+            && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
+    if (up && (deaf || silent > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
       LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
-      pipeline.record(machine, machine.info().with(Machine.Phase.LOST, timers.wallMs()));
+      pipeline.enqueueRecord(
+          machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
   }
 
   private void lapse(Machine machine, View view, long now) {
-    long base = machine.lapseBaseMs();
-    if (!machine.live().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
+    long base = machine.latestLeaseRenewalMs();
+    if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
       // No one can have renewed its lease since: the worker has killed all it had.
-      links.note(
-          CommandEvent.Kind.LEASE_LAPSED,
+      links.recordEvent(
+          CommandEvent.Kind.LEASE_EXPIRED,
           machine,
           machine.report(),
           view.epoch(),
           "not renewed for " + (now - base) + " ms");
-      pipeline.lapsed(machine);
+      pipeline.onWorkerLeaseExpired(machine);
       links.forgetRuns(machine);
     }
   }
@@ -128,7 +131,8 @@
   private boolean needsHigherEpoch(Machine machine, View view, long now) {
     // One that has begun anew is trusted again with a higher token; no more often than that has
     // time to reach the workers.
-    boolean anew = machine.trustedFrom() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
+    boolean anew =
+        machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
     return anew || uncertainStop(machine, now);
   }
 
@@ -137,18 +141,19 @@
    * be cleared for that, for longer than a lease: what is not cleared makes reports grow.
    */
   private boolean uncertainStop(Machine machine, long now) {
-    WorkerCommands commands = links.known(machine);
+    WorkerCommands commands = links.commandsIfKnown(machine);
     if (commands == null
-        || commands.quiet()
-        || now - machine.heardMs() > DirectCommands.ANSWER_MS) {
+        || commands.hasNoOutstandingRuns()
+        || now - machine.lastReportMs() > DirectCommands.ANSWER_TIMEOUT_MS) {
       return false;
     }
-    for (Machine.Slot slot : machine.live()) {
-      TaskAttempt attempt = new TaskAttempt(slot.task(), slot.state().attempt());
-      if (slot.unwanted() && commands.outstandingFor(attempt, epoch, UNCERTAIN_MS, now)) {
+    for (Machine.Slot slot : machine.slots()) {
+      TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
+      if (slot.mustStop()
+          && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_MS, now)) {
         return true;
       }
     }
-    return commands.clearOverdue(epoch, tuning.lapseMs(), now);
+    return commands.isClearOverdue(epoch, tuning.lapseMs(), now);
   }
 }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -13,17 +13,17 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wickdrift.bookkeeping.Ledger;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Announcement;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.LevelUpgrade;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.PeerFrame;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
@@ -42,7 +42,7 @@
   private static final long BARRIER_MS = 1500;
 
   /** How this node stands. */
-  public enum Standing {
+  public enum Status {
     /** No lease, or the view does not hold this incarnation. */
     OUTSIDE,
     /** In the view with a lease that surely holds. */
@@ -54,12 +54,12 @@
   private record Heard(boolean stateOk, long atMs, int writes) {}
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Tuning tuning;
   private final String node;
   private final Settings settings;
-  private final Range levels;
+  private final LevelRange levels;
   private final String process;
   private final Map<String, Consumer<ByteBuffer>> peers;
   private final Map<Integer, Heard> heard = new HashMap<>();
@@ -101,11 +101,11 @@
   /** Asks for no lease before it is started. */
   public Membership(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Tuning tuning,
       Settings settings,
-      Range levels,
+      LevelRange levels,
       String incarnation,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
@@ -125,28 +125,28 @@
   }
 
   /** What this node may do now. */
-  public Standing standing() {
+  public Status status() {
     View v = tables.view();
     // What can't be read whole, or stands at a level that this build does not speak, proves
     // nothing.
     if (v == null
         || stage == Stage.GONE
-        || tables.barred() != null
+        || tables.blockedReason() != null
         || !incarnation.equals(v.members().get(node))) {
-      return Standing.OUTSIDE;
+      return Status.OUTSIDE;
     }
     long now = timers.nowMs();
     if (now < leaseUntilMs && caughtUp) {
-      return Standing.MEMBER;
+      return Status.MEMBER;
     }
-    return now < leaseUntilMs + tuning.graceMs() ? Standing.GRACE : Standing.OUTSIDE;
+    return now < leaseUntilMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
   }
 
   /**
    * This process has stood still. Its lease may hold, but the view may have changed: it decides
    * nothing, and answers no report with an epoch that may be superseded, until it has caught up.
    */
-  public void woke() {
+  public void onProcessResumed() {
     caughtUp = false;
     catchUp();
   }
@@ -170,20 +170,20 @@
   }
 
   /** Whether this node is there with a lease that holds, and the view has no room for it. */
-  public boolean spare() {
+  public boolean isSpare() {
     return timers.nowMs() < leaseUntilMs
         && caughtUp
         && stage == Stage.SERVING
-        && tables.barred() == null
+        && tables.blockedReason() == null
         && incarnation.equals(tables.members().get(node));
   }
 
-  public boolean leads() {
-    return standing() == Standing.MEMBER && node.equals(tables.view().leader());
+  public boolean isLeader() {
+    return status() == Status.MEMBER && node.equals(tables.view().leader());
   }
 
   /** True when a peer has shown a view newer than ours: ours must not be acted on. */
-  public boolean outdated() {
+  public boolean isViewOutdated() {
     return tables.view() != null && peerEpoch > tables.view().epoch();
   }
 
@@ -191,7 +191,7 @@
    * True when we are not served by the state service, and a peer says that it is, or none is heard:
    * who has lost both has only its workers, and users are better off anywhere else.
    */
-  public boolean aloneWithoutState() {
+  public boolean isIsolated() {
     if (ledger.reachable()) {
       return false;
     }
@@ -204,8 +204,8 @@
     timers.after(TICK_MS, this::tick);
     keepLease();
     catchUp();
-    if (ledger.phase() == Ledger.Phase.FOLLOWING
-        && tables.barred() == null
+    if (ledger.phase() == StateServiceClient.Phase.FOLLOWING
+        && tables.blockedReason() == null
         && stage == Stage.SERVING) {
       keepMember();
       keepRoster();
@@ -220,13 +220,13 @@
 
   private void keepLease() {
     long now = timers.nowMs();
-    if (asking || stage == Stage.GONE || tables.barred() != null) {
+    if (asking || stage == Stage.GONE || tables.blockedReason() != null) {
       // Who may not take part asks for no lease, and lets the one it has end.
       return;
     }
     if (tether == 0) {
       asking = true;
-      ledger.grant(
+      ledger.grantLease(
           tuning.memberLeaseMs(),
           t -> {
             asking = false;
@@ -239,7 +239,7 @@
     } else if (leaseUntilMs - now < tuning.memberLeaseMs() * 3 / 4) {
       asking = true;
       long asked = tether;
-      ledger.extend(
+      ledger.extendLease(
           asked,
           status -> {
             asking = false;
@@ -271,42 +271,44 @@
       return;
     }
     NodeRegistry registry = tables.registry();
-    Announcement known = registry.announced(node);
+    NodeRecord known = registry.nodeRecord(node);
     List<String> names = settings.nodeNames();
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     boolean may = mayJoin(names);
-    if (!registry.hasList()) {
+    if (!registry.hasStoredInitialNames()) {
       if (!may) {
         return;
       }
       // Before anyone has a number: else two might be given one of different lists.
-      txn.when(NodeRegistry.LIST, 0).write(NodeRegistry.LIST, NodeRegistry.listToStore(names));
+      txn.requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
+          .write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
     }
-    if (known == null || !known.range().equals(levels) || !known.peers().equals(names)) {
-      int number = registry.number(node) < 0 ? registry.nextNumber() : registry.number(node);
-      Announcement next =
+    if (known == null || !known.levels().equals(levels) || !known.peers().equals(names)) {
+      int number = registry.numberOf(node) < 0 ? registry.nextNumber() : registry.numberOf(node);
+      NodeRecord next =
           known == null
-              ? Announcement.fresh(number, node, levels, names)
-              : known.with(levels, names);
-      txn.when(Announcement.key(number), next.stamp())
-          .write(Announcement.key(number), next.toStore());
+              ? NodeRecord.create(number, node, levels, names)
+              : known.withLevels(levels, names);
+      txn.requireStamp(NodeRecord.key(number), next.stamp())
+          .write(NodeRecord.key(number), next.toStore());
     }
     if (may) {
       Map<String, Object> member = new LinkedHashMap<>();
       member.put("inc", incarnation);
       member.put("zone", settings.zone());
-      levels.into(member);
-      txn.when("w/m/" + node, tables.memberStamp(node)).write("w/m/" + node, member, tether);
+      levels.addTo(member);
+      txn.requireStamp("w/m/" + node, tables.memberStamp(node))
+          .write("w/m/" + node, member, tether);
     }
-    if (txn.changes() == 0) {
+    if (txn.changeCount() == 0) {
       return;
     }
     writing = true;
     ledger.commit(
         txn,
-        Ledger.Rank.AUTHORITY,
+        StateServiceClient.WritePriority.AUTHORITY,
         r -> {
-          if (r.noLease()) {
+          if (r.leaseNotFound()) {
             tether = 0;
           }
           ledger.barrier(2000, ok -> writing = false);
@@ -321,12 +323,12 @@
   private boolean mayJoin(List<String> names) {
     NodeRegistry registry = tables.registry();
     View v = tables.view();
-    if (tables.open(Gate.NUMBERS)) {
+    if (tables.isOpen(Gate.NUMBERS)) {
       return true;
     }
     boolean same =
-        registry.hasList()
-            ? registry.first().equals(names)
+        registry.hasStoredInitialNames()
+            ? registry.initialNames().equals(names)
             : v == null || names.containsAll(v.members().keySet());
     if (!same) {
       say(
@@ -335,7 +337,9 @@
               + " is in force: the settings name "
               + names
               + ", and the others go by "
-              + (registry.hasList() ? registry.first() : v.members().keySet()));
+              + (registry.hasStoredInitialNames()
+                  ? registry.initialNames()
+                  : v.members().keySet()));
     }
     return same;
   }
@@ -354,23 +358,26 @@
    * rises would stay outside for ever.
    */
   private void keepRoster() {
-    if (writing || !leads()) {
+    if (writing || !isLeader()) {
       return;
     }
     NodeRegistry registry = tables.registry();
-    Txn txn = new Txn().when(View.KEY, tables.viewStamp());
-    for (Map.Entry<String, Range> m : tables.announcedLive().entrySet()) {
-      Announcement a = registry.announced(m.getKey());
-      if (a != null && !a.range().equals(m.getValue()) && txn.changes() == 0) {
+    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
+    for (Map.Entry<String, LevelRange> m : tables.memberLevels().entrySet()) {
+      NodeRecord a = registry.nodeRecord(m.getKey());
+      if (a != null && !a.levels().equals(m.getValue()) && txn.changeCount() == 0) {
         LOG.info("{} speaks levels {} now", a.name(), m.getValue());
-        txn.when(Announcement.key(a.number()), a.stamp())
-            .when("w/m/" + a.name(), tables.memberStamp(a.name()))
-            .write(Announcement.key(a.number()), a.with(m.getValue(), a.peers()).toStore());
+        txn.requireStamp(NodeRecord.key(a.number()), a.stamp())
+            .requireStamp("w/m/" + a.name(), tables.memberStamp(a.name()))
+            .write(NodeRecord.key(a.number()), a.withLevels(m.getValue(), a.peers()).toStore());
       }
     }
-    if (txn.changes() > 0) {
+    if (txn.changeCount() > 0) {
       writing = true;
-      ledger.commit(txn, Ledger.Rank.WORK, r -> ledger.barrier(2000, ok -> writing = false));
+      ledger.commit(
+          txn,
+          StateServiceClient.WritePriority.WORK,
+          r -> ledger.barrier(2000, ok -> writing = false));
     }
   }
 
@@ -379,23 +386,28 @@
    * rewritten nobody places anything: what was prepared before is conditional on them alone.
    */
   private void fenceParts() {
-    if (writing || !leads()) {
+    if (writing || !isLeader()) {
       return;
     }
-    Txn txn = new Txn().when(View.KEY, tables.viewStamp());
-    for (String n : tables.unfencedParts()) {
-      Partition p = tables.part(n);
-      if (txn.changes() < ledger.limits().txnOps()) {
+    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
+    for (String n : tables.unfencedPartitions()) {
+      Partition p = tables.partition(n);
+      if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
         Partition told =
-            p.form() == Form.FIRST ? Quota.numbered(p, n, tables.registry(), settings) : p;
-        txn.when(Partition.key(n), p.stamp())
+            p.encoding() == Encoding.FIRST
+                ? Quota.toNumberedEncoding(p, n, tables.registry(), settings)
+                : p;
+        txn.requireStamp(Partition.key(n), p.stamp())
             .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
       }
     }
-    if (txn.changes() > 0) {
-      LOG.info("writing {} parts anew for the view to count", txn.changes());
+    if (txn.changeCount() > 0) {
+      LOG.info("writing {} parts anew for the view to count", txn.changeCount());
       writing = true;
-      ledger.commit(txn, Ledger.Rank.AUTHORITY, r -> ledger.barrier(2000, ok -> writing = false));
+      ledger.commit(
+          txn,
+          StateServiceClient.WritePriority.AUTHORITY,
+          r -> ledger.barrier(2000, ok -> writing = false));
     }
   }
 
@@ -409,7 +421,7 @@
   }
 
   /** Whether this process was told to end. */
-  public boolean leaving() {
+  public boolean isLeaving() {
     return stage != Stage.SERVING;
   }
 
@@ -418,14 +430,14 @@
    *
    * @param done called once the state service has answered, or has not in time
    */
-  public void giveBack(Runnable done) {
+  public void releaseLease(Runnable done) {
     if (stage == Stage.GONE || tether == 0) {
       to(Stage.GONE, "without a lease");
       done.run();
       return;
     }
     to(Stage.GONE, "giving the lease back");
-    ledger.revoke(tether, done);
+    ledger.revokeLease(tether, done);
   }
 
   private void to(Stage next, String why) {
@@ -440,17 +452,17 @@
   private void considerView() {
     View now = tables.view();
     View next = View.next(now, tables.members(), tables.memberZones());
-    View base = next != null ? next : now == null ? null : now.raised();
+    View base = next != null ? next : now == null ? null : now.withNextEpoch();
     long nowMs = timers.nowMs();
     if (base == null || proposing || nowMs >= leaseUntilMs || !mayPropose()) {
       differsSinceMs = -1;
       return;
     }
     LevelUpgrade rise =
-        LevelUpgrade.judge(
-            base.level(), levels, tables.announcedLive(), settings.nodeNames(), tables.registry());
-    boolean rises = rise.level() > base.level() && tables.registry().hasList();
-    View wanted = fitting(rises ? base.at(rise.level()) : base);
+        LevelUpgrade.evaluate(
+            base.level(), levels, tables.memberLevels(), settings.nodeNames(), tables.registry());
+    boolean rises = rise.level() > base.level() && tables.registry().hasStoredInitialNames();
+    View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
     boolean same = now != null && wanted.members().equals(now.members());
     if (same && !rises) {
       differsSinceMs = -1;
@@ -467,9 +479,9 @@
     if (rises) {
       LOG.info("level {} may come into force: all speak it", rise.level());
       Map<String, Long> conditions = new LinkedHashMap<>(rise.conditions());
-      conditions.put(NodeRegistry.LIST, tables.registry().listStamp());
+      conditions.put(NodeRegistry.INITIAL_NAMES_KEY, tables.registry().initialNamesStamp());
       tables
-          .announcedLive()
+          .memberLevels()
           .keySet()
           .forEach(m -> conditions.put("w/m/" + m, tables.memberStamp(m)));
       propose(wanted, conditions);
@@ -499,10 +511,10 @@
    */
   private View fitting(View next) {
     View now = tables.view();
-    if (next.open(Gate.VIEWS)) {
+    if (next.isOpen(Gate.VIEWS)) {
       return named(next);
     }
-    int most = ledger.limits().txnOps() - 1;
+    int most = ledger.limits().maxTransactionChanges() - 1;
     TreeSet<String> all = new TreeSet<>(next.members().keySet());
     all.addAll(now == null ? Set.of() : now.members().keySet());
     if (all.size() <= most) {
@@ -531,7 +543,7 @@
     zones.keySet().retainAll(fewer.keySet());
     String leader =
         fewer.containsKey(next.leader()) ? next.leader() : fewer.keySet().iterator().next();
-    return next.with(fewer, leader, zones);
+    return next.withMembers(fewer, leader, zones);
   }
 
   /**
@@ -541,8 +553,8 @@
    */
   private View named(View next) {
     // The switch itself rewrites parts still, on condition of each.
-    int parts = tables.open(Gate.VIEWS) ? 0 : ledger.limits().txnOps() - 1;
-    int most = ledger.limits().conditions() - BESIDE_MEMBERS - parts;
+    int parts = tables.isOpen(Gate.VIEWS) ? 0 : ledger.limits().maxTransactionChanges() - 1;
+    int most = ledger.limits().maxTransactionConditions() - BESIDE_MEMBERS - parts;
     if (next.members().size() <= most) {
       return next;
     }
@@ -584,44 +596,47 @@
     View v = tables.view();
     // Spares are there too.
     boolean whole = tables.members().entrySet().containsAll(v.members().entrySet());
-    if (!proposing && standing() == Standing.MEMBER && whole) {
-      propose(v.raised(), Map.of());
+    if (!proposing && status() == Status.MEMBER && whole) {
+      propose(v.withNextEpoch(), Map.of());
     }
   }
 
   private void propose(View next, Map<String, Long> conditions) {
     proposing = true;
-    Txn txn = new Txn().when(View.KEY, tables.viewStamp()).write(View.KEY, next.toStore());
-    next.members().keySet().forEach(m -> txn.when("w/m/" + m, tables.memberStamp(m)));
+    Transaction txn =
+        new Transaction()
+            .requireStamp(View.KEY, tables.viewStamp())
+            .write(View.KEY, next.toStore());
+    next.members().keySet().forEach(m -> txn.requireStamp("w/m/" + m, tables.memberStamp(m)));
     // Rewriting the parts makes whatever was prepared under the old view fail. Those of nodes in
     // neither view were rewritten when they left: nothing of theirs can come any more. Since what
     // is prepared is conditional on the view itself, they are rewritten no more; at the switch, as
     // many as the transaction holds, and the rest before anything is placed.
     Set<String> all = new LinkedHashSet<>();
-    if (!tables.open(Gate.VIEWS)) {
+    if (!tables.isOpen(Gate.VIEWS)) {
       all.addAll(
-          tables.view() == null ? tables.parts().keySet() : tables.view().members().keySet());
+          tables.view() == null ? tables.partitions().keySet() : tables.view().members().keySet());
       all.addAll(next.members().keySet());
     }
-    int parts = next.open(Gate.VIEWS) ? ledger.limits().txnOps() - 1 : all.size();
+    int parts = next.isOpen(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
     for (String m : all) {
       if (parts-- <= 0) {
         break;
       }
-      Partition p = tables.part(m);
-      Partition told = p == null ? Partition.fresh(0, Form.at(next.level())) : p;
-      if (next.open(Gate.NUMBERS) && told.form() == Form.FIRST) {
-        told = Quota.numbered(told, m, tables.registry(), settings);
+      Partition p = tables.partition(m);
+      Partition told = p == null ? Partition.empty(0, Encoding.forLevel(next.level())) : p;
+      if (next.isOpen(Gate.NUMBERS) && told.encoding() == Encoding.FIRST) {
+        told = Quota.toNumberedEncoding(told, m, tables.registry(), settings);
       }
-      txn.when(Partition.key(m), p == null ? 0 : p.stamp());
+      txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
       txn.write(Partition.key(m), told.inEpoch(next.epoch()).toStore());
     }
     // Nobody outside the view acts, so what is known of them is asked for as far as it fits.
-    int most = ledger.limits().conditions();
+    int most = ledger.limits().maxTransactionConditions();
     conditions.forEach(
         (key, stamp) -> {
           if (txn.conditions().size() < most) {
-            txn.when(key, stamp);
+            txn.requireStamp(key, stamp);
           }
         });
     LOG.info(
@@ -632,7 +647,7 @@
         next.leader());
     ledger.commit(
         txn,
-        Ledger.Rank.AUTHORITY,
+        StateServiceClient.WritePriority.AUTHORITY,
         r ->
             ledger.barrier(
                 2000,
@@ -657,10 +672,10 @@
     if (v == null) {
       return;
     }
-    int there = Math.max(v.members().size(), tables.announcedLive().size());
-    ledger.sharedBy(there, node.equals(v.leader()));
-    double fair = ledger.fairWrites();
-    double even = ledger.evenWrites();
+    int there = Math.max(v.members().size(), tables.memberLevels().size());
+    ledger.divideLimits(there, node.equals(v.leader()));
+    double fair = ledger.fairWriteRate();
+    double even = ledger.evenWriteRate();
     long now = timers.nowMs();
     int known = 0;
     double others = 0;
@@ -671,23 +686,24 @@
       }
     }
     int unknown = Math.max(0, there - 1 - known);
-    ledger.othersWrite(others + unknown * even / 2, Math.max(fair, toldWrites * RAMP));
-    toldWrites = ledger.writing();
+    ledger.setOtherMembersWriteRate(others + unknown * even / 2, Math.max(fair, toldWrites * RAMP));
+    toldWrites = ledger.recentWriteRate();
   }
 
   private void tellPeers() {
     long epoch = tables.view() == null ? 0 : tables.view().epoch();
-    int number = tables.registry().number(node);
+    int number = tables.registry().numberOf(node);
     if (number < 0) {
       return;
     }
     ByteBuffer frame =
-        new PeerFrame.Standing(number, epoch, ledger.reachable(), (int) Math.ceil(ledger.writing()))
+        new PeerFrame.Standing(
+                number, epoch, ledger.reachable(), (int) Math.ceil(ledger.recentWriteRate()))
             .encode();
     peers.values().forEach(p -> p.accept(frame.duplicate()));
   }
 
-  public void peerStands(PeerFrame.Standing s) {
+  public void handlePeerStatus(PeerFrame.Standing s) {
     heard.put(s.from(), new Heard(s.stateOk(), timers.nowMs(), s.writes()));
     peerEpoch = Math.max(peerEpoch, s.epoch());
   }
--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -21,7 +21,7 @@
    *
    * @param as the priority for whose sake they are stopped: only lower ones are
    */
-  static List<Choice> cheapest(
+  static List<Choice> cheapestChoices(
       List<FreeCapacity> rooms,
       JobSpec spec,
       JobSpec.Priority as,
@@ -48,14 +48,14 @@
     double gpus = r.freeGpus();
     double memory = r.freeMemoryGb();
     List<Machine.Slot> candidates = new ArrayList<>();
-    for (Machine.Slot s : r.machine().live()) {
+    for (Machine.Slot s : r.machine().slots()) {
       JobSpec o = s.job().spec();
-      if (s.unwanted()) {
+      if (s.mustStop()) {
         cpus += o.cpus();
         gpus += o.gpus();
         memory += o.memoryGb();
-      } else if (s.job().rank().ordinal() > as.ordinal()
-          && s.job().rank().ordinal() >= strongest.ordinal()) {
+      } else if (s.job().effectivePriority().ordinal() > as.ordinal()
+          && s.job().effectivePriority().ordinal() >= strongest.ordinal()) {
         candidates.add(s);
       }
     }
--- a/src/main/java/wickdrift/coordination/Reporting.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -8,8 +8,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.coordination.commands.CommandEvent;
@@ -29,8 +29,8 @@
  * Answers the reports of the workers of this node's part, and knows which of its machines obey it
  * alone. What a worker is told is decided by {@link CommandPlanner}.
  */
-public final class Reporting {
-  private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
+public final class ReportHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
   /** A command that was sent straight and in answers has come by then, or does not come. */
   private static final long IGNORED_MS = 3500;
@@ -38,19 +38,19 @@
   private static final long CATCH_UP_MS = 1000;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final Membership membership;
   private final TransactionPipeline pipeline;
   private final Tuning tuning;
   private final String node;
-  private final Relay relay;
+  private final ReportRelay relay;
   private final Zones zones;
   private final MalformedMessages malformed;
   private final WorkerLinks links;
   private final CommandPlanner planner;
   private final DirectCommands directCommands;
-  private final SilenceWatch silenceWatch;
+  private final MachineHealthMonitor silenceWatch;
 
   /** Machines that were told of their owner in this view. */
   private final Set<String> sentAway = new HashSet<>();
@@ -68,15 +68,15 @@
   private Set<String> owned = new HashSet<>();
 
   /** Answers no report before the tables are loaded. */
-  public Reporting(
+  public ReportHandler(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       Membership membership,
       TransactionPipeline pipeline,
       Tuning tuning,
       Caller caller,
-      Relay relay,
+      ReportRelay relay,
       PauseDetector pauseDetector,
       Zones zones,
       WorkerLinks links,
@@ -99,7 +99,7 @@
     directCommands =
         new DirectCommands(timers, tables, membership, links, planner, caller, leaseMs, malformed);
     silenceWatch =
-        new SilenceWatch(
+        new MachineHealthMonitor(
             timers, tables, membership, pipeline, tuning, pauseDetector, zones, links, node);
   }
 
@@ -115,9 +115,9 @@
     if (v != null && v.epoch() != viewEpoch) {
       viewChanged(v);
     }
-    if (v != null && membership.standing() == Membership.Standing.MEMBER) {
+    if (v != null && membership.status() == Membership.Status.MEMBER) {
       for (Machine m : changed) {
-        if (owned.contains(m.name()) && m.takeChanged()) {
+        if (owned.contains(m.name()) && m.pollChanged()) {
           directCommands.send(m, true);
         }
       }
@@ -133,7 +133,7 @@
     viewEpoch = v.epoch();
     sentAway.clear();
     viewSinceMs = timers.nowMs();
-    silenceWatch.epochBegins(viewEpoch, viewSinceMs);
+    silenceWatch.onEpochStarted(viewEpoch, viewSinceMs);
     LOG.info(
         "epoch {}: members with incarnations {}, leader {}, read at revision {}",
         v.epoch(),
@@ -147,19 +147,19 @@
     Set<String> now = new HashSet<>();
     unheard.clear();
     for (Machine m : tables.machines()) {
-      m.synced(false);
+      m.setEpochAcknowledged(false);
       if (node.equals(m.owner(v))) {
         now.add(m.name());
         if (skipped || !wasOurs(m)) {
           // Its owner until now may go on answering it for as long as the grace allows.
-          m.forgetReports(viewSinceMs + tuning.graceMs(), viewSinceMs);
+          m.resetReports(viewSinceMs + tuning.graceMs(), viewSinceMs);
           links.forgetRuns(m);
         }
         if (m.report() == null && m.phase() == Machine.Phase.UP) {
           unheard.add(m.name());
         }
       } else {
-        m.forgetReports(0, viewSinceMs);
+        m.resetReports(0, viewSinceMs);
         links.drop(m);
       }
     }
@@ -188,12 +188,12 @@
 
   // ---- reports ----
 
-  public void hello(Exchange x) {
+  public void handleReport(Exchange x) {
     hello(x, true);
   }
 
   /** A report that a peer passed on: never passed on again. */
-  public void relayed(Exchange x) {
+  public void handleRelayedReport(Exchange x) {
     hello(x, false);
   }
 
@@ -218,17 +218,17 @@
     }
     zones.heard(r.zone(), timers.nowMs());
     View v = tables.view();
-    if (v == null || ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (v == null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       x.reply(503, null, 1);
       return;
     }
-    if (r.epoch() > v.epoch() || membership.outdated()) {
+    if (r.epoch() > v.epoch() || membership.isViewOutdated()) {
       // Someone else commands by now: catch up, and let the worker find them.
       ledger.barrier(2000, ok -> {});
       x.reply(421, Map.of());
       return;
     }
-    Membership.Standing standing = membership.standing();
+    Membership.Status standing = membership.status();
     String owner = v.owner(r.machine(), r.zone());
     if (!owner.equals(node)) {
       // A worker that knows this epoch has been answered by its owner, and has left it: it can't
@@ -240,21 +240,21 @@
               || before != null
                   && r.epoch() == before.epoch()
                   && owner.equals(before.owner(r.machine(), r.zone()));
-      if (left && mayRelay && relay.pass(x, owner)) {
+      if (left && mayRelay && relay.forward(x, owner)) {
         return;
       }
       sentAway.add(r.machine());
       // A spare knows as much as a member; who is cut off from the store may not.
-      boolean knows = standing == Membership.Standing.MEMBER || membership.spare();
+      boolean knows = standing == Membership.Status.MEMBER || membership.isSpare();
       x.reply(421, knows ? Map.of("upstream", owner) : Map.of());
       return;
     }
-    if (standing == Membership.Standing.OUTSIDE) {
+    if (standing == Membership.Status.OUTSIDE) {
       x.reply(503, null, 1);
       return;
     }
-    Machine m = tables.machineOrNew(r.machine());
-    if (m.hasOwnNewerThan(r)) {
+    Machine m = tables.getOrCreateMachine(r.machine());
+    if (m.hasNewerUnsolicitedReport(r)) {
       // A copy: its worker has long had an answer, or has given up. It proves nothing, and an
       // answer that would renew a lease is not given. Or its machine was back so soon that nobody
       // missed it, and its worker counts from one again: only an answer of its own can tell.
@@ -263,31 +263,31 @@
       return;
     }
     Report last = m.report();
-    boolean late = last != null && m.proved() && r.notNewerThan(last);
+    boolean late = last != null && m.provedAlive() && r.notNewerThan(last);
     List<Order> orders;
     if (!late) {
       long now = timers.nowMs();
-      boolean proves = m.heard(r, v.epoch(), now);
-      m.synced(proves && r.epoch() == v.epoch());
+      boolean proves = m.receiveReport(r, v.epoch(), now);
+      m.setEpochAcknowledged(proves && r.epoch() == v.epoch());
       if (proves) {
-        links.commands(m).shown(r.epoch(), r.tenure());
+        links.commands(m).epochReported(r.epoch(), r.tenure());
       }
-      m.listens(r, proves, ignores(m, r, now), leaseMs, now);
+      m.updateCommandReachability(r, proves, ignores(m, r, now), leaseMs, now);
       if (unheard.remove(m.name()) && unheard.isEmpty()) {
         pipeline.settle();
       }
       note(m, r, proves);
       // What may be a copy proves nothing: it is answered, so that the next one shows our token.
-      boolean whole = standing == Membership.Standing.MEMBER && proves;
+      boolean whole = standing == Membership.Status.MEMBER && proves;
       orders = planner.plan(m, r, new CommandPlanner.Scope(whole, true));
     } else {
       // Its answer renews the lease too, should the worker still wait for it.
       orders = planner.haltsOfCancelled(m);
     }
-    m.answered(timers.nowMs(), v.epoch());
+    m.recordAnswer(timers.nowMs(), v.epoch());
     // One that is newly ours need not wait for its next report to prove itself.
-    boolean unproved = !late && !m.proved() && m.phase() == Machine.Phase.UP;
-    if (m.deafSinceMs() > 0 || unproved) {
+    boolean unproved = !late && !m.provedAlive() && m.phase() == Machine.Phase.UP;
+    if (m.unreachableForCommandsSinceMs() > 0 || unproved) {
       directCommands.probe(m, r.tenure());
     }
     Map<String, Object> body = new LinkedHashMap<>();
@@ -300,7 +300,7 @@
   /** Brings the machine's durable record up to what the report says. */
   private void note(Machine m, Report r, boolean proves) {
     owned.add(m.name());
-    if (!proves || m.deafSinceMs() > 0) {
+    if (!proves || m.unreachableForCommandsSinceMs() > 0) {
       // Perhaps a copy of what a machine said that is gone by now; or one that nothing reaches.
       return;
     }
@@ -312,18 +312,19 @@
           case UP -> wanted == Machine.Phase.DRAINING;
           case DRAINING, GONE -> false;
         };
-    if (change && !pipeline.recording(m)) {
-      pipeline.record(m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
+    if (change && !pipeline.hasPendingRecord(m)) {
+      pipeline.enqueueRecord(
+          m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
     }
   }
 
   /** Whether a report lacks a task that its worker was told to run longer ago than that takes. */
   private boolean ignores(Machine m, Report r, long now) {
     WorkerCommands commands = links.commands(m);
-    for (Machine.Slot slot : m.live()) {
-      TaskAttempt attempt = new TaskAttempt(slot.task(), slot.state().attempt());
+    for (Machine.Slot slot : m.slots()) {
+      TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
       if (commands.ignoredFor(attempt, IGNORED_MS, now)
-          && r.tasks().stream().noneMatch(e -> e.task().equals(slot.task()))) {
+          && r.tasks().stream().noneMatch(e -> e.task().equals(slot.taskName()))) {
         return true;
       }
     }
@@ -336,14 +337,14 @@
    * Stops a job whose withdrawal a peer has told of. Without the state service too: what is there
    * of it is over for good, whoever holds authority.
    */
-  public void stop(Job job) {
-    Membership.Standing standing = membership.standing();
-    if (standing == Membership.Standing.OUTSIDE) {
+  public void haltTasksOf(Job job) {
+    Membership.Status standing = membership.status();
+    if (standing == Membership.Status.OUTSIDE) {
       return;
     }
     for (Machine m : job.machines()) {
       if (owned.contains(m.name())) {
-        directCommands.send(m, standing == Membership.Standing.MEMBER);
+        directCommands.send(m, standing == Membership.Status.MEMBER);
       }
     }
   }
@@ -355,23 +356,23 @@
    * its fetch. Once so, it stays so: a later view's owner has read of the withdrawal. Where a lease
    * that nobody renews would outlast a cancellation, nothing of the job may be left at all.
    */
-  public boolean obeys(Machine m, String job) {
+  public boolean canConfirmWithdrawal(Machine m, String job) {
     View v = tables.view();
     Report r = m.report();
     if (v == null || !node.equals(m.owner(v)) || v.epoch() != viewEpoch) {
       return false;
     }
-    if (r == null || !m.synced() || !m.proved()) {
+    if (r == null || !m.epochAcknowledged() || !m.provedAlive()) {
       return false;
     }
     WorkerCommands commands = links.commands(m);
     // One that was sent and shown is asked for too: it may be under way once more.
-    Verdict verdict = commands.mayStartNothingOf(job);
-    if (verdict.allowed()) {
+    Verdict verdict = commands.verifyNoRunPending(job);
+    if (verdict.isAllowed()) {
       verdict = shownHarmless(commands, r, job);
     }
-    links.note(CommandEvent.Kind.CONFIRMATION, m, r, viewEpoch, job + ": " + verdict);
-    return verdict.allowed();
+    links.recordEvent(CommandEvent.Kind.CONFIRMATION, m, r, viewEpoch, job + ": " + verdict);
+    return verdict.isAllowed();
   }
 
   private Verdict shownHarmless(WorkerCommands commands, Report r, String job) {
@@ -384,6 +385,6 @@
         return Verdict.ANSWER_UNDER_WAY;
       }
     }
-    return Verdict.PROVED;
+    return Verdict.PROVEN;
   }
 }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.JobSpec;
@@ -25,7 +25,7 @@
   private final CapacityIndex rooms;
   private final Types types;
   private final Tuning tuning;
-  private final Limits limits;
+  private final StateServiceLimits limits;
 
   /** By gang, the machines that take no new tasks until it starts or gives them up. */
   private final Map<String, List<Machine>> reservations = new LinkedHashMap<>();
@@ -33,11 +33,15 @@
   private long nextMarksMs;
 
   Reservations(
-      Tables tables, SchedulingState scheduling, Types types, Tuning tuning, Limits limits) {
+      Tables tables,
+      SchedulingState scheduling,
+      Types types,
+      Tuning tuning,
+      StateServiceLimits limits) {
     this.types = types;
     this.tables = tables;
     this.scheduling = scheduling;
-    this.rooms = scheduling.rooms();
+    this.rooms = scheduling.capacityIndex();
     this.tuning = tuning;
     this.limits = limits;
   }
@@ -80,14 +84,14 @@
       wanted.computeIfAbsent(m.owner(v), k -> new ArrayList<>()).add(m.name());
     }
     for (String member : v.members().keySet()) {
-      Partition p = tables.partNow(member);
+      Partition p = tables.currentPartition(member);
       List<String> names = wanted.getOrDefault(member, List.of());
       names = names.stream().sorted().limit(maxMarks()).toList();
       if (p != null
-          && !p.taken().equals(names)
-          && draft.hasRoom()
+          && !p.reserved().equals(names)
+          && draft.canAddWrites()
           && !draft.touches(Partition.key(member))) {
-        draft.write(Partition.key(member), p.with(names).toStore(), p.stamp());
+        draft.write(Partition.key(member), p.withReserved(names).toStore(), p.stamp());
       }
     }
   }
@@ -96,10 +100,10 @@
     List<Job> gangs = new ArrayList<>();
     for (Job job : scheduling.queue().waiting()) {
       if (job.spec().shape() == JobSpec.Shape.GANG
-          && job.part().equals(Job.LEADER)
-          && job.live() == 0
-          && draft.live(job) == 0
-          && !job.suspect()) {
+          && job.partition().equals(Job.LEADER_PARTITION)
+          && job.liveCount() == 0
+          && draft.liveTaskCount(job) == 0
+          && !job.isSuspected()) {
         gangs.add(job);
       }
     }
@@ -115,8 +119,8 @@
     Quota.Remainder remainder = quota.new Remainder();
     Map<String, Job> out = new LinkedHashMap<>();
     for (Job job : gangs) {
-      boolean enough = size.holds(job.spec(), job.waiting());
-      if (enough && (remainder.take(job.spec(), job.waiting()) || quota.savingFor(job))) {
+      boolean enough = size.holds(job.spec(), job.waitingCount());
+      if (enough && (remainder.take(job.spec(), job.waitingCount()) || quota.savingFor(job))) {
         out.put(job.id(), job);
       }
     }
@@ -125,12 +129,12 @@
 
   /** So many names leave room in a part's record for its shares, whatever the limit of a value. */
   private int maxMarks() {
-    return limits.valueBytes() / 2 / MARK_BYTES;
+    return limits.maxValueBytes() / 2 / MARK_BYTES;
   }
 
   private void mark(Job job, FleetSize size, Set<Machine> marked, long now) {
     List<Machine> mine = reservations.computeIfAbsent(job.id(), k -> new ArrayList<>());
-    while (mine.size() < job.waiting() && marked.size() < maxMarks()) {
+    while (mine.size() < job.waitingCount() && marked.size() < maxMarks()) {
       boolean oneZone = job.spec().oneZone();
       String zone = oneZone && !mine.isEmpty() ? mine.get(0).info().zone() : null;
       Soonest s = new Soonest(now);
@@ -139,7 +143,7 @@
           c ->
               zone != null
                   ? zone.equals(c.zone)
-                  : !oneZone || size.holds(job.spec(), c.zone, job.waiting()),
+                  : !oneZone || size.holds(job.spec(), c.zone, job.waitingCount()),
           r -> {
             if (!marked.contains(r.machine())) {
               s.look(r.machine());
@@ -165,8 +169,8 @@
 
     void look(Machine m) {
       double left = 0;
-      for (Machine.Slot s : m.live()) {
-        left = Math.max(left, s.leftMs(now));
+      for (Machine.Slot s : m.slots()) {
+        left = Math.max(left, s.estimatedRemainingMs(now));
       }
       if (left < Double.MAX_VALUE && (best == null || left < bestLeft)) {
         best = m;
@@ -177,7 +181,7 @@
 
   void markFor(Job job, Machine m, long now) {
     List<Machine> mine = reservations.computeIfAbsent(job.id(), k -> new ArrayList<>());
-    if (!mine.contains(m) && mine.size() < job.waiting()) {
+    if (!mine.contains(m) && mine.size() < job.waitingCount()) {
       mine.add(m);
       nextMarksMs = now;
     }
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -29,12 +29,12 @@
   private final Tables tables;
   private final Types types;
   private final String node;
-  private final CapacityIndex rooms = new CapacityIndex();
-  private final Queue queue;
-  private final Set<Job> endable = new LinkedHashSet<>();
+  private final CapacityIndex capacityIndex = new CapacityIndex();
+  private final JobQueue queue;
+  private final Set<Job> finishableJobs = new LinkedHashSet<>();
   private final Set<Job> halting = new LinkedHashSet<>();
-  private final Set<Job> leaving = new LinkedHashSet<>();
-  private final Set<Machine> gone = new LinkedHashSet<>();
+  private final Set<Job> withdrawnRunningJobs = new LinkedHashSet<>();
+  private final Set<Machine> goneMachinesWithTasks = new LinkedHashSet<>();
   private final Set<Machine> shunned = new HashSet<>();
   private final Set<Machine> changed = new LinkedHashSet<>();
   private Predicate<Machine> pending = m -> false;
@@ -47,70 +47,70 @@
     this.tables = tables;
     this.types = types;
     this.node = settings.node();
-    this.queue = new Queue(settings, tables.usage());
+    this.queue = new JobQueue(settings, tables.usage());
   }
 
   /** Machines with a change of their record on the way take no tasks. */
-  void pending(Predicate<Machine> p) {
+  void setPendingFilter(Predicate<Machine> p) {
     pending = p;
   }
 
-  CapacityIndex rooms() {
-    return rooms;
+  CapacityIndex capacityIndex() {
+    return capacityIndex;
   }
 
   /** How many rooms were looked at in all decisions so far: what they cost, whatever the clock. */
-  public long looked() {
-    return rooms.looked();
+  public long machinesExamined() {
+    return capacityIndex.machinesExamined();
   }
 
-  Queue queue() {
+  JobQueue queue() {
     return queue;
   }
 
-  Set<Job> endable() {
-    return endable;
+  Set<Job> finishableJobs() {
+    return finishableJobs;
   }
 
-  Set<Job> halting() {
+  Set<Job> partlyStoppingGangs() {
     return halting;
   }
 
   /** Withdrawn jobs with tasks that may still run. */
-  Set<Job> leaving() {
-    return leaving;
+  Set<Job> withdrawnRunningJobs() {
+    return withdrawnRunningJobs;
   }
 
-  Set<Machine> gone() {
-    return gone;
+  Set<Machine> goneMachinesWithTasks() {
+    return goneMachinesWithTasks;
   }
 
   /** Takes in what has changed in the tables, and in what reports told. */
   public void update() {
     View v = tables.view();
-    List<Machine> machines = tables.takeChangedMachines();
+    List<Machine> machines = tables.drainChangedMachines();
     changed.addAll(machines);
-    for (Job j : tables.takeChangedJobs()) {
+    for (Job j : tables.drainChangedJobs()) {
       job(j);
     }
     if (v == null) {
-      rooms.clear();
+      capacityIndex.clear();
       epoch = -1;
     } else if (v.epoch() != epoch || typesSeen != types.all().size()) {
       epoch = v.epoch();
       typesSeen = types.all().size();
-      rooms.clear();
+      capacityIndex.clear();
       shunned.clear();
       for (Machine m : new ArrayList<>(tables.machines())) {
-        machine(m);
+        updateMachine(m);
       }
     } else {
-      machines.forEach(this::machine);
+      machines.forEach(this::updateMachine);
     }
   }
 
   /** The machines that have changed since the last call. */
-  public List<Machine> takeChanged() {
+  public List<Machine> drainChangedMachines() {
     List<Machine> out = new ArrayList<>(changed);
     changed.clear();
     return out;
@@ -120,14 +120,15 @@
     boolean there = tables.job(j.id()) == j;
     long now = timers.nowMs();
     View v = tables.view();
-    if (j.backOff(now) && v != null && node.equals(v.leader())) {
+    if (j.backOffAfterFailures(now) && v != null && node.equals(v.leader())) {
       LOG.info("{} fails wherever it runs: next try in {} s", j.id(), (j.retryAtMs() - now) / 1000);
     }
     queue.changed(j, there);
-    boolean over = j.withdrawn() ? j.live() == 0 : j.spec() != null && j.done() == j.size();
-    member(endable, j, there && over);
+    boolean over =
+        j.withdrawn() ? j.liveCount() == 0 : j.spec() != null && j.doneCount() == j.taskCount();
+    member(finishableJobs, j, there && over);
     member(halting, j, there && halting(j));
-    member(leaving, j, there && j.withdrawn() && j.live() > 0);
+    member(withdrawnRunningJobs, j, there && j.withdrawn() && j.liveCount() > 0);
   }
 
   private static <T> void member(Set<T> set, T t, boolean in) {
@@ -140,55 +141,57 @@
 
   /** A gang with a member that is being stopped while another is not. */
   private static boolean halting(Job j) {
-    if (j.spec().shape() != JobSpec.Shape.GANG || j.live() < 2) {
+    if (j.spec().shape() != JobSpec.Shape.GANG || j.liveCount() < 2) {
       return false;
     }
     int stopping = 0;
-    for (int i = 0; i < j.size(); i++) {
+    for (int i = 0; i < j.taskCount(); i++) {
       TaskState s = j.task(i);
-      stopping += s.live() && s.stop() != TaskState.Stop.NONE ? 1 : 0;
+      stopping += s.isLive() && s.stop() != TaskState.Stop.NONE ? 1 : 0;
     }
-    return stopping > 0 && stopping < j.live();
+    return stopping > 0 && stopping < j.liveCount();
   }
 
   /** The machine, or what this process knows of it, has changed. */
-  void machine(Machine m) {
+  void updateMachine(Machine m) {
     View v = tables.view();
     if (v == null) {
       return;
     }
     boolean there = tables.machine(m.name()) == m;
-    member(gone, m, there && m.phase() == Machine.Phase.GONE && !m.live().isEmpty());
+    member(
+        goneMachinesWithTasks, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
     String owner = m.owner(v);
     boolean usable =
         there
             && t != null
             && m.phase() == Machine.Phase.UP
-            && !tables.marked(m)
+            && !tables.isReserved(m)
             && !pending.test(m);
     if (usable) {
-      boolean shun = m.shunUntilMs(timers.nowMs()) > timers.nowMs();
+      boolean shun = m.quarantinedUntilMs(timers.nowMs()) > timers.nowMs();
       member(shunned, m, shun);
-      boolean answers = m.proved() && !m.isQuiet() && m.deafSinceMs() == 0;
+      boolean answers =
+          m.provedAlive() && !m.reportsOverdue() && m.unreachableForCommandsSinceMs() == 0;
       usable = !shun && (answers || !owner.equals(node));
     }
     if (usable) {
-      if (rooms.put(m, t, owner, timers.nowMs())) {
-        rooms.grew();
+      if (capacityIndex.put(m, t, owner, timers.nowMs())) {
+        capacityIndex.grew();
       }
     } else {
-      rooms.remove(m);
+      capacityIndex.remove(m);
     }
   }
 
   /** Machines that were shunned for a while may be used again. */
-  void tick() {
+  void readmitAvoidedMachines() {
     long now = timers.nowMs();
     for (Machine m : new ArrayList<>(shunned)) {
-      if (m.shunUntilMs(now) <= now) {
+      if (m.quarantinedUntilMs(now) <= now) {
         shunned.remove(m);
-        machine(m);
+        updateMachine(m);
       }
     }
   }
@@ -196,14 +199,14 @@
   /** Lends a marked machine to the gang that marked it, for one look. */
   void lend(Machine m) {
     TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-    if (tables.marked(m) && t != null && m.phase() == Machine.Phase.UP && !pending.test(m)) {
-      rooms.put(m, t, m.owner(tables.view()), timers.nowMs());
+    if (tables.isReserved(m) && t != null && m.phase() == Machine.Phase.UP && !pending.test(m)) {
+      capacityIndex.put(m, t, m.owner(tables.view()), timers.nowMs());
     }
   }
 
   void takeBack(Machine m) {
-    if (tables.marked(m)) {
-      rooms.remove(m);
+    if (tables.isReserved(m)) {
+      capacityIndex.remove(m);
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import wickdrift.bookkeeping.AwaitsOverflow;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
-import wickdrift.bookkeeping.Overflow;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
@@ -40,10 +40,10 @@
   private static final int RECORD_BYTES = 160;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final JobRouter router;
-  private final AwaitedJobs awaited;
+  private final DependencyValidator awaited;
   private final JobStatus status;
   private final BooleanSupplier ready;
   private final AdmissionQueue<Submission> queue = new AdmissionQueue<>(MAX_QUEUE);
@@ -57,8 +57,8 @@
 
   private long newestBatch;
 
-  private final AwaitedJobs.Outcome onNames =
-      new AwaitedJobs.Outcome() {
+  private final DependencyValidator.Outcome onNames =
+      new DependencyValidator.Outcome() {
         @Override
         public void known(Submission s) {
           enqueue(s);
@@ -75,10 +75,10 @@
    */
   Submissions(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       JobRouter router,
-      AwaitedJobs awaited,
+      DependencyValidator awaited,
       JobStatus status,
       BooleanSupplier ready) {
     this.timers = timers;
@@ -91,12 +91,12 @@
   }
 
   /** Once that is so, no submission is taken any more. */
-  void leaving(BooleanSupplier now) {
+  void stopAcceptingWhen(BooleanSupplier now) {
     leaving = now;
   }
 
   /** Whether no submission waits for its answer. */
-  boolean idle() {
+  boolean isIdle() {
     return !busy && batchesOut == 0 && queue.isEmpty();
   }
 
@@ -111,7 +111,7 @@
       x.reply(400, Map.of("error", e.getMessage()));
       return;
     }
-    if (tables.job(spec.id()) != null || tables.finished(spec.id()) != null) {
+    if (tables.job(spec.id()) != null || tables.terminalState(spec.id()) != null) {
       status.status(x, spec.id());
       return;
     }
@@ -125,7 +125,7 @@
       refuse(s, 400, lacks + " is missing");
     } else if (spec.awaits().isEmpty()) {
       enqueue(s);
-    } else if (!tables.open(Gate.AWAITS)) {
+    } else if (!tables.isOpen(Gate.AWAITS)) {
       // An older build would read the record, and run the job too early.
       UserRequests.later(x);
     } else {
@@ -138,7 +138,7 @@
    * here now has been taken at the rate that users have, so that the door is never empty meanwhile.
    */
   private int comeAgainS() {
-    double seconds = queue.size() / 2.0 / Math.max(1, ledger.userRate());
+    double seconds = queue.size() / 2.0 / Math.max(1, ledger.guaranteedUserWriteRate());
     return (int) Math.max(1, Math.min(COME_AGAIN_MOST_S, Math.round(seconds)));
   }
 
@@ -147,7 +147,7 @@
   }
 
   private void enqueue(Submission s) {
-    Submission gone = queue.add(s.spec(), s);
+    Submission gone = queue.offer(s.spec(), s);
     if (gone != null) {
       tooMany(gone.exchange());
     }
@@ -156,7 +156,7 @@
 
   /** Whether a job's record has no room for all names that it awaits. */
   private boolean overflows(JobSpec spec) {
-    int most = ledger.limits().usedBytes() - RECORD_BYTES;
+    int most = ledger.limits().targetValueBytes() - RECORD_BYTES;
     return !spec.awaits().isEmpty() && MessageCodec.jsonSize(spec.toStore()) > most;
   }
 
@@ -165,32 +165,34 @@
    * is accepted: each transaction is conditional on the job's absence, and who tries again writes
    * the same.
    */
-  private void writeNames(Submission s, Overflow more) {
+  private void writeNames(Submission s, AwaitsOverflow more) {
     List<Map.Entry<String, Object>> open =
-        new ArrayList<>(more.values(s.spec().awaits(), ledger.limits().usedBytes()).entrySet());
+        new ArrayList<>(
+            more.values(s.spec().awaits(), ledger.limits().targetValueBytes()).entrySet());
     writeNames(s, more, open);
   }
 
-  private void writeNames(Submission s, Overflow more, List<Map.Entry<String, Object>> open) {
+  private void writeNames(Submission s, AwaitsOverflow more, List<Map.Entry<String, Object>> open) {
     if (open.isEmpty()) {
       batchOf(s, more);
       return;
     }
     String id = s.spec().id();
-    Txn txn = new Txn().when(Job.key(id), 0).when(Job.finalKey(id), 0);
-    int n = Math.min(open.size(), ledger.limits().txnOps() / 2);
+    Transaction txn =
+        new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
+    int n = Math.min(open.size(), ledger.limits().maxTransactionChanges() / 2);
     open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
-          if (r.outcome() == Ledger.Outcome.OK) {
+          if (r.outcome() == StateServiceClient.Outcome.OK) {
             writeNames(s, more, open.subList(n, open.size()));
-          } else if (r.outcome() == Ledger.Outcome.REFUSED
+          } else if (r.outcome() == StateServiceClient.Outcome.REFUSED
               && ledger.reachable()
               && timers.nowMs() - s.sinceMs() < GIVE_UP_MS) {
             timers.after(UserRequests.RETRY_MS, () -> writeNames(s, more, open));
-          } else if (r.outcome() == Ledger.Outcome.FAILED) {
+          } else if (r.outcome() == StateServiceClient.Outcome.CONDITION_FAILED) {
             busy = false;
             status.status(s.exchange(), id);
             pump();
@@ -203,21 +205,21 @@
   }
 
   /** A transaction for one job alone, whose names are written. */
-  private void batchOf(Submission s, Overflow more) {
-    Txn txn = new Txn();
-    put(txn, s.spec(), more, new Promised());
+  private void batchOf(Submission s, AwaitsOverflow more) {
+    Transaction txn = new Transaction();
+    put(txn, s.spec(), more, new QueuedDemand());
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
           busy = false;
           accepted(r, Map.of(s.spec().id(), new ArrayList<>(List.of(s))));
         });
   }
 
-  private void put(Txn txn, JobSpec spec, Overflow more, Promised together) {
+  private void put(Transaction txn, JobSpec spec, AwaitsOverflow more, QueuedDemand together) {
     String id = spec.id();
-    txn.when(Job.key(id), 0).when(Job.finalKey(id), 0);
+    txn.requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
     String part = router.route(spec, together);
     together.add(spec, part);
     txn.write(Job.key(id), Job.toStore(spec, more, timers.wallMs(), part, 0));
@@ -234,26 +236,26 @@
 
   private void accept() {
     Map<String, List<Submission>> batch = new LinkedHashMap<>();
-    Promised together = new Promised();
-    Txn txn = new Txn();
-    while (!queue.isEmpty() && batch.size() < ledger.limits().txnOps()) {
+    QueuedDemand together = new QueuedDemand();
+    Transaction txn = new Transaction();
+    while (!queue.isEmpty() && batch.size() < ledger.limits().maxTransactionChanges()) {
       Submission s = queue.poll();
       String id = s.spec().id();
       if (timers.nowMs() - s.sinceMs() > GIVE_UP_MS) {
         s.exchange().reply(503, Map.of("error", "try again"), comeAgainS());
         continue;
       }
-      if (tables.job(id) != null || tables.finished(id) != null) {
+      if (tables.job(id) != null || tables.terminalState(id) != null) {
         status.status(s.exchange(), id);
         continue;
       }
       if (overflows(s.spec()) && router.impossible(s.spec()) == null) {
         if (!batch.isEmpty()) {
-          queue.back(s.spec(), s);
+          queue.returnToFront(s.spec(), s);
           break;
         }
         // By itself, in several steps: the next ones wait for it.
-        writeNames(s, Overflow.of(id, s.spec().awaits(), ledger.limits().usedBytes()));
+        writeNames(s, AwaitsOverflow.of(id, s.spec().awaits(), ledger.limits().targetValueBytes()));
         return;
       }
       if (!batch.containsKey(id)) {
@@ -270,8 +272,8 @@
               if (why == null) {
                 return false;
               }
-              txn.drop(Job.key(e.getKey()));
-              txn.drop(Job.finalKey(e.getKey()));
+              txn.remove(Job.key(e.getKey()));
+              txn.remove(Job.terminalStateKey(e.getKey()));
               e.getValue().forEach(s -> refuse(s, 422, why));
               return true;
             });
@@ -284,7 +286,7 @@
     long number = ++newestBatch;
     ledger.commit(
         txn,
-        Ledger.Rank.USER,
+        StateServiceClient.WritePriority.USER,
         r -> {
           batchesOut--;
           // One that was overtaken holds up nobody any more.
@@ -308,11 +310,12 @@
         ok -> {
           if (!ok) {
             UserRequests.later(s.exchange());
-          } else if (tables.job(s.spec().id()) != null || tables.finished(s.spec().id()) != null) {
+          } else if (tables.job(s.spec().id()) != null
+              || tables.terminalState(s.spec().id()) != null) {
             status.answerStatus(s.exchange(), s.spec().id());
           } else {
             ledger.read(
-                Job.finalKey(s.spec().id()),
+                Job.terminalStateKey(s.spec().id()),
                 read -> {
                   if (!read.ok()) {
                     UserRequests.later(s.exchange());
@@ -326,22 +329,23 @@
         });
   }
 
-  private void accepted(Ledger.Result r, Map<String, List<Submission>> batch) {
+  private void accepted(StateServiceClient.CommitResult r, Map<String, List<Submission>> batch) {
     switch (r.outcome()) {
       case OK ->
           batch.forEach(
               (id, all) ->
                   all.forEach(s -> s.exchange().reply(201, Map.of("ref", id, "phase", "pending"))));
-      case FAILED ->
+      case CONDITION_FAILED ->
           batch.forEach(
               (id, all) -> {
                 boolean known =
-                    r.failed().contains(Job.key(id)) || r.failed().contains(Job.finalKey(id));
+                    r.failedKeys().contains(Job.key(id))
+                        || r.failedKeys().contains(Job.terminalStateKey(id));
                 for (Submission s : all) {
                   if (known) {
                     status.status(s.exchange(), id);
                   } else {
-                    queue.back(s.spec(), s);
+                    queue.returnToFront(s.spec(), s);
                   }
                 }
               });
@@ -378,6 +382,6 @@
     List<Submission> again = new ArrayList<>();
     batch.values().forEach(again::addAll);
     Collections.reverse(again);
-    again.forEach(s -> queue.back(s.spec(), s));
+    again.forEach(s -> queue.returnToFront(s.spec(), s));
   }
 }
