--- a/src/main/java/wickdrift/coordination/Placing.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -13,9 +13,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.View;
@@ -25,8 +25,8 @@
 import wickdrift.transport.Timers;
 
 /** Decides which waiting tasks go where, or to which part their job is handed. */
-final class Placing {
-  private static final Logger LOG = LoggerFactory.getLogger(Placing.class);
+final class TaskPlacer {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskPlacer.class);
   private static final int TASKS_A_ROUND = 256;
 
   /** So many jobs are tried a round; the next round goes on from what that has changed. */
@@ -60,7 +60,7 @@
   private final String node;
   private final Set<String> controllerZones;
   private final BooleanSupplier leadSettled;
-  private long placed;
+  private long placedTasks;
 
   /** From the end of the last job that one awaited to the first placement of its own. */
   private final Histogram stageDelays = new Histogram(DELAY_MOST_MS, 2);
@@ -75,21 +75,21 @@
   private boolean together;
 
   /** After how long the leader's jobs that this round passed over may be placed; 0: none was. */
-  private long postponedMs;
+  private long postponedForMs;
 
-  Placing(
+  TaskPlacer(
       Timers timers,
       Tables tables,
       SchedulingState scheduling,
       Types types,
       Tuning tuning,
       Settings settings,
-      Limits limits,
+      StateServiceLimits limits,
       BooleanSupplier leadSettled) {
     this.timers = timers;
     this.tables = tables;
     this.scheduling = scheduling;
-    this.rooms = scheduling.rooms();
+    this.rooms = scheduling.capacityIndex();
     this.reservations = new Reservations(tables, scheduling, types, tuning, limits);
     this.givingWay = new VictimSelection(rooms, types, reservations, tuning, settings);
     this.tuning = tuning;
@@ -100,13 +100,13 @@
   }
 
   /** Marks are of one view: the part records were written anew. */
-  void newView() {
+  void onNewView() {
     reservations.clear();
   }
 
   /** Milliseconds until what was passed over may be placed, or 0. */
-  long postponedMs() {
-    return postponedMs;
+  long postponedForMs() {
+    return postponedForMs;
   }
 
   /**
@@ -118,23 +118,23 @@
   }
 
   /** Tasks placed so far, those of transactions that failed too. */
-  long placed() {
-    return placed;
+  long placedTasks() {
+    return placedTasks;
   }
 
-  void draft(TransactionBuilder draft) {
+  void placeWaitingTasks(TransactionBuilder draft) {
     View v = tables.view();
-    Partition mine = tables.partNow(node);
-    if (mine == null || mine.epoch() != v.epoch() || !tables.unfencedParts().isEmpty()) {
+    Partition mine = tables.currentPartition(node);
+    if (mine == null || mine.epoch() != v.epoch() || !tables.unfencedPartitions().isEmpty()) {
       return;
     }
     boolean leader = node.equals(v.leader());
     long now = timers.nowMs();
-    together = tables.open(Gate.TAKES);
-    postponedMs = 0;
+    together = tables.isOpen(Gate.TAKES);
+    postponedForMs = 0;
     rooms.newRound(now);
     Quota quota = new Quota(settings, tables);
-    quota.saveUp(scheduling.queue().waiting(), timers.wallMs());
+    quota.holdQuotaForGangs(scheduling.queue().waiting(), timers.wallMs());
     boolean placedAny = false;
     Set<String> foreign = new HashSet<>();
     List<JobSpec> noRoom = new ArrayList<>();
@@ -144,24 +144,24 @@
     rooms.prefer(owner -> owner.equals(node) || foreign.contains(owner));
     int narrowed = 0;
     for (Job job : scheduling.queue().waiting()) {
-      if (!draft.hasConditions() || !draft.takes(job, 1) || tries >= TRIES_A_ROUND) {
+      if (!draft.canAddConditions() || !draft.fitsInPage(job, 1) || tries >= TRIES_A_ROUND) {
         break;
       }
-      if (!node.equals(v.placer(job.part(), job.id()))
-          || job.part().equals(Job.LEADER) && !leadSettled.getAsBoolean()) {
+      if (!node.equals(v.placer(job.partition(), job.id()))
+          || job.partition().equals(Job.LEADER_PARTITION) && !leadSettled.getAsBoolean()) {
         continue;
       }
       if (job.retryAtMs() > now) {
-        job.notWaiting();
+        job.resetWaiting();
         continue;
       }
       if (job.stillBlocked(rooms.version(), now)) {
         continue;
       }
-      boolean asLeader = leader && job.part().equals(Job.LEADER);
+      boolean asLeader = leader && job.partition().equals(Job.LEADER_PARTITION);
       if (asLeader && together && now - takenMs < TAKES_MS) {
         // Looked for a place only when it can be taken: each look costs, and would be for nothing.
-        postponedMs = takenMs + TAKES_MS - now;
+        postponedForMs = takenMs + TAKES_MS - now;
         continue;
       }
       if (!asLeader && !foreign.isEmpty()) {
@@ -169,14 +169,14 @@
         continue;
       }
       List<JobSpec> failed = asLeader ? noRoomAnywhere : noRoom;
-      int before = draft.live(job);
+      int before = draft.liveTaskCount(job);
       // A gang that has marked machines has room that nobody else saw.
       boolean hopeless =
           reservations.of(job).isEmpty()
               && failed.stream().anyMatch(f -> needsNoLess(job.spec(), f));
-      if (!asLeader && draft.hasRoom() && imageIsElsewhere(job)) {
+      if (!asLeader && draft.canAddWrites() && imageIsElsewhere(job)) {
         // The leader, who sees all parts, places it beside the image at once.
-        draft.handOver(job, Job.LEADER);
+        draft.moveToPartition(job, Job.LEADER_PARTITION);
         continue;
       }
       narrow = false;
@@ -188,52 +188,52 @@
           placeTasks(draft, job, asLeader, quota, v, foreign, failed);
         }
       }
-      if (draft.live(job) > before) {
+      if (draft.liveTaskCount(job) > before) {
         placedAny = true;
-        if (before == 0 && job.done() == 0 && !job.awaits().isEmpty()) {
+        if (before == 0 && job.doneCount() == 0 && !job.awaits().isEmpty()) {
           stageDelays.recordValue(
               Math.max(0, Math.min(DELAY_MOST_MS, timers.wallMs() - job.readyWallMs())));
         }
-        draft.when(job.key(), job.stamp());
-        job.notWaiting();
-        if (job.suspect()) {
-          job.probed(now);
+        draft.addCondition(job.key(), job.stamp());
+        job.resetWaiting();
+        if (job.isSuspected()) {
+          job.scheduleNextProbe(now);
         }
         continue;
       }
       if (narrow) {
         // There is room: it is not blocked, and nothing is stopped for it.
-        if (!tables.open(Gate.TAKES)) {
-          draft.wantAll();
+        if (!tables.isOpen(Gate.TAKES)) {
+          draft.requestMaxWrites();
         }
         if (++narrowed >= NARROWED_A_ROUND) {
           break;
         }
         continue;
       }
-      job.blocked(rooms.version(), now + BLOCKED_MS);
-      if (draft.hasRoom()) {
+      job.setBlocked(rooms.version(), now + BLOCKED_MS);
+      if (draft.canAddWrites()) {
         givingWay.draft(draft, job, asLeader, quota, now);
-        if (!asLeader && draft.hasRoom() && handOver(draft, job, now)) {
-          draft.handOver(job, Job.LEADER);
+        if (!asLeader && draft.canAddWrites() && handOver(draft, job, now)) {
+          draft.moveToPartition(job, Job.LEADER_PARTITION);
         }
       }
     }
     if (leader && leadSettled.getAsBoolean()) {
       reservations.draft(draft, quota, v, now);
     }
-    if (draft.touches(Tables.TAKES_KEY)) {
+    if (draft.touches(Tables.CLAIMS_KEY)) {
       takenMs = now;
     }
     if (placedAny) {
-      draft.underView();
+      draft.requireCurrentView();
       if (!draft.touches(Partition.key(node))) {
-        draft.when(Partition.key(node), mine.stamp());
+        draft.addCondition(Partition.key(node), mine.stamp());
       }
     }
-    if (placedAny && !leader && tables.open(Gate.TAKES)) {
+    if (placedAny && !leader && tables.isOpen(Gate.TAKES)) {
       // The leader may have taken machines of ours with those of others.
-      draft.when(Tables.TAKES_KEY, tables.takesStamp());
+      draft.addCondition(Tables.CLAIMS_KEY, tables.claimsStamp());
     }
   }
 
@@ -243,14 +243,15 @@
   private boolean imageIsElsewhere(Job job) {
     JobSpec spec = job.spec();
     if (spec.shape() != JobSpec.Shape.SERVICE
-        || rooms.freeBesideImage(spec, node, job.waiting()) >= job.waiting()) {
+        || rooms.taskCapacityWithImage(spec, node, job.waitingCount()) >= job.waitingCount()) {
       return false;
     }
     int elsewhere = 0;
     for (String member : tables.view().members().keySet()) {
-      elsewhere += member.equals(node) ? 0 : rooms.freeBesideImage(spec, member, job.waiting());
+      elsewhere +=
+          member.equals(node) ? 0 : rooms.taskCapacityWithImage(spec, member, job.waitingCount());
     }
-    return elsewhere >= job.waiting();
+    return elsewhere >= job.waitingCount();
   }
 
   /** Whether there is no room for it either, given that there was none for the other. */
@@ -264,7 +265,7 @@
         && (failed.types() == null || failed.types().equals(s.types()));
   }
 
-  static Predicate<CapacityIndex.Cell> scope(String node, boolean asLeader) {
+  static Predicate<CapacityIndex.MachineGroup> scope(String node, boolean asLeader) {
     return asLeader ? c -> true : c -> c.owner.equals(node);
   }
 
@@ -278,7 +279,7 @@
       return false;
     }
     Map<String, Integer> zones = zones(draft, job);
-    Predicate<CapacityIndex.Cell> allowed = c -> zoneAllows(job.spec(), zones, c.zone);
+    Predicate<CapacityIndex.MachineGroup> allowed = c -> zoneAllows(job.spec(), zones, c.zone);
     return !rooms.any(job.spec(), scope(node, false).and(allowed))
         && rooms.any(job.spec(), scope(node, true).and(allowed));
   }
@@ -286,12 +287,12 @@
   /** How many of the job's live attempts are in each zone, as durable plus drafted. */
   static Map<String, Integer> zones(TransactionBuilder draft, Job job) {
     Map<String, Integer> n = new HashMap<>();
-    if (!job.spec().oneZone() && !job.spec().spread() || draft.live(job) == 0) {
+    if (!job.spec().oneZone() && !job.spec().spread() || draft.liveTaskCount(job) == 0) {
       return n;
     }
-    for (int i = 0; i < job.size(); i++) {
-      TaskState s = draft.state(job, i);
-      if (s.live()) {
+    for (int i = 0; i < job.taskCount(); i++) {
+      TaskState s = draft.taskState(job, i);
+      if (s.isLive()) {
         Machine.Info info = s.machine().info();
         // A machine whose record is gone may be in any zone; the mark blocks a one-zone job.
         n.merge(info == null ? "?" : info.zone(), 1, Integer::sum);
@@ -318,15 +319,15 @@
       List<JobSpec> failed) {
     JobSpec spec = job.spec();
     Map<String, Integer> zones = zones(draft, job);
-    Predicate<CapacityIndex.Cell> scope = scope(node, asLeader);
+    Predicate<CapacityIndex.MachineGroup> scope = scope(node, asLeader);
     int placed = 0;
     // Of a job that seems to fail everywhere, one task is enough to see.
-    int most = job.suspect() ? 1 : TASKS_A_ROUND;
+    int most = job.isSuspected() ? 1 : TASKS_A_ROUND;
     for (int i = job.nextWaiting(0); i >= 0 && placed < most; i = job.nextWaiting(i + 1)) {
-      if (draft.state(job, i).phase() != TaskState.Phase.WAITING) {
+      if (draft.taskState(job, i).phase() != TaskState.Phase.WAITING) {
         continue;
       }
-      if (!draft.takes(job, 1) || !quota.allows(job)) {
+      if (!draft.fitsInPage(job, 1) || !quota.allows(job)) {
         return;
       }
       FreeCapacity r = chooseFor(spec, c -> scope.test(c) && zoneAllows(spec, zones, c.zone));
@@ -336,7 +337,7 @@
       if (r == null || !reserve(draft, r, v, foreign)) {
         return;
       }
-      put(draft, job, i, draft.state(job, i).attempt() + 1, r, quota);
+      put(draft, job, i, draft.taskState(job, i).attempt() + 1, r, quota);
       zones.merge(r.machine().info().zone(), 1, Integer::sum);
       placed++;
     }
@@ -347,7 +348,7 @@
    * one renews its workers' leases, and all that runs there ends. A machine that has the image is
    * worth more than that.
    */
-  private FreeCapacity chooseFor(JobSpec spec, Predicate<CapacityIndex.Cell> allowed) {
+  private FreeCapacity chooseFor(JobSpec spec, Predicate<CapacityIndex.MachineGroup> allowed) {
     if (spec.shape() != JobSpec.Shape.SERVICE) {
       return rooms.choose(spec, allowed);
     }
@@ -370,10 +371,10 @@
         r.load(),
         r.hasImage(job.spec()),
         timers.wallMs() - job.acceptedWallMs());
-    placed++;
+    placedTasks++;
     rooms.book(r, job.spec());
     quota.book(job.spec());
-    draft.change(job, index, t -> t.placed(attempt, r.machine(), draft.number()));
+    draft.changeTask(job, index, t -> t.placed(attempt, r.machine(), draft.nodeNumber()));
   }
 
   /**
@@ -385,11 +386,11 @@
     if (owner.equals(node) || foreign.contains(owner)) {
       return true;
     }
-    Partition p = tables.partNow(owner);
+    Partition p = tables.currentPartition(owner);
     if (p == null) {
       return false;
     }
-    if (!draft.hasRoom(takes(1, foreign)) || !draft.hasConditions()) {
+    if (!draft.canAddWrites(takes(1, foreign)) || !draft.canAddConditions()) {
       narrow = true;
       return false;
     }
@@ -398,12 +399,12 @@
     } else if (foreign.size() == 1) {
       // One write for all of them. It fails whatever any owner has under way, so it is not used
       // for one, nor more often than now and then; the leader's jobs wait for that.
-      draft.unwrite(Partition.key(foreign.iterator().next()));
-      draft.write(Tables.TAKES_KEY, Map.of("epoch", v.epoch()), tables.takesStamp());
+      draft.removeWrite(Partition.key(foreign.iterator().next()));
+      draft.write(Tables.CLAIMS_KEY, Map.of("epoch", v.epoch()), tables.claimsStamp());
     }
     // The owner's own placements leave its part's record alone. Those that we have not seen yet
     // are in its log: if it has written since, what we took for room may be gone.
-    draft.whenLogStands(owner);
+    draft.requireUnchangedLog(owner);
     foreign.add(owner);
     return true;
   }
@@ -417,20 +418,20 @@
   private void placeGang(
       TransactionBuilder draft, Job job, Quota quota, View v, Set<String> foreign) {
     JobSpec spec = job.spec();
-    if (draft.live(job) > 0 || draft.done(job) > 0 && job.waiting() == 0) {
+    if (draft.liveTaskCount(job) > 0 || draft.doneTaskCount(job) > 0 && job.waitingCount() == 0) {
       return;
     }
     // Counted as drafted: members whose exits are in this transaction wait from then on.
     int waiting = 0;
     int attempt = 0;
-    for (int i = 0; i < job.size(); i++) {
-      attempt = Math.max(attempt, draft.state(job, i).attempt());
-      waiting += draft.state(job, i).phase() == TaskState.Phase.WAITING ? 1 : 0;
+    for (int i = 0; i < job.taskCount(); i++) {
+      attempt = Math.max(attempt, draft.taskState(job, i).attempt());
+      waiting += draft.taskState(job, i).phase() == TaskState.Phase.WAITING ? 1 : 0;
     }
     if (!quota.allows(spec, waiting)) {
       return;
     }
-    if (!draft.takesWhole(job, waiting, 0)) {
+    if (!draft.fitsWholeGang(job, waiting, 0)) {
       // The page is full: known before machines are looked for.
       narrow = true;
       return;
@@ -439,9 +440,9 @@
     // Two gangs may have marked a machine: lent anew, its room knows only what is durable, and
     // would be given to the second as well.
     for (Machine m : reservations.of(job)) {
-      FreeCapacity r = rooms.of(m);
-      if (r != null && tables.marked(m)) {
-        draft.placedOn(m).forEach(s -> rooms.book(r, s));
+      FreeCapacity r = rooms.find(m);
+      if (r != null && tables.isReserved(m)) {
+        draft.placementsOn(m).forEach(s -> rooms.book(r, s));
       }
     }
     List<FreeCapacity> chosen = gangRooms(job, waiting);
@@ -452,9 +453,9 @@
       owners.remove(node);
       owners.removeAll(foreign);
       int writes = takes(owners.size(), foreign);
-      if (!draft.takesWhole(job, waiting, writes)
-          || !draft.hasRoom(writes)
-          || !draft.hasConditions(CONDITIONS_AN_OWNER * owners.size() + 4)) {
+      if (!draft.fitsWholeGang(job, waiting, writes)
+          || !draft.canAddWrites(writes)
+          || !draft.canAddConditions(CONDITIONS_AN_OWNER * owners.size() + 4)) {
         narrow = true;
         chosen = null;
       }
@@ -466,8 +467,8 @@
     }
     if (chosen != null) {
       int k = 0;
-      for (int i = 0; i < job.size(); i++) {
-        if (draft.state(job, i).phase() == TaskState.Phase.WAITING) {
+      for (int i = 0; i < job.taskCount(); i++) {
+        if (draft.taskState(job, i).phase() == TaskState.Phase.WAITING) {
           put(draft, job, i, attempt + 1, chosen.get(k++), quota);
         }
       }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import wickdrift.bookkeeping.Entry;
 import wickdrift.bookkeeping.Job;
+import wickdrift.bookkeeping.LogEntry;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Page;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.JobSpec;
@@ -49,7 +49,7 @@
   private final int number;
   private final int maxChanges;
   private final int pageBytes;
-  private final Txn txn = new Txn();
+  private final Transaction txn = new Transaction();
   private final Map<Job, Map<Integer, TaskState>> tasks = new LinkedHashMap<>();
   private final Map<Machine, Machine.Info> machines = new LinkedHashMap<>();
   private final Map<Job, Integer> liveDelta = new HashMap<>();
@@ -77,22 +77,22 @@
     this.mostChanges = mostChanges;
     this.tables = tables;
     this.node = node;
-    this.number = tables.registry().number(node);
+    this.number = tables.registry().numberOf(node);
     this.maxChanges = maxChanges;
     this.pageBytes = pageBytes;
   }
 
   /** This node's durable number, which its placements carry. */
-  int number() {
+  int nodeNumber() {
     return number;
   }
 
-  boolean hasRoom() {
-    return hasRoom(1);
+  boolean canAddWrites() {
+    return canAddWrites(1);
   }
 
   /** Room for so many more writes, besides that of the page. */
-  boolean hasRoom(int n) {
+  boolean canAddWrites(int n) {
     if (n == 0 || 1 + others + n <= maxChanges) {
       return true;
     }
@@ -106,7 +106,7 @@
    * Something was left out that is dear to write: the next transaction is to be as wide as may be,
    * for one wide one holds more of that than several narrow ones of as many changes.
    */
-  void wantAll() {
+  void requestMaxWrites() {
     wanted = mostChanges;
   }
 
@@ -119,11 +119,11 @@
   }
 
   /** Room for the conditions that placing one more job brings. */
-  boolean hasConditions() {
-    return hasConditions(4);
+  boolean canAddConditions() {
+    return canAddConditions(4);
   }
 
-  boolean hasConditions(int n) {
+  boolean canAddConditions(int n) {
     return txn.conditions().size() + others + n < CONDITIONS_AN_OP * mostChanges;
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** What is placed here on a machine, besides what the tables tell. */
-  List<JobSpec> placedOn(Machine m) {
+  List<JobSpec> placementsOn(Machine m) {
     return placed.getOrDefault(m, List.of());
   }
 
@@ -149,14 +149,14 @@
     places = true;
   }
 
-  TaskState state(Job job, int index) {
+  TaskState taskState(Job job, int index) {
     Map<Integer, TaskState> m = tasks.get(job);
     TaskState s = m == null ? null : m.get(index);
     return s == null ? job.task(index) : s;
   }
 
   /** Whether so many more changes of the job's tasks fit into the page. */
-  boolean takes(Job job, int n) {
+  boolean fitsInPage(Job job, int n) {
     return bytesWith(job, n) <= pageBytes;
   }
 
@@ -164,9 +164,9 @@
    * Whether all of a large gang fits, which starts in one transaction or not at all: it may take as
    * many pages as the transaction has room for, besides {@code others} writes.
    */
-  boolean takesWhole(Job job, int n, int others) {
+  boolean fitsWholeGang(Job job, int n, int others) {
     int pages = bytesWith(job, n) / (pageBytes - ENTRY_TASKS * TASK_BYTES * 2) + 1;
-    return takes(job, n) || hasRoom(pages + others);
+    return fitsInPage(job, n) || canAddWrites(pages + others);
   }
 
   private int bytesWith(Job job, int n) {
@@ -178,18 +178,18 @@
     return PAGE_OVERHEAD + bytes + 4 * ENTRY_BYTES + m.name().length() <= pageBytes;
   }
 
-  void change(Job job, int index, UnaryOperator<TaskState> how) {
-    TaskState old = state(job, index);
+  void changeTask(Job job, int index, UnaryOperator<TaskState> how) {
+    TaskState old = taskState(job, index);
     TaskState next = how.apply(old);
     if (next == old) {
       return;
     }
-    if (next.live() && !old.live()) {
+    if (next.isLive() && !old.isLive()) {
       places = true;
       bytes += next.machine().name().length();
       placed.computeIfAbsent(next.machine(), k -> new ArrayList<>()).add(job.spec());
     }
-    liveDelta.merge(job, (next.live() ? 1 : 0) - (old.live() ? 1 : 0), Integer::sum);
+    liveDelta.merge(job, (next.isLive() ? 1 : 0) - (old.isLive() ? 1 : 0), Integer::sum);
     Map<Integer, TaskState> m = tasks.get(job);
     if (m == null) {
       m = new LinkedHashMap<>();
@@ -202,18 +202,18 @@
 
   /** An attempt is over; {@code why} as the worker said, or null when it was lost. */
   void exit(Job job, int index, String why) {
-    change(job, index, t -> t.exited(why));
+    changeTask(job, index, t -> t.exited(why));
     if (Report.ERROR.equals(why)) {
       failed.computeIfAbsent(job, k -> new HashSet<>()).add(index);
     }
   }
 
-  int live(Job job) {
-    return job.live() + liveDelta.getOrDefault(job, 0);
+  int liveTaskCount(Job job) {
+    return job.liveCount() + liveDelta.getOrDefault(job, 0);
   }
 
-  int done(Job job) {
-    int n = job.done();
+  int doneTaskCount(Job job) {
+    int n = job.doneCount();
     for (Map.Entry<Integer, TaskState> t : tasks.getOrDefault(job, Map.of()).entrySet()) {
       boolean was = job.task(t.getKey()).phase() == TaskState.Phase.DONE;
       boolean is = t.getValue().phase() == TaskState.Phase.DONE;
@@ -234,48 +234,48 @@
    */
   void end(Job job, String phase, long wallMs) {
     ended.add(job);
-    txn.when(job.key(), job.stamp());
+    txn.requireStamp(job.key(), job.stamp());
     others += opsForEnd();
-    for (int c = 0; c < job.chunks(); c++) {
+    for (int c = 0; c < job.chunkCount(); c++) {
       // What does not fit is left as an orphan and deleted later.
-      if (job.chunkStamp(c) > 0 && hasRoom()) {
+      if (job.chunkStamp(c) > 0 && canAddWrites()) {
         delete(job.chunkKey(c));
       }
     }
-    TerminalState how = new TerminalState(phase, job.size(), wallMs);
-    if (tables.open(Gate.AWAITS)) {
+    TerminalState how = new TerminalState(phase, job.taskCount(), wallMs);
+    if (tables.isOpen(Gate.AWAITS)) {
       // One write where others wait for it; it is moved when there are writes to spare.
-      txn.write(job.key(), Job.overToStore(how));
+      txn.write(job.key(), Job.terminalToStore(how));
     } else {
-      txn.write(Job.finalKey(job.id()), how.toStore(false));
+      txn.write(Job.terminalStateKey(job.id()), how.toStore(false));
       txn.delete(job.key());
     }
   }
 
   /** Moves an end to its lasting place. */
-  void move(String id, Tables.Over o) {
-    txn.when(Job.key(id), o.stamp());
-    txn.write(Job.finalKey(id), o.how().toStore(true));
+  void move(String id, Tables.PendingHistoryEntry o) {
+    txn.requireStamp(Job.key(id), o.stamp());
+    txn.write(Job.terminalStateKey(id), o.terminalState().toStore(true));
     txn.delete(Job.key(id));
     others += OPS_FOR_MOVE;
   }
 
   boolean roomToMove() {
-    return hasRoom(OPS_FOR_MOVE) && hasConditions();
+    return canAddWrites(OPS_FOR_MOVE) && canAddConditions();
   }
 
   boolean roomToEnd() {
     // Below the level as it was: with room for a chunk beside it.
-    int n = tables.open(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
-    return hasRoom(n) && hasConditions();
+    int n = tables.isOpen(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
+    return canAddWrites(n) && canAddConditions();
   }
 
   private int opsForEnd() {
-    return tables.open(Gate.AWAITS) ? 1 : OPS_FOR_MOVE;
+    return tables.isOpen(Gate.AWAITS) ? 1 : OPS_FOR_MOVE;
   }
 
   /** Hands a job that is not withdrawn to another part. */
-  void handOver(Job job, String part) {
+  void moveToPartition(Job job, String part) {
     write(job.key(), job.toStore(part, 0), job.stamp());
   }
 
@@ -292,44 +292,44 @@
   }
 
   boolean touches(String key) {
-    return txn.touches(key);
+    return txn.changesKey(key);
   }
 
   void write(String key, Object value, long stamp) {
-    txn.when(key, stamp);
+    txn.requireStamp(key, stamp);
     txn.write(key, value);
     others++;
   }
 
   /** Takes back a write, and its condition. */
-  void unwrite(String key) {
-    txn.drop(key);
+  void removeWrite(String key) {
+    txn.remove(key);
     others--;
   }
 
-  void when(String key, long stamp) {
-    txn.when(key, stamp);
+  void addCondition(String key, long stamp) {
+    txn.requireStamp(key, stamp);
   }
 
   /** On condition that the view is the one of the tables, since that is what a change rewrites. */
-  void underView() {
-    if (tables.open(Gate.VIEWS)) {
-      txn.when(View.KEY, tables.viewStamp());
+  void requireCurrentView() {
+    if (tables.isOpen(Gate.VIEWS)) {
+      txn.requireStamp(View.KEY, tables.viewStamp());
     }
   }
 
   /** On condition that a node has written nothing to its log that we have not seen. */
-  void whenLogStands(String of) {
-    var last = tables.log(of).lastEntry();
+  void requireUnchangedLog(String of) {
+    var last = tables.logPages(of).lastEntry();
     if (last != null) {
-      txn.when(last.getValue().key(), last.getValue().stamp());
+      txn.requireStamp(last.getValue().key(), last.getValue().stamp());
     }
-    txn.when(Page.key(of, last == null ? 1 : last.getKey() + 1), 0);
+    txn.requireStamp(LogPage.key(of, last == null ? 1 : last.getKey() + 1), 0);
   }
 
   private List<Object> entries() {
     List<Object> out = new ArrayList<>();
-    machines.forEach((m, info) -> out.add(Entry.machine(m.name(), info)));
+    machines.forEach((m, info) -> out.add(LogEntry.machine(m.name(), info)));
     tasks.forEach(
         (job, changes) -> {
           // What an ended job's tasks did is in its final record.
@@ -347,21 +347,22 @@
     changes.forEach(
         (i, next) -> {
           TaskState old = job.task(i);
-          boolean same = old.live() && next.live() && old.attempt() == next.attempt();
-          if (old.live() && !same) {
+          boolean same = old.isLive() && next.isLive() && old.attempt() == next.attempt();
+          if (old.isLive() && !same) {
             boolean error = failed.getOrDefault(job, Set.of()).contains(i);
             int how =
                 next.phase() == TaskState.Phase.DONE
-                    ? Entry.DONE
-                    : error ? Entry.FAILED : Entry.LOST;
-            to(exited, Entry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
+                    ? LogEntry.EXIT_DONE
+                    : error ? LogEntry.EXIT_FAILED : LogEntry.EXIT_LOST;
+            to(exited, LogEntry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
           }
-          if (next.live() && !same) {
-            to(placed, Entry.placed(job.id(), number), 3)
+          if (next.isLive() && !same) {
+            to(placed, LogEntry.placed(job.id(), number), 3)
                 .addAll(List.of(i, next.attempt(), next.machine().name()));
           }
-          if (next.live() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
-            to(stopped, Entry.stopped(job.id(), next.stop()), 2).addAll(List.of(i, next.attempt()));
+          if (next.isLive() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
+            to(stopped, LogEntry.stopped(job.id(), next.stop()), 2)
+                .addAll(List.of(i, next.attempt()));
           }
         });
     // In this order: what is placed may follow on an exit, what is stopped on a placement.
@@ -382,10 +383,10 @@
     return last;
   }
 
-  Txn finish() {
+  Transaction build() {
     List<Object> entries = entries();
-    var last = tables.log(node).lastEntry();
-    Page page = last == null ? null : last.getValue();
+    var last = tables.logPages(node).lastEntry();
+    LogPage page = last == null ? null : last.getValue();
     long number = last == null ? 0 : last.getKey();
     if (page != null && page.bytes() + PAGE_OVERHEAD + bytes > pageBytes) {
       page = null;
@@ -410,10 +411,11 @@
   }
 
   /** Appends to a page, or begins the next; returns its number. */
-  private long write(Page page, long number, List<Object> run) {
+  private long write(LogPage page, long number, List<Object> run) {
     long to = page == null ? number + 1 : number;
-    txn.when(Page.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(Page.key(node, to), Page.value(page, tables.form(), run, tables::dead));
+    txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
+    txn.write(
+        LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::isObsolete));
     return to;
   }
 }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -8,13 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
 import wickdrift.bookkeeping.Machine;
 import wickdrift.bookkeeping.Partition;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.bookkeeping.TerminalState;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.Report;
@@ -62,7 +62,7 @@
   private record TaskKey(String job, int index) {}
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final Types types;
@@ -70,9 +70,9 @@
   private final Tuning tuning;
   private final Settings settings;
   private final String node;
-  private final Placing placing;
+  private final TaskPlacer placing;
   private final LogCompaction compaction;
-  private final Conversion conversion;
+  private final EncodingMigration conversion;
   private final Map<TaskKey, Exit> exits = new LinkedHashMap<>();
   private final Map<Machine, Machine.Info> records = new LinkedHashMap<>();
 
@@ -95,7 +95,7 @@
   /** Writes nothing before it is started. */
   public TransactionPipeline(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
       SchedulingState scheduling,
       Types types,
@@ -106,14 +106,14 @@
     this.ledger = ledger;
     this.tables = tables;
     this.scheduling = scheduling;
-    scheduling.pending(records::containsKey);
+    scheduling.setPendingFilter(records::containsKey);
     this.types = types;
     this.membership = membership;
     this.tuning = tuning;
     this.settings = settings;
     this.node = settings.node();
     this.placing =
-        new Placing(
+        new TaskPlacer(
             timers,
             tables,
             scheduling,
@@ -121,9 +121,9 @@
             tuning,
             settings,
             ledger.limits(),
-            this::leadSettled);
+            this::isLeaderSettled);
     this.compaction = new LogCompaction(timers, ledger, tables, membership, tuning, node);
-    this.conversion = new Conversion(timers, ledger, tables, membership, settings);
+    this.conversion = new EncodingMigration(timers, ledger, tables, membership, settings);
   }
 
   public void start() {
@@ -131,8 +131,8 @@
   }
 
   /** Tasks placed so far, those of transactions that failed too. */
-  public long placed() {
-    return placing.placed();
+  public long placedTasks() {
+    return placing.placedTasks();
   }
 
   /** From a stage's last end to the next one's first placement, in milliseconds. */
@@ -141,38 +141,38 @@
   }
 
   /** Whether no transaction is out: what was begun is durable, or its failure is known. */
-  public boolean idle() {
+  public boolean isIdle() {
     return phase == Phase.READY;
   }
 
-  public long transactions() {
+  public long transactionCount() {
     return transactions;
   }
 
   /** Drafts that were put together, those with nothing in them too. */
-  public long drafted() {
+  public long builtTransactionCount() {
     return drafted;
   }
 
   /** Times that nothing was drafted, as too little could be paid yet. */
-  public long unpaid() {
+  public long cyclesWithoutBudget() {
     return unpaid;
   }
 
   private void idleTick() {
     timers.after(IDLE_TICK_MS, this::idleTick);
-    scheduling.tick();
-    wake();
+    scheduling.readmitAvoidedMachines();
+    scheduleCycle();
   }
 
   /** Something may be there to write. */
-  public void wake() {
+  public void scheduleCycle() {
     if (phase != Phase.READY || armed) {
       return;
     }
     armed = true;
     // A few milliseconds let what comes together be written together; more when writes are short.
-    double ease = ledger.ease();
+    double ease = ledger.writeBudgetFraction();
     long gap = ease > 0.6 ? GAP_MS : ease > 0.3 || owed > 0 ? 8 * GAP_MS : 25 * GAP_MS;
     timers.after(
         Math.max(2, lastCycleMs + gap - timers.nowMs()),
@@ -184,7 +184,7 @@
 
   /** Marks are of one view: the part records were written anew. */
   public void newView() {
-    placing.newView();
+    placing.onNewView();
   }
 
   /** Taken over: nothing is placed until reports had time to come in, or {@link #settle}. */
@@ -195,7 +195,7 @@
   /** All known machines have reported. */
   public void settle() {
     settledAtMs = Math.min(settledAtMs, timers.nowMs());
-    wake();
+    scheduleCycle();
   }
 
   /** The lead was taken over: what the leader places waits too. */
@@ -207,7 +207,7 @@
     return timers.nowMs() >= settledAtMs;
   }
 
-  public boolean leadSettled() {
+  public boolean isLeaderSettled() {
     return settled() && timers.nowMs() >= leadSettledAtMs;
   }
 
@@ -217,7 +217,7 @@
     if (exits.putIfAbsent(new TaskKey(job.id(), index), exit) != null) {
       return false;
     }
-    wake();
+    scheduleCycle();
     return true;
   }
 
@@ -231,9 +231,9 @@
   }
 
   /** No one can have renewed the worker's lease: it has killed all it had. */
-  public void lapsed(Machine m) {
+  public void onWorkerLeaseExpired(Machine m) {
     int fresh = 0;
-    for (Machine.Slot s : m.live()) {
+    for (Machine.Slot s : m.slots()) {
       fresh += exited(s.job(), s.index(), s.state().attempt(), m, null) ? 1 : 0;
     }
     if (fresh > 0) {
@@ -241,21 +241,21 @@
     }
   }
 
-  public void record(Machine m, Machine.Info info) {
+  public void enqueueRecord(Machine m, Machine.Info info) {
     records.put(m, info);
-    scheduling.machine(m);
-    wake();
+    scheduling.updateMachine(m);
+    scheduleCycle();
   }
 
   /** After a pause: silence that this process did not listen to proves nothing. */
-  public void woke() {
+  public void onProcessResumed() {
     records
         .entrySet()
         .removeIf(
             e -> {
               boolean silence = e.getValue() != null && e.getValue().phase() == Machine.Phase.LOST;
               if (silence) {
-                scheduling.machine(e.getKey());
+                scheduling.updateMachine(e.getKey());
               }
               return silence;
             });
@@ -264,11 +264,11 @@
   }
 
   /** What is about to be recorded of a machine, or null. */
-  public Machine.Info recorded(Machine m) {
+  public Machine.Info pendingRecord(Machine m) {
     return records.get(m);
   }
 
-  public boolean recording(Machine m) {
+  public boolean hasPendingRecord(Machine m) {
     return records.containsKey(m);
   }
 
@@ -276,23 +276,23 @@
 
   private void cycle() {
     if (phase != Phase.READY
-        || ledger.phase() != Ledger.Phase.FOLLOWING
-        || membership.standing() != Membership.Standing.MEMBER
-        || membership.outdated()
-        || membership.leaving()
-        || tables.registry().number(node) < 0) {
+        || ledger.phase() != StateServiceClient.Phase.FOLLOWING
+        || membership.status() != Membership.Status.MEMBER
+        || membership.isViewOutdated()
+        || membership.isLeaving()
+        || tables.registry().numberOf(node) < 0) {
       return;
     }
     lastCycleMs = timers.nowMs();
     scheduling.update();
     // What is drafted can be paid: a draft that our own budget refuses is drawn anew again and
     // again, and all that it holds waits.
-    int most = ledger.limits().txnOps();
-    int pageBytes = Math.min(tuning.logPageBytes(), ledger.limits().usedBytes());
-    int payable = ledger.payable(most);
+    int most = ledger.limits().maxTransactionChanges();
+    int pageBytes = Math.min(tuning.logPageBytes(), ledger.limits().targetValueBytes());
+    int payable = ledger.affordableChanges(most);
     if (payable < Math.min(most, Math.max(LEAST_CHANGES, owed))) {
       unpaid++;
-      wake();
+      scheduleCycle();
       return;
     }
     drafted++;
@@ -310,14 +310,14 @@
     draftRecords(draft);
     draftStops(draft);
     if (settled() && types.known() && ledger.reachable()) {
-      placing.draft(draft);
-      if (placing.postponedMs() > 0 && !postponed) {
+      placing.placeWaitingTasks(draft);
+      if (placing.postponedForMs() > 0 && !postponed) {
         postponed = true;
         timers.after(
-            placing.postponedMs(),
+            placing.postponedForMs(),
             () -> {
               postponed = false;
-              wake();
+              scheduleCycle();
             });
       }
     }
@@ -326,14 +326,15 @@
       draftGift(draft);
     }
     compaction.draft(draft);
-    if (draft.empty() && ledger.ease() > Conversion.EASE) {
-      conversion.draft(draft);
+    if (draft.empty()
+        && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION) {
+      conversion.addNextRecord(draft);
     }
     draftMoves(draft);
     owed = draft.wanted();
     if (draft.empty()) {
       if (owed > 0) {
-        wake();
+        scheduleCycle();
       }
       return;
     }
@@ -344,8 +345,8 @@
     phase = Phase.BUSY;
     transactions++;
     boolean places = draft.places();
-    Txn txn = draft.finish();
-    ledger.commit(txn, Ledger.Rank.WORK, r -> committed(r, places));
+    Transaction txn = draft.build();
+    ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> committed(r, places));
   }
 
   /**
@@ -356,17 +357,17 @@
     return settled() && timers.nowMs() - giftLookMs > GIFT_OVERDUE_MS;
   }
 
-  private void committed(Ledger.Result r, boolean places) {
+  private void committed(StateServiceClient.CommitResult r, boolean places) {
     switch (r.outcome()) {
-      case OK -> ledger.whenAt(r.rev(), this::ready);
-      case FAILED -> {
-        LOG.debug("transaction failed on {}", r.failed());
-        ledger.whenAt(r.rev(), this::ready);
+      case OK -> ledger.runAtRevision(r.rev(), this::ready);
+      case CONDITION_FAILED -> {
+        LOG.debug("transaction failed on {}", r.failedKeys());
+        ledger.runAtRevision(r.rev(), this::ready);
       }
       case REFUSED -> timers.after(REFUSED_MS + spread(), this::ready);
       case UNKNOWN -> {
         if (r.settled()) {
-          ledger.whenAt(r.rev(), this::ready);
+          ledger.runAtRevision(r.rev(), this::ready);
         } else if (places) {
           phase = Phase.FENCING;
           fence();
@@ -380,12 +381,12 @@
 
   /** Those that were refused together do not come back together. */
   private long spread() {
-    return Math.floorMod(tables.registry().number(node), 16) * 20L;
+    return Math.floorMod(tables.registry().numberOf(node), 16) * 20L;
   }
 
   private void ready() {
     phase = Phase.READY;
-    wake();
+    scheduleCycle();
   }
 
   /**
@@ -395,23 +396,23 @@
   private void fence() {
     afterBarrier(
         () -> {
-          Partition p = tables.partNow(node);
-          if (p == null || membership.standing() != Membership.Standing.MEMBER) {
+          Partition p = tables.currentPartition(node);
+          if (p == null || membership.status() != Membership.Status.MEMBER) {
             // Outside the view nothing is placed, and joining again rewrites the record.
             timers.after(REFUSED_MS, this::fence);
             return;
           }
-          Txn txn =
-              new Txn()
-                  .when(Partition.key(node), p.stamp())
+          Transaction txn =
+              new Transaction()
+                  .requireStamp(Partition.key(node), p.stamp())
                   .write(Partition.key(node), p.toStore());
           ledger.commit(
               txn,
-              Ledger.Rank.AUTHORITY,
+              StateServiceClient.WritePriority.AUTHORITY,
               r -> {
                 // Whoever has rewritten it, the placement can't follow any more.
-                if (r.outcome() == Ledger.Outcome.OK || r.settled()) {
-                  ledger.whenAt(r.rev(), this::ready);
+                if (r.outcome() == StateServiceClient.Outcome.OK || r.settled()) {
+                  ledger.runAtRevision(r.rev(), this::ready);
                 } else {
                   timers.after(REFUSED_MS, this::fence);
                 }
@@ -434,9 +435,9 @@
   // ---- exits, ends, records ----
 
   private void draftExits(TransactionBuilder draft) {
-    for (Machine m : scheduling.gone()) {
+    for (Machine m : scheduling.goneMachinesWithTasks()) {
       if (node.equals(m.owner(tables.view()))) {
-        for (Machine.Slot s : m.live()) {
+        for (Machine.Slot s : m.slots()) {
           exits.putIfAbsent(
               new TaskKey(s.job().id(), s.index()), new Exit(m, s.state().attempt(), null, 0));
         }
@@ -451,11 +452,15 @@
       Exit x = e.getValue();
       // Under another view someone else may have owned the machine, and have answered its worker.
       boolean stale = x.lostIn > 0 && x.lostIn != tables.view().epoch();
-      if (stale || s == null || !s.live() || s.attempt() != x.attempt || s.machine() != x.machine) {
+      if (stale
+          || s == null
+          || !s.isLive()
+          || s.attempt() != x.attempt
+          || s.machine() != x.machine) {
         it.remove();
         continue;
       }
-      if (!draft.takes(job, 1)) {
+      if (!draft.fitsInPage(job, 1)) {
         break;
       }
       if (x.lostIn > 0 && !underView(draft)) {
@@ -475,25 +480,25 @@
    * that the transaction arrives; the part's record, which every change of view rewrites, has not.
    */
   private boolean underView(TransactionBuilder draft) {
-    if (tables.open(Gate.VIEWS)) {
-      draft.underView();
+    if (tables.isOpen(Gate.VIEWS)) {
+      draft.requireCurrentView();
       return true;
     }
-    Partition mine = tables.part(node);
+    Partition mine = tables.partition(node);
     if (mine == null || mine.epoch() != tables.view().epoch()) {
       return false;
     }
     if (!draft.touches(Partition.key(node))) {
-      draft.when(Partition.key(node), mine.stamp());
+      draft.addCondition(Partition.key(node), mine.stamp());
     }
     return true;
   }
 
   /** A gang is done, or lost, together: when one task is done, every one is. */
   private void draftGangExit(TransactionBuilder draft, Job job, int index, String why) {
-    boolean done = Report.DONE.equals(why) || draft.done(job) > 0;
-    TaskState was = draft.state(job, index);
-    if (!done && job.size() > 1 && was.stop() == TaskState.Stop.NONE) {
+    boolean done = Report.DONE.equals(why) || draft.doneTaskCount(job) > 0;
+    TaskState was = draft.taskState(job, index);
+    if (!done && job.taskCount() > 1 && was.stop() == TaskState.Stop.NONE) {
       LOG.info(
           "gang {} attempt {} has lost member {} on {} ({}), {} s after it was placed",
           job.id(),
@@ -504,34 +509,34 @@
           was.machine().ageMs(job, index, timers.nowMs()) / 1000);
     }
     draft.exit(job, index, done ? Report.DONE : why);
-    for (int i = 0; i < job.size(); i++) {
-      TaskState s = draft.state(job, i);
-      if (i == index || !draft.takes(job, 1)) {
+    for (int i = 0; i < job.taskCount(); i++) {
+      TaskState s = draft.taskState(job, i);
+      if (i == index || !draft.fitsInPage(job, 1)) {
         continue;
       }
       if (done && s.phase() == TaskState.Phase.WAITING) {
-        draft.change(job, i, TaskState::doneWithGang);
-      } else if (s.live() && !done) {
+        draft.changeTask(job, i, TaskState::doneWithGang);
+      } else if (s.isLive() && !done) {
         // The others cannot go on without it; a new attempt needs all of this one to be over.
-        draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
+        draft.changeTask(job, i, t -> t.stopping(TaskState.Stop.SAVE));
       }
     }
   }
 
   private void draftEnds(TransactionBuilder draft) {
     Set<Job> candidates = new LinkedHashSet<>(draft.touched());
-    candidates.addAll(scheduling.endable());
+    candidates.addAll(scheduling.finishableJobs());
     for (Job job : candidates) {
       if (!draft.roomToEnd()) {
         return;
       }
-      boolean mine = node.equals(tables.view().placer(job.part(), job.id()));
+      boolean mine = node.equals(tables.view().placer(job.partition(), job.id()));
       if (draft.touched().contains(job) || mine) {
         if (job.withdrawn()) {
-          if (draft.live(job) == 0) {
+          if (draft.liveTaskCount(job) == 0) {
             draft.end(job, TerminalState.WITHDRAWN, timers.wallMs());
           }
-        } else if (draft.done(job) == job.size()) {
+        } else if (draft.doneTaskCount(job) == job.taskCount()) {
           draft.end(job, TerminalState.DONE, timers.wallMs());
         }
       }
@@ -543,11 +548,13 @@
    * Each is moved by the member that the hash names, so that nobody waits for another.
    */
   private void draftMoves(TransactionBuilder draft) {
-    boolean many = tables.over().size() > MOVES_LATE_MOST;
-    if (!many && !(draft.empty() && ledger.ease() > Conversion.EASE)) {
+    boolean many = tables.pendingHistory().size() > MOVES_LATE_MOST;
+    if (!many
+        && !(draft.empty()
+            && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION)) {
       return;
     }
-    for (Map.Entry<String, Tables.Over> e : tables.over().entrySet()) {
+    for (Map.Entry<String, Tables.PendingHistoryEntry> e : tables.pendingHistory().entrySet()) {
       if (!draft.roomToMove()) {
         return;
       }
@@ -565,10 +572,11 @@
       Machine.Info wanted = e.getValue();
       // One that no longer follows on what is known would be void, and be written for ever; so
       // would one of a machine that was forgotten meanwhile, as when two leaders returned it.
-      boolean is = wanted == null ? !m.mayBeForgotten() : !m.phase().mayBecome(wanted.phase());
+      boolean is =
+          wanted == null ? !m.mayBeForgotten() : !m.phase().canTransitionTo(wanted.phase());
       if (is || tables.machine(m.name()) != m) {
         it.remove();
-        scheduling.machine(m);
+        scheduling.updateMachine(m);
         continue;
       }
       if (!draft.takesMachine(m)) {
@@ -579,11 +587,11 @@
   }
 
   private void draftOrphans(TransactionBuilder draft) {
-    if (!membership.leads()) {
+    if (!membership.isLeader()) {
       return;
     }
-    for (String key : tables.orphans()) {
-      if (!draft.hasRoom()) {
+    for (String key : tables.orphanedKeys()) {
+      if (!draft.canAddWrites()) {
         return;
       }
       draft.delete(key);
@@ -592,10 +600,10 @@
 
   /** A gang with a member being stopped is stopped whole, within the time its mates wait. */
   private void draftStops(TransactionBuilder draft) {
-    for (Job job : scheduling.halting()) {
-      for (int i = 0; i < job.size(); i++) {
-        if (draft.state(job, i).live() && draft.takes(job, 1)) {
-          draft.change(job, i, t -> t.stopping(TaskState.Stop.SAVE));
+    for (Job job : scheduling.partlyStoppingGangs()) {
+      for (int i = 0; i < job.taskCount(); i++) {
+        if (draft.taskState(job, i).isLive() && draft.fitsInPage(job, 1)) {
+          draft.changeTask(job, i, t -> t.stopping(TaskState.Stop.SAVE));
         }
       }
     }
@@ -605,14 +613,18 @@
   private void draftGift(TransactionBuilder draft) {
     giftLookMs = timers.nowMs();
     Quota quota = new Quota(settings, tables);
-    quota.saveUp(scheduling.queue().waiting(), timers.wallMs());
-    Quota.Gift g = quota.gift(membership.leads(), scheduling.queue().waiting());
+    quota.holdQuotaForGangs(scheduling.queue().waiting(), timers.wallMs());
+    Quota.Transfer g = quota.proposeTransfer(membership.isLeader(), scheduling.queue().waiting());
     if (g != null) {
-      LOG.info("giving quota of {} from {} to {}", g.team(), g.from(), g.to());
-      draft.write(Partition.key(g.from()), g.giver().toStore(), g.giver().stamp());
-      draft.write(Partition.key(g.to()), g.taker().toStore(), g.taker().stamp());
+      LOG.info("giving quota of {} from {} to {}", g.team(), g.donor(), g.recipient());
+      draft.write(
+          Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
+      draft.write(
+          Partition.key(g.recipient()),
+          g.recipientPartition().toStore(),
+          g.recipientPartition().stamp());
       draft.gives();
-      draft.underView();
+      draft.requireCurrentView();
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -57,10 +57,10 @@
   void draft(TransactionBuilder draft, Job job, boolean asLeader, Quota quota, long now) {
     JobSpec spec = job.spec();
     long waited = now - job.waitingSinceMs(now);
-    if (job.teamRank() == JobSpec.Priority.LOW
-        || job.suspect()
+    if (job.preemptionPriority() == JobSpec.Priority.LOW
+        || job.isSuspected()
         || preemptScans >= PREEMPT_SCANS
-        || now < job.preemptAtMs()) {
+        || now < job.nextPreemptionAtMs()) {
       return;
     }
     long patience = preemptAfterMs(spec);
@@ -68,20 +68,20 @@
       return;
     }
     preemptScans++;
-    job.preemptAtMs(now + Placing.BLOCKED_MS);
+    job.setNextPreemptionAtMs(now + TaskPlacer.BLOCKED_MS);
     JobSpec.Priority strongest = waited < patience ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
     List<FreeCapacity> may = new ArrayList<>();
-    Map<String, Integer> zones = Placing.zones(draft, job);
-    Predicate<CapacityIndex.Cell> scope = Placing.scope(node, asLeader);
+    Map<String, Integer> zones = TaskPlacer.zones(draft, job);
+    Predicate<CapacityIndex.MachineGroup> scope = TaskPlacer.scope(node, asLeader);
     boolean gang = spec.shape() == JobSpec.Shape.GANG;
     if (gang && asLeader) {
       emptyMarked(draft, job, strongest, now);
     }
-    int lack = job.waiting() - (gang ? reservations.of(job).size() : 0);
+    int lack = job.waitingCount() - (gang ? reservations.of(job).size() : 0);
     if (lack <= 0) {
       return;
     }
-    rooms.each(spec, c -> scope.test(c) && Placing.zoneAllows(spec, zones, c.zone), may::add);
+    rooms.each(spec, c -> scope.test(c) && TaskPlacer.zoneAllows(spec, zones, c.zone), may::add);
     if (gang) {
       keepToMarkedZone(job, may);
       if (spec.oneZone()) {
@@ -89,8 +89,8 @@
       }
     }
     for (Preemption.Choice c :
-        Preemption.cheapest(
-            may, spec, job.teamRank(), strongest, now, Math.min(lack, PREEMPT_MOST))) {
+        Preemption.cheapestChoices(
+            may, spec, job.preemptionPriority(), strongest, now, Math.min(lack, PREEMPT_MOST))) {
       if (gang && asLeader) {
         // Else what is stopped for it makes room for others.
         reservations.markFor(job, c.machine(), now);
@@ -101,12 +101,12 @@
 
   private void stop(TransactionBuilder draft, Job job, Preemption.Choice c) {
     for (Machine.Slot s : c.victims()) {
-      if (draft.takes(s.job(), 1)) {
-        if (draft.state(s.job(), s.index()).stop() == TaskState.Stop.NONE) {
-          LOG.info("{} gives way to {}", s.task(), job.id());
+      if (draft.fitsInPage(s.job(), 1)) {
+        if (draft.taskState(s.job(), s.index()).stop() == TaskState.Stop.NONE) {
+          LOG.info("{} gives way to {}", s.taskName(), job.id());
         }
-        draft.change(
-            s.job(), s.index(), t -> t.live() ? t.stopping(Preemption.how(s.job().spec())) : t);
+        draft.changeTask(
+            s.job(), s.index(), t -> t.isLive() ? t.stopping(Preemption.how(s.job().spec())) : t);
       }
     }
   }
@@ -119,7 +119,8 @@
       Preemption.Choice c =
           t == null
               ? null
-              : Preemption.on(new FreeCapacity(m, t), job.spec(), job.teamRank(), strongest, now);
+              : Preemption.on(
+                  new FreeCapacity(m, t), job.spec(), job.preemptionPriority(), strongest, now);
       if (c != null) {
         stop(draft, job, c);
       }
@@ -147,7 +148,8 @@
     double least = Double.MAX_VALUE;
     for (List<FreeCapacity> rooms : byZone.values()) {
       List<Preemption.Choice> all =
-          Preemption.cheapest(rooms, job.spec(), job.teamRank(), strongest, now, lack);
+          Preemption.cheapestChoices(
+              rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
       double lost = all.stream().mapToDouble(Preemption.Choice::lost).sum();
       if (all.size() == lack && lost < least) {
         least = lost;
--- a/src/main/java/wickdrift/coordination/Confirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -14,8 +14,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.PeerFrame;
@@ -32,8 +32,8 @@
  * earlier owner says, and a later view's owner has read the withdrawal before the view. So it stays
  * proved, whoever fails next: if the owner does, the lease ends. What is over needs no proof.
  */
-public final class Confirmations {
-  private static final Logger LOG = LoggerFactory.getLogger(Confirmations.class);
+public final class WithdrawalConfirmations {
+  private static final Logger LOG = LoggerFactory.getLogger(WithdrawalConfirmations.class);
 
   /** Who asks is answered within this time, kept or not. */
   private static final long WAIT_MS = 700;
@@ -67,24 +67,24 @@
   }
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
-  private final Reporting reporting;
+  private final ReportHandler reporting;
   private final String node;
   private final Map<String, Consumer<ByteBuffer>> peers;
   private final Map<String, Open> open = new HashMap<>();
   private final Map<Long, Question> questions = new HashMap<>();
   private long nextId;
   private boolean tidying;
-  private long kept;
-  private long unkept;
+  private long confirmedCount;
+  private long unconfirmedCount;
 
   /** Nothing is asked until somebody waits for an answer. */
-  public Confirmations(
+  public WithdrawalConfirmations(
       Timers timers,
-      Ledger ledger,
+      StateServiceClient ledger,
       Tables tables,
-      Reporting reporting,
+      ReportHandler reporting,
       String node,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
@@ -96,13 +96,13 @@
   }
 
   /** Jobs of which this node found that their withdrawal will be kept. */
-  public long kept() {
-    return kept;
+  public long confirmedCount() {
+    return confirmedCount;
   }
 
   /** Questions that were answered without the word, as it was not proved in time. */
-  public long unkept() {
-    return unkept;
+  public long unconfirmedCount() {
+    return unconfirmedCount;
   }
 
   /**
@@ -131,7 +131,7 @@
           long now = timers.nowMs();
           List<Waiter> late = new ArrayList<>();
           o.waiters.removeIf(w -> w.untilMs <= now && late.add(w));
-          unkept += late.size();
+          unconfirmedCount += late.size();
           late.forEach(w -> w.done.accept(false));
           arm(job, o);
         });
@@ -149,7 +149,7 @@
         return;
       }
       o.kept = true;
-      kept++;
+      confirmedCount++;
     }
     List<Waiter> told = List.copyOf(o.waiters);
     o.waiters.clear();
@@ -160,14 +160,14 @@
   private Map<String, List<String>> unproved(String id, Open o) {
     View v = tables.view();
     Job job = tables.job(id);
-    if (job == null && tables.finished(id) != null) {
+    if (job == null && tables.terminalState(id) != null) {
       return Map.of();
     }
     if (v == null
         || job == null
         || !job.withdrawn()
-        || tables.barred() != null
-        || ledger.phase() != Ledger.Phase.FOLLOWING) {
+        || tables.blockedReason() != null
+        || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       return null;
     }
     Map<String, List<String>> left = new TreeMap<>();
@@ -176,7 +176,7 @@
         continue;
       }
       String owner = m.owner(v);
-      if (owner.equals(node) && reporting.obeys(m, id)) {
+      if (owner.equals(node) && reporting.canConfirmWithdrawal(m, id)) {
         o.proved.add(m.name());
       } else {
         left.computeIfAbsent(owner, k -> new ArrayList<>()).add(m.name());
@@ -188,7 +188,7 @@
   private void ask(String job, Open o, Map<String, List<String>> left) {
     long now = timers.nowMs();
     long epoch = tables.view().epoch();
-    int number = tables.registry().number(node);
+    int number = tables.registry().numberOf(node);
     if (number < 0 || now - o.askedMs < AGAIN_MS && o.askedEpoch == epoch) {
       return;
     }
@@ -210,7 +210,7 @@
   }
 
   /** An owner's answer. Whoever was not asked has nothing to say. */
-  public void answered(PeerFrame.Obeyed a) {
+  public void handleConfirmation(PeerFrame.Obeyed a) {
     Question q = questions.get(a.id());
     if (q == null || !q.owner.equals(tables.registry().name(a.from()))) {
       return;
@@ -233,29 +233,29 @@
    * A peer has told of a withdrawal and asks which of our machines obey us alone. From here on we
    * know, whether the state service serves us or not; what can't be kept is not answered.
    */
-  public void asked(PeerFrame.Withdrawn w) {
-    boolean knew = tables.foretold(w.job()) || w.rev() <= tables.appliedRev();
-    if (!tables.foretell(w.job(), w.rev())) {
+  public void handleConfirmationRequest(PeerFrame.Withdrawn w) {
+    boolean knew = tables.isWithdrawalAnnounced(w.job()) || w.rev() <= tables.appliedRev();
+    if (!tables.announceWithdrawal(w.job(), w.rev())) {
       LOG.error("too many withdrawals are known ahead of the tables: {} is not", w.job());
       return;
     }
     Job job = tables.job(w.job());
     if (!knew && job != null) {
-      reporting.stop(job);
+      reporting.haltTasksOf(job);
     }
     View v = tables.view();
     Consumer<ByteBuffer> peer = peers.get(tables.registry().name(w.from()));
-    int number = tables.registry().number(node);
+    int number = tables.registry().numberOf(node);
     if (peer == null || number < 0 || v == null || v.epoch() != w.epoch()) {
       return;
     }
-    if (tables.barred() != null || ledger.phase() != Ledger.Phase.FOLLOWING) {
+    if (tables.blockedReason() != null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
       return;
     }
     BitSet places = new BitSet();
     for (int i = 0; i < w.machines().size(); i++) {
       Machine m = tables.machine(w.machines().get(i));
-      places.set(i, m != null && reporting.obeys(m, w.job()));
+      places.set(i, m != null && reporting.canConfirmWithdrawal(m, w.job()));
     }
     peer.accept(new PeerFrame.Obeyed(number, w.id(), places.toByteArray()).encode());
   }
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -6,22 +6,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wickdrift.bookkeeping.JobHistory;
-import wickdrift.bookkeeping.Ledger;
-import wickdrift.bookkeeping.Limits;
+import wickdrift.bookkeeping.StateServiceClient;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.level.Gate;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Admission;
-import wickdrift.coordination.Confirmations;
 import wickdrift.coordination.Fleet;
 import wickdrift.coordination.Membership;
 import wickdrift.coordination.PauseDetector;
-import wickdrift.coordination.Relay;
-import wickdrift.coordination.Reporting;
+import wickdrift.coordination.ReportHandler;
+import wickdrift.coordination.ReportRelay;
 import wickdrift.coordination.SchedulingState;
 import wickdrift.coordination.TransactionPipeline;
 import wickdrift.coordination.Tuning;
 import wickdrift.coordination.Types;
+import wickdrift.coordination.WithdrawalConfirmations;
 import wickdrift.coordination.WorkerLinks;
 import wickdrift.coordination.Zones;
 import wickdrift.protocol.BadMessage;
@@ -44,15 +44,15 @@
   private static final long LEAVE_STEP_MS = 20;
 
   private final PauseDetector pauseDetector;
-  private final Ledger ledger;
+  private final StateServiceClient ledger;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final JobHistory history;
   private final Membership membership;
   private final TransactionPipeline pipeline;
-  private final Relay relay;
-  private final Reporting reporting;
-  private final Confirmations confirmations;
+  private final ReportRelay relay;
+  private final ReportHandler reporting;
+  private final WithdrawalConfirmations confirmations;
   private final Admission admission;
   private final Fleet fleet;
   private final Metrics metrics;
@@ -67,7 +67,7 @@
       Map<String, Consumer<ByteBuffer>> peers,
       String incarnation,
       Metrics metrics) {
-    this(settings, tuning, clock, calls, peers, incarnation, metrics, Range.BUILD);
+    this(settings, tuning, clock, calls, peers, incarnation, metrics, LevelRange.BUILD);
   }
 
   /**
@@ -82,10 +82,10 @@
       Map<String, Consumer<ByteBuffer>> peers,
       String incarnation,
       Metrics metrics,
-      Range levels) {
+      LevelRange levels) {
     this.metrics = metrics;
     pauseDetector = new PauseDetector(clock, tuning.stillMs());
-    Timers timers = pauseDetector.timers();
+    Timers timers = pauseDetector.monitoredTimers();
     Caller caller =
         (address, method, path, body, timeoutMs, done) ->
             calls.call(
@@ -95,16 +95,17 @@
                 body,
                 timeoutMs,
                 a -> {
-                  pauseDetector.beat();
+                  pauseDetector.recordActivity();
                   done.accept(a);
                 });
     Types types = new Types();
     tables = new Tables(settings.nodeNames(), levels, this::tablesChanged);
     scheduling = new SchedulingState(timers, tables, types, settings);
-    Limits limits =
-        new Limits(settings.stateLimits(), settings.nextLimits(), () -> tables.open(Gate.LIMITS));
+    StateServiceLimits limits =
+        new StateServiceLimits(
+            settings.stateLimits(), settings.nextLimits(), () -> tables.isOpen(Gate.LIMITS));
     ledger =
-        new Ledger(
+        new StateServiceClient(
             timers,
             caller,
             settings.state(),
@@ -114,14 +115,14 @@
             malformed);
     membership =
         new Membership(timers, ledger, tables, tuning, settings, levels, incarnation, peers);
-    relay = new Relay(timers, settings.node(), tables.registry(), peers);
+    relay = new ReportRelay(timers, settings.node(), tables.registry(), peers);
     pipeline =
         new TransactionPipeline(
             timers, ledger, tables, scheduling, types, membership, tuning, settings);
     Zones zones = new Zones(tuning.quietMs());
     WorkerLinks links = new WorkerLinks(timers);
     reporting =
-        new Reporting(
+        new ReportHandler(
             timers,
             ledger,
             tables,
@@ -137,7 +138,8 @@
             settings.node(),
             malformed);
     history = new JobHistory(timers, ledger, tables);
-    confirmations = new Confirmations(timers, ledger, tables, reporting, settings.node(), peers);
+    confirmations =
+        new WithdrawalConfirmations(timers, ledger, tables, reporting, settings.node(), peers);
     admission =
         new Admission(
             timers,
@@ -150,7 +152,7 @@
             tuning,
             pauseDetector,
             confirmations);
-    admission.leaving(membership::leaving);
+    admission.refuseSubmissionsWhen(membership::isLeaving);
     fleet =
         new Fleet(
             timers,
@@ -168,48 +170,48 @@
             incarnation,
             malformed);
     // In this order: what was drawn from silence is dropped after nothing is decided any more.
-    pauseDetector.onWaking(ms -> membership.woke());
-    pauseDetector.onWaking(ms -> pipeline.woke());
+    pauseDetector.onResume(ms -> membership.onProcessResumed());
+    pauseDetector.onResume(ms -> pipeline.onProcessResumed());
     registerMetrics(limits, links, settings.node());
   }
 
-  private void registerMetrics(Limits limits, WorkerLinks links, String node) {
-    metrics.watch("rooms.looked", () -> scheduling.looked());
-    metrics.watch("tasks.placed", pipeline::placed);
-    metrics.watch("transactions", pipeline::transactions);
-    metrics.watch("transactions.drafted", pipeline::drafted);
-    metrics.watch("transactions.unpaid", pipeline::unpaid);
+  private void registerMetrics(StateServiceLimits limits, WorkerLinks links, String node) {
+    metrics.watch("rooms.looked", () -> scheduling.machinesExamined());
+    metrics.watch("tasks.placed", pipeline::placedTasks);
+    metrics.watch("transactions", pipeline::transactionCount);
+    metrics.watch("transactions.drafted", pipeline::builtTransactionCount);
+    metrics.watch("transactions.unpaid", pipeline::cyclesWithoutBudget);
     metrics.watch("transactions.refused.by.budget", ledger::refusedByBudget);
     metrics.watch("transactions.refused.by.store", ledger::refusedByStore);
     metrics.watch("transactions.failed.by.condition", ledger::failedByCondition);
     metrics.watch("jobs.unfinished", () -> tables.jobs().size());
     metrics.watch("machines.known", () -> tables.machines().size());
-    metrics.watch("transactions.too.large", ledger::tooLarge);
-    metrics.watch("state.limits.fallen", () -> limits.fallen() ? 1 : 0);
-    metrics.watch("finals.read", history::reads);
+    metrics.watch("transactions.too.large", ledger::tooLargeCount);
+    metrics.watch("state.limits.fallen", () -> limits.nextLimitsInEffect() ? 1 : 0);
+    metrics.watch("finals.read", history::readCount);
     metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
-    metrics.watch("jobs.over", () -> tables.over().size());
-    metrics.watch("jobs.unclear", () -> tables.dependencies().unknown().size());
-    metrics.watch("log.pages", () -> tables.log(node).size());
-    metrics.watch("polls.shed", admission::shed);
-    metrics.watch("loop.late.ms", pauseDetector::lateMs);
-    metrics.watch("loop.pauses", pauseDetector::pauses);
-    metrics.watch("loop.paused.ms", pauseDetector::pausedMs);
-    metrics.watch("state.writes.ease", ledger::ease);
+    metrics.watch("jobs.over", () -> tables.pendingHistory().size());
+    metrics.watch("jobs.unclear", () -> tables.dependencies().unresolved().size());
+    metrics.watch("log.pages", () -> tables.logPages(node).size());
+    metrics.watch("polls.shed", admission::shedStatusRequests);
+    metrics.watch("loop.late.ms", pauseDetector::timerDelayMs);
+    metrics.watch("loop.pauses", pauseDetector::pauseCount);
+    metrics.watch("loop.paused.ms", pauseDetector::totalPausedMs);
+    metrics.watch("state.writes.ease", ledger::writeBudgetFraction);
     metrics.watch("state.level", tables::level);
-    metrics.watch("state.barred", () -> tables.barred() == null ? 0 : 1);
-    metrics.watch("state.old.forms", () -> tables.oldForms().size());
+    metrics.watch("state.barred", () -> tables.blockedReason() == null ? 0 : 1);
+    metrics.watch("state.old.forms", () -> tables.keysInOldEncoding().size());
     metrics.watch("peers.unknown", () -> unknownFrames);
     metrics.watch("peers.malformed", () -> malformed.count(MalformedMessages.Sender.PEER));
     metrics.watch("state.malformed", () -> malformed.count(MalformedMessages.Sender.STATE_SERVICE));
     metrics.watch("cloud.malformed", () -> malformed.count(MalformedMessages.Sender.CLOUD));
     metrics.watch("workers.malformed", () -> malformed.count(MalformedMessages.Sender.WORKER));
-    metrics.watch("workers.restarted", links::restarts);
-    metrics.watch("commands.unanswered", links::unanswered);
-    metrics.watch("commands.uncertain.machines", links::uncertain);
+    metrics.watch("workers.restarted", links::workerRestarts);
+    metrics.watch("commands.unanswered", links::unansweredCommands);
+    metrics.watch("commands.uncertain.machines", links::machinesWithOutstandingRuns);
     metrics.watch("invariants.violated", links.monitor()::violations);
-    metrics.watch("withdrawals.kept", confirmations::kept);
-    metrics.watch("withdrawals.unkept", confirmations::unkept);
+    metrics.watch("withdrawals.kept", confirmations::confirmedCount);
+    metrics.watch("withdrawals.unkept", confirmations::unconfirmedCount);
   }
 
   /** For looking in from outside: what this node holds for durable. */
@@ -236,12 +238,12 @@
    */
   public void leave(long withinMs, Runnable done) {
     membership.leave();
-    leaveStep(pauseDetector.timers().nowMs() + withinMs, done);
+    leaveStep(pauseDetector.monitoredTimers().nowMs() + withinMs, done);
   }
 
   private void leaveStep(long byMs, Runnable done) {
-    long now = pauseDetector.timers().nowMs();
-    if (pipeline.idle() && admission.idle() || now >= byMs) {
+    long now = pauseDetector.monitoredTimers().nowMs();
+    if (pipeline.isIdle() && admission.isIdle() || now >= byMs) {
       boolean[] once = new boolean[1];
       Runnable end =
           () -> {
@@ -250,23 +252,23 @@
               done.run();
             }
           };
-      membership.giveBack(end);
-      pauseDetector.timers().after(Math.max(0, byMs - now), end);
+      membership.releaseLease(end);
+      pauseDetector.monitoredTimers().after(Math.max(0, byMs - now), end);
     } else {
-      pauseDetector.timers().after(LEAVE_STEP_MS, () -> leaveStep(byMs, done));
+      pauseDetector.monitoredTimers().after(LEAVE_STEP_MS, () -> leaveStep(byMs, done));
     }
   }
 
   private void tablesChanged() {
-    history.chase();
+    history.resolveDependencies();
     scheduling.update();
-    reporting.tablesChanged(scheduling.takeChanged());
-    pipeline.wake();
+    reporting.tablesChanged(scheduling.drainChangedMachines());
+    pipeline.scheduleCycle();
   }
 
   /** Takes a frame that came in on the link between controllers. */
   public void peerFrame(ByteBuffer bytes) {
-    pauseDetector.beat();
+    pauseDetector.recordActivity();
     PeerFrame frame;
     try {
       frame = PeerFrame.decode(bytes);
@@ -275,15 +277,15 @@
       return;
     }
     if (frame instanceof PeerFrame.Standing s) {
-      membership.peerStands(s);
+      membership.handlePeerStatus(s);
     } else if (frame instanceof PeerFrame.Relayed r) {
-      reporting.relayed(relay.received(r));
+      reporting.handleRelayedReport(relay.exchangeFor(r));
     } else if (frame instanceof PeerFrame.Answered a) {
-      relay.answered(a);
+      relay.handleReply(a);
     } else if (frame instanceof PeerFrame.Withdrawn w) {
-      confirmations.asked(w);
+      confirmations.handleConfirmationRequest(w);
     } else if (frame instanceof PeerFrame.Obeyed o) {
-      confirmations.answered(o);
+      confirmations.handleConfirmation(o);
     } else if (unknownFrames++ == 0) {
       LOG.info("from a peer: a frame that this build does not know, and passes over");
     }
@@ -291,14 +293,14 @@
 
   /** Every request of users, workers and the load balancer comes in here. */
   public void handle(Exchange x) {
-    pauseDetector.beat();
+    pauseDetector.recordActivity();
     metrics.request();
     String path = x.path();
     int query = path.indexOf('?');
     if (query >= 0) {
       path = path.substring(0, query);
     }
-    if (tables.barred() != null && !path.equals("/metrics")) {
+    if (tables.blockedReason() != null && !path.equals("/metrics")) {
       // Who does not understand the stored state answers nobody from it: users and workers go on
       // to the others.
       x.reply(503, Map.of("error", "not in service"), BARRED_RETRY_S);
@@ -308,7 +310,7 @@
     boolean get = x.method().equals("GET");
     if (path.equals("/hello")) {
       if (post) {
-        reporting.hello(x);
+        reporting.handleReport(x);
       } else {
         wrongMethod(x);
       }
@@ -344,7 +346,7 @@
     } else if (withdraw && post) {
       admission.withdraw(x, id);
     } else if (!withdraw && get) {
-      admission.poll(x, id);
+      admission.jobStatus(x, id);
     } else {
       wrongMethod(x);
     }
@@ -359,6 +361,6 @@
    * a peer is served and we alone are not.
    */
   private boolean healthy() {
-    return admission.ready() && !membership.aloneWithoutState() && !membership.leaving();
+    return admission.isReady() && !membership.isIsolated() && !membership.isLeaving();
   }
 }
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -8,13 +8,13 @@
 import java.util.TreeSet;
 import picocli.CommandLine;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Announcement;
 import wickdrift.bookkeeping.level.Gate;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.LevelUpgrade;
-import wickdrift.bookkeeping.level.Range;
-import wickdrift.bookkeeping.level.Word;
+import wickdrift.bookkeeping.level.NodeRecord;
+import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.settings.Settings;
 
 /** {@code wickdrift level}: the level of stored state that is in force, and what it waits for. */
@@ -39,7 +39,7 @@
   /** What the commands read; barred if this build does not understand the stored state. */
   private static Tables tables(Store store, Settings settings) throws Store.Away {
     Records r = Records.read(store);
-    Tables t = new Tables(settings.nodeNames(), Range.BUILD, () -> {});
+    Tables t = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
     t.load(r.changes(), r.rev());
     return t;
   }
@@ -47,8 +47,8 @@
   private static TreeSet<String> controllers(Tables t, Settings settings) {
     TreeSet<String> names = new TreeSet<>(settings.nodeNames());
     names.addAll(t.registry().names());
-    names.addAll(t.announcedLive().keySet());
-    t.registry().announced().forEach(a -> names.addAll(a.peers()));
+    names.addAll(t.memberLevels().keySet());
+    t.registry().nodeRecords().forEach(a -> names.addAll(a.peers()));
     return names;
   }
 
@@ -58,52 +58,52 @@
     @Override
     int run(Store store, Settings settings) throws Store.Away {
       Tables t = tables(store, settings);
-      if (t.barred() != null) {
-        return fail(NO, t.barred());
+      if (t.blockedReason() != null) {
+        return fail(NO, t.blockedReason());
       }
       LevelUpgrade rise =
-          LevelUpgrade.judge(
-              t.level(), Range.BUILD, t.announcedLive(), settings.nodeNames(), t.registry());
+          LevelUpgrade.evaluate(
+              t.level(), LevelRange.BUILD, t.memberLevels(), settings.nodeNames(), t.registry());
       List<Map<String, Object>> list = new ArrayList<>();
       for (String name : controllers(t, settings)) {
-        Announcement a = t.registry().announced(name);
-        boolean live = t.announcedLive().containsKey(name);
+        NodeRecord a = t.registry().nodeRecord(name);
+        boolean live = t.memberLevels().containsKey(name);
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("name", name);
-        m.put("number", t.registry().number(name));
+        m.put("number", t.registry().numberOf(name));
         m.put("there", live);
         m.put("member", t.view() != null && t.view().members().containsKey(name));
         m.put(
             "levels",
-            live ? t.announcedLive().get(name).toString() : a == null ? "" : a.range().toString());
-        m.put("waitedFor", !t.registry().word().without().contains(name));
+            live ? t.memberLevels().get(name).toString() : a == null ? "" : a.levels().toString());
+        m.put("waitedFor", !t.registry().overrides().ignoredNodes().contains(name));
         list.add(m);
       }
       Map<String, Object> all = new LinkedHashMap<>();
       all.put("level", t.level());
-      all.put("build", Range.BUILD.toString());
+      all.put("build", LevelRange.BUILD.toString());
       all.put("epoch", t.view() == null ? 0 : t.view().epoch());
-      all.put("gates", LevelUpgrade.gates(t.level(), t.registry().word()));
-      all.put("waitsFor", rise.waitsFor());
-      all.put("oldForms", t.oldForms().size());
-      all.put("converted", t.level() > 1 && t.registry().doneLevel() >= t.level());
+      all.put("gates", LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides()));
+      all.put("waitsFor", rise.blockers());
+      all.put("oldForms", t.keysInOldEncoding().size());
+      all.put("converted", t.level() > 1 && t.registry().convertedLevel() >= t.level());
       all.put("controllers", list);
       if (json) {
         print(all);
         return OK;
       }
-      out().println("level " + t.level() + " is in force; this build speaks " + Range.BUILD);
-      LevelUpgrade.gates(t.level(), t.registry().word())
+      out().println("level " + t.level() + " is in force; this build speaks " + LevelRange.BUILD);
+      LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides())
           .forEach((g, why) -> out().println("gate " + g + ": " + (why.isEmpty() ? "open" : why)));
-      for (String why : rise.waitsFor()) {
+      for (String why : rise.blockers()) {
         out().println("level " + (t.level() + 1) + " waits: " + why);
       }
       if (t.level() > 1) {
         out()
             .println(
-                t.oldForms().size()
+                t.keysInOldEncoding().size()
                     + " records of an older form are left"
-                    + (t.registry().doneLevel() >= t.level() ? "; all was converted" : ""));
+                    + (t.registry().convertedLevel() >= t.level() ? "; all was converted" : ""));
       }
       for (Map<String, Object> m : list) {
         out()
@@ -123,11 +123,11 @@
   /** Those that change what the operators have said. */
   abstract static class Saying extends Tool {
     /** What is to be said now, or null with a reason given by {@link #fail}. */
-    abstract Word next(Tables t, Settings settings);
+    abstract OperatorOverrides next(Tables t, Settings settings);
 
     private int code;
 
-    Word refuse(int exit, String why) {
+    OperatorOverrides refuse(int exit, String why) {
       code = fail(exit, why);
       return null;
     }
@@ -135,27 +135,27 @@
     @Override
     int run(Store store, Settings settings) throws Store.Away {
       Tables t = tables(store, settings);
-      if (t.barred() != null) {
-        return fail(NO, t.barred());
+      if (t.blockedReason() != null) {
+        return fail(NO, t.blockedReason());
       }
-      Word next = next(t, settings);
+      OperatorOverrides next = next(t, settings);
       if (next == null) {
         return code;
       }
-      long stamp = t.registry().word().stamp();
+      long stamp = t.registry().overrides().stamp();
       // On condition of the view too: a level that rises meanwhile makes this come too late.
-      Txn txn =
-          new Txn()
-              .when(Word.KEY, stamp)
-              .when(View.KEY, t.viewStamp())
-              .write(Word.KEY, next.toStore());
+      Transaction txn =
+          new Transaction()
+              .requireStamp(OperatorOverrides.KEY, stamp)
+              .requireStamp(View.KEY, t.viewStamp())
+              .write(OperatorOverrides.KEY, next.toStore());
       if (!Records.commit(store, txn)) {
         return fail(NO, "the state has just changed; nothing was done, try again");
       }
       if (json) {
-        print(Map.of("held", next.held(), "without", next.without()));
+        print(Map.of("held", next.heldGates(), "without", next.ignoredNodes()));
       } else {
-        out().println("held: " + next.held() + ", not waited for: " + next.without());
+        out().println("held: " + next.heldGates() + ", not waited for: " + next.ignoredNodes());
       }
       return OK;
     }
@@ -172,15 +172,15 @@
     private String gate;
 
     @Override
-    Word next(Tables t, Settings settings) {
-      Gate g = Gate.of(gate);
+    OperatorOverrides next(Tables t, Settings settings) {
+      Gate g = Gate.byLabel(gate);
       if (g == null) {
         return refuse(BAD_INPUT, "no gate " + gate + "; there are: " + gates());
       }
-      if (t.open(g)) {
+      if (t.isOpen(g)) {
         return refuse(NO, "gate " + gate + " is open, and can't be closed again");
       }
-      return t.registry().word().hold(gate, true);
+      return t.registry().overrides().withGateHeld(gate, true);
     }
   }
 
@@ -191,11 +191,12 @@
     private String gate;
 
     @Override
-    Word next(Tables t, Settings settings) {
-      return t.registry().word().held().contains(gate)
-          ? t.registry().word().hold(gate, false)
+    OperatorOverrides next(Tables t, Settings settings) {
+      return t.registry().overrides().heldGates().contains(gate)
+          ? t.registry().overrides().withGateHeld(gate, false)
           : refuse(
-              BAD_INPUT, "gate " + gate + " is not held back; held: " + t.registry().word().held());
+              BAD_INPUT,
+              "gate " + gate + " is not held back; held: " + t.registry().overrides().heldGates());
     }
   }
 
@@ -211,21 +212,21 @@
     private boolean undo;
 
     @Override
-    Word next(Tables t, Settings settings) {
-      Word word = t.registry().word();
+    OperatorOverrides next(Tables t, Settings settings) {
+      OperatorOverrides word = t.registry().overrides();
       if (undo) {
-        return word.without().contains(name)
-            ? word.without(name, false)
-            : refuse(BAD_INPUT, name + " is waited for; not so: " + word.without());
+        return word.ignoredNodes().contains(name)
+            ? word.withNodeIgnored(name, false)
+            : refuse(BAD_INPUT, name + " is waited for; not so: " + word.ignoredNodes());
       }
       if (!controllers(t, settings).contains(name)) {
         return refuse(
             BAD_INPUT, "no controller " + name + "; there are: " + controllers(t, settings));
       }
-      if (t.announcedLive().containsKey(name)) {
+      if (t.memberLevels().containsKey(name)) {
         return refuse(NO, name + " is there: end it first");
       }
-      return word.without(name, true);
+      return word.withNodeIgnored(name, true);
     }
   }
 }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.TreeSet;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
-import wickdrift.bookkeeping.Txn;
+import wickdrift.bookkeeping.Transaction;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.MessageCodec;
 
@@ -42,12 +42,12 @@
   private static final int MOST_BYTES = 24 * 1024;
 
   private final Store store;
-  private final Limits limits;
+  private final StateServiceLimits limits;
 
   /**
    * @param limits of the state service, the smaller of now and next
    */
-  public Restore(Store store, Limits limits) {
+  public Restore(Store store, StateServiceLimits limits) {
     this.store = store;
     this.limits = limits;
   }
@@ -57,7 +57,7 @@
    * @throws Refused if the store is not empty, or the snapshot holds what this build can't read
    */
   public int run(Records snapshot) throws Refused, Store.Away {
-    Map<String, Object> plan = plan(snapshot, limits.usedBytes());
+    Map<String, Object> plan = plan(snapshot, limits.targetValueBytes());
     String mark = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
     Records there = Records.read(store);
     Records.Item view = there.all().get(View.KEY);
@@ -68,24 +68,26 @@
               + " records, as "
               + there.all().firstKey());
     }
-    if (view == null && !Records.commit(store, new Txn().when(View.KEY, 0).write(View.KEY, mark))) {
+    if (view == null
+        && !Records.commit(
+            store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, mark))) {
       throw new Refused("the store has just been written to by another");
     }
     Object last = plan.remove(View.KEY);
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     for (Map.Entry<String, Object> e : plan.entrySet()) {
       Records.Item is = there.all().get(e.getKey());
       if (is != null && same(is.value(), e.getValue())) {
         continue;
       }
-      txn.when(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
-      if (txn.changes() == limits.txnOps()
-          || MessageCodec.encode(txn.toWire()).length > MOST_BYTES) {
+      txn.requireStamp(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
+      if (txn.changeCount() == limits.maxTransactionChanges()
+          || MessageCodec.encode(txn.toRequest()).length > MOST_BYTES) {
         write(txn);
-        txn = new Txn();
+        txn = new Transaction();
       }
     }
-    if (txn.changes() > 0) {
+    if (txn.changeCount() > 0) {
       write(txn);
     }
     Records now = Records.read(store);
@@ -95,14 +97,14 @@
         throw new Refused(e.getKey() + " is not what was written: someone else writes there");
       }
     }
-    Txn end = new Txn().when(View.KEY, now.all().get(View.KEY).stamp());
+    Transaction end = new Transaction().requireStamp(View.KEY, now.all().get(View.KEY).stamp());
     if (!Records.commit(store, last == null ? end.delete(View.KEY) : end.write(View.KEY, last))) {
       throw new Refused("the store was written to by another at the end");
     }
     return plan.size() + (last == null ? 0 : 1);
   }
 
-  private void write(Txn txn) throws Refused, Store.Away {
+  private void write(Transaction txn) throws Refused, Store.Away {
     if (!Records.commit(store, txn)) {
       throw new Refused("someone else writes to the store");
     }
@@ -110,34 +112,36 @@
 
   /** What is to be written, by key, the view too. */
   static Map<String, Object> plan(Records snapshot, int valueBytes) throws Refused {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     t.load(snapshot.changes(), snapshot.rev());
-    if (t.barred() != null) {
-      throw new Refused("this build can't put it back: " + t.barred());
+    if (t.blockedReason() != null) {
+      throw new Refused("this build can't put it back: " + t.blockedReason());
     }
     Map<String, Object> out = new LinkedHashMap<>();
     for (Map.Entry<String, Records.Item> e : snapshot.all().entrySet()) {
       String key = e.getKey();
       boolean derived = key.startsWith("w/l/") || key.startsWith("w/m/") || key.startsWith("w/h/");
-      if (!derived && !Job.isChunk(key) && !key.equals(View.KEY)) {
+      if (!derived && !Job.isChunkKey(key) && !key.equals(View.KEY)) {
         out.put(key, e.getValue().value());
       }
     }
     for (Job j : t.jobs()) {
-      for (int c = 0; c < j.chunks(); c++) {
+      for (int c = 0; c < j.chunkCount(); c++) {
         Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
-          out.put(j.chunkKey(c), j.storeChunk(c, 0, i -> stopped(j.task(i)), t.form(), valueBytes));
+          out.put(
+              j.chunkKey(c),
+              j.chunkToStore(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
         }
       }
     }
     TreeSet<String> shelves = new TreeSet<>();
     for (Machine m : t.machines()) {
       if (m.info() != null) {
-        shelves.add(Machine.shelf(m.name()));
+        shelves.add(Machine.archiveBucketOf(m.name()));
       }
     }
-    shelves.forEach(s -> out.put(Tables.shelfKey(s), t.encodeShelf(s, 0)));
+    shelves.forEach(s -> out.put(Tables.archiveBucketKey(s), t.encodeArchiveBucket(s, 0)));
     if (t.view() != null) {
       View v = t.view();
       out.put(
@@ -148,7 +152,7 @@
                   v.leader(),
                   v.zones(),
                   v.level(),
-                  v.since(),
+                  v.viewsGateEpoch(),
                   v.extra())
               .toStore());
     }
@@ -166,6 +170,6 @@
   }
 
   private static TaskState stopped(TaskState s) {
-    return s.live() ? TaskState.waiting(s.attempt()) : s;
+    return s.isLive() ? TaskState.waiting(s.attempt()) : s;
   }
 }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -11,11 +11,11 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Announcement;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
+import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.bookkeeping.level.NodeRecord;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
 import wickdrift.protocol.BadMessage;
 
 /** What of the stored state a build can't read, and what contradicts itself. A pure function. */
@@ -28,10 +28,10 @@
   private static final double EPS = 1e-6;
 
   private final Records records;
-  private final Range levels;
+  private final LevelRange levels;
   private final List<Finding> found = new ArrayList<>();
 
-  private StateCheck(Records records, Range levels) {
+  private StateCheck(Records records, LevelRange levels) {
     this.records = records;
     this.levels = levels;
   }
@@ -40,7 +40,7 @@
    * @param levels that the build speaks for which is asked
    * @return errors first, each kind in the order of keys
    */
-  public static List<Finding> check(Records records, Range levels) {
+  public static List<Finding> check(Records records, LevelRange levels) {
     StateCheck c = new StateCheck(records, levels);
     c.run();
     List<Finding> out = new ArrayList<>(c.found);
@@ -59,10 +59,10 @@
   private void run() {
     Tables t = new Tables(List.of(), levels, () -> {});
     t.load(records.changes(), records.rev());
-    t.unreadable().forEach(this::error);
+    t.unreadableRecords().forEach(this::error);
     View v = t.view();
     if (v == null) {
-      if (!records.all().isEmpty() && !t.unreadable().containsKey(View.KEY)) {
+      if (!records.all().isEmpty() && !t.unreadableRecords().containsKey(View.KEY)) {
         error(View.KEY, "is missing, and other records are there");
       }
     } else if (!levels.includes(v.level())) {
@@ -83,10 +83,10 @@
     }
     for (String m : v.members().keySet()) {
       // Since parts are not rewritten with the view, one that was never written is an empty one.
-      if (t.part(m) == null && !v.open(Gate.VIEWS)) {
+      if (t.partition(m) == null && !v.isOpen(Gate.VIEWS)) {
         error(Partition.key(m), "is missing, and " + m + " is a member");
       }
-      if (v.open(Gate.NUMBERS) && t.registry().number(m) < 0) {
+      if (v.isOpen(Gate.NUMBERS) && t.registry().numberOf(m) < 0) {
         error(View.KEY, "member " + m + " has no number");
       }
     }
@@ -95,24 +95,25 @@
   private void parts(Tables t, View v) {
     Map<String, Double> sums = new HashMap<>();
     boolean told = true;
-    for (Map.Entry<String, Partition> e : new TreeMap<>(t.parts()).entrySet()) {
+    for (Map.Entry<String, Partition> e : new TreeMap<>(t.partitions()).entrySet()) {
       Partition p = e.getValue();
       String key = Partition.key(e.getKey());
       if (p.epoch() > v.epoch()) {
         error(key, "is of epoch " + p.epoch() + ", the view of epoch " + v.epoch());
       }
-      if (v.open(Gate.VIEWS)) {
-        if (p.epoch() < v.since()) {
+      if (v.isOpen(Gate.VIEWS)) {
+        if (p.epoch() < v.viewsGateEpoch()) {
           note(key, "was last written before level " + Gate.VIEWS.level() + "; it is written anew");
         }
       } else if (v.members().containsKey(e.getKey()) && p.epoch() != v.epoch()) {
         error(key, "is of epoch " + p.epoch() + ", and its member's view of " + v.epoch());
       }
-      if (p.form() > Form.at(v.level())) {
-        error(key, "is of form " + p.form() + ", which level " + v.level() + " does not have");
+      if (p.encoding() > Encoding.forLevel(v.level())) {
+        error(key, "is of form " + p.encoding() + ", which level " + v.level() + " does not have");
       }
-      told &= p.form() == Form.NUMBERED;
-      p.shares().forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
+      told &= p.encoding() == Encoding.NUMBERED;
+      p.quotaShares()
+          .forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
     }
     if (told) {
       sums.forEach(
@@ -125,18 +126,19 @@
   }
 
   private void forms(Tables t, View v) {
-    for (String key : t.oldForms()) {
+    for (String key : t.keysInOldEncoding()) {
       note(key, "is of a form older than level " + v.level() + "; it is being brought to it");
     }
-    if (t.registry().doneLevel() > v.level()) {
+    if (t.registry().convertedLevel() > v.level()) {
       error(
-          NodeRegistry.DONE,
-          "tells of level " + t.registry().doneLevel() + ", which is not in force");
+          NodeRegistry.CONVERTED_LEVEL_KEY,
+          "tells of level " + t.registry().convertedLevel() + ", which is not in force");
     }
     for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
       try {
-        boolean dense = v.open(Gate.LIMITS) && Job.isChunk(e.getKey());
-        if (Form.of(e.getValue().value()) > (dense ? Form.DENSE : Form.at(v.level()))) {
+        boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunkKey(e.getKey());
+        if (Encoding.versionOf(e.getValue().value())
+            > (dense ? Encoding.DENSE : Encoding.forLevel(v.level()))) {
           error(e.getKey(), "is of a form that level " + v.level() + " does not have");
         }
       } catch (BadMessage x) {
@@ -148,52 +150,54 @@
 
   private void registry(Tables t) {
     Map<String, Integer> names = new HashMap<>();
-    for (Announcement a : t.registry().announced()) {
+    for (NodeRecord a : t.registry().nodeRecords()) {
       Integer other = names.putIfAbsent(a.name(), a.number());
       if (other != null) {
-        error(Announcement.key(a.number()), a.name() + " has the number " + other + " too");
+        error(NodeRecord.key(a.number()), a.name() + " has the number " + other + " too");
       }
-      List<String> first = t.registry().first();
+      List<String> first = t.registry().initialNames();
       if (a.number() < first.size() && !first.get(a.number()).equals(a.name())) {
         error(
-            Announcement.key(a.number()),
+            NodeRecord.key(a.number()),
             "is of "
                 + a.name()
                 + ", and the first list gives the number to "
                 + first.get(a.number()));
       }
     }
-    if (!t.registry().announced().isEmpty() && !t.registry().hasList()) {
-      error(NodeRegistry.LIST, "is missing, and controllers have numbers");
+    if (!t.registry().nodeRecords().isEmpty() && !t.registry().hasStoredInitialNames()) {
+      error(NodeRegistry.INITIAL_NAMES_KEY, "is missing, and controllers have numbers");
     }
-    for (String held : t.registry().word().held()) {
-      if (Gate.of(held) == null) {
+    for (String held : t.registry().overrides().heldGates()) {
+      if (Gate.byLabel(held) == null) {
         note("w/c/word", "holds back the gate " + held + ", which this build does not know");
       }
     }
   }
 
   private void jobs(Tables t) {
-    for (String key : t.orphans()) {
+    for (String key : t.orphanedKeys()) {
       note(key, "is of a job that is over; it is deleted in time");
     }
     TreeSet<Integer> unknown = new TreeSet<>();
     for (Job j : t.jobs()) {
-      if (records.all().containsKey(Job.finalKey(j.id()))) {
-        error(j.key(), "is unfinished, and " + Job.finalKey(j.id()) + " says that it is over");
+      if (records.all().containsKey(Job.terminalStateKey(j.id()))) {
+        error(
+            j.key(),
+            "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
       }
-      for (int i = 0; i < j.size(); i++) {
-        if (j.task(i).live() && t.registry().name(j.task(i).placer()) == null) {
+      for (int i = 0; i < j.taskCount(); i++) {
+        if (j.task(i).isLive() && t.registry().name(j.task(i).placer()) == null) {
           unknown.add(j.task(i).placer());
         }
-        if (j.task(i).live() && j.task(i).machine().phase() == Machine.Phase.UNKNOWN) {
+        if (j.task(i).isLive() && j.task(i).machine().phase() == Machine.Phase.UNKNOWN) {
           note(j.key(), "task " + i + " is on " + j.task(i).machine().name() + ", of no record");
         }
       }
     }
     for (int n : unknown) {
-      if (t.registry().hasList()) {
-        error(Announcement.key(n), "is missing, and tasks that run were placed by that number");
+      if (t.registry().hasStoredInitialNames()) {
+        error(NodeRecord.key(n), "is missing, and tasks that run were placed by that number");
       }
     }
   }
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import picocli.CommandLine;
-import wickdrift.bookkeeping.Limits;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.StateServiceLimits;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.settings.Settings;
 
 /** {@code wickdrift state}: the whole stored state, looked through, kept and put back. */
@@ -49,11 +49,12 @@
 
     @Override
     int run(Store store, Settings settings) throws Store.Away {
-      Range range = Range.BUILD;
+      LevelRange range = LevelRange.BUILD;
       if (levels != null) {
         String[] ends = levels.split("-");
         try {
-          range = new Range(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
+          range =
+              new LevelRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
         } catch (IllegalArgumentException e) {
           return fail(BAD_INPUT, "--levels: " + levels + " is no range of levels, as 1-2 is");
         }
@@ -143,7 +144,8 @@
         return fail(BAD_FILE, file + ": " + e.getMessage());
       }
       try {
-        Limits limits = new Limits(settings.stateLimits(), settings.nextLimits(), () -> true);
+        StateServiceLimits limits =
+            new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> true);
         int written = new Restore(store, limits).run(records);
         if (json) {
           print(Map.of("revision", records.rev(), "written", written));
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -60,7 +60,7 @@
     return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
   }
 
-  private Ledger.Change put(String key, Object value) throws BadMessage {
+  private StateServiceClient.Change put(String key, Object value) throws BadMessage {
     Object v = value == null ? null : MessageCodec.decode(MessageCodec.encode(value));
     if (v == null) {
       store.remove(key);
@@ -68,7 +68,7 @@
       store.put(key, v);
     }
     stamps.put(key, rev);
-    return new Ledger.Change(key, v, rev);
+    return new StateServiceClient.Change(key, v, rev);
   }
 
   // ---- the model ----
@@ -112,12 +112,12 @@
       }
       assertEquals(off(n), j.withdrawn(), id(n.number) + " withdrawn");
       assertEquals(
-          !off(n) && ready(n) || n.asked && j.stage() == Job.Stage.READY,
-          j.stage() == Job.Stage.READY);
-      assertEquals(lent(n, false), j.rank().ordinal(), id(n.number) + " rank");
-      assertEquals(lent(n, true), j.teamRank().ordinal(), id(n.number) + " team rank");
+          !off(n) && ready(n) || n.asked && j.dependencyState() == Job.DependencyState.READY,
+          j.dependencyState() == Job.DependencyState.READY);
+      assertEquals(lent(n, false), j.effectivePriority().ordinal(), id(n.number) + " rank");
+      assertEquals(lent(n, true), j.preemptionPriority().ordinal(), id(n.number) + " team rank");
     }
-    assertTrue(t.dependencies().unknown().isEmpty(), "unknown " + t.dependencies().unknown());
+    assertTrue(t.dependencies().unresolved().isEmpty(), "unknown " + t.dependencies().unresolved());
   }
 
   /** Each step is one change of the store, as it would come; now and then all is loaded anew. */
@@ -134,11 +134,11 @@
       }
       nodes.add(new Node(n, List.copyOf(awaits), ranks[r.nextInt(4)], r.nextBoolean() ? "a" : "b"));
     }
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int step = 0; step < 400; step++) {
       rev++;
       Node n = nodes.get(r.nextInt(size));
-      List<Ledger.Change> news = new ArrayList<>();
+      List<StateServiceClient.Change> news = new ArrayList<>();
       if (!n.accepted && n.awaits.stream().allMatch(a -> nodes.get(a).accepted)) {
         n.accepted = true;
         news.add(put(Job.key(id(n.number)), Job.toStore(spec(n), null, rev, "n0", 0)));
@@ -148,7 +148,10 @@
       } else if (n.accepted && n.over == null && (off(n) || ready(n)) && r.nextInt(3) == 0) {
         n.over = off(n) ? "withdrawn" : "done";
         news.add(put(Job.key(id(n.number)), null));
-        news.add(put(Job.finalKey(id(n.number)), new TerminalState(n.over, 1, rev).toStore(true)));
+        news.add(
+            put(
+                Job.terminalStateKey(id(n.number)),
+                new TerminalState(n.over, 1, rev).toStore(true)));
       }
       t.apply(news, rev);
       resolve(t);
@@ -163,12 +166,12 @@
 
   /** A copy loaded anew, which knows no ends. */
   private Tables loaded() throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
-    List<Ledger.Change> all = new ArrayList<>();
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    List<StateServiceClient.Change> all = new ArrayList<>();
     store.forEach(
         (k, v) -> {
           if (!k.startsWith("w/d/")) {
-            all.add(new Ledger.Change(k, v, stamps.get(k)));
+            all.add(new StateServiceClient.Change(k, v, stamps.get(k)));
           }
         });
     t.load(all, rev);
@@ -177,12 +180,14 @@
 
   /** Tells it how those ended of which it does not know, as one read does. */
   private void resolve(Tables t) throws BadMessage {
-    for (String id : List.copyOf(t.dependencies().unknown())) {
-      for (Job j : t.dependencies().after(id)) {
+    for (String id : List.copyOf(t.dependencies().unresolved())) {
+      for (Job j : t.dependencies().dependents(id)) {
         assertTrue(
-            j.stage() == Job.Stage.UNCLEAR || j.withdrawn(), j.id() + " is clear without " + id);
+            j.dependencyState() == Job.DependencyState.UNRESOLVED || j.withdrawn(),
+            j.id() + " is clear without " + id);
       }
-      t.rememberFinished(id, TerminalState.parse(Document.of(store.get(Job.finalKey(id)))));
+      t.rememberTerminalState(
+          id, TerminalState.parse(Document.of(store.get(Job.terminalStateKey(id)))));
     }
   }
 
@@ -190,7 +195,7 @@
   @ParameterizedTest
   @CsvSource({"0, 61000", "1, 71000", "2, 81000", "3, 91000"})
   void hasteIsCarriedBack(int job, long startBy) throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int n = 0; n < 4; n++) {
       Map<String, Object> m = SimJobs.job(n, "batch", 1, 1, 10);
       if (n > 0) {
@@ -201,21 +206,21 @@
       }
       JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
       Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 1000, "n0", 0)));
-      t.apply(List.of(new Ledger.Change(Job.key(s.id()), v, ++rev)), rev);
+      t.apply(List.of(new StateServiceClient.Change(Job.key(s.id()), v, ++rev)), rev);
     }
     long is = t.job(id(job)).startByWallMs();
     assertEquals(job == 3 ? Long.MAX_VALUE : startBy, is);
     // What it lends is taken back when it is withdrawn and gone.
-    t.apply(List.of(new Ledger.Change(Job.key(id(3)), null, ++rev)), rev);
+    t.apply(List.of(new StateServiceClient.Change(Job.key(id(3)), null, ++rev)), rev);
     assertEquals(Long.MAX_VALUE, t.job(id(0)).startByWallMs());
   }
 
   /** A thousand chains of six, one awaited by a thousand, and a chain of a hundred: in a blink. */
   @Test
   void manyAtOnce() throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     int n = 0;
-    List<Ledger.Change> all = new ArrayList<>();
+    List<StateServiceClient.Change> all = new ArrayList<>();
     for (int c = 0; c < 1000; c++) {
       for (int s = 0; s < 6; s++) {
         all.add(job(n, s == 0 ? -1 : n - 1));
@@ -233,35 +238,39 @@
       n++;
     }
     t.load(all, rev);
-    assertEquals(1000 + 1 + 1, t.jobs().stream().filter(j -> j.stage() == Job.Stage.READY).count());
+    assertEquals(
+        1000 + 1 + 1,
+        t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
     rev++;
     t.apply(
         List.of(
-            new Ledger.Change(
-                Job.finalKey(id(hub)),
+            new StateServiceClient.Change(
+                Job.terminalStateKey(id(hub)),
                 MessageCodec.decode(
                     MessageCodec.encode(new TerminalState("done", 1, 1).toStore(true))),
                 rev),
-            new Ledger.Change(Job.key(id(hub)), null, rev)),
+            new StateServiceClient.Change(Job.key(id(hub)), null, rev)),
         rev);
-    assertEquals(2001, t.jobs().stream().filter(j -> j.stage() == Job.Stage.READY).count());
-    t.takeChangedJobs();
+    assertEquals(
+        2001,
+        t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
+    t.drainChangedJobs();
     // A withdrawal of the first reaches the last, and nobody else is looked at.
     rev++;
     Job j = t.job(id(first));
     Object off = MessageCodec.decode(MessageCodec.encode(j.toStore("n0", 5)));
-    t.apply(List.of(new Ledger.Change(j.key(), off, rev)), rev);
+    t.apply(List.of(new StateServiceClient.Change(j.key(), off, rev)), rev);
     assertTrue(t.job(id(first + 99)).withdrawn());
-    assertEquals(100, t.takeChangedJobs().size());
+    assertEquals(100, t.drainChangedJobs().size());
   }
 
-  private Ledger.Change job(int n, int awaits) throws BadMessage {
+  private StateServiceClient.Change job(int n, int awaits) throws BadMessage {
     Map<String, Object> m = SimJobs.job(n, "batch", 1, 1, 10);
     if (awaits >= 0) {
       SimJobs.awaiting(m, awaits);
     }
     JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
     Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 1000, "n0", 0)));
-    return new Ledger.Change(Job.key(s.id()), v, rev);
+    return new StateServiceClient.Change(Job.key(s.id()), v, rev);
   }
 }
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wickdrift.bookkeeping.level.Form;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.Encoding;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -36,13 +36,13 @@
   private static final String JOB = "req-000001";
   private static final String JOB_KEY = "w/j/" + JOB;
 
-  private static Ledger.Change job(String shape, int tasks) throws BadMessage {
+  private static StateServiceClient.Change job(String shape, int tasks) throws BadMessage {
     JobSpec s = JobSpec.parse(doc(SimJobs.job(1, shape, tasks, 1, 10)));
-    return new Ledger.Change(JOB_KEY, raw(Job.toStore(s, null, 5, "n0", 0)), 3);
+    return new StateServiceClient.Change(JOB_KEY, raw(Job.toStore(s, null, 5, "n0", 0)), 3);
   }
 
   private static Tables withJob(int tasks) throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     apply(t, job("batch", tasks));
     return t;
   }
@@ -50,23 +50,26 @@
   private static Job job(Tables t, int number) {
     try {
       JobSpec s = JobSpec.parse(doc(SimJobs.job(number, "batch", 9, 1, 10)));
-      apply(t, new Ledger.Change(Job.key(s.id()), raw(Job.toStore(s, null, 5, "n0", 0)), number));
+      apply(
+          t,
+          new StateServiceClient.Change(
+              Job.key(s.id()), raw(Job.toStore(s, null, 5, "n0", 0)), number));
       return t.job(s.id());
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
   }
 
-  private static void apply(Tables t, Ledger.Change... c) {
+  private static void apply(Tables t, StateServiceClient.Change... c) {
     t.apply(List.of(c), c[c.length - 1].stamp());
   }
 
-  private static Ledger.Change page(Tables t, String node, long stamp, List<Object> entry)
-      throws BadMessage {
-    var last = t.log(node).lastEntry();
-    Page old = last == null ? null : last.getValue();
-    Object v = Page.value(old, 1, List.of(entry), (r, e) -> false);
-    return new Ledger.Change(Page.key(node, 1), raw(v), stamp);
+  private static StateServiceClient.Change page(
+      Tables t, String node, long stamp, List<Object> entry) throws BadMessage {
+    var last = t.logPages(node).lastEntry();
+    LogPage old = last == null ? null : last.getValue();
+    Object v = LogPage.encode(old, 1, List.of(entry), (r, e) -> false);
+    return new StateServiceClient.Change(LogPage.key(node, 1), raw(v), stamp);
   }
 
   private static List<Object> entry(List<Object> head, Object... rest) {
@@ -78,15 +81,16 @@
   void aChunkReadsBackAsWritten() throws BadMessage {
     Tables t = withJob(100);
     Job j = t.job(JOB);
-    Machine m = t.machineOrNew("i-1");
+    Machine m = t.getOrCreateMachine("i-1");
     Map<Integer, TaskState> states = new HashMap<>();
     for (int i = 64; i < 100; i++) {
       states.put(i, i % 3 == 0 ? TaskState.FINISHED : TaskState.NEW);
     }
     states.put(70, TaskState.NEW.placed(4, m, 2).stopping(TaskState.Stop.SAVE));
     states.put(71, TaskState.waiting(9));
-    Ledger.Change chunk =
-        new Ledger.Change("w/t/req-000001/1", raw(j.encodeChunk(1, 9, states::get)), 10);
+    StateServiceClient.Change chunk =
+        new StateServiceClient.Change(
+            "w/t/req-000001/1", raw(j.encodeChunk(1, 9, states::get)), 10);
     t.reset();
     t.load(List.of(job("batch", 100), chunk), 12);
     Job again = t.job(JOB);
@@ -95,10 +99,10 @@
       assertEquals(states.get(i).attempt(), again.task(i).attempt(), "task " + i);
       assertEquals(states.get(i).stop(), again.task(i).stop(), "task " + i);
     }
-    assertEquals(1, again.live());
-    assertEquals(1, t.machineOrNew("i-1").live().size());
-    assertEquals(1.0, t.usage().of("vision", 2).gpus());
-    assertEquals(12, again.done());
+    assertEquals(1, again.liveCount());
+    assertEquals(1, t.getOrCreateMachine("i-1").slots().size());
+    assertEquals(1.0, t.usage().placedBy("vision", 2).gpus());
+    assertEquals(12, again.doneCount());
   }
 
   /** 100,000 tasks must fit: a chunk of nothing but live attempts stays below the least limit. */
@@ -106,9 +110,9 @@
   void aFullChunkFitsIntoTheSmallestValue() throws BadMessage {
     Tables t = withJob(JobSpec.MAX_TASKS);
     Job j = t.job(JOB);
-    Machine m = t.machineOrNew("i-123456");
+    Machine m = t.getOrCreateMachine("i-123456");
     TaskState live = TaskState.NEW.placed(123, m, 2).stopping(TaskState.Stop.KILL);
-    int last = j.chunks() - 1;
+    int last = j.chunkCount() - 1;
     int json = MessageCodec.jsonSize(j.encodeChunk(last - 1, 123_456_789, i -> live));
     assertTrue(json < 4096, "a chunk takes " + json);
   }
@@ -119,21 +123,21 @@
     Job j = t.job(JOB);
     apply(
         t,
-        new Ledger.Change(
+        new StateServiceClient.Change(
             "w/t/req-000001/1", raw(j.encodeChunk(1, 3, i -> TaskState.FINISHED)), 4));
     apply(
         t,
-        new Ledger.Change("w/d/req-000001", raw(Map.of("phase", "done")), 5),
-        new Ledger.Change(JOB_KEY, null, 5));
+        new StateServiceClient.Change("w/d/req-000001", raw(Map.of("phase", "done")), 5),
+        new StateServiceClient.Change(JOB_KEY, null, 5));
     assertNull(t.job(JOB));
-    assertEquals("done", t.finished(JOB).phase());
-    assertEquals("w/t/req-000001/1", t.orphans().first());
+    assertEquals("done", t.terminalState(JOB).phase());
+    assertEquals("w/t/req-000001/1", t.orphanedKeys().first());
   }
 
   @Test
   void anUnreadableRecordIsLeftAlone() throws BadMessage {
     Tables t = withJob(2);
-    apply(t, new Ledger.Change(JOB_KEY, raw(Map.of("off", "maybe")), 9));
+    apply(t, new StateServiceClient.Change(JOB_KEY, raw(Map.of("off", "maybe")), 9));
     assertFalse(t.job(JOB).withdrawn());
     assertEquals(3, t.job(JOB).stamp());
   }
@@ -148,11 +152,12 @@
   @Test
   void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
     Tables t = withJob(2);
-    Ledger.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
-    Ledger.Change exited = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed =
+        page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change exited = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
     t.apply(List.of(exited, placed), 11);
     assertEquals(TaskState.Phase.DONE, t.job(JOB).task(0).phase());
-    assertEquals(0, t.machineOrNew("i-1").live().size());
+    assertEquals(0, t.getOrCreateMachine("i-1").slots().size());
   }
 
   /** Entries, one by one, and what the two tasks are after each. */
@@ -162,18 +167,18 @@
     record Row(List<Object> entry, String expected) {}
     List<Row> rows =
         List.of(
-            new Row(entry(Entry.exited(JOB), 0, 1, 1), "WAITING0 WAITING0"),
-            new Row(entry(Entry.placed(JOB, 1), 0, 1, "i-1", 1, 1, "i-2"), "LIVE1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 0, 1, 1), "WAITING0 WAITING0"),
+            new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1", 1, 1, "i-2"), "LIVE1 LIVE1"),
             // Placed already: a second placement of it must not take effect.
-            new Row(entry(Entry.placed(JOB, 2), 0, 2, "i-9"), "LIVE1 LIVE1"),
-            new Row(entry(Entry.stopped(JOB, TaskState.Stop.SAVE), 0, 1), "LIVE1S LIVE1"),
+            new Row(entry(LogEntry.placed(JOB, 2), 0, 2, "i-9"), "LIVE1 LIVE1"),
+            new Row(entry(LogEntry.stopped(JOB, TaskState.Stop.SAVE), 0, 1), "LIVE1S LIVE1"),
             // Of an attempt that is not the live one.
-            new Row(entry(Entry.exited(JOB), 1, 2, 1), "LIVE1S LIVE1"),
-            new Row(entry(Entry.exited(JOB), 0, 1, 0), "WAITING1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 1, 2, 1), "LIVE1S LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 0, 1, 0), "WAITING1 LIVE1"),
             // An attempt's number is never used again.
-            new Row(entry(Entry.placed(JOB, 1), 0, 1, "i-1"), "WAITING1 LIVE1"),
-            new Row(entry(Entry.exited(JOB), 1, 1, 1), "WAITING1 DONE0"),
-            new Row(entry(Entry.placed(JOB, 1), 1, 5, "i-1"), "WAITING1 DONE0"));
+            new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1"), "WAITING1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 1, 1, 1), "WAITING1 DONE0"),
+            new Row(entry(LogEntry.placed(JOB, 1), 1, 5, "i-1"), "WAITING1 DONE0"));
     long rev = 10;
     for (Row r : rows) {
       apply(t, page(t, "n0", rev++, r.entry));
@@ -189,34 +194,36 @@
   /** Two nodes report two members' ends at the same time; neither knows of the other's. */
   @Test
   void aGangIsDoneTogetherWhoeverReportsIt() throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     apply(t, job("ensemble", 2));
-    apply(t, page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
-    apply(t, page(t, "n1", 11, entry(Entry.exited(JOB), 1, 1, 1)));
-    apply(t, page(t, "n2", 12, entry(Entry.exited(JOB), 0, 1, 0)));
-    assertEquals(2, t.job(JOB).done());
+    apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
+    apply(t, page(t, "n1", 11, entry(LogEntry.exited(JOB), 1, 1, 1)));
+    apply(t, page(t, "n2", 12, entry(LogEntry.exited(JOB), 0, 1, 0)));
+    assertEquals(2, t.job(JOB).doneCount());
   }
 
   /** What was stored of a chunk stands for the entries that it holds, and for no later ones. */
   @Test
   void aLoadTakesChunksThenOnlyNewerEntries() throws BadMessage {
     Tables t = withJob(2);
-    apply(t, page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1")));
+    apply(t, page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1")));
     Job j = t.job(JOB);
-    Ledger.Change chunk = new Ledger.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
-    Ledger.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 0));
+    StateServiceClient.Change chunk =
+        new StateServiceClient.Change(j.chunkKey(0), raw(j.encodeChunk(0, 10, j::task)), 12);
+    StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 0));
     apply(t, exit);
     apply(t, chunk);
-    Ledger.Change again = page(t, "n0", 13, entry(Entry.placed(JOB, 0), 0, 2, "i-2"));
+    StateServiceClient.Change again =
+        page(t, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
     apply(t, again);
     // The same from the start: the pages first, as they were read, then the rest.
-    Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables fresh = new Tables(List.of(), LevelRange.BUILD, () -> {});
     fresh.load(List.of(again, exit, job("batch", 2), chunk), 13);
     for (Tables x : List.of(t, fresh)) {
       assertEquals(2, x.job(JOB).task(0).attempt());
       assertEquals("i-2", x.job(JOB).task(0).machine().name());
-      assertEquals(1, x.machineOrNew("i-2").live().size());
-      assertEquals(0, x.machineOrNew("i-1").live().size());
+      assertEquals(1, x.getOrCreateMachine("i-2").slots().size());
+      assertEquals(0, x.getOrCreateMachine("i-1").slots().size());
     }
   }
 
@@ -224,9 +231,10 @@
   @Test
   void aLoadLeavesNewerEntriesToTheWatch() throws BadMessage {
     Tables t = withJob(2);
-    Ledger.Change exit = page(t, "n1", 11, entry(Entry.exited(JOB), 0, 1, 1));
-    Ledger.Change placed = page(t, "n0", 10, entry(Entry.placed(JOB, 0), 0, 1, "i-1"));
-    Tables fresh = new Tables(List.of(), Range.BUILD, () -> {});
+    StateServiceClient.Change exit = page(t, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed =
+        page(t, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    Tables fresh = new Tables(List.of(), LevelRange.BUILD, () -> {});
     // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
     fresh.load(List.of(exit, job("batch", 2)), 9);
     assertEquals(TaskState.Phase.WAITING, fresh.job(JOB).task(0).phase());
@@ -244,18 +252,18 @@
     "BOOTING GONE DRAINING, GONE",
   })
   void aMachinesPhasesFollowOnEachOther(String phases, Machine.Phase expected) throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     long rev = 1;
     for (String p : phases.split(" ")) {
       Machine.Info i = new Machine.Info("g4", "a", false, Machine.Phase.valueOf(p), 5);
-      apply(t, page(t, "n" + rev % 3, ++rev, Entry.machine("i-000001", i)));
+      apply(t, page(t, "n" + rev % 3, ++rev, LogEntry.machine("i-000001", i)));
     }
     assertEquals(expected, t.machine("i-000001").phase());
   }
 
   @Test
   void statesChangeOnlyAsTheyMay() {
-    Machine m = new Tables(List.of(), Range.BUILD, () -> {}).machineOrNew("i");
+    Machine m = new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("i");
     TaskState live = TaskState.NEW.placed(1, m, 0);
     assertThrows(IllegalStateException.class, () -> live.placed(2, m, 0));
     assertThrows(IllegalStateException.class, () -> TaskState.waiting(3).placed(3, m, 0));
@@ -289,37 +297,38 @@
     "a1 a2 b1 a3+, 120, false",
   })
   void aFaultyMachineIsToldFromAFaultyJob(String exits, long shunS, boolean suspect) {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Map<Character, Job> jobs = new TreeMap<>();
     for (String e : exits.split(" ")) {
       Job j = jobs.computeIfAbsent(e.charAt(0), k -> job(t, k));
-      int index = j.done();
+      int index = j.doneCount();
       int attempt = j.task(index).attempt() + 1;
-      assertTrue(j.placed(index, attempt, t.machineOrNew("i-" + e.charAt(1)), 0));
-      assertTrue(j.exited(index, attempt, e.endsWith("+") ? Entry.DONE : Entry.FAILED));
+      assertTrue(j.applyPlacement(index, attempt, t.getOrCreateMachine("i-" + e.charAt(1)), 0));
+      assertTrue(
+          j.applyExit(index, attempt, e.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
     }
-    assertEquals(shunS * 1000, t.machineOrNew("i-1").shunUntilMs(0));
-    assertEquals(suspect, jobs.get('a').suspect());
+    assertEquals(shunS * 1000, t.getOrCreateMachine("i-1").quarantinedUntilMs(0));
+    assertEquals(suspect, jobs.get('a').isSuspected());
   }
 
   /** A suspect's tries are further and further apart, and failures of one wave count once. */
   @Test
   void aSuspectBacksOff() {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Job j = job(t, 1);
     long now = 1_000_000;
     for (int i = 0; i < 2; i++) {
-      assertTrue(j.placed(i, 1, t.machineOrNew("i-" + i), 0));
-      assertTrue(j.exited(i, 1, Entry.FAILED));
+      assertTrue(j.applyPlacement(i, 1, t.getOrCreateMachine("i-" + i), 0));
+      assertTrue(j.applyExit(i, 1, LogEntry.EXIT_FAILED));
     }
     for (long pause : new long[] {4, 8, 16, 32, 64, 64}) {
-      j.backOff(now);
-      j.backOff(now + 1);
+      j.backOffAfterFailures(now);
+      j.backOffAfterFailures(now + 1);
       assertEquals(now + pause * 1000, j.retryAtMs());
       now = j.retryAtMs();
       int attempt = j.task(0).attempt() + 1;
-      assertTrue(j.placed(0, attempt, t.machineOrNew("i-3"), 0));
-      assertTrue(j.exited(0, attempt, Entry.FAILED));
+      assertTrue(j.applyPlacement(0, attempt, t.getOrCreateMachine("i-3"), 0));
+      assertTrue(j.applyExit(0, attempt, LogEntry.EXIT_FAILED));
     }
   }
 
@@ -406,22 +415,26 @@
   void aChunkFitsItsValue(int most, int nameLength, int attempt, int form) throws BadMessage {
     Tables t = withJob(64);
     Job j = t.job(JOB);
-    List<Object> placed = Entry.placed(JOB, 3);
+    List<Object> placed = LogEntry.placed(JOB, 3);
     for (int i = 0; i < 64; i++) {
       String name = "i-" + "0".repeat(nameLength - 4) + (10 + i / 4);
       placed.addAll(List.of(i, i % 5 == 0 ? attempt : 1, name));
     }
     t.apply(
         List.of(
-            new Ledger.Change(
-                Page.key("n0", 1), raw(Page.value(null, 2, List.of(placed), (r, e) -> false)), 20)),
+            new StateServiceClient.Change(
+                LogPage.key("n0", 1),
+                raw(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)),
+                20)),
         20);
-    assertEquals(64, j.live());
-    Object stored = j.storeChunk(0, 21, j::task, 2, most);
-    assertEquals(form, Form.of(raw(stored)));
+    assertEquals(64, j.liveCount());
+    Object stored = j.chunkToStore(0, 21, j::task, 2, most);
+    assertEquals(form, Encoding.versionOf(raw(stored)));
     assertTrue(MessageCodec.jsonSize(stored) <= most, "size " + MessageCodec.jsonSize(stored));
     Tables again = withJob(64);
-    again.load(List.of(job("batch", 64), new Ledger.Change(j.chunkKey(0), raw(stored), 21)), 21);
+    again.load(
+        List.of(job("batch", 64), new StateServiceClient.Change(j.chunkKey(0), raw(stored), 21)),
+        21);
     for (int i = 0; i < 64; i++) {
       assertEquals(j.task(i).attempt(), again.job(JOB).task(i).attempt());
       assertEquals(j.task(i).machine().name(), again.job(JOB).task(i).machine().name());
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -76,26 +76,28 @@
     for (Map.Entry<String, Integer> e : levels(announced).entrySet()) {
       int n = e.getKey().charAt(0) - 'a';
       List<String> peers = e.getKey().equals("d") ? List.of("d", "e") : List.of(e.getKey());
-      Announcement a = Announcement.fresh(n, e.getKey(), new Range(1, e.getValue()), peers);
+      NodeRecord a = NodeRecord.create(n, e.getKey(), new LevelRange(1, e.getValue()), peers);
       registry.apply("" + n, doc(a.toStore()), stamp++);
     }
     if (said != null) {
       String[] word = said.split(" ");
-      Word w =
-          word[0].equals("held") ? Word.NONE.hold(word[1], true) : Word.NONE.without(word[1], true);
+      OperatorOverrides w =
+          word[0].equals("held")
+              ? OperatorOverrides.NONE.withGateHeld(word[1], true)
+              : OperatorOverrides.NONE.withNodeIgnored(word[1], true);
       registry.apply("word", doc(w.toStore()), 30);
     }
     if (done > 0) {
-      registry.apply("done", doc(NodeRegistry.doneToStore(done)), 31);
+      registry.apply("done", doc(NodeRegistry.encodeConvertedLevel(done)), 31);
     }
-    Map<String, Range> live = new TreeMap<>();
-    levels(there).forEach((n, most) -> live.put(n, new Range(1, most)));
+    Map<String, LevelRange> live = new TreeMap<>();
+    levels(there).forEach((n, most) -> live.put(n, new LevelRange(1, most)));
     LevelUpgrade r =
-        LevelUpgrade.judge(now, new Range(1, 5), live, List.of(named.split(" ")), registry);
+        LevelUpgrade.evaluate(now, new LevelRange(1, 5), live, List.of(named.split(" ")), registry);
     assertEquals(then, r.level());
-    assertEquals(why.isEmpty() ? List.of() : List.of(why), r.waitsFor());
+    assertEquals(why.isEmpty() ? List.of() : List.of(why), r.blockers());
     if (then > now) {
-      assertEquals(said == null ? 0L : 30L, r.conditions().get(Word.KEY));
+      assertEquals(said == null ? 0L : 30L, r.conditions().get(OperatorOverrides.KEY));
       for (String n : levels(announced).keySet()) {
         // Of one that is down: that it has not come back, nor announced anything else.
         boolean asked = r.conditions().containsKey("w/m/" + n);
@@ -115,7 +117,7 @@
       m.put("most", most);
     }
     Document d = doc(m);
-    assertThrows(BadMessage.class, () -> Range.parse(d));
+    assertThrows(BadMessage.class, () -> LevelRange.parse(d));
   }
 
   /** What is malformed leaves the roster as it was. */
@@ -127,20 +129,21 @@
         doc(Map.of("name", "x", "peers", List.of(), "names", List.of("a", "a"), "held", 7L));
     BadMessage e = assertThrows(BadMessage.class, () -> registry.apply(name, d, 5));
     assertTrue(e.getMessage().contains(why), e.getMessage());
-    assertEquals(List.of("a", "b"), registry.first());
-    assertEquals(Word.NONE, registry.word());
+    assertEquals(List.of("a", "b"), registry.initialNames());
+    assertEquals(OperatorOverrides.NONE, registry.overrides());
   }
 
   /** A number is never given twice, whoever is gone. */
   @Test
   void aNumberIsNeverGivenTwice() throws BadMessage {
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
-    registry.apply("list", doc(NodeRegistry.listToStore(List.of("a", "b", "c"))), 1);
+    registry.apply("list", doc(NodeRegistry.encodeInitialNames(List.of("a", "b", "c"))), 1);
     assertEquals(3, registry.nextNumber());
-    registry.apply("7", doc(Announcement.fresh(7, "z", Range.BUILD, List.of("z")).toStore()), 2);
+    registry.apply(
+        "7", doc(NodeRecord.create(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
     assertEquals(8, registry.nextNumber());
-    assertEquals(7, registry.number("z"));
+    assertEquals(7, registry.numberOf("z"));
     assertEquals("c", registry.name(2));
-    assertEquals(-1, registry.number("q"));
+    assertEquals(-1, registry.numberOf("q"));
   }
 }
--- a/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
+++ b/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
-import wickdrift.bookkeeping.Partition.Share;
+import wickdrift.bookkeeping.Partition.QuotaShare;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -42,7 +42,7 @@
   })
   void nextIsWhoHoldsLeast(String jobs, String held, String guaranteed, String order)
       throws BadMessage {
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Map<String, List<Job>> lines = new LinkedHashMap<>();
     Map<Job, String> names = new LinkedHashMap<>();
     int n = 0;
@@ -52,7 +52,7 @@
       m.put("cores", 0.0);
       JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
       Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, n, "n0", 0)));
-      t.apply(List.of(new Ledger.Change(Job.key(s.id()), v, n)), n);
+      t.apply(List.of(new StateServiceClient.Change(Job.key(s.id()), v, n)), n);
       lines.computeIfAbsent(s.team(), k -> new ArrayList<>()).add(t.job(s.id()));
       names.put(t.job(s.id()), j);
     }
@@ -60,7 +60,7 @@
     amounts(guaranteed).forEach((k, g) -> teams.put(k, new Settings.Team(k, 0, 0, g, 0)));
     Map<String, Double> holds = amounts(held);
     DominantShareOrder f =
-        new DominantShareOrder(lines, k -> new Share(0, holds.getOrDefault(k, 0.0)), teams);
+        new DominantShareOrder(lines, k -> new QuotaShare(0, holds.getOrDefault(k, 0.0)), teams);
     StringBuilder got = new StringBuilder();
     while (f.hasNext()) {
       got.append(got.isEmpty() ? "" : " ").append(names.get(f.next()));
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import wickdrift.bookkeeping.Entry;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.LogEntry;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -40,7 +40,7 @@
 
   /** Machines m1..mn of falling capability, with the given booked shares of their GPUs. */
   private static CapacityIndex fleet(String loads) throws BadMessage {
-    Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     CapacityIndex rooms = new CapacityIndex();
     String[] parts = loads.trim().split(" +");
     for (int i = 0; i < parts.length; i++) {
@@ -48,7 +48,7 @@
       TypeInfo t = new TypeInfo("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
       Machine m = machine(tables, "m" + (i + 1));
       rooms.put(m, t, "n0", 0);
-      rooms.book(rooms.of(m), spec(0, Double.parseDouble(parts[i]) * gpus));
+      rooms.book(rooms.find(m), spec(0, Double.parseDouble(parts[i]) * gpus));
     }
     return rooms;
   }
@@ -58,10 +58,11 @@
   }
 
   private static Machine machine(Tables tables, String name, Machine.Info info) throws BadMessage {
-    var v = Page.value(null, 1, List.of(Entry.machine(name, info)), (r, e) -> false);
+    var v = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
     long rev = 1 + tables.machines().size();
-    Ledger.Change c =
-        new Ledger.Change(Page.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
+    StateServiceClient.Change c =
+        new StateServiceClient.Change(
+            LogPage.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
     tables.apply(List.of(c), rev);
     return tables.machine(name);
   }
@@ -103,7 +104,8 @@
   void loadIsTheLargestBookedShare() {
     TypeInfo t = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
     FreeCapacity r =
-        new FreeCapacity(new Tables(List.of(), Range.BUILD, () -> {}).machineOrNew("m"), t);
+        new FreeCapacity(
+            new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
     r.book(spec(5, 1));
     assertEquals(0.5, r.load(), 1e-9);
   }
@@ -113,12 +115,12 @@
   void aFetchUnderWayIsNotShared() throws BadMessage {
     CapacityIndex rooms = new CapacityIndex();
     TypeInfo t = new TypeInfo("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    Machine m = machine(new Tables(List.of(), Range.BUILD, () -> {}), "m");
+    Machine m = machine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
     rooms.put(m, t, "n0", 0);
     JobSpec first = spec(1, 1);
-    rooms.book(rooms.of(m), first);
+    rooms.book(rooms.find(m), first);
     assertNull(rooms.choose(drawn(1, 1, "other"), c -> true));
-    assertEquals(rooms.of(m), rooms.choose(first, c -> true));
+    assertEquals(rooms.find(m), rooms.choose(first, c -> true));
   }
 
   // ---- the index against the rule written out ----
@@ -147,7 +149,7 @@
   }
 
   private static int group(FreeCapacity r, JobSpec s) {
-    if (tooFull(r, s) || r.fetching() && !r.hasImage(s)) {
+    if (tooFull(r, s) || r.isFetching() && !r.hasImage(s)) {
       return 1;
     }
     return r.hasImage(s) ? 2 : 0;
@@ -160,7 +162,7 @@
     eligible.sort(
         Comparator.comparingDouble((FreeCapacity r) -> -r.type().gpus())
             .thenComparingInt(r -> group(r, s))
-            .thenComparingInt(r -> LoadIndex.level(r.load()))
+            .thenComparingInt(r -> LoadIndex.bucket(r.load()))
             .thenComparing(r -> r.machine().info().zone())
             .thenComparingDouble(FreeCapacity::load)
             .thenComparingInt(r -> r.machine().number()));
@@ -199,7 +201,7 @@
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
   void theIndexChoosesAsTheRuleSays(int seed) throws BadMessage {
     Random random = new Random(seed);
-    Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     CapacityIndex rooms = new CapacityIndex();
     List<FreeCapacity> all = new ArrayList<>();
     int kinds = 1 + seed % 3;
@@ -210,10 +212,10 @@
           new Machine.Info(t.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
       Machine m = machine(tables, "m" + i, info);
       for (int k = random.nextInt(4); k > 0; k--) {
-        m.imageReady("img" + random.nextInt(4), 1, 0);
+        m.markImageReady("img" + random.nextInt(4), 1, 0);
       }
       rooms.put(m, t, "n0", 0);
-      all.add(rooms.of(m));
+      all.add(rooms.find(m));
     }
     int placed = 0;
     for (int n = 0; n < 600; n++) {
@@ -244,19 +246,19 @@
     JobSpec s = drawn(5, 1, "img");
     long[] looked = new long[2];
     for (int k = 0; k < 2; k++) {
-      Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+      Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
       CapacityIndex rooms = new CapacityIndex();
       TypeInfo t = new TypeInfo("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
       for (int i = 0; i < (k == 0 ? 60 : 1200); i++) {
         Machine m = machine(tables, "m" + i);
-        m.imageReady("img", 1, 0);
+        m.markImageReady("img", 1, 0);
         rooms.put(m, t, "n0", 0);
       }
-      long before = rooms.looked();
+      long before = rooms.machinesExamined();
       for (int n = 0; n < 100; n++) {
         rooms.book(rooms.choose(s, c -> true), s);
       }
-      looked[k] = rooms.looked() - before;
+      looked[k] = rooms.machinesExamined() - before;
     }
     // The border of the half lies within one 64th of load, so some are counted one by one.
     assertTrue(looked[1] < 100 * 700, "looked at " + looked[1]);
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wickdrift.bookkeeping.Entry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.LogEntry;
+import wickdrift.bookkeeping.LogPage;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.Page;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
@@ -24,17 +24,18 @@
       new TypeInfo("t", 64, 4, 128, 100, 0.5, 1, 1, 1, List.of("a"));
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
-  private final Tables tables = new Tables(List.of(), Range.BUILD, () -> {});
+  private final Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
   private long rev;
 
   private void apply(String key, Object value) throws BadMessage {
     rev++;
-    Ledger.Change c = new Ledger.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
+    StateServiceClient.Change c =
+        new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
     tables.apply(List.of(c), rev);
   }
 
   private void log(List<Object> entry) throws BadMessage {
-    apply(Page.key("n0", rev), Page.value(null, 1, List.of(entry), (r, e) -> false));
+    apply(LogPage.key("n0", rev), LogPage.encode(null, 1, List.of(entry), (r, e) -> false));
   }
 
   private static JobSpec spec(int number, String rank, double gpus, String image)
@@ -72,24 +73,24 @@
     List<FreeCapacity> rooms = new ArrayList<>();
     String[] each = machines.split(" / ");
     for (int i = 0; i < each.length; i++) {
-      log(Entry.machine("m" + i, UP));
+      log(LogEntry.machine("m" + i, UP));
       for (String task : each[i].split(" ")) {
         boolean image = task.endsWith("i");
         String t = image ? task.substring(0, task.length() - 1) : task;
         double gpus = t.charAt(t.length() - 1) - '0';
         JobSpec s = spec(job++, t.substring(0, t.length() - 1), gpus, image ? "img" : "other");
         apply(Job.key(s.id()), Job.toStore(s, null, 1, "n0", 0));
-        List<Object> placed = Entry.placed(s.id(), 0);
+        List<Object> placed = LogEntry.placed(s.id(), 0);
         placed.addAll(List.of(0, 1, "m" + i));
         log(placed);
       }
       Machine m = tables.machine("m" + i);
-      m.noteImages(0, 100);
+      m.updateImages(0, 100);
       rooms.add(new FreeCapacity(m, TYPE));
     }
     StringBuilder got = new StringBuilder();
     for (Preemption.Choice c :
-        Preemption.cheapest(
+        Preemption.cheapestChoices(
             rooms,
             spec(99, rank, 4, "img"),
             spec(99, rank, 4, "img").priority(),
--- a/src/test/java/wickdrift/coordination/PromisedTest.java
+++ b/src/test/java/wickdrift/coordination/QueuedDemandTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
 /** What waits at a part is counted as room that is taken. */
-class PromisedTest {
+class QueuedDemandTest {
   private static final String ID = "req-000001";
 
   private static JobSpec spec(int tasks, double gpus) throws Exception {
@@ -25,7 +25,7 @@
         Document.parse(MessageCodec.encode(SimJobs.job(1, "batch", tasks, gpus, 5))));
   }
 
-  private final Tables tables = new Tables(List.of("n1", "n2"), Range.BUILD, () -> {});
+  private final Tables tables = new Tables(List.of("n1", "n2"), LevelRange.BUILD, () -> {});
   private long rev;
 
   /** The job as it is in the tables once that is durable. */
@@ -33,7 +33,7 @@
     Object value = Job.toStore(spec(tasks, gpus), null, 1, part, 0);
     Object stored = MessageCodec.decode(MessageCodec.encode(value));
     rev++;
-    tables.apply(List.of(new Ledger.Change(Job.key(ID), stored, rev)), rev);
+    tables.apply(List.of(new StateServiceClient.Change(Job.key(ID), stored, rev)), rev);
     return tables.job(ID);
   }
 
@@ -49,28 +49,28 @@
     "4, 2, 4, 4"
   })
   void countsTheScarcest(int waiting, double gpus, double next, double tasks) throws Exception {
-    Promised p = new Promised();
-    p.changed(job("n1", 9, gpus), waiting);
-    assertEquals(tasks, p.tasks(spec(1, next), "n1"), 1e-9);
-    assertEquals(0, p.tasks(spec(1, next), "n2"), 1e-9);
-    assertEquals(waiting, p.besideImage(spec(1, next), "n1"));
+    QueuedDemand p = new QueuedDemand();
+    p.update(job("n1", 9, gpus), waiting);
+    assertEquals(tasks, p.equivalentTasks(spec(1, next), "n1"), 1e-9);
+    assertEquals(0, p.equivalentTasks(spec(1, next), "n2"), 1e-9);
+    assertEquals(waiting, p.tasksWithImage(spec(1, next), "n1"));
   }
 
   @Test
   void followsAJob() throws Exception {
-    Promised p = new Promised();
+    QueuedDemand p = new QueuedDemand();
     Job j = job("n1", 9, 1);
-    p.changed(j, 9);
-    p.changed(j, 4);
-    assertEquals(4, p.tasks(spec(1, 1), "n1"), 1e-9);
+    p.update(j, 9);
+    p.update(j, 4);
+    assertEquals(4, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
     p.add(spec(2, 1), "n1");
-    assertEquals(6, p.tasks(spec(1, 1), "n1"), 1e-9);
+    assertEquals(6, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
     // Handed to another part.
     assertSame(j, job("n2", 9, 1));
-    p.changed(j, 4);
-    assertEquals(2, p.tasks(spec(1, 1), "n1"), 1e-9);
-    assertEquals(4, p.tasks(spec(1, 1), "n2"), 1e-9);
-    p.changed(j, 0);
-    assertEquals(0, p.tasks(spec(1, 1), "n2"), 1e-9);
+    p.update(j, 4);
+    assertEquals(2, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
+    assertEquals(4, p.equivalentTasks(spec(1, 1), "n2"), 1e-9);
+    p.update(j, 0);
+    assertEquals(0, p.equivalentTasks(spec(1, 1), "n2"), 1e-9);
   }
 }
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wickdrift.bookkeeping.Entry;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.LogEntry;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
@@ -23,11 +23,11 @@
   public static void main(String[] args) throws Exception {
     int machines = Integer.parseInt(args[0]);
     int tasks = Integer.parseInt(args[1]);
-    Tables t = new Tables(List.of(), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
     t.load(store(machines, tasks), 10);
     t.reset();
     t.load(store(machines, tasks), 20);
-    int live = t.jobs().stream().mapToInt(Job::live).sum();
+    int live = t.jobs().stream().mapToInt(Job::liveCount).sum();
     if (live != tasks || t.machines().size() != machines) {
       throw new IllegalStateException(live + " tasks on " + t.machines().size());
     }
@@ -37,18 +37,18 @@
   }
 
   /** What is read: shelves of machines, jobs, chunks; one job has half of the tasks. */
-  private static List<Ledger.Change> store(int machines, int tasks) throws Exception {
-    List<Ledger.Change> all = new ArrayList<>();
+  private static List<StateServiceClient.Change> store(int machines, int tasks) throws Exception {
+    List<StateServiceClient.Change> all = new ArrayList<>();
     for (int s = 0; s < machines / 10; s++) {
       List<Object> shelf = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         String zone = i % 2 == 0 ? "zone-a" : "zone-b";
         shelf.add(
-            Entry.machine(
+            LogEntry.machine(
                 name(10 * s + i),
                 new Machine.Info("type", zone, false, Machine.Phase.UP, 1_790_000_000_000L)));
       }
-      put(all, "w/h/" + Machine.shelf(name(10 * s)), Map.of("rev", 5L, "m", shelf));
+      put(all, "w/h/" + Machine.archiveBucketOf(name(10 * s)), Map.of("rev", 5L, "m", shelf));
     }
     int next = 0;
     for (int j = 0; j < JOBS; j++) {
@@ -63,9 +63,11 @@
               1_790_000_000_000L,
               "n0",
               0));
-      for (int c = 0; c * Job.CHUNK < size; c++) {
+      for (int c = 0; c * Job.TASKS_PER_CHUNK < size; c++) {
         List<Object> live = new ArrayList<>();
-        for (int i = c * Job.CHUNK; i < Math.min(size, (c + 1) * Job.CHUNK); i++) {
+        for (int i = c * Job.TASKS_PER_CHUNK;
+            i < Math.min(size, (c + 1) * Job.TASKS_PER_CHUNK);
+            i++) {
           live.add(List.of(i, 1, name((next + i) % machines), j % 5, 0));
         }
         Map<String, Object> chunk = new LinkedHashMap<>();
@@ -84,7 +86,8 @@
     return String.format("i-%06d", i);
   }
 
-  private static void put(List<Ledger.Change> all, String key, Object value) throws Exception {
-    all.add(new Ledger.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
+  private static void put(List<StateServiceClient.Change> all, String key, Object value)
+      throws Exception {
+    all.add(new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
   }
 }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
 import wickdrift.operator.LevelCommand;
 import wickdrift.operator.Records;
 import wickdrift.operator.Restore;
@@ -111,17 +111,21 @@
   @ValueSource(strings = {"dc24b21", "4175cec"})
   void recordsOfTheBuildBeforeAreReadAsItReadThem(String build) throws Exception {
     Golden g = Golden.read(build);
-    Tables t = new Tables(List.of("n0", "n1", "n2"), Range.BUILD, () -> {});
+    Tables t = new Tables(List.of("n0", "n1", "n2"), LevelRange.BUILD, () -> {});
     t.load(new Records(g.rev, g.all).changes(), g.rev);
-    assertNull(t.barred());
+    assertNull(t.blockedReason());
     StringBuilder b = new StringBuilder(SimWorld.digest(t));
     for (int n = 0; n < 3; n++) {
-      b.append("n").append(n).append(' ').append(t.usage().of("vision", n).gpus()).append('\n');
+      b.append("n")
+          .append(n)
+          .append(' ')
+          .append(t.usage().placedBy("vision", n).gpus())
+          .append('\n');
     }
     assertEquals(g.digest, b.toString());
     assertEquals(
         0,
-        StateCheck.check(new Records(g.rev, g.all), Range.BUILD).stream()
+        StateCheck.check(new Records(g.rev, g.all), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
   }
@@ -151,7 +155,7 @@
     }
     w.nodes.forEach(w::startNode);
     w.run(240_000);
-    assertEquals(Range.BUILD.most(), w.tables("n0").level());
+    assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
     assertFalse(open.isEmpty());
     for (String id : open) {
       assertTrue(w.state().keys().contains("w/d/" + id), id);
@@ -159,7 +163,7 @@
     }
     assertEquals(List.of(), w.broken());
     assertNull(w.diverged());
-    assertTrue(w.state().keys().contains(NodeRegistry.DONE));
+    assertTrue(w.state().keys().contains(NodeRegistry.CONVERTED_LEVEL_KEY));
   }
 
   /**
@@ -173,10 +177,10 @@
       shape(e.getKey(), e.getValue().value(), before);
     }
     SimWorld w = new SimWorld(502, 8, 30, "aab", 40);
-    w.restartAll(new Range(1, 3), "");
+    w.restartAll(new LevelRange(1, 3), "");
     load(w, 40);
     Map<String, Set<String>> now = new TreeMap<>();
-    for (Ledger.Change c : w.state().all()) {
+    for (StateServiceClient.Change c : w.state().all()) {
       shape(c.key(), c.value(), now);
     }
     assertTrue(now.size() > 6, "kinds " + now.keySet());
@@ -192,8 +196,8 @@
   private static void shape(String key, Object value, Map<String, Set<String>> into)
       throws BadMessage {
     Set<String> all = into.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
-    all.add("form " + Form.of(value));
-    Document d = Form.read(value, 9);
+    all.add("form " + Encoding.versionOf(value));
+    Document d = Encoding.decode(value, 9);
     for (Map.Entry<String, Object> e : d.without().entrySet()) {
       all.add(e.getKey());
       if (e.getKey().equals("spec")) {
@@ -280,17 +284,17 @@
         if (stop % 3 == 1) {
           w.nodes.forEach(w::startNode);
           w.run(5000);
-          w.nodes.forEach(n -> assertTrue(w.tables(n).barred() != null, n));
+          w.nodes.forEach(n -> assertTrue(w.tables(n).blockedReason() != null, n));
           w.nodes.forEach(w::kill);
         }
         new Restore(store(w.state()), w.limits()).run(r);
       }
       assertThrows(Restore.Refused.class, () -> new Restore(store(w.state()), w.limits()).run(r));
       for (String key : w.state().keys()) {
-        if (Job.isChunk(key)) {
+        if (Job.isChunkKey(key)) {
           // What ran has ended with its worker's lease.
           Object v = MessageCodec.decode(MessageCodec.encode(w.state().value(key)));
-          assertEquals(List.of(), Form.read(v, Form.NUMBERED).list("live"), key);
+          assertEquals(List.of(), Encoding.decode(v, Encoding.NUMBERED).list("live"), key);
         }
       }
       goesOn(w, r);
@@ -311,7 +315,7 @@
     w.nodes.forEach(w::startNode);
     w.run(6000);
     assertEquals(List.of(), w.broken());
-    w.nodes.forEach(n -> assertNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNull(w.tables(n).blockedReason(), n));
     assertTrue(w.epoch("n0") > 10_000_000);
     assertNull(w.diverged());
     w.run(20_000);
@@ -337,7 +341,7 @@
     Store store = store(w.state());
     assertEquals(
         0,
-        StateCheck.check(Records.read(store), Range.BUILD).stream()
+        StateCheck.check(Records.read(store), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
     Map<String, Object> v = new TreeMap<>();
@@ -347,8 +351,8 @@
     v.put("epoch", 10_000L);
     v.put("phase", "done");
     v.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
-    w.state().force(key, Form.wrap(form, v));
-    List<StateCheck.Finding> found = StateCheck.check(Records.read(store), Range.BUILD);
+    w.state().force(key, Encoding.wrap(form, v));
+    List<StateCheck.Finding> found = StateCheck.check(Records.read(store), LevelRange.BUILD);
     assertTrue(found.stream().anyMatch(f -> f.error() && f.why().contains(why)), found.toString());
   }
 
@@ -356,7 +360,7 @@
   @Test
   void aBuildOfFewerLevelsIsToldSo() throws Exception {
     List<StateCheck.Finding> found =
-        StateCheck.check(Records.read(store(busy(522).state())), Range.FIRST);
+        StateCheck.check(Records.read(store(busy(522).state())), LevelRange.FIRST);
     assertTrue(found.get(0).error() && found.get(0).why().contains("this build speaks 1 to 1"));
   }
 
@@ -426,10 +430,10 @@
       assertEquals(1, l.run(new StateCommand(), "check", "--levels", "1-1"));
       assertEquals(2, l.run(new StateCommand(), "check", "--levels", "2-1"));
       assertEquals(0, l.run(new LevelCommand(), "show"));
-      assertTrue(l.out.contains("level " + Range.BUILD.most() + " is in force"), l.out);
+      assertTrue(l.out.contains("level " + LevelRange.BUILD.max() + " is in force"), l.out);
       assertTrue(l.out.contains("gate numbers: open"), l.out);
       assertEquals(0, l.run(new LevelCommand(), "show", "--json"));
-      assertTrue(l.out.contains("\"level\": " + Range.BUILD.most()), l.out);
+      assertTrue(l.out.contains("\"level\": " + LevelRange.BUILD.max()), l.out);
       assertEquals(1, l.run(new LevelCommand(), "hold", "numbers"));
       assertTrue(l.err.contains("is open"), l.err);
       assertEquals(2, l.run(new LevelCommand(), "hold", "nonsense"));
@@ -441,7 +445,7 @@
       w.run(8000);
       assertEquals(0, l.run(new LevelCommand(), "without", "n1"));
       w.run(1000);
-      assertEquals(List.of("n1"), w.tables("n0").registry().word().without());
+      assertEquals(List.of("n1"), w.tables("n0").registry().overrides().ignoredNodes());
       assertEquals(0, l.run(new LevelCommand(), "without", "n1", "--undo"));
       String file = dir.resolve("kept").toString();
       assertEquals(0, l.run(new StateCommand(), "dump", file));
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -20,11 +20,11 @@
 import wickdrift.bookkeeping.Partition;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.NodeRegistry;
-import wickdrift.bookkeeping.level.Range;
-import wickdrift.bookkeeping.level.Word;
+import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
@@ -36,7 +36,7 @@
  * ({@link SimState#levelless}); the older build itself is played with real processes, outside CI.
  */
 class RolloutTest {
-  private static final int NEW = Range.BUILD.most();
+  private static final int NEW = LevelRange.BUILD.max();
 
   /**
    * A world whose controllers are all of the build that knows no levels, with jobs of all shapes.
@@ -46,7 +46,7 @@
     // They were started in the constructor, but nothing has run yet.
     for (String n : w.nodes) {
       w.kill(n);
-      w.levels.put(n, Range.FIRST);
+      w.levels.put(n, LevelRange.FIRST);
       w.state().levelless.add(n);
     }
     w.nodes.forEach(w::startNode);
@@ -81,7 +81,7 @@
 
   private static void putBack(SimWorld w, String node) {
     w.state().levelless.add(node);
-    w.levels.put(node, Range.FIRST);
+    w.levels.put(node, LevelRange.FIRST);
     w.crash(node, 2000);
   }
 
@@ -109,11 +109,11 @@
   }
 
   private static void nothingOldIsLeft(SimWorld w) throws BadMessage {
-    assertNotNull(w.state().value(NodeRegistry.DONE));
+    assertNotNull(w.state().value(NodeRegistry.CONVERTED_LEVEL_KEY));
     for (String key : w.state().keys()) {
       assertEquals(
-          Tables.formOf(key) == Form.FIRST ? Form.FIRST : Form.NUMBERED,
-          Form.of(MessageCodec.decode(MessageCodec.encode(w.state().value(key)))),
+          Tables.newestReadableEncoding(key) == Encoding.FIRST ? Encoding.FIRST : Encoding.NUMBERED,
+          Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(w.state().value(key)))),
           key);
     }
   }
@@ -179,7 +179,7 @@
     ANNOUNCES(NodeRegistry.PREFIX),
     RISES(View.KEY),
     CONVERTS("w/l/"),
-    DONE(NodeRegistry.DONE);
+    DONE(NodeRegistry.CONVERTED_LEVEL_KEY);
 
     final String prefix;
 
@@ -347,7 +347,7 @@
       for (Document t : txn.docs("then")) {
         String key = t.textOrNull("write");
         if (key != null && key.startsWith("w/l/")) {
-          List<?> runs = Form.read(t.raw("v"), Form.NUMBERED).list("g");
+          List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
           if (runs.toString().contains("[p, ")) {
             return true;
           }
@@ -378,17 +378,19 @@
     SimWorld w = new SimWorld(360, 6, 20, "aaa", 60);
     List<String> finite = load(w, 30, 40_000);
     w.nodes.forEach(w::kill);
-    w.nodes.forEach(n -> w.levels.put(n, new Range(1, inForce)));
+    w.nodes.forEach(n -> w.levels.put(n, new LevelRange(1, inForce)));
     w.nodes.forEach(w::startNode);
     w.run(20_000);
     untilLevel(w, inForce);
     w.kill("n1");
-    w.levels.put("n1", new Range(least, most));
+    w.levels.put("n1", new LevelRange(least, most));
     w.startNode("n1");
     w.state().writers.clear();
     w.run(20_000);
-    assertNotNull(w.tables("n1").barred());
-    assertTrue(w.tables("n1").barred().contains("level " + inForce), w.tables("n1").barred());
+    assertNotNull(w.tables("n1").blockedReason());
+    assertTrue(
+        w.tables("n1").blockedReason().contains("level " + inForce),
+        w.tables("n1").blockedReason());
     assertFalse(w.state().writers.contains("n1"), "it wrote");
     assertFalse(w.tables("n0").members().containsKey("n1"));
     for (String path : List.of("GET /up", "POST /api/jobs", "GET /api/jobs/req-000001")) {
@@ -407,7 +409,8 @@
     for (String held : List.of(Gate.NUMBERS.label(), "a-gate-of-tomorrow")) {
       SimWorld w = old(371, "aaa");
       List<String> finite = load(w, 20, 40_000);
-      w.state().force(Word.KEY, Word.NONE.hold(held, true).toStore());
+      w.state()
+          .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(held, true).toStore());
       w.run(5000);
       for (String n : w.nodes) {
         replace(w, n);
@@ -415,7 +418,7 @@
       }
       w.run(20_000);
       assertEquals(1, level(w, "n0"));
-      w.state().force(Word.KEY, Word.NONE.toStore());
+      w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
       untilLevel(w, NEW);
       w.run(100_000);
       check(w, finite);
@@ -429,7 +432,7 @@
     SimWorld w = new SimWorld(376, 4, 20, "aaabb", 40);
     w.nodes.forEach(w::kill);
     for (String n : w.nodes) {
-      w.levels.put(n, Range.FIRST);
+      w.levels.put(n, LevelRange.FIRST);
       w.startNode(n);
     }
     w.run(6000);
@@ -452,11 +455,19 @@
             met[0] = true;
             switch (what) {
               case "word" ->
-                  w.state().force(Word.KEY, Word.NONE.hold(Gate.NUMBERS.label(), true).toStore());
+                  w.state()
+                      .force(
+                          OperatorOverrides.KEY,
+                          OperatorOverrides.NONE
+                              .withGateHeld(Gate.NUMBERS.label(), true)
+                              .toStore());
               case "live" -> w.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
               case "back" -> w.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
               case "announced" -> w.state().force("w/c/3", less);
-              default -> w.state().force(NodeRegistry.LIST, NodeRegistry.listToStore(w.nodes));
+              default ->
+                  w.state()
+                      .force(
+                          NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(w.nodes));
             }
             w.clock.after(60, () -> assertEquals(1, level(w, from), what));
           }
@@ -481,12 +492,13 @@
     }
     w.run(20_000);
     assertEquals(1, level(w, "n0"));
-    w.state().force(Word.KEY, Word.NONE.without("n3", true).toStore());
+    w.state()
+        .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
     untilLevel(w, NEW);
     // It does come back, of the old build: outside; of the new one: in.
     w.startNode("n3");
     w.run(10_000);
-    assertNotNull(w.tables("n3").barred());
+    assertNotNull(w.tables("n3").blockedReason());
     assertFalse(w.tables("n0").view().members().containsKey("n3"));
     replace(w, "n3");
     w.run(10_000);
@@ -499,14 +511,15 @@
   /** What all may use together, as the parts tell it. */
   private static double shares(SimWorld w) throws BadMessage {
     double sum = 0;
-    List<?> first = Document.of(w.state().value(NodeRegistry.LIST)).list("names");
+    List<?> first = Document.of(w.state().value(NodeRegistry.INITIAL_NAMES_KEY)).list("names");
     TreeMap<String, Boolean> all = new TreeMap<>();
     first.forEach(n -> all.put((String) n, true));
-    w.tables("n0").parts().keySet().forEach(n -> all.put(n, true));
+    w.tables("n0").partitions().keySet().forEach(n -> all.put(n, true));
     for (String n : all.keySet()) {
-      Partition p = w.tables("n0").part(n);
+      Partition p = w.tables("n0").partition(n);
       sum += first.contains(n) ? w.setup.gpusMax() / first.size() : 0;
-      sum += p == null ? 0 : p.shares().getOrDefault("vision", Partition.Share.NONE).gpus();
+      sum +=
+          p == null ? 0 : p.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
     }
     return sum;
   }
@@ -588,7 +601,7 @@
     untilLevel(w, NEW);
     w.run(8000);
     assertTrue(w.tables("n0").view().members().keySet().containsAll(List.of("n1", "n3")));
-    assertEquals(3, w.tables("n0").registry().number("n3"));
+    assertEquals(3, w.tables("n0").registry().numberOf("n3"));
     assertEquals(List.of(), w.broken());
   }
 
@@ -596,7 +609,10 @@
   @Test
   void theListOfAllChangesAtOnceBeforeTheSwitch() {
     SimWorld w = old(396, "aaa");
-    w.state().force(Word.KEY, Word.NONE.hold(Gate.NUMBERS.label(), true).toStore());
+    w.state()
+        .force(
+            OperatorOverrides.KEY,
+            OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
     w.run(6000);
     for (String n : w.nodes) {
       replace(w, n);
@@ -610,11 +626,11 @@
     w.nodes.forEach(w::startNode);
     w.run(10_000);
     assertTrue(w.tables("n0").members().isEmpty());
-    w.state().force(Word.KEY, Word.NONE.toStore());
+    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
     untilLevel(w, NEW);
     w.run(10_000);
     assertEquals(List.of("n0", "n1", "n5"), List.copyOf(w.tables("n0").view().members().keySet()));
-    assertEquals(3, w.tables("n0").registry().number("n5"));
+    assertEquals(3, w.tables("n0").registry().numberOf("n5"));
   }
 
   @ParameterizedTest
@@ -631,11 +647,11 @@
     SimWorld w = new SimWorld(400, 6, 20);
     w.run(8000);
     Object was = w.state().value(key);
-    w.state().force(key, Form.wrap(form, Map.of("name", "n9", "peers", List.of())));
+    w.state().force(key, Encoding.wrap(form, Map.of("name", "n9", "peers", List.of())));
     w.run(1000);
     for (String n : w.nodes) {
-      assertNotNull(w.tables(n).barred(), n);
-      assertTrue(w.tables(n).barred().contains(key), w.tables(n).barred());
+      assertNotNull(w.tables(n).blockedReason(), n);
+      assertTrue(w.tables(n).blockedReason().contains(key), w.tables(n).blockedReason());
     }
     w.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     w.run(3000);
@@ -643,7 +659,7 @@
     w.state().force(key, was);
     w.run(30_000);
     for (String n : w.nodes) {
-      assertNull(w.tables(n).barred(), n);
+      assertNull(w.tables(n).blockedReason(), n);
     }
     assertEquals("done", w.lastTold("req-000001"));
     assertEquals(List.of(), w.broken());
@@ -664,16 +680,16 @@
     w.users.submit(SimJobs.job(1, "batch", 2, 1, 20), 0);
     w.run(4000);
     String key = "w/l/n9/0000000001";
-    w.state().force(key, Form.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
+    w.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
     w.run(1000);
-    w.nodes.forEach(n -> assertNotNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNotNull(w.tables(n).blockedReason(), n));
     // A start meets it too.
     w.crash("n1", 1000);
     w.run(5000);
-    w.nodes.forEach(n -> assertNotNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNotNull(w.tables(n).blockedReason(), n));
     w.state().force(key, null);
     w.run(60_000);
-    w.nodes.forEach(n -> assertNull(w.tables(n).barred(), n));
+    w.nodes.forEach(n -> assertNull(w.tables(n).blockedReason(), n));
     assertEquals("done", w.lastTold("req-000001"));
     assertEquals(List.of(), w.broken());
     assertNull(w.diverged());
@@ -688,15 +704,15 @@
       w.users.submit(SimJobs.job(i, i % 3 == 0 ? "daemon" : "batch", 3, 1, 4), 0);
       w.run(900);
     }
-    String key = w.state().keys().stream().filter(Job::isChunk).findFirst().orElseThrow();
+    String key = w.state().keys().stream().filter(Job::isChunkKey).findFirst().orElseThrow();
     Object was = w.state().value(key);
-    w.state().force(key, Form.wrap(9, Map.of("rev", 1L)));
+    w.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
     w.crash("n1", 500);
     w.run(6000);
-    assertNotNull(w.tables("n1").barred());
+    assertNotNull(w.tables("n1").blockedReason());
     w.state().force(key, was);
     w.run(10_000);
-    assertNull(w.tables("n1").barred());
+    assertNull(w.tables("n1").blockedReason());
     assertNull(w.diverged());
     assertEquals(List.of(), w.broken());
   }
@@ -722,18 +738,18 @@
     w.run(5000);
     for (String key : List.of(View.KEY, "w/p/n0", "w/j/req-000001", "w/c/1", "w/c/word")) {
       Object v = w.state().value(key);
-      int form = v == null ? 1 : Form.of(MessageCodec.decode(MessageCodec.encode(v)));
+      int form = v == null ? 1 : Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(v)));
       Map<String, Object> more = new TreeMap<>(Map.of("later", 7L));
       more.putAll(
           v == null
-              ? Word.NONE.toStore()
-              : Form.read(MessageCodec.decode(MessageCodec.encode(v)), form).without());
+              ? OperatorOverrides.NONE.toStore()
+              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(v)), form).without());
       if (key.startsWith("w/j/")) {
         Map<String, Object> spec = new TreeMap<>(Document.of(more.get("spec")).without());
         spec.put("later", 8L);
         more.put("spec", spec);
       }
-      w.state().force(key, Form.wrap(form, more));
+      w.state().force(key, Encoding.wrap(form, more));
     }
     // Nothing of the job ends meanwhile: its record is rewritten, and stays.
     for (int i = 0; i < 6; i++) {
@@ -753,7 +769,8 @@
   }
 
   private static Document read(SimWorld w, String key) throws BadMessage {
-    return Form.read(MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Form.NUMBERED);
+    return Encoding.decode(
+        MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Encoding.NUMBERED);
   }
 
   /** Told to end, a controller gives its lease back: the others need not wait for its end. */
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import wickdrift.bookkeeping.Ledger;
+import wickdrift.bookkeeping.StateServiceClient;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.View;
-import wickdrift.bookkeeping.level.Form;
+import wickdrift.bookkeeping.level.Encoding;
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.protocol.BadMessage;
@@ -188,13 +188,13 @@
   }
 
   /** Every record, as a load would read them all at once. */
-  public List<Ledger.Change> all() {
-    List<Ledger.Change> out = new ArrayList<>();
+  public List<StateServiceClient.Change> all() {
+    List<StateServiceClient.Change> out = new ArrayList<>();
     entries.forEach(
         (k, e) -> {
           try {
             Object value = MessageCodec.decode(MessageCodec.encode(e.value));
-            out.add(new Ledger.Change(k, value, e.stamp));
+            out.add(new StateServiceClient.Change(k, value, e.stamp));
           } catch (BadMessage x) {
             throw new AssertionError(x);
           }
@@ -467,13 +467,14 @@
           unfenced.add(key + " without its own stamp");
         }
       }
-      if (key.equals(NodeRegistry.DONE) && t.raw("v") != null) {
+      if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && t.raw("v") != null) {
         for (Map.Entry<String, Entry> e : entries.entrySet()) {
           // A store that is being restored has a text in place of the view.
           Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
           boolean old =
               !(v instanceof String)
-                  && Math.min(Form.NUMBERED, Tables.formOf(e.getKey())) > Form.of(v);
+                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(e.getKey()))
+                      > Encoding.versionOf(v);
           if (old) {
             unfenced.add(key + " while " + e.getKey() + " is of an older form");
           }
@@ -486,7 +487,7 @@
         unfenced.add(key + " without its own stamp");
       }
       String part = "w/p/" + key.substring(4, key.lastIndexOf('/'));
-      List<?> runs = Form.read(t.raw("v"), Form.NUMBERED).list("g");
+      List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
       List<?> last = runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
       // A run that says its revision was durable before: the page is only brought to another form.
       boolean fresh = last.get(0).equals(0L);
@@ -502,8 +503,8 @@
         if (e.get(0).equals("p") && !when.contains(View.KEY) && level() >= Gate.VIEWS.level()) {
           unfenced.add(key + " places " + e + " without the view");
         }
-        if (e.get(0).equals("p") && !when.contains(Tables.TAKES_KEY) && mayBeTaken(part)) {
-          unfenced.add(key + " places " + e + " without " + Tables.TAKES_KEY);
+        if (e.get(0).equals("p") && !when.contains(Tables.CLAIMS_KEY) && mayBeTaken(part)) {
+          unfenced.add(key + " places " + e + " without " + Tables.CLAIMS_KEY);
         }
       }
     }
@@ -523,14 +524,15 @@
   }
 
   private long level() throws BadMessage {
-    return Form.read(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Form.NUMBERED)
+    return Encoding.decode(
+            MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED)
         .count("level", 1);
   }
 
   /** Whether a leader may take machines of that part together with others'. */
   private boolean mayBeTaken(String part) throws BadMessage {
     Document view =
-        Form.read(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Form.NUMBERED);
+        Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED);
     return view.count("level", 1) >= Gate.TAKES.level()
         && !part.equals("w/p/" + view.text("leader"));
   }
@@ -539,7 +541,8 @@
     Object view = value("w/v");
     return view != null
         && Document.of(
-                    Form.read(MessageCodec.decode(MessageCodec.encode(view)), Form.NUMBERED)
+                    Encoding.decode(
+                            MessageCodec.decode(MessageCodec.encode(view)), Encoding.NUMBERED)
                         .raw("members"))
                 .raw(node)
             != null;
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -16,11 +16,11 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import wickdrift.bookkeeping.Job;
-import wickdrift.bookkeeping.Limits;
 import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.StateServiceLimits;
 import wickdrift.bookkeeping.Tables;
 import wickdrift.bookkeeping.TaskState;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Tuning;
 import wickdrift.daemon.Controller;
 import wickdrift.daemon.Metrics;
@@ -175,7 +175,7 @@
     String fresh = "";
     for (int i = 0; i < 400 && compared < nodes.size(); i++) {
       run(7);
-      Tables t = new Tables(nodes, Range.BUILD, () -> {});
+      Tables t = new Tables(nodes, LevelRange.BUILD, () -> {});
       t.load(state.all(), state.rev());
       fresh = digest(t);
       for (Node n : running.values()) {
@@ -198,26 +198,26 @@
         .forEach(
             j -> {
               b.append(j.id())
-                  .append(j.withdrawnItself() ? " off" : "")
+                  .append(j.withdrawnByUser() ? " off" : "")
                   .append(' ')
-                  .append(j.part());
-              for (int i = 0; i < j.size(); i++) {
+                  .append(j.partition());
+              for (int i = 0; i < j.taskCount(); i++) {
                 TaskState s = j.task(i);
                 b.append(' ').append(s.phase()).append(s.attempt()).append(s.stop());
-                b.append(s.live() ? s.machine().name() : "");
+                b.append(s.isLive() ? s.machine().name() : "");
               }
               b.append('\n');
             });
     for (Machine m : t.machines()) {
       if (m.info() != null) {
-        b.append(m.name()).append(m.info().phase()).append(m.live().size()).append('\n');
+        b.append(m.name()).append(m.info().phase()).append(m.slots().size()).append('\n');
       }
     }
     return b.toString();
   }
 
   /** What ended controllers' settings and builds are changed before they start. */
-  void restartAll(Range build, String nextLimits) {
+  void restartAll(LevelRange build, String nextLimits) {
     next = nextLimits;
     for (String n : nodes) {
       kill(n);
@@ -232,7 +232,7 @@
   final Map<String, List<String>> lists = new HashMap<>();
 
   /** The levels that a node's build speaks, where it is not this one. */
-  final Map<String, Range> levels = new HashMap<>();
+  final Map<String, LevelRange> levels = new HashMap<>();
 
   /** Nodes whose build does not know the frames about withdrawals, and passes them over. */
   final Set<String> oldFrames = new HashSet<>();
@@ -320,9 +320,9 @@
   String next = "";
 
   /** The limits of the state service as an operator's command has them. */
-  Limits limits() {
+  StateServiceLimits limits() {
     Settings s = settings(nodes.get(0));
-    return new Limits(s.stateLimits(), s.nextLimits(), () -> true);
+    return new StateServiceLimits(s.stateLimits(), s.nextLimits(), () -> true);
   }
 
   private Settings settings(String node) {
@@ -371,7 +371,7 @@
             peers,
             "inc" + ++incarnations,
             new Metrics(),
-            levels.getOrDefault(name, Range.BUILD));
+            levels.getOrDefault(name, LevelRange.BUILD));
     net.listen(
         "peer:" + name,
         (from, m, p, body, done) -> {
@@ -622,7 +622,7 @@
   /** How many of a job's tasks are placed, as a node knows it. */
   public int placed(String node, String id) {
     Job j = running.get(node).controller.tables().job(id);
-    return j == null ? 0 : j.live();
+    return j == null ? 0 : j.liveCount();
   }
 
   /** Where a task is, or null. */
--- a/src/test/java/wickdrift/sim/UnlistedTest.java
+++ b/src/test/java/wickdrift/sim/UnlistedTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.bookkeeping.Machine;
-import wickdrift.bookkeeping.level.Range;
+import wickdrift.bookkeeping.level.LevelRange;
 
 /**
  * Troubles that no page listed, alone and in pairs with those that are: machines that nothing
@@ -179,7 +179,7 @@
     long seed = 900 + 10L * u.ordinal() + b.ordinal();
     SimWorld w = new SimWorld(seed, 12, 30, "aab", 60);
     if (b == Beside.LEVEL_RISES) {
-      w.restartAll(new Range(1, 3), "");
+      w.restartAll(new LevelRange(1, 3), "");
     }
     Random r = new Random(seed);
     List<String> finite = w.users.submitSmall(r, 6000, 40_000, 15_000, n -> 4 + n % 9);
@@ -197,7 +197,7 @@
     ClusterTest.check(w, finite);
     // No storm: at most as many as could be there at once came anew.
     assertTrue(rented <= 12 + 30, "rented " + rented);
-    assertEquals(Range.BUILD.most(), w.tables("n0").level());
+    assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
   }
 
   /** Once a machine is known to be deaf nothing more is placed there, until it hears. */
@@ -220,10 +220,11 @@
             Machine any = w.tables("n0").machine(m.name);
             String owner = any == null ? "n0" : any.owner(w.tables("n0").view());
             Machine is = w.tables(owner).machine(m.name);
-            if (is != null && (is.deafSinceMs() > 0 || is.phase() != Machine.Phase.UP)) {
-              more[0] += before[0] >= 0 ? Math.max(0, is.live().size() - before[0]) : 0;
-              before[0] = is.live().size();
-              emptyAt[0] = emptyAt[0] == 0 && is.live().isEmpty() ? w.clock.nowMs() : emptyAt[0];
+            if (is != null
+                && (is.unreachableForCommandsSinceMs() > 0 || is.phase() != Machine.Phase.UP)) {
+              more[0] += before[0] >= 0 ? Math.max(0, is.slots().size() - before[0]) : 0;
+              before[0] = is.slots().size();
+              emptyAt[0] = emptyAt[0] == 0 && is.slots().isEmpty() ? w.clock.nowMs() : emptyAt[0];
               upAgain[0] += lost[0] && is.phase() == Machine.Phase.UP ? 1 : 0;
               lost[0] |= is.phase() != Machine.Phase.UP;
             }
@@ -295,7 +296,7 @@
     }
     for (String n : w.nodes) {
       Machine m = w.tables(n).machine("i-000777");
-      assertTrue(m == null || m.info() == null && m.live().isEmpty(), "at " + n);
+      assertTrue(m == null || m.info() == null && m.slots().isEmpty(), "at " + n);
     }
     w.run(120_000);
     assertEquals(List.of(), w.broken());
@@ -317,7 +318,7 @@
     w.run(20_000);
     SimWorker m = w.workers().get(0);
     String owner = w.owner("n0", m.name);
-    assertTrue(!w.tables("n0").machine(m.name).live().isEmpty(), "nothing runs there");
+    assertTrue(!w.tables("n0").machine(m.name).slots().isEmpty(), "nothing runs there");
     w.killMachine(0);
     if (ownerIsNew) {
       w.crash(owner, 300);
@@ -325,7 +326,7 @@
     // The lease, and for a new owner the grace before it; and a few seconds to notice.
     w.run(16_000 + (ownerIsNew ? 3 * 16_000 : 0) + 6000);
     Machine is = w.tables("n0").machine(m.name);
-    assertTrue(is == null || is.live().isEmpty(), "its tasks still count as there");
+    assertTrue(is == null || is.slots().isEmpty(), "its tasks still count as there");
     assertTrue(is == null || is.phase() != Machine.Phase.UP, "it still counts as up");
     w.net.copies = null;
     w.run(250_000);
@@ -350,7 +351,7 @@
     w.run(10_000);
     assertEquals(8, w.starts());
     for (int i = 0; i < 4; i++) {
-      assertTrue(!w.tables("n0").job(String.format("req-%06d", i)).part().equals("*"));
+      assertTrue(!w.tables("n0").job(String.format("req-%06d", i)).partition().equals("*"));
     }
     w.run(25_000);
     assertEquals(3, w.tables("n0").view().members().size());
