--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -54,8 +54,8 @@
   }
 
   /** Once that is so, no submission is taken any more. */
-  public void refuseSubmissionsWhen(BooleanSupplier now) {
-    submissions.stopAcceptingWhen(now);
+  public void refuseSubmissionsWhen(BooleanSupplier condition) {
+    submissions.stopAcceptingWhen(condition);
   }
 
   /** Whether no submission waits for its answer. */
@@ -69,17 +69,17 @@
   }
 
   /** A job is submitted, perhaps not for the first time. */
-  public void submit(Exchange x) {
-    submissions.submit(x);
+  public void submit(Exchange exchange) {
+    submissions.submit(exchange);
   }
 
   /** A user asks how a job stands. */
-  public void jobStatus(Exchange x, String id) {
-    status.poll(x, id);
+  public void jobStatus(Exchange exchange, String id) {
+    status.poll(exchange, id);
   }
 
   /** A user cancels a job. */
-  public void withdraw(Exchange x, String id) {
-    withdrawals.withdraw(x, id);
+  public void withdraw(Exchange exchange, String id) {
+    withdrawals.withdraw(exchange, id);
   }
 }
--- a/src/main/java/wickdrift/coordination/AdmissionQueue.java
+++ b/src/main/java/wickdrift/coordination/AdmissionQueue.java
@@ -16,26 +16,26 @@
  * @param <T> a submission
  */
 final class AdmissionQueue<T> {
-  private record Key(String team, String jobClass, JobSpec.Priority rank) {}
+  private record FlowKey(String team, String jobClass, JobSpec.Priority priority) {}
 
-  private static final class Line<T> {
+  private static final class Flow<T> {
     final ArrayDeque<T> waiting = new ArrayDeque<>();
-    double clock;
+    double startTag;
   }
 
   /** A class's clock is forgotten once it is behind, and none of it waits. */
-  private static final int LINES_KEPT = 256;
+  private static final int FLOW_CLEANUP_THRESHOLD = 256;
 
-  private final Map<Key, Line<T>> lines = new HashMap<>();
-  private final int most;
+  private final Map<FlowKey, Flow<T>> flows = new HashMap<>();
+  private final int maxWaiting;
   private int size;
-  private double now;
+  private double virtualTime;
 
   /**
-   * @param most how many may wait
+   * @param maxWaiting how many may wait
    */
-  AdmissionQueue(int most) {
-    this.most = most;
+  AdmissionQueue(int maxWaiting) {
+    this.maxWaiting = maxWaiting;
   }
 
   int size() {
@@ -46,30 +46,33 @@
     return size == 0;
   }
 
-  private static Key key(JobSpec s) {
-    return new Key(s.team(), s.jobClass(), s.priority());
+  private static FlowKey keyOf(JobSpec spec) {
+    return new FlowKey(spec.team(), spec.jobClass(), spec.priority());
   }
 
   /**
    * What one submission of a rank costs: the highest is let in four times as often as the lowest.
    */
-  private static double cost(JobSpec.Priority rank) {
-    return 1.0 / (JobSpec.Priority.values().length - rank.ordinal());
+  private static double cost(JobSpec.Priority priority) {
+    return 1.0 / (JobSpec.Priority.values().length - priority.ordinal());
   }
 
-  private Line<T> line(Key k) {
-    Line<T> l = lines.get(k);
-    if (l == null) {
-      if (lines.size() >= LINES_KEPT) {
-        lines.values().removeIf(x -> x.waiting.isEmpty() && x.clock <= now);
+  private Flow<T> flowOf(FlowKey key) {
+    Flow<T> flow = flows.get(key);
+    if (flow == null) {
+      if (flows.size() >= FLOW_CLEANUP_THRESHOLD) {
+        flows
+            .values()
+            .removeIf(
+                candidate -> candidate.waiting.isEmpty() && candidate.startTag <= virtualTime);
       }
-      l = new Line<>();
-      lines.put(k, l);
+      flow = new Flow<>();
+      flows.put(key, flow);
     }
-    if (l.waiting.isEmpty()) {
-      l.clock = Math.max(l.clock, now);
+    if (flow.waiting.isEmpty()) {
+      flow.startTag = Math.max(flow.startTag, virtualTime);
     }
-    return l;
+    return flow;
   }
 
   /**
@@ -77,55 +80,55 @@
    * has more there than its own team and class.
    */
   T offer(JobSpec spec, T submission) {
-    Line<T> own = line(key(spec));
-    T gone = null;
-    if (size >= most) {
-      Line<T> longest = own;
-      for (Line<T> l : lines.values()) {
-        longest = l.waiting.size() > longest.waiting.size() ? l : longest;
+    Flow<T> ownFlow = flowOf(keyOf(spec));
+    T evicted = null;
+    if (size >= maxWaiting) {
+      Flow<T> longest = ownFlow;
+      for (Flow<T> flow : flows.values()) {
+        longest = flow.waiting.size() > longest.waiting.size() ? flow : longest;
       }
-      if (longest == own) {
+      if (longest == ownFlow) {
         return submission;
       }
-      gone = longest.waiting.pollLast();
+      evicted = longest.waiting.pollLast();
       size--;
     }
-    own.waiting.addLast(submission);
+    ownFlow.waiting.addLast(submission);
     size++;
-    return gone;
+    return evicted;
   }
 
   /** Back to where it was: it had left, and could not be written. */
   void returnToFront(JobSpec spec, T submission) {
-    Line<T> l = line(key(spec));
-    l.waiting.addFirst(submission);
-    l.clock -= cost(spec.priority());
+    Flow<T> flow = flowOf(keyOf(spec));
+    flow.waiting.addFirst(submission);
+    flow.startTag -= cost(spec.priority());
     size++;
   }
 
   /** The next to leave, or null. */
   T poll() {
-    Map.Entry<Key, Line<T>> next = null;
-    for (Map.Entry<Key, Line<T>> e : lines.entrySet()) {
-      if (!e.getValue().waiting.isEmpty() && (next == null || before(e, next))) {
-        next = e;
+    Map.Entry<FlowKey, Flow<T>> next = null;
+    for (Map.Entry<FlowKey, Flow<T>> entry : flows.entrySet()) {
+      if (!entry.getValue().waiting.isEmpty() && (next == null || isServedBefore(entry, next))) {
+        next = entry;
       }
     }
     if (next == null) {
       return null;
     }
-    Line<T> l = next.getValue();
-    now = Math.max(now, l.clock);
-    l.clock += cost(next.getKey().rank);
+    Flow<T> flow = next.getValue();
+    virtualTime = Math.max(virtualTime, flow.startTag);
+    flow.startTag += cost(next.getKey().priority);
     size--;
-    return l.waiting.pollFirst();
+    return flow.waiting.pollFirst();
   }
 
   /** By clock, then by rank, then by name, so that the order is the same each time. */
-  private boolean before(Map.Entry<Key, Line<T>> a, Map.Entry<Key, Line<T>> b) {
-    int c = Double.compare(a.getValue().clock, b.getValue().clock);
-    c = c != 0 ? c : a.getKey().rank.compareTo(b.getKey().rank);
-    c = c != 0 ? c : a.getKey().team.compareTo(b.getKey().team);
-    return (c != 0 ? c : a.getKey().jobClass.compareTo(b.getKey().jobClass)) < 0;
+  private boolean isServedBefore(Map.Entry<FlowKey, Flow<T>> a, Map.Entry<FlowKey, Flow<T>> b) {
+    int order = Double.compare(a.getValue().startTag, b.getValue().startTag);
+    order = order != 0 ? order : a.getKey().priority.compareTo(b.getKey().priority);
+    order = order != 0 ? order : a.getKey().team.compareTo(b.getKey().team);
+    return (order != 0 ? order : a.getKey().jobClass.compareTo(b.getKey().jobClass)) < 0;
   }
 }
--- a/src/main/java/wickdrift/coordination/CapacityIndex.java
+++ b/src/main/java/wickdrift/coordination/CapacityIndex.java
@@ -26,9 +26,9 @@
     final TypeInfo type;
     final String zone;
     final boolean spot;
-    private final LoadIndex all = new LoadIndex();
+    private final LoadIndex machines = new LoadIndex();
     private final LoadIndex fetching = new LoadIndex();
-    private final Map<String, Listed> images = new HashMap<>();
+    private final Map<String, ImageMachines> byImage = new HashMap<>();
     private double freeCpus;
     private double freeGpus;
     private double freeMemoryGb;
@@ -40,65 +40,67 @@
       this.spot = spot;
     }
 
-    boolean allows(JobSpec s) {
-      return (s.spot() || !spot) && (s.zone() == null || s.zone().equals(zone)) && type.canHold(s);
+    boolean allows(JobSpec spec) {
+      return (spec.spot() || !spot)
+          && (spec.zone() == null || spec.zone().equals(zone))
+          && type.canHold(spec);
     }
 
-    private void sum(FreeCapacity r, int sign) {
-      freeCpus += sign * r.freeCpus();
-      freeGpus += sign * r.freeGpus();
-      freeMemoryGb += sign * r.freeMemoryGb();
+    private void addFreeCapacity(FreeCapacity capacity, int sign) {
+      freeCpus += sign * capacity.freeCpus();
+      freeGpus += sign * capacity.freeGpus();
+      freeMemoryGb += sign * capacity.freeMemoryGb();
     }
   }
 
   /** A cell's machines that have an image, and those among them that fetch something. */
-  private static final class Listed {
-    final LoadIndex all = new LoadIndex();
+  private static final class ImageMachines {
+    final LoadIndex machines = new LoadIndex();
     final LoadIndex fetching = new LoadIndex();
   }
 
-  private static final Listed NOWHERE = new Listed();
+  private static final ImageMachines NO_MACHINES = new ImageMachines();
 
   /** Most capable first: GPUs, then memory, then CPUs. */
-  private static final Comparator<MachineGroup> CAPABILITY =
-      Comparator.comparingDouble((MachineGroup c) -> -c.type.gpus())
-          .thenComparingDouble(c -> -c.type.memoryGb())
-          .thenComparingDouble(c -> -c.type.cpus());
+  private static final Comparator<MachineGroup> MOST_CAPABLE_FIRST =
+      Comparator.comparingDouble((MachineGroup group) -> -group.type.gpus())
+          .thenComparingDouble(group -> -group.type.memoryGb())
+          .thenComparingDouble(group -> -group.type.cpus());
 
-  private record Place(String owner, String type, String zone, boolean spot) {}
+  private record GroupKey(String owner, String type, String zone, boolean spot) {}
 
-  private final Map<Place, MachineGroup> places = new HashMap<>();
-  private final List<MachineGroup> cells = new ArrayList<>();
+  private final Map<GroupKey, MachineGroup> groupsByKey = new HashMap<>();
+  private final List<MachineGroup> groups = new ArrayList<>();
   private final Map<Machine, FreeCapacity> byMachine = new LinkedHashMap<>();
-  private final Set<FreeCapacity> dirty = new HashSet<>();
+  private final Set<FreeCapacity> bookedThisRound = new HashSet<>();
 
   /** Rooms listed as fetching, by when that is taken to be over. */
   private final TreeSet<Fetch> fetches =
       new TreeSet<>(
           Comparator.comparingLong(Fetch::untilMs)
-              .thenComparingInt(f -> f.room.machine().number()));
+              .thenComparingInt(f -> f.capacity.machine().number()));
 
-  private record Fetch(long untilMs, FreeCapacity room) {}
+  private record Fetch(long untilMs, FreeCapacity capacity) {}
 
-  private long version;
+  private long growthVersion;
   private long machinesExamined;
-  private Predicate<String> preferred = owner -> true;
+  private Predicate<String> preferredOwners = owner -> true;
 
   /**
    * Of equals, machines of these owners are taken: for the leader those whose booking takes no
    * further part's record into the transaction.
    */
-  void prefer(Predicate<String> owners) {
-    preferred = owners;
+  void setPreferredOwners(Predicate<String> owners) {
+    preferredOwners = owners;
   }
 
-  private boolean isPreferred(FreeCapacity r) {
-    return preferred.test(r.cell.owner);
+  private boolean isPreferred(FreeCapacity capacity) {
+    return preferredOwners.test(capacity.group.owner);
   }
 
   /** Changes whenever there is more room somewhere. */
-  long version() {
-    return version;
+  long growthVersion() {
+    return growthVersion;
   }
 
   /** How many rooms were looked at so far. */
@@ -106,135 +108,136 @@
     return machinesExamined;
   }
 
-  FreeCapacity find(Machine m) {
-    return byMachine.get(m);
+  FreeCapacity find(Machine machine) {
+    return byMachine.get(machine);
   }
 
   // ---- keeping it ----
 
   /** Forgets all: a new view, or other types. */
   void clear() {
-    places.clear();
-    cells.clear();
+    groupsByKey.clear();
+    groups.clear();
     byMachine.clear();
-    dirty.clear();
+    bookedThisRound.clear();
     fetches.clear();
-    version++;
+    growthVersion++;
   }
 
   /** There may be more room than before: what was blocked looks again. */
-  void grew() {
-    version++;
+  void incrementGrowthVersion() {
+    growthVersion++;
   }
 
   /** Lists the machine as it is now in the tables; true if it may have more room than before. */
-  boolean put(Machine m, TypeInfo type, String owner, long nowMs) {
-    FreeCapacity old = byMachine.get(m);
-    double before = Double.MAX_VALUE;
-    int images = 0;
+  boolean put(Machine machine, TypeInfo type, String owner, long nowMs) {
+    FreeCapacity old = byMachine.get(machine);
+    double loadBefore = Double.MAX_VALUE;
+    int imagesBefore = 0;
     if (old != null) {
-      before = old.load();
-      images = old.listed.size();
-      unlist(old);
-      dirty.remove(old);
+      loadBefore = old.load();
+      imagesBefore = old.listedImages.size();
+      removeFromIndexes(old);
+      bookedThisRound.remove(old);
     }
-    m.updateImages(nowMs, type.cacheGb());
-    FreeCapacity r = old == null || old.type() != type ? new FreeCapacity(m, type) : old;
-    r.reset();
-    byMachine.put(m, r);
-    r.fetches(nowMs);
-    list(r, cell(owner, type, m.info().zone(), m.info().spot()));
-    return r.load() < before || r.listed.size() > images;
+    machine.updateImages(nowMs, type.cacheGb());
+    FreeCapacity capacity =
+        old == null || old.type() != type ? new FreeCapacity(machine, type) : old;
+    capacity.reset();
+    byMachine.put(machine, capacity);
+    capacity.updateFetching(nowMs);
+    addToIndexes(capacity, groupFor(owner, type, machine.info().zone(), machine.info().spot()));
+    return capacity.load() < loadBefore || capacity.listedImages.size() > imagesBefore;
   }
 
-  void remove(Machine m) {
-    FreeCapacity r = byMachine.remove(m);
-    if (r != null) {
-      unlist(r);
-      dirty.remove(r);
+  void remove(Machine machine) {
+    FreeCapacity capacity = byMachine.remove(machine);
+    if (capacity != null) {
+      removeFromIndexes(capacity);
+      bookedThisRound.remove(capacity);
     }
   }
 
-  private MachineGroup cell(String owner, TypeInfo type, String zone, boolean spot) {
-    return places.computeIfAbsent(
-        new Place(owner, type.name(), zone, spot),
+  private MachineGroup groupFor(String owner, TypeInfo type, String zone, boolean spot) {
+    return groupsByKey.computeIfAbsent(
+        new GroupKey(owner, type.name(), zone, spot),
         k -> {
-          MachineGroup c = new MachineGroup(owner, type, zone, spot);
-          cells.add(c);
-          cells.sort(CAPABILITY.thenComparing(x -> x.zone + x.spot + x.owner));
-          return c;
+          MachineGroup group = new MachineGroup(owner, type, zone, spot);
+          groups.add(group);
+          groups.sort(MOST_CAPABLE_FIRST.thenComparing(x -> x.zone + x.spot + x.owner));
+          return group;
         });
   }
 
-  private void list(FreeCapacity r, MachineGroup c) {
-    r.cell = c;
-    c.all.add(r);
-    c.sum(r, 1);
-    r.listed.clear();
-    r.images(r.listed::add);
-    if (r.isFetching()) {
-      c.fetching.add(r);
-      fetches.add(new Fetch(r.fetchesUntilMs(), r));
-    }
-    for (String i : r.listed) {
-      Listed l = c.images.computeIfAbsent(i, k -> new Listed());
-      l.all.add(r);
-      if (r.isFetching()) {
-        l.fetching.add(r);
+  private void addToIndexes(FreeCapacity capacity, MachineGroup group) {
+    capacity.group = group;
+    group.machines.add(capacity);
+    group.addFreeCapacity(capacity, 1);
+    capacity.listedImages.clear();
+    capacity.forEachImage(capacity.listedImages::add);
+    if (capacity.isFetching()) {
+      group.fetching.add(capacity);
+      fetches.add(new Fetch(capacity.fetchesUntilMs(), capacity));
+    }
+    for (String image : capacity.listedImages) {
+      ImageMachines withImage = group.byImage.computeIfAbsent(image, k -> new ImageMachines());
+      withImage.machines.add(capacity);
+      if (capacity.isFetching()) {
+        withImage.fetching.add(capacity);
       }
     }
   }
 
-  private void unlist(FreeCapacity r) {
-    MachineGroup c = r.cell;
-    c.all.remove(r);
-    c.sum(r, -1);
-    if (r.isFetching()) {
-      c.fetching.remove(r);
-      fetches.remove(new Fetch(r.fetchesUntilMs(), r));
+  private void removeFromIndexes(FreeCapacity capacity) {
+    MachineGroup group = capacity.group;
+    group.machines.remove(capacity);
+    group.addFreeCapacity(capacity, -1);
+    if (capacity.isFetching()) {
+      group.fetching.remove(capacity);
+      fetches.remove(new Fetch(capacity.fetchesUntilMs(), capacity));
     }
-    for (String i : r.listed) {
-      Listed l = c.images.get(i);
-      l.all.remove(r);
-      if (r.isFetching()) {
-        l.fetching.remove(r);
+    for (String image : capacity.listedImages) {
+      ImageMachines withImage = group.byImage.get(image);
+      withImage.machines.remove(capacity);
+      if (capacity.isFetching()) {
+        withImage.fetching.remove(capacity);
       }
-      if (l.all.size() == 0) {
-        c.images.remove(i);
+      if (withImage.machines.size() == 0) {
+        group.byImage.remove(image);
       }
     }
   }
 
   /** Books in the round of decisions under way. */
-  void book(FreeCapacity r, JobSpec s) {
-    unlist(r);
-    r.book(s);
-    list(r, r.cell);
-    dirty.add(r);
+  void book(FreeCapacity capacity, JobSpec spec) {
+    removeFromIndexes(capacity);
+    capacity.book(spec);
+    addToIndexes(capacity, capacity.group);
+    bookedThisRound.add(capacity);
   }
 
   /** Undoes what was booked since the room looked like that. */
-  void restore(FreeCapacity r, FreeCapacity.Saved saved) {
-    unlist(r);
-    r.restore(saved);
-    list(r, r.cell);
+  void restore(FreeCapacity capacity, FreeCapacity.Bookings saved) {
+    removeFromIndexes(capacity);
+    capacity.restore(saved);
+    addToIndexes(capacity, capacity.group);
   }
 
   /** A new round starts from what is durable, and from the fetches that are not over yet. */
-  void newRound(long nowMs) {
-    for (FreeCapacity r : dirty) {
-      unlist(r);
-      r.reset();
-      r.fetches(nowMs);
-      list(r, r.cell);
-    }
-    dirty.clear();
+  void beginRound(long nowMs) {
+    for (FreeCapacity capacity : bookedThisRound) {
+      removeFromIndexes(capacity);
+      capacity.reset();
+      capacity.updateFetching(nowMs);
+      addToIndexes(capacity, capacity.group);
+    }
+    bookedThisRound.clear();
     while (!fetches.isEmpty() && fetches.first().untilMs <= nowMs) {
-      FreeCapacity r = fetches.first().room;
-      unlist(r);
-      r.fetches(nowMs);
-      list(r, r.cell);
-      version++;
+      FreeCapacity capacity = fetches.first().capacity;
+      removeFromIndexes(capacity);
+      capacity.updateFetching(nowMs);
+      addToIndexes(capacity, capacity.group);
+      growthVersion++;
     }
   }
 
@@ -250,88 +253,91 @@
    * the half that is looked at first, those that have the task's image and are not too full for it.
    * So tasks of one image gather, and empty machines are left for gangs.
    */
-  FreeCapacity choose(JobSpec s, Predicate<MachineGroup> allowed) {
+  FreeCapacity choose(JobSpec spec, Predicate<MachineGroup> allowed) {
     List<MachineGroup> eligible = new ArrayList<>();
-    int n = 0;
-    for (MachineGroup c : cells) {
-      if (c.all.size() > 0 && c.allows(s) && allowed.test(c)) {
-        eligible.add(c);
-        n += c.all.size();
+    int machineCount = 0;
+    for (MachineGroup group : groups) {
+      if (group.machines.size() > 0 && group.allows(spec) && allowed.test(group)) {
+        eligible.add(group);
+        machineCount += group.machines.size();
       }
     }
-    if (n == 0) {
+    if (machineCount == 0) {
       return null;
     }
-    int left = n - ((n + 1) / 2 - 1);
+    int remaining = machineCount - ((machineCount + 1) / 2 - 1);
     FreeCapacity best = null;
     int to = eligible.size();
-    while (to > 0 && left > 0) {
+    while (to > 0 && remaining > 0) {
       int from = to - 1;
-      while (from > 0 && CAPABILITY.compare(eligible.get(from - 1), eligible.get(to - 1)) == 0) {
+      while (from > 0
+          && MOST_CAPABLE_FIRST.compare(eligible.get(from - 1), eligible.get(to - 1)) == 0) {
         from--;
       }
       List<MachineGroup> equals = eligible.subList(from, to);
-      best = better(inHalf(equals, left, s), best, s);
-      for (MachineGroup c : equals) {
-        left -= c.all.size();
+      best = lessLoaded(leastLoadedInHalf(equals, remaining, spec), best, spec);
+      for (MachineGroup group : equals) {
+        remaining -= group.machines.size();
       }
       to = from;
     }
-    return best != null ? best : anyWithRoom(eligible, s);
+    return best != null ? best : fullestWithCapacity(eligible, spec);
   }
 
-  private static Listed listed(MachineGroup c, JobSpec s) {
-    return c.images.getOrDefault(s.image(), NOWHERE);
+  private static ImageMachines imageMachines(MachineGroup group, JobSpec spec) {
+    return group.byImage.getOrDefault(spec.image(), NO_MACHINES);
   }
 
-  private static LoadIndex withImage(MachineGroup c, JobSpec s) {
-    return listed(c, s).all;
+  private static LoadIndex withImage(MachineGroup group, JobSpec spec) {
+    return imageMachines(group, spec).machines;
   }
 
   /**
    * The least loaded with room among the last {@code most} of some machines of equal capability.
    */
-  private FreeCapacity inHalf(List<MachineGroup> equals, int most, JobSpec s) {
+  private FreeCapacity leastLoadedInHalf(List<MachineGroup> equals, int maxMachines, JobSpec spec) {
     int size = 0;
-    int images = 0;
-    int rest = 0;
-    for (MachineGroup c : equals) {
-      double load = mostLoad(s, c.type);
-      size += c.all.size();
-      images += withImage(c, s).upTo(load);
-      rest += plain(c, s, load, LoadIndex::upTo);
+    int withImageCount = 0;
+    int ordinaryCount = 0;
+    for (MachineGroup group : equals) {
+      double maxLoad = maxLoadFor(spec, group.type);
+      size += group.machines.size();
+      withImageCount += withImage(group, spec).countUpTo(maxLoad);
+      ordinaryCount += countWithoutImageOrFetch(group, spec, maxLoad, LoadIndex::countUpTo);
     }
     FreeCapacity best = null;
-    int last = Math.min(most, size);
-    int suited = Math.min(images, last);
-    if (suited == images) {
-      for (MachineGroup c : equals) {
-        best = better(best, least(withImage(c, s), 0, s), s);
+    int halfSize = Math.min(maxMachines, size);
+    int withImageInHalf = Math.min(withImageCount, halfSize);
+    if (withImageInHalf == withImageCount) {
+      for (MachineGroup group : equals) {
+        best = lessLoaded(best, leastLoadedFrom(withImage(group, spec), 0, spec), spec);
       }
-      int[] start = cut(equals, last - (size - rest), s, false);
+      int[] start = startPositions(equals, halfSize - (size - ordinaryCount), spec, false);
       for (int i = 0; i < start.length; i++) {
-        best = better(best, least(equals.get(i).all, start[i], s), s);
+        best = lessLoaded(best, leastLoadedFrom(equals.get(i).machines, start[i], spec), spec);
       }
     } else {
-      int[] start = cut(equals, suited, s, true);
+      int[] start = startPositions(equals, withImageInHalf, spec, true);
       for (int i = 0; i < start.length; i++) {
-        best = better(best, least(withImage(equals.get(i), s), start[i], s), s);
+        best =
+            lessLoaded(best, leastLoadedFrom(withImage(equals.get(i), spec), start[i], spec), spec);
       }
     }
     return best;
   }
 
-  private interface Count {
+  private interface LoadCount {
     int of(LoadIndex list, double load);
   }
 
   /** Of some machines of a cell, those that neither have the image nor fetch another one. */
-  private static int plain(MachineGroup c, JobSpec s, double load, Count n) {
-    Listed with = listed(c, s);
-    return n.of(c.all, load)
-        - n.of(with.all, load)
-        - n.of(c.fetching, load)
-        + n.of(with.fetching, load);
+  private static int countWithoutImageOrFetch(
+      MachineGroup group, JobSpec spec, double maxLoad, LoadCount count) {
+    ImageMachines withImage = imageMachines(group, spec);
+    return count.of(group.machines, maxLoad)
+        - count.of(withImage.machines, maxLoad)
+        - count.of(group.fetching, maxLoad)
+        + count.of(withImage.fetching, maxLoad);
   }
 
   /**
@@ -339,27 +345,39 @@
    * with the image, or among those that neither have it nor fetch another one. Within one 64th of
    * load the later cell's machines rank later.
    */
-  private int[] cut(List<MachineGroup> equals, int k, JobSpec s, boolean image) {
-    double most = mostLoad(s, equals.get(0).type);
+  private int[] startPositions(
+      List<MachineGroup> equals, int remainingMachines, JobSpec spec, boolean withImageOnly) {
+    double maxLoad = maxLoadFor(spec, equals.get(0).type);
     int[] start = new int[equals.size()];
     for (int i = 0; i < start.length; i++) {
-      start[i] = (image ? withImage(equals.get(i), s) : equals.get(i).all).upTo(most);
-    }
-    int left = k;
-    for (int level = LoadIndex.bucket(most); level >= 0 && left > 0; level--) {
-      int at = level;
-      for (int i = start.length - 1; i >= 0 && left > 0; i--) {
-        MachineGroup c = equals.get(i);
-        LoadIndex list = image ? withImage(c, s) : c.all;
+      start[i] =
+          (withImageOnly ? withImage(equals.get(i), spec) : equals.get(i).machines)
+              .countUpTo(maxLoad);
+    }
+    int remaining = remainingMachines;
+    for (int bucket = LoadIndex.bucket(maxLoad); bucket >= 0 && remaining > 0; bucket--) {
+      int currentBucket = bucket;
+      for (int i = start.length - 1; i >= 0 && remaining > 0; i--) {
+        MachineGroup group = equals.get(i);
+        LoadIndex list = withImageOnly ? withImage(group, spec) : group.machines;
         int counted =
-            image ? list.atLevel(level, most) : plain(c, s, most, (l, load) -> l.atLevel(at, load));
-        if (counted <= left) {
-          start[i] -= list.atLevel(level, most);
-          left -= counted;
+            withImageOnly
+                ? list.countInBucket(bucket, maxLoad)
+                : countWithoutImageOrFetch(
+                    group,
+                    spec,
+                    maxLoad,
+                    (index, load) -> index.countInBucket(currentBucket, load));
+        if (counted <= remaining) {
+          start[i] -= list.countInBucket(bucket, maxLoad);
+          remaining -= counted;
         } else {
           // The border is in this cell and level.
-          start[i] = image ? start[i] - left : border(c, listed(c, s), start[i], left);
-          left = 0;
+          start[i] =
+              withImageOnly
+                  ? start[i] - remaining
+                  : findStart(group, imageMachines(group, spec), start[i], remaining);
+          remaining = 0;
         }
       }
     }
@@ -370,7 +388,7 @@
    * From where on, up to a place in a cell, there are {@code k} machines that neither have the
    * image nor fetch another one. Half a large fleet may lie there, so it is searched by halving.
    */
-  private int border(MachineGroup c, Listed with, int end, int k) {
+  private int findStart(MachineGroup group, ImageMachines withImage, int end, int count) {
     int from = 0;
     int to = end;
     // Invariant: enough lie behind from, and too few behind to.
@@ -378,10 +396,10 @@
       int mid = from + to >>> 1;
       machinesExamined++;
       int excluded =
-          between(with.all, c, mid, end)
-              + between(c.fetching, c, mid, end)
-              - between(with.fetching, c, mid, end);
-      if (end - mid - excluded >= k) {
+          countBetween(withImage.machines, group, mid, end)
+              + countBetween(group.fetching, group, mid, end)
+              - countBetween(withImage.fetching, group, mid, end);
+      if (end - mid - excluded >= count) {
         from = mid;
       } else {
         to = mid;
@@ -391,72 +409,74 @@
   }
 
   /** How many of a part of a cell's machines lie between two places of the cell. */
-  private static int between(LoadIndex part, MachineGroup c, int from, int to) {
-    return place(part, c, to) - place(part, c, from);
+  private static int countBetween(LoadIndex subset, MachineGroup group, int from, int to) {
+    return countBefore(subset, group, to) - countBefore(subset, group, from);
   }
 
-  private static int place(LoadIndex part, MachineGroup c, int at) {
-    return at < c.all.size() ? part.search(c.all.get(at)) : part.size();
+  private static int countBefore(LoadIndex subset, MachineGroup group, int position) {
+    return position < group.machines.size()
+        ? subset.countBefore(group.machines.get(position))
+        : subset.size();
   }
 
   /** The least loaded that fits, from a place in the list on. */
-  private FreeCapacity least(LoadIndex list, int from, JobSpec s) {
+  private FreeCapacity leastLoadedFrom(LoadIndex list, int from, JobSpec spec) {
     if (list.size() == 0) {
       return null;
     }
-    double most = mostLoad(s, list.get(0).type());
+    double maxLoad = maxLoadFor(spec, list.get(0).type());
     for (int i = from; i < list.size(); i++) {
-      FreeCapacity r = list.get(i);
+      FreeCapacity capacity = list.get(i);
       machinesExamined++;
-      if (r.load() > most) {
+      if (capacity.load() > maxLoad) {
         return null;
       }
-      if (r.fitsWithFetch(s)) {
-        return r;
+      if (capacity.fitsWithFetch(spec)) {
+        return capacity;
       }
     }
     return null;
   }
 
   /** No machine with a higher load than this can have room for it. */
-  private static double mostLoad(JobSpec s, TypeInfo t) {
+  private static double maxLoadFor(JobSpec spec, TypeInfo type) {
     double share = 1;
-    if (t.cpus() > 0) {
-      share = Math.min(share, s.cpus() / t.cpus());
+    if (type.cpus() > 0) {
+      share = Math.min(share, spec.cpus() / type.cpus());
     }
-    if (t.gpus() > 0) {
-      share = Math.min(share, s.gpus() / t.gpus());
+    if (type.gpus() > 0) {
+      share = Math.min(share, spec.gpus() / type.gpus());
     }
-    if (t.memoryGb() > 0) {
-      share = Math.min(share, s.memoryGb() / t.memoryGb());
+    if (type.memoryGb() > 0) {
+      share = Math.min(share, spec.memoryGb() / type.memoryGb());
     }
     return 1 - share + FreeCapacity.EPS;
   }
 
-  private FreeCapacity better(FreeCapacity a, FreeCapacity b, JobSpec s) {
+  private FreeCapacity lessLoaded(FreeCapacity a, FreeCapacity b, JobSpec spec) {
     if (a == null || b == null) {
       return a == null ? b : a;
     }
     if (Math.abs(a.load() - b.load()) > FreeCapacity.EPS) {
       return a.load() < b.load() ? a : b;
     }
-    if (a.hasImage(s) != b.hasImage(s)) {
-      return a.hasImage(s) ? a : b;
+    if (a.hasImage(spec) != b.hasImage(spec)) {
+      return a.hasImage(spec) ? a : b;
     }
     return isPreferred(b) && !isPreferred(a) ? b : a;
   }
 
   /** Outside the half: one with the image, then the fullest, so that empty machines stay empty. */
-  private FreeCapacity anyWithRoom(List<MachineGroup> eligible, JobSpec s) {
+  private FreeCapacity fullestWithCapacity(List<MachineGroup> eligible, JobSpec spec) {
     FreeCapacity best = null;
-    for (MachineGroup c : eligible) {
-      best = fuller(best, fullest(withImage(c, s), s));
+    for (MachineGroup group : eligible) {
+      best = fuller(best, fullestFitting(withImage(group, spec), spec));
     }
     if (best != null) {
       return best;
     }
-    for (MachineGroup c : eligible) {
-      best = fuller(best, fullest(c.all, s));
+    for (MachineGroup group : eligible) {
+      best = fuller(best, fullestFitting(group.machines, spec));
     }
     return best;
   }
@@ -471,13 +491,13 @@
     return isPreferred(b) && !isPreferred(a) ? b : a;
   }
 
-  private FreeCapacity fullest(LoadIndex list, JobSpec s) {
+  private FreeCapacity fullestFitting(LoadIndex list, JobSpec spec) {
     if (list.size() == 0) {
       return null;
     }
-    for (int i = list.upTo(mostLoad(s, list.get(0).type())) - 1; i >= 0; i--) {
+    for (int i = list.countUpTo(maxLoadFor(spec, list.get(0).type())) - 1; i >= 0; i--) {
       machinesExamined++;
-      if (list.get(i).fitsWithFetch(s)) {
+      if (list.get(i).fitsWithFetch(spec)) {
         return list.get(i);
       }
     }
@@ -486,9 +506,11 @@
 
   // ---- other questions ----
 
-  boolean any(JobSpec s, Predicate<MachineGroup> allowed) {
-    for (MachineGroup c : cells) {
-      if (c.allows(s) && allowed.test(c) && fullest(c.all, s) != null) {
+  boolean fitsAnywhere(JobSpec spec, Predicate<MachineGroup> allowed) {
+    for (MachineGroup group : groups) {
+      if (group.allows(spec)
+          && allowed.test(group)
+          && fullestFitting(group.machines, spec) != null) {
         return true;
       }
     }
@@ -496,90 +518,94 @@
   }
 
   /** In how many of the machines it would fit, counted up to {@code most}. */
-  int count(JobSpec s, Predicate<MachineGroup> allowed, int most) {
-    int n = 0;
-    for (MachineGroup c : cells) {
-      if (!c.allows(s) || !allowed.test(c)) {
+  int countFitting(JobSpec spec, Predicate<MachineGroup> allowed, int limit) {
+    int count = 0;
+    for (MachineGroup group : groups) {
+      if (!group.allows(spec) || !allowed.test(group)) {
         continue;
       }
-      for (int i = c.all.upTo(mostLoad(s, c.type)) - 1; i >= 0 && n < most; i--) {
+      for (int i = group.machines.countUpTo(maxLoadFor(spec, group.type)) - 1;
+          i >= 0 && count < limit;
+          i--) {
         machinesExamined++;
-        n += c.all.get(i).fitsWithFetch(s) ? 1 : 0;
+        count += group.machines.get(i).fitsWithFetch(spec) ? 1 : 0;
       }
     }
-    return n;
+    return count;
   }
 
   /** Whether so many tasks have room at once, several of them on one machine too. */
-  boolean holds(JobSpec s, Predicate<MachineGroup> allowed, int tasks) {
-    int left = tasks;
-    for (MachineGroup c : cells) {
-      if (!c.allows(s) || !allowed.test(c)) {
+  boolean fitsAll(JobSpec spec, Predicate<MachineGroup> allowed, int tasks) {
+    int remaining = tasks;
+    for (MachineGroup group : groups) {
+      if (!group.allows(spec) || !allowed.test(group)) {
         continue;
       }
-      for (int i = c.all.upTo(mostLoad(s, c.type)) - 1; i >= 0 && left > 0; i--) {
+      for (int i = group.machines.countUpTo(maxLoadFor(spec, group.type)) - 1;
+          i >= 0 && remaining > 0;
+          i--) {
         machinesExamined++;
-        left -= c.all.get(i).tasksThatFit(s, left);
+        remaining -= group.machines.get(i).tasksThatFit(spec, remaining);
       }
     }
-    return left <= 0;
+    return remaining <= 0;
   }
 
   List<String> zones() {
-    Set<String> out = new HashSet<>();
-    cells.forEach(c -> out.add(c.zone));
-    List<String> sorted = new ArrayList<>(out);
+    Set<String> zones = new HashSet<>();
+    groups.forEach(group -> zones.add(group.zone));
+    List<String> sorted = new ArrayList<>(zones);
     Collections.sort(sorted);
     return sorted;
   }
 
-  void each(JobSpec s, Predicate<MachineGroup> allowed, Consumer<FreeCapacity> use) {
-    for (MachineGroup c : cells) {
-      if (c.allows(s) && allowed.test(c)) {
-        for (int i = 0; i < c.all.size(); i++) {
-          use.accept(c.all.get(i));
+  void forEach(JobSpec spec, Predicate<MachineGroup> allowed, Consumer<FreeCapacity> action) {
+    for (MachineGroup group : groups) {
+      if (group.allows(spec) && allowed.test(group)) {
+        for (int i = 0; i < group.machines.size(); i++) {
+          action.accept(group.machines.get(i));
         }
       }
     }
   }
 
   /** About how many tasks of this kind a part has room for. */
-  double estimateTaskCapacity(JobSpec s, String owner) {
-    double sum = 0;
-    for (MachineGroup c : cells) {
-      if (c.owner.equals(owner) && c.allows(s)) {
-        double n = 1e9;
-        n = s.cpus() > 0 ? Math.min(n, c.freeCpus / s.cpus()) : n;
-        n = s.gpus() > 0 ? Math.min(n, c.freeGpus / s.gpus()) : n;
-        n = s.memoryGb() > 0 ? Math.min(n, c.freeMemoryGb / s.memoryGb()) : n;
-        sum += n;
+  double estimateTaskCapacity(JobSpec spec, String owner) {
+    double total = 0;
+    for (MachineGroup group : groups) {
+      if (group.owner.equals(owner) && group.allows(spec)) {
+        double tasks = 1e9;
+        tasks = spec.cpus() > 0 ? Math.min(tasks, group.freeCpus / spec.cpus()) : tasks;
+        tasks = spec.gpus() > 0 ? Math.min(tasks, group.freeGpus / spec.gpus()) : tasks;
+        tasks = spec.memoryGb() > 0 ? Math.min(tasks, group.freeMemoryGb / spec.memoryGb()) : tasks;
+        total += tasks;
       }
     }
-    return sum;
+    return total;
   }
 
   /** The same beside the task's image, counted up to {@code most}. */
-  int taskCapacityWithImage(JobSpec s, String owner, int most) {
-    int n = 0;
-    for (MachineGroup c : cells) {
-      if (!c.owner.equals(owner) || !c.allows(s)) {
+  int taskCapacityWithImage(JobSpec spec, String owner, int limit) {
+    int tasks = 0;
+    for (MachineGroup group : groups) {
+      if (!group.owner.equals(owner) || !group.allows(spec)) {
         continue;
       }
-      LoadIndex l = withImage(c, s);
-      int withRoom = l.upTo(mostLoad(s, c.type));
-      for (int i = 0; i < withRoom && n < most; i++) {
+      LoadIndex withImage = withImage(group, spec);
+      int fittingCount = withImage.countUpTo(maxLoadFor(spec, group.type));
+      for (int i = 0; i < fittingCount && tasks < limit; i++) {
         machinesExamined++;
-        n += l.get(i).times(s);
+        tasks += withImage.get(i).remainingTasks(spec);
       }
     }
-    return Math.min(n, most);
+    return Math.min(tasks, limit);
   }
 
-  int countCapableMachines(JobSpec s) {
-    int n = 0;
-    for (MachineGroup c : cells) {
-      n += c.type.canHold(s) ? c.all.size() : 0;
+  int countCapableMachines(JobSpec spec) {
+    int count = 0;
+    for (MachineGroup group : groups) {
+      count += group.type.canHold(spec) ? group.machines.size() : 0;
     }
-    return n;
+    return count;
   }
 }
--- a/src/main/java/wickdrift/coordination/DominantShareOrder.java
+++ b/src/main/java/wickdrift/coordination/DominantShareOrder.java
@@ -19,14 +19,14 @@
  * guaranteed. Within a team the order stays.
  */
 final class DominantShareOrder implements Iterator<Job> {
-  private static final class Line {
+  private static final class TeamLine {
     final Iterator<Job> jobs;
     final double weight;
     double cpus;
     double gpus;
-    Job next;
+    Job nextJob;
 
-    Line(Iterator<Job> jobs, double weight, QuotaShare held) {
+    TeamLine(Iterator<Job> jobs, double weight, QuotaShare held) {
       this.jobs = jobs;
       this.weight = weight;
       this.cpus = held.cpus();
@@ -35,13 +35,13 @@
     }
 
     void advance() {
-      next = jobs.hasNext() ? jobs.next() : null;
+      nextJob = jobs.hasNext() ? jobs.next() : null;
     }
   }
 
-  private final List<Line> lines = new ArrayList<>();
-  private double allCpus;
-  private double allGpus;
+  private final List<TeamLine> teamLines = new ArrayList<>();
+  private double totalCpus;
+  private double totalGpus;
 
   /**
    * @param byTeam the jobs of each team, in its own order
@@ -52,52 +52,53 @@
       Function<String, QuotaShare> held,
       Map<String, Settings.Team> teams) {
     Map<String, Double> weights = new HashMap<>();
-    byTeam.keySet().forEach(t -> weights.put(t, guarantee(teams.get(t))));
-    double least = weights.values().stream().filter(w -> w > 0).min(Double::compare).orElse(1.0);
+    byTeam.keySet().forEach(name -> weights.put(name, guarantee(teams.get(name))));
+    double leastWeight =
+        weights.values().stream().filter(weight -> weight > 0).min(Double::compare).orElse(1.0);
     byTeam.forEach(
         (team, jobs) -> {
-          QuotaShare h = held.apply(team);
-          allCpus += h.cpus();
-          allGpus += h.gpus();
-          double w = weights.get(team);
-          lines.add(new Line(jobs.iterator(), w > 0 ? w : least, h));
+          QuotaShare teamHeld = held.apply(team);
+          totalCpus += teamHeld.cpus();
+          totalGpus += teamHeld.gpus();
+          double weight = weights.get(team);
+          teamLines.add(new TeamLine(jobs.iterator(), weight > 0 ? weight : leastWeight, teamHeld));
         });
   }
 
-  private static double guarantee(Settings.Team t) {
-    return t == null ? 0 : t.gpus() > 0 ? t.gpus() : t.cpus();
+  private static double guarantee(Settings.Team team) {
+    return team == null ? 0 : team.gpus() > 0 ? team.gpus() : team.cpus();
   }
 
-  private double share(Line l) {
-    double cpus = allCpus > 0 ? l.cpus / allCpus : 0;
-    double gpus = allGpus > 0 ? l.gpus / allGpus : 0;
-    return Math.max(cpus, gpus) / l.weight;
+  private double weightedShare(TeamLine team) {
+    double cpus = totalCpus > 0 ? team.cpus / totalCpus : 0;
+    double gpus = totalGpus > 0 ? team.gpus / totalGpus : 0;
+    return Math.max(cpus, gpus) / team.weight;
   }
 
   @Override
   public boolean hasNext() {
-    return lines.stream().anyMatch(l -> l.next != null);
+    return teamLines.stream().anyMatch(l -> l.nextJob != null);
   }
 
   @Override
   public Job next() {
-    Line least = null;
-    for (Line l : lines) {
-      if (l.next != null && (least == null || share(l) < share(least))) {
-        least = l;
+    TeamLine least = null;
+    for (TeamLine team : teamLines) {
+      if (team.nextJob != null && (least == null || weightedShare(team) < weightedShare(least))) {
+        least = team;
       }
     }
     if (least == null) {
       throw new NoSuchElementException();
     }
-    Job j = least.next;
-    double cpus = j.waitingCount() * j.spec().cpus();
-    double gpus = j.waitingCount() * j.spec().gpus();
+    Job job = least.nextJob;
+    double cpus = job.waitingCount() * job.spec().cpus();
+    double gpus = job.waitingCount() * job.spec().gpus();
     least.cpus += cpus;
     least.gpus += gpus;
-    allCpus += cpus;
-    allGpus += gpus;
+    totalCpus += cpus;
+    totalGpus += gpus;
     least.advance();
-    return j;
+    return job;
   }
 }
--- a/src/main/java/wickdrift/coordination/FreeCapacity.java
+++ b/src/main/java/wickdrift/coordination/FreeCapacity.java
@@ -12,18 +12,18 @@
 
   private final Machine machine;
   private final TypeInfo type;
-  private double cpus;
-  private double gpus;
-  private double memoryGb;
+  private double bookedCpus;
+  private double bookedGpus;
+  private double bookedMemoryGb;
   private double load;
   private long fetchesUntilMs;
-  private String fetched;
-  private boolean fetching;
+  private String imageToFetch;
+  private boolean isFetching;
 
   /** The images it is listed under, and the place; the index of rooms keeps both. */
-  final List<String> listed = new ArrayList<>();
+  final List<String> listedImages = new ArrayList<>();
 
-  CapacityIndex.MachineGroup cell;
+  CapacityIndex.MachineGroup group;
 
   /**
    * @param machine null for one that is not there yet
@@ -36,22 +36,22 @@
 
   /** Back to what is durable. */
   void reset() {
-    fetched = null;
-    cpus = machine == null ? 0 : machine.cpus();
-    gpus = machine == null ? 0 : machine.gpus();
-    memoryGb = machine == null ? 0 : machine.memoryGb();
+    imageToFetch = null;
+    bookedCpus = machine == null ? 0 : machine.cpus();
+    bookedGpus = machine == null ? 0 : machine.gpus();
+    bookedMemoryGb = machine == null ? 0 : machine.memoryGb();
     fetchesUntilMs = machine == null ? 0 : machine.estimatedFetchEndMs(type.fetchGbPerS());
-    reckon();
+    updateLoad();
   }
 
   /** The design's load: the largest booked share. */
-  private void reckon() {
-    load = type.cpus() > 0 ? cpus / type.cpus() : 0;
+  private void updateLoad() {
+    load = type.cpus() > 0 ? bookedCpus / type.cpus() : 0;
     if (type.gpus() > 0) {
-      load = Math.max(load, gpus / type.gpus());
+      load = Math.max(load, bookedGpus / type.gpus());
     }
     if (type.memoryGb() > 0) {
-      load = Math.max(load, memoryGb / type.memoryGb());
+      load = Math.max(load, bookedMemoryGb / type.memoryGb());
     }
   }
 
@@ -63,88 +63,89 @@
     return type;
   }
 
-  public boolean fits(JobSpec s) {
-    return cpus + s.cpus() <= type.cpus() + EPS
-        && gpus + s.gpus() <= type.gpus() + EPS
-        && memoryGb + s.memoryGb() <= type.memoryGb() + EPS;
+  public boolean fits(JobSpec spec) {
+    return bookedCpus + spec.cpus() <= type.cpus() + EPS
+        && bookedGpus + spec.gpus() <= type.gpus() + EPS
+        && bookedMemoryGb + spec.memoryGb() <= type.memoryGb() + EPS;
   }
 
-  public boolean hasImage(JobSpec s) {
-    return s.image().equals(fetched) || machine != null && machine.hasImage(s.image());
+  public boolean hasImage(JobSpec spec) {
+    return spec.image().equals(imageToFetch) || machine != null && machine.hasImage(spec.image());
   }
 
   /**
    * Room for the fetch as well: images fetched side by side share one rate, so that a second one
    * only delays the first. A machine that fetches takes tasks of the images it has or fetches.
    */
-  public boolean fitsWithFetch(JobSpec s) {
-    return fits(s) && (!fetching || hasImage(s));
+  public boolean fitsWithFetch(JobSpec spec) {
+    return fits(spec) && (!isFetching || hasImage(spec));
   }
 
   /** How many tasks of a kind fit here side by side, {@code most} at most. */
-  int tasksThatFit(JobSpec s, int most) {
-    if (!fitsWithFetch(s)) {
+  int tasksThatFit(JobSpec spec, int limit) {
+    if (!fitsWithFetch(spec)) {
       return 0;
     }
-    return Math.min(most, taskCapacity(s, freeCpus(), freeGpus(), freeMemoryGb()));
+    return Math.min(limit, taskCapacity(spec, freeCpus(), freeGpus(), freeMemoryGb()));
   }
 
   /** How many tasks of a kind so much has room for. */
-  static int taskCapacity(JobSpec s, double cpus, double gpus, double memoryGb) {
-    double n = Integer.MAX_VALUE;
-    n = s.cpus() > 0 ? Math.min(n, (cpus + EPS) / s.cpus()) : n;
-    n = s.gpus() > 0 ? Math.min(n, (gpus + EPS) / s.gpus()) : n;
-    n = s.memoryGb() > 0 ? Math.min(n, (memoryGb + EPS) / s.memoryGb()) : n;
-    return (int) Math.max(0, n);
+  static int taskCapacity(JobSpec spec, double cpus, double gpus, double memoryGb) {
+    double tasks = Integer.MAX_VALUE;
+    tasks = spec.cpus() > 0 ? Math.min(tasks, (cpus + EPS) / spec.cpus()) : tasks;
+    tasks = spec.gpus() > 0 ? Math.min(tasks, (gpus + EPS) / spec.gpus()) : tasks;
+    tasks = spec.memoryGb() > 0 ? Math.min(tasks, (memoryGb + EPS) / spec.memoryGb()) : tasks;
+    return (int) Math.max(0, tasks);
   }
 
   /** Looks whether it fetches at this time; the index calls it while the room is not listed. */
-  void fetches(long nowMs) {
-    fetching = fetched != null || fetchesUntilMs > nowMs;
+  void updateFetching(long nowMs) {
+    isFetching = imageToFetch != null || fetchesUntilMs > nowMs;
   }
 
   boolean isFetching() {
-    return fetching;
+    return isFetching;
   }
 
   long fetchesUntilMs() {
-    return fetched != null ? Long.MAX_VALUE : fetchesUntilMs;
+    return imageToFetch != null ? Long.MAX_VALUE : fetchesUntilMs;
   }
 
   /** Takes what one task needs. */
-  public void book(JobSpec s) {
-    if (!hasImage(s)) {
-      fetched = s.image();
-      fetching = true;
+  public void book(JobSpec spec) {
+    if (!hasImage(spec)) {
+      imageToFetch = spec.image();
+      isFetching = true;
     }
-    cpus += s.cpus();
-    gpus += s.gpus();
-    memoryGb += s.memoryGb();
-    reckon();
+    bookedCpus += spec.cpus();
+    bookedGpus += spec.gpus();
+    bookedMemoryGb += spec.memoryGb();
+    updateLoad();
   }
 
   /** What a round has booked, to go back to. */
-  record Saved(double cpus, double gpus, double memoryGb, String fetched, boolean fetching) {}
+  record Bookings(
+      double cpus, double gpus, double memoryGb, String imageToFetch, boolean isFetching) {}
 
-  Saved save() {
-    return new Saved(cpus, gpus, memoryGb, fetched, fetching);
+  Bookings save() {
+    return new Bookings(bookedCpus, bookedGpus, bookedMemoryGb, imageToFetch, isFetching);
   }
 
-  void restore(Saved s) {
-    cpus = s.cpus;
-    gpus = s.gpus;
-    memoryGb = s.memoryGb;
-    fetched = s.fetched;
-    fetching = s.fetching;
-    reckon();
+  void restore(Bookings saved) {
+    bookedCpus = saved.cpus;
+    bookedGpus = saved.gpus;
+    bookedMemoryGb = saved.memoryGb;
+    imageToFetch = saved.imageToFetch;
+    isFetching = saved.isFetching;
+    updateLoad();
   }
 
-  void images(Consumer<String> use) {
+  void forEachImage(Consumer<String> action) {
     if (machine != null) {
-      machine.images().forEach(use);
+      machine.images().forEach(action);
     }
-    if (fetched != null && !(machine != null && machine.hasImage(fetched))) {
-      use.accept(fetched);
+    if (imageToFetch != null && !(machine != null && machine.hasImage(imageToFetch))) {
+      action.accept(imageToFetch);
     }
   }
 
@@ -153,32 +154,32 @@
   }
 
   public double freeGpus() {
-    return type.gpus() - gpus;
+    return type.gpus() - bookedGpus;
   }
 
   public double freeCpus() {
-    return type.cpus() - cpus;
+    return type.cpus() - bookedCpus;
   }
 
   public double freeMemoryGb() {
-    return type.memoryGb() - memoryGb;
+    return type.memoryGb() - bookedMemoryGb;
   }
 
   /** How many more tasks of this kind it could take. */
-  int times(JobSpec s) {
-    if (!type.canHold(s)) {
+  int remainingTasks(JobSpec spec) {
+    if (!type.canHold(spec)) {
       return 0;
     }
-    double n = 1e9;
-    if (s.cpus() > 0) {
-      n = Math.min(n, freeCpus() / s.cpus());
+    double tasks = 1e9;
+    if (spec.cpus() > 0) {
+      tasks = Math.min(tasks, freeCpus() / spec.cpus());
     }
-    if (s.gpus() > 0) {
-      n = Math.min(n, freeGpus() / s.gpus());
+    if (spec.gpus() > 0) {
+      tasks = Math.min(tasks, freeGpus() / spec.gpus());
     }
-    if (s.memoryGb() > 0) {
-      n = Math.min(n, freeMemoryGb() / s.memoryGb());
+    if (spec.memoryGb() > 0) {
+      tasks = Math.min(tasks, freeMemoryGb() / spec.memoryGb());
     }
-    return (int) Math.max(0, n + EPS);
+    return (int) Math.max(0, tasks + EPS);
   }
 }
--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -25,100 +25,105 @@
   private static final Comparator<Age> BY_AGE =
       Comparator.comparingLong(Age::acceptedMs).thenComparing(Age::id);
 
-  private static final Age FIRST = new Age(Long.MIN_VALUE, "");
+  private static final Age OLDEST = new Age(Long.MIN_VALUE, "");
 
   /** Jobs that are served as one: of a priority, and within guarantees or beyond. */
-  private record Class(int priority, int borrowed) {}
+  private record ServiceClass(int priority, int beyondGuarantee) {}
 
-  private record Place(int priority, int borrowed, Age startBy) {}
+  private record Position(int priority, int beyondGuarantee, Age startBy) {}
 
-  private static final Comparator<Place> ORDER =
-      Comparator.comparingInt(Place::priority)
-          .thenComparingInt(Place::borrowed)
-          .thenComparing(Place::startBy, BY_AGE);
+  private static final Comparator<Position> SERVICE_ORDER =
+      Comparator.comparingInt(Position::priority)
+          .thenComparingInt(Position::beyondGuarantee)
+          .thenComparing(Position::startBy, BY_AGE);
 
-  private record Need(double cpus, double gpus) {}
+  private record Demand(double cpus, double gpus) {}
 
   /** One team's unfinished jobs by age, and up to which of them its guarantee reaches. */
-  private static final class Team {
+  private static final class TeamJobs {
     final Settings.Team settings;
     final TreeMap<Age, Job> jobs = new TreeMap<>(BY_AGE);
-    final Map<Job, Need> needs = new HashMap<>();
+    final Map<Job, Demand> demands = new HashMap<>();
     double cpus;
     double gpus;
 
     /** The first job that is not within the guarantee; null: all are. */
-    Age beyond;
+    Age firstBeyondGuarantee;
 
     boolean stale;
 
-    Team(Settings.Team settings) {
+    TeamJobs(Settings.Team settings) {
       this.settings = settings;
     }
 
-    boolean guarantees() {
+    boolean hasGuarantee() {
       return settings.cpus() > 0 || settings.gpus() > 0;
     }
 
-    boolean covers(double c, double g) {
-      return (settings.cpus() == 0 || c <= settings.cpus() + FreeCapacity.EPS)
-          && (settings.gpus() == 0 || g <= settings.gpus() + FreeCapacity.EPS);
+    boolean covers(double neededCpus, double neededGpus) {
+      return (settings.cpus() == 0 || neededCpus <= settings.cpus() + FreeCapacity.EPS)
+          && (settings.gpus() == 0 || neededGpus <= settings.gpus() + FreeCapacity.EPS);
     }
   }
 
-  private final Map<String, Team> teams = new HashMap<>();
-  private final Map<Job, Place> places = new HashMap<>();
-  private final TreeMap<Place, Job> waiting = new TreeMap<>(ORDER);
+  private final Map<String, TeamJobs> teams = new HashMap<>();
+  private final Map<Job, Position> positions = new HashMap<>();
+  private final TreeMap<Position, Job> waiting = new TreeMap<>(SERVICE_ORDER);
 
   /** By class and team, for those beyond a guarantee are served by what their teams hold. */
-  private final TreeMap<Class, Map<String, TreeMap<Place, Job>>> beyond =
-      new TreeMap<>(Comparator.comparingInt(Class::priority).thenComparingInt(Class::borrowed));
+  private final TreeMap<ServiceClass, Map<String, TreeMap<Position, Job>>> byClassAndTeam =
+      new TreeMap<>(
+          Comparator.comparingInt(ServiceClass::priority)
+              .thenComparingInt(ServiceClass::beyondGuarantee));
 
-  private final Map<String, Settings.Team> byName = new HashMap<>();
+  private final Map<String, Settings.Team> teamSettings = new HashMap<>();
   private final TeamUsage usage;
   private final QueuedDemand waitingByPartition = new QueuedDemand();
 
   JobQueue(Settings settings, TeamUsage usage) {
     this.usage = usage;
-    settings.teams().forEach(t -> teams.put(t.name(), new Team(t)));
-    settings.teams().forEach(t -> byName.put(t.name(), t));
+    settings.teams().forEach(t -> teams.put(t.name(), new TeamJobs(t)));
+    settings.teams().forEach(t -> teamSettings.put(t.name(), t));
   }
 
   /** Since when it could have been served: what waits for others has no age. */
-  private static Age age(Job j) {
-    return new Age(j.readyWallMs(), j.id());
+  private static Age ageOf(Job job) {
+    return new Age(job.readyWallMs(), job.id());
   }
 
-  private static Age startBy(Job j) {
-    Double due = j.spec().deadlineS();
-    double slackS = due == null ? 0 : Math.max(0, due - j.spec().estimateS());
-    long own = due == null ? j.readyWallMs() : j.acceptedWallMs() + (long) (slackS * 1000);
-    return new Age(Math.min(own, j.startByWallMs()), j.id());
+  private static Age startByOf(Job job) {
+    Double deadlineS = job.spec().deadlineS();
+    double slackS = deadlineS == null ? 0 : Math.max(0, deadlineS - job.spec().estimateS());
+    long ownStartByMs =
+        deadlineS == null ? job.readyWallMs() : job.acceptedWallMs() + (long) (slackS * 1000);
+    return new Age(Math.min(ownStartByMs, job.startByWallMs()), job.id());
   }
 
   /** A job has changed; {@code there}: it is still unfinished. */
-  void changed(Job j, boolean there) {
-    if (j.spec() == null) {
+  void changed(Job job, boolean unfinished) {
+    if (job.spec() == null) {
       return;
     }
     // What waits for others holds nothing, asks for nothing, and is in nobody's way.
-    boolean counts = there && !j.withdrawn() && j.dependencyState() == Job.DependencyState.READY;
-    Team t = teams.get(j.spec().team());
-    if (t != null && t.guarantees()) {
-      int n = counts ? j.taskCount() - j.doneCount() : 0;
-      Need need = new Need(n * j.spec().cpus(), n * j.spec().gpus());
-      Need old = counts ? t.needs.put(j, need) : t.needs.remove(j);
-      t.cpus += need.cpus - (old == null ? 0 : old.cpus);
-      t.gpus += need.gpus - (old == null ? 0 : old.gpus);
+    boolean counts =
+        unfinished && !job.withdrawn() && job.dependencyState() == Job.DependencyState.READY;
+    TeamJobs team = teams.get(job.spec().team());
+    if (team != null && team.hasGuarantee()) {
+      int unfinishedTasks = counts ? job.taskCount() - job.doneCount() : 0;
+      Demand demand =
+          new Demand(unfinishedTasks * job.spec().cpus(), unfinishedTasks * job.spec().gpus());
+      Demand old = counts ? team.demands.put(job, demand) : team.demands.remove(job);
+      team.cpus += demand.cpus - (old == null ? 0 : old.cpus);
+      team.gpus += demand.gpus - (old == null ? 0 : old.gpus);
       if (counts) {
-        t.jobs.put(age(j), j);
+        team.jobs.put(ageOf(job), job);
       } else {
-        t.jobs.remove(age(j));
+        team.jobs.remove(ageOf(job));
       }
-      t.stale = true;
+      team.stale = true;
     }
-    place(j, counts && j.waitingCount() > 0);
-    waitingByPartition.update(j, counts ? j.waitingCount() : 0);
+    updatePosition(job, counts && job.waitingCount() > 0);
+    waitingByPartition.update(job, counts ? job.waitingCount() : 0);
   }
 
   /** What waits at each part. */
@@ -126,69 +131,82 @@
     return waitingByPartition;
   }
 
-  private void place(Job j, boolean waits) {
-    Place old = places.get(j);
-    Place now = null;
+  private void updatePosition(Job job, boolean waits) {
+    Position oldPosition = positions.get(job);
+    Position newPosition = null;
     if (waits) {
-      Team t = teams.get(j.spec().team());
-      boolean in =
-          t != null && t.guarantees() && (t.beyond == null || BY_AGE.compare(age(j), t.beyond) < 0);
-      now = new Place(j.effectivePriority().ordinal(), in ? 0 : 1, startBy(j));
+      TeamJobs team = teams.get(job.spec().team());
+      boolean withinGuarantee =
+          team != null
+              && team.hasGuarantee()
+              && (team.firstBeyondGuarantee == null
+                  || BY_AGE.compare(ageOf(job), team.firstBeyondGuarantee) < 0);
+      newPosition =
+          new Position(job.effectivePriority().ordinal(), withinGuarantee ? 0 : 1, startByOf(job));
     }
-    if (now == null ? old == null : now.equals(old)) {
+    if (newPosition == null ? oldPosition == null : newPosition.equals(oldPosition)) {
       return;
     }
-    if (old != null) {
-      waiting.remove(old);
-      places.remove(j);
-      lines(old).get(j.spec().team()).remove(old);
+    if (oldPosition != null) {
+      waiting.remove(oldPosition);
+      positions.remove(job);
+      jobsByTeam(oldPosition).get(job.spec().team()).remove(oldPosition);
     }
-    if (now != null) {
-      waiting.put(now, j);
-      places.put(j, now);
-      lines(now).computeIfAbsent(j.spec().team(), k -> new TreeMap<>(ORDER)).put(now, j);
+    if (newPosition != null) {
+      waiting.put(newPosition, job);
+      positions.put(job, newPosition);
+      jobsByTeam(newPosition)
+          .computeIfAbsent(job.spec().team(), k -> new TreeMap<>(SERVICE_ORDER))
+          .put(newPosition, job);
     }
   }
 
   /** The waiting jobs in order. */
   Iterable<Job> waiting() {
-    teams.values().forEach(this::reach);
-    return teams.size() < 2 ? waiting.values() : Served::new;
+    teams.values().forEach(this::updateGuaranteeReach);
+    return teams.size() < 2 ? waiting.values() : ServiceIterator::new;
   }
 
-  private Map<String, TreeMap<Place, Job>> lines(Place p) {
-    return beyond.computeIfAbsent(new Class(p.priority, p.borrowed), k -> new LinkedHashMap<>());
+  private Map<String, TreeMap<Position, Job>> jobsByTeam(Position position) {
+    return byClassAndTeam.computeIfAbsent(
+        new ServiceClass(position.priority, position.beyondGuarantee), k -> new LinkedHashMap<>());
   }
 
   /** One class after the other; of one with several teams beyond their guarantees, fairly. */
-  private final class Served implements Iterator<Job> {
-    private final Iterator<Map.Entry<Class, Map<String, TreeMap<Place, Job>>>> classes =
-        beyond.entrySet().iterator();
-    private Iterator<Job> now = List.<Job>of().iterator();
+  private final class ServiceIterator implements Iterator<Job> {
+    private final Iterator<Map.Entry<ServiceClass, Map<String, TreeMap<Position, Job>>>> classes =
+        byClassAndTeam.entrySet().iterator();
+    private Iterator<Job> current = List.<Job>of().iterator();
 
     @Override
     public boolean hasNext() {
-      while (!now.hasNext() && classes.hasNext()) {
-        Map.Entry<Class, Map<String, TreeMap<Place, Job>>> e = classes.next();
-        now = e.getKey().borrowed == 0 ? covered(e.getKey()) : fairly(e.getValue());
+      while (!current.hasNext() && classes.hasNext()) {
+        Map.Entry<ServiceClass, Map<String, TreeMap<Position, Job>>> entry = classes.next();
+        current =
+            entry.getKey().beyondGuarantee == 0
+                ? withinGuarantee(entry.getKey())
+                : byDominantShare(entry.getValue());
       }
-      return now.hasNext();
+      return current.hasNext();
     }
 
-    private Iterator<Job> covered(Class c) {
-      Place from = new Place(c.priority, 0, FIRST);
-      return waiting.subMap(from, new Place(c.priority, 1, FIRST)).values().iterator();
+    private Iterator<Job> withinGuarantee(ServiceClass serviceClass) {
+      Position from = new Position(serviceClass.priority, 0, OLDEST);
+      return waiting
+          .subMap(from, new Position(serviceClass.priority, 1, OLDEST))
+          .values()
+          .iterator();
     }
 
-    private Iterator<Job> fairly(Map<String, TreeMap<Place, Job>> byTeam) {
-      Map<String, Collection<Job>> lines = new LinkedHashMap<>();
+    private Iterator<Job> byDominantShare(Map<String, TreeMap<Position, Job>> byTeam) {
+      Map<String, Collection<Job>> nonEmpty = new LinkedHashMap<>();
       byTeam.forEach(
           (team, jobs) -> {
             if (!jobs.isEmpty()) {
-              lines.put(team, jobs.values());
+              nonEmpty.put(team, jobs.values());
             }
           });
-      return new DominantShareOrder(lines, usage::of, byName);
+      return new DominantShareOrder(nonEmpty, usage::of, teamSettings);
     }
 
     @Override
@@ -196,37 +214,39 @@
       if (!hasNext()) {
         throw new NoSuchElementException();
       }
-      return now.next();
+      return current.next();
     }
   }
 
   /** Looks how far a guarantee reaches; where it covers all, that takes no look at the jobs. */
-  private void reach(Team t) {
-    if (!t.stale) {
+  private void updateGuaranteeReach(TeamJobs team) {
+    if (!team.stale) {
       return;
     }
-    t.stale = false;
-    Age beyond = null;
-    if (!t.covers(t.cpus, t.gpus)) {
-      double c = 0;
-      double g = 0;
-      for (Map.Entry<Age, Job> e : t.jobs.entrySet()) {
-        Need n = t.needs.get(e.getValue());
-        c += n.cpus;
-        g += n.gpus;
-        if (!t.covers(c, g)) {
-          beyond = e.getKey();
+    team.stale = false;
+    Age firstBeyond = null;
+    if (!team.covers(team.cpus, team.gpus)) {
+      double cpus = 0;
+      double gpus = 0;
+      for (Map.Entry<Age, Job> e : team.jobs.entrySet()) {
+        Demand demand = team.demands.get(e.getValue());
+        cpus += demand.cpus;
+        gpus += demand.gpus;
+        if (!team.covers(cpus, gpus)) {
+          firstBeyond = e.getKey();
           break;
         }
       }
-    } else if (t.jobs.isEmpty()) {
-      t.cpus = 0;
-      t.gpus = 0;
-    }
-    if (beyond == null ? t.beyond != null : !beyond.equals(t.beyond)) {
-      t.beyond = beyond;
-      for (Job j : t.jobs.values()) {
-        place(j, j.waitingCount() > 0);
+    } else if (team.jobs.isEmpty()) {
+      team.cpus = 0;
+      team.gpus = 0;
+    }
+    if (firstBeyond == null
+        ? team.firstBeyondGuarantee != null
+        : !firstBeyond.equals(team.firstBeyondGuarantee)) {
+      team.firstBeyondGuarantee = firstBeyond;
+      for (Job job : team.jobs.values()) {
+        updatePosition(job, job.waitingCount() > 0);
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/LoadIndex.java
+++ b/src/main/java/wickdrift/coordination/LoadIndex.java
@@ -4,14 +4,14 @@
 
 /** Rooms in order of their load, and how many there are of each 64th of it. */
 final class LoadIndex {
-  static final int LEVELS = 64;
+  static final int BUCKETS = 64;
 
-  private FreeCapacity[] rooms = new FreeCapacity[8];
+  private FreeCapacity[] machines = new FreeCapacity[8];
   private int size;
-  private final int[] levels = new int[LEVELS + 1];
+  private final int[] countByBucket = new int[BUCKETS + 1];
 
   static int bucket(double load) {
-    return Math.max(0, Math.min(LEVELS, (int) (load * LEVELS + FreeCapacity.EPS)));
+    return Math.max(0, Math.min(BUCKETS, (int) (load * BUCKETS + FreeCapacity.EPS)));
   }
 
   int size() {
@@ -19,7 +19,7 @@
   }
 
   FreeCapacity get(int i) {
-    return rooms[i];
+    return machines[i];
   }
 
   private static int compare(FreeCapacity a, FreeCapacity b) {
@@ -28,12 +28,12 @@
   }
 
   /** How many come before a room, which need not be here. */
-  int search(FreeCapacity r) {
+  int countBefore(FreeCapacity capacity) {
     int from = 0;
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (compare(rooms[mid], r) < 0) {
+      if (compare(machines[mid], capacity) < 0) {
         from = mid + 1;
       } else {
         to = mid;
@@ -43,12 +43,12 @@
   }
 
   /** How many have at most this load. */
-  int upTo(double load) {
+  int countUpTo(double maxLoad) {
     int from = 0;
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (rooms[mid].load() <= load) {
+      if (machines[mid].load() <= maxLoad) {
         from = mid + 1;
       } else {
         to = mid;
@@ -58,12 +58,12 @@
   }
 
   /** How many are below this level. */
-  int below(int level) {
+  int countBelowBucket(int bucket) {
     int from = 0;
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (bucket(rooms[mid].load()) < level) {
+      if (bucket(machines[mid].load()) < bucket) {
         from = mid + 1;
       } else {
         to = mid;
@@ -73,29 +73,31 @@
   }
 
   /** How many of a level have at most this load, which lies in or above it. */
-  int atLevel(int level, double most) {
-    return level < bucket(most) ? levels[level] : upTo(most) - below(level);
+  int countInBucket(int bucket, double maxLoad) {
+    return bucket < bucket(maxLoad)
+        ? countByBucket[bucket]
+        : countUpTo(maxLoad) - countBelowBucket(bucket);
   }
 
-  void add(FreeCapacity r) {
-    int at = search(r);
-    if (size == rooms.length) {
-      rooms = Arrays.copyOf(rooms, size * 2);
+  void add(FreeCapacity capacity) {
+    int at = countBefore(capacity);
+    if (size == machines.length) {
+      machines = Arrays.copyOf(machines, size * 2);
     }
-    System.arraycopy(rooms, at, rooms, at + 1, size - at);
-    rooms[at] = r;
+    System.arraycopy(machines, at, machines, at + 1, size - at);
+    machines[at] = capacity;
     size++;
-    levels[bucket(r.load())]++;
+    countByBucket[bucket(capacity.load())]++;
   }
 
   /** Call it before the room's load changes. */
-  void remove(FreeCapacity r) {
-    int at = search(r);
-    if (at >= size || rooms[at] != r) {
-      throw new IllegalStateException("not here: " + r.machine().name());
+  void remove(FreeCapacity capacity) {
+    int at = countBefore(capacity);
+    if (at >= size || machines[at] != capacity) {
+      throw new IllegalStateException("not here: " + capacity.machine().name());
     }
-    System.arraycopy(rooms, at + 1, rooms, at, size - at - 1);
-    rooms[--size] = null;
-    levels[bucket(r.load())]--;
+    System.arraycopy(machines, at + 1, machines, at, size - at - 1);
+    machines[--size] = null;
+    countByBucket[bucket(capacity.load())]--;
   }
 }
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -26,26 +26,26 @@
  * name.
  */
 final class Quota {
-  private record Key(String team, String node) {}
+  private record TeamNode(String team, String node) {}
 
-  private final Map<String, Settings.Team> teams = new HashMap<>();
+  private final Map<String, Settings.Team> limitedTeams = new HashMap<>();
 
   /** What this round has booked for this node, by team. */
-  private final Map<String, QuotaShare> booked = new HashMap<>();
+  private final Map<String, QuotaShare> bookedThisRound = new HashMap<>();
 
-  private final Map<Key, QuotaShare> needed = new HashMap<>();
+  private final Map<TeamNode, QuotaShare> neededShares = new HashMap<>();
 
   /** By team, the gang for which its limit is saved up. */
-  private final Map<String, Job> saved = new HashMap<>();
+  private final Map<String, Job> heldForGang = new HashMap<>();
 
   /** A gang for which a limit had no room for so long has it saved up, and rests as long after. */
-  private static final long SAVE_AFTER_MS = 30_000;
+  private static final long HOLD_AFTER_WAIT_MS = 30_000;
 
   /** Below the time that a job may wait beside room for it: the team's others wait for so long. */
-  private static final long SAVE_MS = 75_000;
+  private static final long HOLD_PERIOD_MS = 75_000;
 
   /** Of what a gang needs. */
-  private static final double SAVED_PART = 0.25;
+  private static final double MIN_FREE_FRACTION = 0.25;
 
   private final Tables tables;
   private final Settings settings;
@@ -57,30 +57,30 @@
     this.node = settings.node();
     for (Settings.Team t : settings.teams()) {
       if (t.cpusMax() > 0 || t.gpusMax() > 0) {
-        teams.put(t.name(), t);
+        limitedTeams.put(t.name(), t);
       }
     }
   }
 
-  private static QuotaShare of(JobSpec s) {
-    return new QuotaShare(s.cpus(), s.gpus());
+  private static QuotaShare demandOf(JobSpec spec) {
+    return new QuotaShare(spec.cpus(), spec.gpus());
   }
 
-  private QuotaShare share(String team, String of) {
-    Partition p = tables.partition(of);
-    QuotaShare told = p == null ? null : p.quotaShares().get(team);
-    QuotaShare even = even(tables.registry(), teams.get(team), of);
-    if (p == null || p.encoding() == Encoding.FIRST) {
-      return told != null ? told : even;
+  private QuotaShare shareOf(String team, String owner) {
+    Partition partition = tables.partition(owner);
+    QuotaShare recorded = partition == null ? null : partition.quotaShares().get(team);
+    QuotaShare initial = initialShare(tables.registry(), limitedTeams.get(team), owner);
+    if (partition == null || partition.encoding() == Encoding.FIRST) {
+      return recorded != null ? recorded : initial;
     }
-    return told != null ? even.plus(told) : even;
+    return recorded != null ? initial.plus(recorded) : initial;
   }
 
   /** What a node starts with. */
-  private static QuotaShare even(NodeRegistry registry, Settings.Team t, String of) {
-    double first = registry.initialNames().size();
-    return registry.initialNames().contains(of)
-        ? new QuotaShare(t.cpusMax() / first, t.gpusMax() / first)
+  private static QuotaShare initialShare(NodeRegistry registry, Settings.Team team, String owner) {
+    double firstNodes = registry.initialNames().size();
+    return registry.initialNames().contains(owner)
+        ? new QuotaShare(team.cpusMax() / firstNodes, team.gpusMax() / firstNodes)
         : QuotaShare.NONE;
   }
 
@@ -88,21 +88,24 @@
    * A part as {@link Encoding#NUMBERED} tells it: what a node may use, as more or less than even.
    */
   static Partition toNumberedEncoding(
-      Partition p, String of, NodeRegistry registry, Settings settings) {
-    Map<String, QuotaShare> told = new LinkedHashMap<>();
-    for (Settings.Team t : settings.teams()) {
-      QuotaShare s = p.quotaShares().get(t.name());
-      if (s != null && (t.cpusMax() > 0 || t.gpusMax() > 0)) {
-        told.put(t.name(), s.minus(even(registry, t, of)));
+      Partition partition, String owner, NodeRegistry registry, Settings settings) {
+    Map<String, QuotaShare> differences = new LinkedHashMap<>();
+    for (Settings.Team team : settings.teams()) {
+      QuotaShare share = partition.quotaShares().get(team.name());
+      if (share != null && (team.cpusMax() > 0 || team.gpusMax() > 0)) {
+        differences.put(team.name(), share.minus(initialShare(registry, team, owner)));
       }
     }
-    return p.inEncoding(Encoding.NUMBERED, told);
+    return partition.inEncoding(Encoding.NUMBERED, differences);
   }
 
-  private QuotaShare left(String team, String of) {
-    QuotaShare left =
-        share(team, of).minus(tables.usage().placedBy(team, tables.registry().numberOf(of)));
-    return of.equals(node) ? left.minus(booked.getOrDefault(team, QuotaShare.NONE)) : left;
+  private QuotaShare remaining(String team, String owner) {
+    QuotaShare remaining =
+        shareOf(team, owner)
+            .minus(tables.usage().placedBy(team, tables.registry().numberOf(owner)));
+    return owner.equals(node)
+        ? remaining.minus(bookedThisRound.getOrDefault(team, QuotaShare.NONE))
+        : remaining;
   }
 
   /**
@@ -115,26 +118,26 @@
    * @param wallMs the time of day
    */
   void holdQuotaForGangs(Iterable<Job> waiting, long wallMs) {
-    Set<String> open = new HashSet<>();
-    for (String team : teams.keySet()) {
+    Set<String> nearLimit = new HashSet<>();
+    for (String team : limitedTeams.keySet()) {
       // Far from its limit there is nothing to save up.
-      if (!covers(teams.get(team), limit(team).minus(total(team)), limit(team).times(0.5))) {
-        open.add(team);
+      if (!covers(limitedTeams.get(team), limit(team).minus(inUse(team)), limit(team).times(0.5))) {
+        nearLimit.add(team);
       }
     }
-    if (open.isEmpty()) {
+    if (nearLimit.isEmpty()) {
       return;
     }
     for (Job job : waiting) {
-      long aged = wallMs - job.readyWallMs() - SAVE_AFTER_MS;
+      long overdueMs = wallMs - job.readyWallMs() - HOLD_AFTER_WAIT_MS;
       if (job.spec().shape() == JobSpec.Shape.GANG
           && job.liveCount() == 0
           && !job.isSuspected()
-          && aged > 0
-          && aged / SAVE_MS % 2 == 0
-          && open.remove(job.spec().team())) {
-        saved.put(job.spec().team(), job);
-        if (open.isEmpty()) {
+          && overdueMs > 0
+          && overdueMs / HOLD_PERIOD_MS % 2 == 0
+          && nearLimit.remove(job.spec().team())) {
+        heldForGang.put(job.spec().team(), job);
+        if (nearLimit.isEmpty()) {
           return;
         }
       }
@@ -142,32 +145,34 @@
   }
 
   private QuotaShare limit(String team) {
-    Settings.Team t = teams.get(team);
-    return new QuotaShare(t.cpusMax(), t.gpusMax());
+    Settings.Team settings = limitedTeams.get(team);
+    return new QuotaShare(settings.cpusMax(), settings.gpusMax());
   }
 
   /** What a team has in use, with what this round has booked here. */
-  private QuotaShare total(String team) {
-    return tables.usage().of(team).plus(booked.getOrDefault(team, QuotaShare.NONE));
+  private QuotaShare inUse(String team) {
+    return tables.usage().of(team).plus(bookedThisRound.getOrDefault(team, QuotaShare.NONE));
   }
 
   /**
    * Whether a team's limit is saved up for this job now, and some of it is free already. While it
    * is held by others' long tasks the job is not about to start.
    */
-  boolean savingFor(Job job) {
-    QuotaShare part = of(job.spec()).times(job.waitingCount() * SAVED_PART);
+  boolean isHeldFor(Job job) {
+    QuotaShare requiredFree = demandOf(job.spec()).times(job.waitingCount() * MIN_FREE_FRACTION);
     String team = job.spec().team();
-    return saved.get(team) == job && covers(teams.get(team), limit(team).minus(total(team)), part);
+    return heldForGang.get(team) == job
+        && covers(limitedTeams.get(team), limit(team).minus(inUse(team)), requiredFree);
   }
 
   /** Whether a job's task may start, and leaves what is saved up for another. */
   boolean allows(Job job) {
-    Job first = saved.get(job.spec().team());
-    if (first != null && first != job) {
-      QuotaShare beside = of(job.spec()).plus(of(first.spec()).times(first.waitingCount()));
+    Job heldJob = heldForGang.get(job.spec().team());
+    if (heldJob != null && heldJob != job) {
+      QuotaShare needed =
+          demandOf(job.spec()).plus(demandOf(heldJob.spec()).times(heldJob.waitingCount()));
       String team = job.spec().team();
-      if (!covers(teams.get(team), limit(team).minus(total(team)), beside)) {
+      if (!covers(limitedTeams.get(team), limit(team).minus(inUse(team)), needed)) {
         return false;
       }
     }
@@ -178,40 +183,41 @@
     return allows(spec, 1);
   }
 
-  boolean allows(JobSpec spec, int n) {
-    Settings.Team t = teams.get(spec.team());
-    return t == null || covers(t, left(spec.team(), node), of(spec).times(n));
+  boolean allows(JobSpec spec, int tasks) {
+    Settings.Team team = limitedTeams.get(spec.team());
+    return team == null || covers(team, remaining(spec.team(), node), demandOf(spec).times(tasks));
   }
 
   /** What each team's limit leaves beside what is in use: gangs are given it in their order. */
   final class Remainder {
-    private final Map<String, QuotaShare> left = new HashMap<>();
+    private final Map<String, QuotaShare> remainingByTeam = new HashMap<>();
 
     /** Takes what so many tasks need, if the limit leaves it. */
-    boolean take(JobSpec spec, int tasks) {
-      Settings.Team team = teams.get(spec.team());
+    boolean tryTake(JobSpec spec, int tasks) {
+      Settings.Team team = limitedTeams.get(spec.team());
       if (team == null) {
         return true;
       }
-      QuotaShare now =
-          left.computeIfAbsent(spec.team(), k -> limit(spec.team()).minus(total(spec.team())));
-      QuotaShare need = of(spec).times(tasks);
-      if (!covers(team, now, need)) {
+      QuotaShare remaining =
+          remainingByTeam.computeIfAbsent(
+              spec.team(), k -> limit(spec.team()).minus(inUse(spec.team())));
+      QuotaShare demand = demandOf(spec).times(tasks);
+      if (!covers(team, remaining, demand)) {
         return false;
       }
-      left.put(spec.team(), now.minus(need));
+      remainingByTeam.put(spec.team(), remaining.minus(demand));
       return true;
     }
   }
 
-  private static boolean covers(Settings.Team t, QuotaShare left, QuotaShare need) {
-    return (t.cpusMax() == 0 || need.cpus() <= left.cpus() + FreeCapacity.EPS)
-        && (t.gpusMax() == 0 || need.gpus() <= left.gpus() + FreeCapacity.EPS);
+  private static boolean covers(Settings.Team team, QuotaShare remaining, QuotaShare demand) {
+    return (team.cpusMax() == 0 || demand.cpus() <= remaining.cpus() + FreeCapacity.EPS)
+        && (team.gpusMax() == 0 || demand.gpus() <= remaining.gpus() + FreeCapacity.EPS);
   }
 
   void book(JobSpec spec) {
-    if (teams.containsKey(spec.team())) {
-      booked.merge(spec.team(), of(spec), QuotaShare::plus);
+    if (limitedTeams.containsKey(spec.team())) {
+      bookedThisRound.merge(spec.team(), demandOf(spec), QuotaShare::plus);
     }
   }
 
@@ -234,38 +240,43 @@
     for (Job job : waiting) {
       String team = job.spec().team();
       // What a team's other jobs may not start, they do not need now.
-      if (teams.containsKey(team) && saved.getOrDefault(team, job) == job) {
-        needed.merge(
-            new Key(team, view.placer(job.partition(), job.id())),
-            of(job.spec()).times(job.waitingCount()),
+      if (limitedTeams.containsKey(team) && heldForGang.getOrDefault(team, job) == job) {
+        neededShares.merge(
+            new TeamNode(team, view.placer(job.partition(), job.id())),
+            demandOf(job.spec()).times(job.waitingCount()),
             QuotaShare::plus);
       }
     }
-    for (String team : teams.keySet()) {
-      Settings.Team t = teams.get(team);
-      for (String giver : givers(leader)) {
-        boolean may = giver.equals(node) || leader && !view.members().containsKey(giver);
-        if (!may) {
+    for (String team : limitedTeams.keySet()) {
+      Settings.Team settings = limitedTeams.get(team);
+      for (String donor : donors(leader)) {
+        boolean mayGive = donor.equals(node) || leader && !view.members().containsKey(donor);
+        if (!mayGive) {
           continue;
         }
         QuotaShare spare =
-            positive(
-                left(team, giver)
-                    .minus(needed.getOrDefault(new Key(team, giver), QuotaShare.NONE)));
-        for (String taker : takers()) {
+            nonNegative(
+                remaining(team, donor)
+                    .minus(neededShares.getOrDefault(new TeamNode(team, donor), QuotaShare.NONE)));
+        for (String recipient : recipients()) {
           // One outside the view needs what it is short of: a limit that was lowered left it less
           // than it had given away, and until it has that back the others may use too much.
-          QuotaShare need = needed.getOrDefault(new Key(team, taker), QuotaShare.NONE);
-          if (taker.equals(giver) || covers(t, left(team, taker), need)) {
+          QuotaShare demand =
+              neededShares.getOrDefault(new TeamNode(team, recipient), QuotaShare.NONE);
+          if (recipient.equals(donor) || covers(settings, remaining(team, recipient), demand)) {
             continue;
           }
-          QuotaShare lack = positive(need.minus(left(team, taker)));
-          QuotaShare gift =
+          QuotaShare deficit = nonNegative(demand.minus(remaining(team, recipient)));
+          QuotaShare amount =
               new QuotaShare(
-                  Math.min(spare.cpus(), lack.cpus()), Math.min(spare.gpus(), lack.gpus()));
-          if (gift.cpus() > FreeCapacity.EPS || gift.gpus() > FreeCapacity.EPS) {
+                  Math.min(spare.cpus(), deficit.cpus()), Math.min(spare.gpus(), deficit.gpus()));
+          if (amount.cpus() > FreeCapacity.EPS || amount.gpus() > FreeCapacity.EPS) {
             return new Transfer(
-                team, giver, taker, moved(team, giver, gift.times(-1)), moved(team, taker, gift));
+                team,
+                donor,
+                recipient,
+                withTransfer(team, donor, amount.times(-1)),
+                withTransfer(team, recipient, amount));
           }
         }
       }
@@ -277,36 +288,36 @@
    * Those that have a part. To a leader, once controllers come and go by their numbers, also those
    * that never came to have one: the share that they would start with is not to be lost with them.
    */
-  private Set<String> givers(boolean leader) {
-    Set<String> out = new LinkedHashSet<>(tables.partitions().keySet());
+  private Set<String> donors(boolean leader) {
+    Set<String> donors = new LinkedHashSet<>(tables.partitions().keySet());
     if (leader && tables.isOpen(Gate.NUMBERS)) {
-      out.addAll(tables.registry().initialNames());
+      donors.addAll(tables.registry().initialNames());
     }
-    return out;
+    return donors;
   }
 
   /** Those that have a part, and the members, whose parts are not written with the view. */
-  private Set<String> takers() {
-    Set<String> out = new LinkedHashSet<>(tables.partitions().keySet());
-    out.addAll(tables.view().members().keySet());
-    return out;
+  private Set<String> recipients() {
+    Set<String> recipients = new LinkedHashSet<>(tables.partitions().keySet());
+    recipients.addAll(tables.view().members().keySet());
+    return recipients;
   }
 
-  private Partition part(String of) {
-    Partition p = tables.currentPartition(of);
-    return p == null ? Partition.empty(0, tables.encoding()) : p;
+  private Partition partitionOf(String owner) {
+    Partition partition = tables.currentPartition(owner);
+    return partition == null ? Partition.empty(0, tables.encoding()) : partition;
   }
 
-  private Partition moved(String team, String of, QuotaShare by) {
-    Partition p = part(of);
-    QuotaShare was =
-        p.encoding() == Encoding.FIRST
-            ? share(team, of)
-            : p.quotaShares().getOrDefault(team, QuotaShare.NONE);
-    return p.withQuotaShare(team, was.plus(by));
+  private Partition withTransfer(String team, String owner, QuotaShare amount) {
+    Partition partition = partitionOf(owner);
+    QuotaShare previous =
+        partition.encoding() == Encoding.FIRST
+            ? shareOf(team, owner)
+            : partition.quotaShares().getOrDefault(team, QuotaShare.NONE);
+    return partition.withQuotaShare(team, previous.plus(amount));
   }
 
-  private static QuotaShare positive(QuotaShare s) {
-    return new QuotaShare(Math.max(0, s.cpus()), Math.max(0, s.gpus()));
+  private static QuotaShare nonNegative(QuotaShare share) {
+    return new QuotaShare(Math.max(0, share.cpus()), Math.max(0, share.gpus()));
   }
 }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -17,20 +17,20 @@
 
 /** Decides, as the leader, which machines take no new tasks for the sake of gangs that wait. */
 final class Reservations {
-  private static final long MARKS_MS = 500;
-  private static final int MARK_BYTES = 48;
+  private static final long UPDATE_INTERVAL_MS = 500;
+  private static final int BYTES_PER_RESERVATION = 48;
 
   private final Tables tables;
   private final SchedulingState scheduling;
-  private final CapacityIndex rooms;
+  private final CapacityIndex capacityIndex;
   private final Types types;
   private final Tuning tuning;
   private final StateServiceLimits limits;
 
   /** By gang, the machines that take no new tasks until it starts or gives them up. */
-  private final Map<String, List<Machine>> reservations = new LinkedHashMap<>();
+  private final Map<String, List<Machine>> machinesByGang = new LinkedHashMap<>();
 
-  private long nextMarksMs;
+  private long nextUpdateMs;
 
   Reservations(
       Tables tables,
@@ -41,68 +41,69 @@
     this.types = types;
     this.tables = tables;
     this.scheduling = scheduling;
-    this.rooms = scheduling.capacityIndex();
+    this.capacityIndex = scheduling.capacityIndex();
     this.tuning = tuning;
     this.limits = limits;
   }
 
   /** Marks are of one view: the part records were written anew. */
   void clear() {
-    reservations.clear();
+    machinesByGang.clear();
   }
 
   /** The machines that a gang has marked. */
-  List<Machine> of(Job job) {
-    return reservations.getOrDefault(job.id(), List.of());
+  List<Machine> machinesOf(Job job) {
+    return machinesByGang.getOrDefault(job.id(), List.of());
   }
 
   /**
    * A gang that has waited for a while marks the machines that will be empty soonest. Marks are in
    * the part records, so that their owners place nothing there; here is only whose they are.
    */
-  void draft(TransactionBuilder draft, Quota quota, View v, long now) {
-    if (now < nextMarksMs) {
+  void update(TransactionBuilder transaction, Quota quota, View view, long now) {
+    if (now < nextUpdateMs) {
       return;
     }
-    nextMarksMs = now + MARKS_MS;
-    List<Job> gangs = waitingGangs(draft);
+    nextUpdateMs = now + UPDATE_INTERVAL_MS;
+    List<Job> gangs = waitingGangs(transaction);
     FleetSize size = gangs.isEmpty() ? null : new FleetSize(tables, types);
-    Map<String, Job> waitingGangs = couldStart(gangs, size, quota);
-    reservations.keySet().retainAll(waitingGangs.keySet());
-    for (List<Machine> l : reservations.values()) {
-      l.removeIf(m -> m.phase() != Machine.Phase.UP);
+    Map<String, Job> startable = startableGangs(gangs, size, quota);
+    machinesByGang.keySet().retainAll(startable.keySet());
+    for (List<Machine> machines : machinesByGang.values()) {
+      machines.removeIf(machine -> machine.phase() != Machine.Phase.UP);
     }
-    Set<Machine> marked = new HashSet<>();
-    reservations.values().forEach(marked::addAll);
-    for (Job job : waitingGangs.values()) {
+    Set<Machine> reserved = new HashSet<>();
+    machinesByGang.values().forEach(reserved::addAll);
+    for (Job job : startable.values()) {
       if (now - job.waitingSinceMs(now) >= tuning.markWaitMs()) {
-        mark(job, size, marked, now);
+        reserveMachines(job, size, reserved, now);
       }
     }
-    Map<String, List<String>> wanted = new HashMap<>();
-    for (Machine m : marked) {
-      wanted.computeIfAbsent(m.owner(v), k -> new ArrayList<>()).add(m.name());
+    Map<String, List<String>> namesByOwner = new HashMap<>();
+    for (Machine machine : reserved) {
+      namesByOwner.computeIfAbsent(machine.owner(view), k -> new ArrayList<>()).add(machine.name());
     }
-    for (String member : v.members().keySet()) {
-      Partition p = tables.currentPartition(member);
-      List<String> names = wanted.getOrDefault(member, List.of());
-      names = names.stream().sorted().limit(maxMarks()).toList();
-      if (p != null
-          && !p.reserved().equals(names)
-          && draft.canAddWrites()
-          && !draft.touches(Partition.key(member))) {
-        draft.write(Partition.key(member), p.withReserved(names).toStore(), p.stamp());
+    for (String member : view.members().keySet()) {
+      Partition partition = tables.currentPartition(member);
+      List<String> names = namesByOwner.getOrDefault(member, List.of());
+      names = names.stream().sorted().limit(maxReservations()).toList();
+      if (partition != null
+          && !partition.reserved().equals(names)
+          && transaction.canAddWrites()
+          && !transaction.touches(Partition.key(member))) {
+        transaction.write(
+            Partition.key(member), partition.withReserved(names).toStore(), partition.stamp());
       }
     }
   }
 
-  private List<Job> waitingGangs(TransactionBuilder draft) {
+  private List<Job> waitingGangs(TransactionBuilder transaction) {
     List<Job> gangs = new ArrayList<>();
     for (Job job : scheduling.queue().waiting()) {
       if (job.spec().shape() == JobSpec.Shape.GANG
           && job.partition().equals(Job.LEADER_PARTITION)
           && job.liveCount() == 0
-          && draft.liveTaskCount(job) == 0
+          && transaction.liveTaskCount(job) == 0
           && !job.isSuspected()) {
         gangs.add(job);
       }
@@ -115,83 +116,84 @@
    * unless the limit is being saved up for it; nor could one that there are too few machines for,
    * whatever makes way.
    */
-  private static Map<String, Job> couldStart(List<Job> gangs, FleetSize size, Quota quota) {
+  private static Map<String, Job> startableGangs(List<Job> gangs, FleetSize size, Quota quota) {
     Quota.Remainder remainder = quota.new Remainder();
-    Map<String, Job> out = new LinkedHashMap<>();
+    Map<String, Job> startable = new LinkedHashMap<>();
     for (Job job : gangs) {
-      boolean enough = size.holds(job.spec(), job.waitingCount());
-      if (enough && (remainder.take(job.spec(), job.waitingCount()) || quota.savingFor(job))) {
-        out.put(job.id(), job);
+      boolean enoughMachines = size.holds(job.spec(), job.waitingCount());
+      if (enoughMachines
+          && (remainder.tryTake(job.spec(), job.waitingCount()) || quota.isHeldFor(job))) {
+        startable.put(job.id(), job);
       }
     }
-    return out;
+    return startable;
   }
 
   /** So many names leave room in a part's record for its shares, whatever the limit of a value. */
-  private int maxMarks() {
-    return limits.maxValueBytes() / 2 / MARK_BYTES;
+  private int maxReservations() {
+    return limits.maxValueBytes() / 2 / BYTES_PER_RESERVATION;
   }
 
-  private void mark(Job job, FleetSize size, Set<Machine> marked, long now) {
-    List<Machine> mine = reservations.computeIfAbsent(job.id(), k -> new ArrayList<>());
-    while (mine.size() < job.waitingCount() && marked.size() < maxMarks()) {
+  private void reserveMachines(Job job, FleetSize size, Set<Machine> reserved, long now) {
+    List<Machine> ownMachines = machinesByGang.computeIfAbsent(job.id(), k -> new ArrayList<>());
+    while (ownMachines.size() < job.waitingCount() && reserved.size() < maxReservations()) {
       boolean oneZone = job.spec().oneZone();
-      String zone = oneZone && !mine.isEmpty() ? mine.get(0).info().zone() : null;
-      Soonest s = new Soonest(now);
-      rooms.each(
+      String zone = oneZone && !ownMachines.isEmpty() ? ownMachines.get(0).info().zone() : null;
+      EarliestEmpty earliest = new EarliestEmpty(now);
+      capacityIndex.forEach(
           job.spec(),
-          c ->
+          group ->
               zone != null
-                  ? zone.equals(c.zone)
-                  : !oneZone || size.holds(job.spec(), c.zone, job.waitingCount()),
-          r -> {
-            if (!marked.contains(r.machine())) {
-              s.look(r.machine());
+                  ? zone.equals(group.zone)
+                  : !oneZone || size.holds(job.spec(), group.zone, job.waitingCount()),
+          capacity -> {
+            if (!reserved.contains(capacity.machine())) {
+              earliest.consider(capacity.machine());
             }
           });
-      if (s.best == null) {
+      if (earliest.best == null) {
         return;
       }
-      mine.add(s.best);
-      marked.add(s.best);
+      ownMachines.add(earliest.best);
+      reserved.add(earliest.best);
     }
   }
 
   /** The machine that will be empty soonest, as far as the estimates tell. */
-  private static final class Soonest {
+  private static final class EarliestEmpty {
     private final long now;
     private Machine best;
-    private double bestLeft;
+    private double bestRemainingMs;
 
-    Soonest(long now) {
+    EarliestEmpty(long now) {
       this.now = now;
     }
 
-    void look(Machine m) {
-      double left = 0;
-      for (Machine.Slot s : m.slots()) {
-        left = Math.max(left, s.estimatedRemainingMs(now));
+    void consider(Machine machine) {
+      double remainingMs = 0;
+      for (Machine.Slot slot : machine.slots()) {
+        remainingMs = Math.max(remainingMs, slot.estimatedRemainingMs(now));
       }
-      if (left < Double.MAX_VALUE && (best == null || left < bestLeft)) {
-        best = m;
-        bestLeft = left;
+      if (remainingMs < Double.MAX_VALUE && (best == null || remainingMs < bestRemainingMs)) {
+        best = machine;
+        bestRemainingMs = remainingMs;
       }
     }
   }
 
-  void markFor(Job job, Machine m, long now) {
-    List<Machine> mine = reservations.computeIfAbsent(job.id(), k -> new ArrayList<>());
-    if (!mine.contains(m) && mine.size() < job.waitingCount()) {
-      mine.add(m);
-      nextMarksMs = now;
+  void reserve(Job job, Machine machine, long now) {
+    List<Machine> ownMachines = machinesByGang.computeIfAbsent(job.id(), k -> new ArrayList<>());
+    if (!ownMachines.contains(machine) && ownMachines.size() < job.waitingCount()) {
+      ownMachines.add(machine);
+      nextUpdateMs = now;
     }
   }
 
-  void lend(Job job) {
-    of(job).forEach(scheduling::lend);
+  void exposeMachinesOf(Job job) {
+    machinesOf(job).forEach(scheduling::exposeReserved);
   }
 
-  void takeBack(Job job) {
-    of(job).forEach(scheduling::takeBack);
+  void hideMachinesOf(Job job) {
+    machinesOf(job).forEach(scheduling::hideReserved);
   }
 }
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -32,14 +32,14 @@
   private final CapacityIndex capacityIndex = new CapacityIndex();
   private final JobQueue queue;
   private final Set<Job> finishableJobs = new LinkedHashSet<>();
-  private final Set<Job> halting = new LinkedHashSet<>();
+  private final Set<Job> partlyStoppingGangs = new LinkedHashSet<>();
   private final Set<Job> withdrawnRunningJobs = new LinkedHashSet<>();
   private final Set<Machine> goneMachinesWithTasks = new LinkedHashSet<>();
-  private final Set<Machine> shunned = new HashSet<>();
-  private final Set<Machine> changed = new LinkedHashSet<>();
-  private Predicate<Machine> pending = m -> false;
+  private final Set<Machine> quarantinedMachines = new HashSet<>();
+  private final Set<Machine> changedMachines = new LinkedHashSet<>();
+  private Predicate<Machine> pendingFilter = m -> false;
   private long epoch = -1;
-  private int typesSeen;
+  private int knownTypeCount;
 
   /** An empty state, brought up to date by {@link #update}. */
   public SchedulingState(Timers timers, Tables tables, Types types, Settings settings) {
@@ -51,8 +51,8 @@
   }
 
   /** Machines with a change of their record on the way take no tasks. */
-  void setPendingFilter(Predicate<Machine> p) {
-    pending = p;
+  void setPendingFilter(Predicate<Machine> filter) {
+    pendingFilter = filter;
   }
 
   CapacityIndex capacityIndex() {
@@ -73,7 +73,7 @@
   }
 
   Set<Job> partlyStoppingGangs() {
-    return halting;
+    return partlyStoppingGangs;
   }
 
   /** Withdrawn jobs with tasks that may still run. */
@@ -87,22 +87,22 @@
 
   /** Takes in what has changed in the tables, and in what reports told. */
   public void update() {
-    View v = tables.view();
+    View view = tables.view();
     List<Machine> machines = tables.drainChangedMachines();
-    changed.addAll(machines);
-    for (Job j : tables.drainChangedJobs()) {
-      job(j);
+    changedMachines.addAll(machines);
+    for (Job job : tables.drainChangedJobs()) {
+      updateJob(job);
     }
-    if (v == null) {
+    if (view == null) {
       capacityIndex.clear();
       epoch = -1;
-    } else if (v.epoch() != epoch || typesSeen != types.all().size()) {
-      epoch = v.epoch();
-      typesSeen = types.all().size();
+    } else if (view.epoch() != epoch || knownTypeCount != types.all().size()) {
+      epoch = view.epoch();
+      knownTypeCount = types.all().size();
       capacityIndex.clear();
-      shunned.clear();
-      for (Machine m : new ArrayList<>(tables.machines())) {
-        updateMachine(m);
+      quarantinedMachines.clear();
+      for (Machine machine : new ArrayList<>(tables.machines())) {
+        updateMachine(machine);
       }
     } else {
       machines.forEach(this::updateMachine);
@@ -111,102 +111,112 @@
 
   /** The machines that have changed since the last call. */
   public List<Machine> drainChangedMachines() {
-    List<Machine> out = new ArrayList<>(changed);
-    changed.clear();
-    return out;
+    List<Machine> taken = new ArrayList<>(changedMachines);
+    changedMachines.clear();
+    return taken;
   }
 
-  private void job(Job j) {
-    boolean there = tables.job(j.id()) == j;
+  private void updateJob(Job job) {
+    boolean exists = tables.job(job.id()) == job;
     long now = timers.nowMs();
-    View v = tables.view();
-    if (j.backOffAfterFailures(now) && v != null && node.equals(v.leader())) {
-      LOG.info("{} fails wherever it runs: next try in {} s", j.id(), (j.retryAtMs() - now) / 1000);
+    View view = tables.view();
+    if (job.backOffAfterFailures(now) && view != null && node.equals(view.leader())) {
+      LOG.info(
+          "{} fails wherever it runs: next try in {} s", job.id(), (job.retryAtMs() - now) / 1000);
     }
-    queue.changed(j, there);
-    boolean over =
-        j.withdrawn() ? j.liveCount() == 0 : j.spec() != null && j.doneCount() == j.taskCount();
-    member(finishableJobs, j, there && over);
-    member(halting, j, there && halting(j));
-    member(withdrawnRunningJobs, j, there && j.withdrawn() && j.liveCount() > 0);
-  }
-
-  private static <T> void member(Set<T> set, T t, boolean in) {
-    if (in) {
-      set.add(t);
+    queue.changed(job, exists);
+    boolean finished =
+        job.withdrawn()
+            ? job.liveCount() == 0
+            : job.spec() != null && job.doneCount() == job.taskCount();
+    setMembership(finishableJobs, job, exists && finished);
+    setMembership(partlyStoppingGangs, job, exists && isPartlyStopping(job));
+    setMembership(withdrawnRunningJobs, job, exists && job.withdrawn() && job.liveCount() > 0);
+  }
+
+  private static <T> void setMembership(Set<T> set, T element, boolean isMember) {
+    if (isMember) {
+      set.add(element);
     } else {
-      set.remove(t);
+      set.remove(element);
     }
   }
 
   /** A gang with a member that is being stopped while another is not. */
-  private static boolean halting(Job j) {
-    if (j.spec().shape() != JobSpec.Shape.GANG || j.liveCount() < 2) {
+  private static boolean isPartlyStopping(Job job) {
+    if (job.spec().shape() != JobSpec.Shape.GANG || job.liveCount() < 2) {
       return false;
     }
     int stopping = 0;
-    for (int i = 0; i < j.taskCount(); i++) {
-      TaskState s = j.task(i);
-      stopping += s.isLive() && s.stop() != TaskState.Stop.NONE ? 1 : 0;
+    for (int i = 0; i < job.taskCount(); i++) {
+      TaskState state = job.task(i);
+      stopping += state.isLive() && state.stop() != TaskState.Stop.NONE ? 1 : 0;
     }
-    return stopping > 0 && stopping < j.liveCount();
+    return stopping > 0 && stopping < job.liveCount();
   }
 
   /** The machine, or what this process knows of it, has changed. */
-  void updateMachine(Machine m) {
-    View v = tables.view();
-    if (v == null) {
+  void updateMachine(Machine machine) {
+    View view = tables.view();
+    if (view == null) {
       return;
     }
-    boolean there = tables.machine(m.name()) == m;
-    member(
-        goneMachinesWithTasks, m, there && m.phase() == Machine.Phase.GONE && !m.slots().isEmpty());
-    TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-    String owner = m.owner(v);
+    boolean exists = tables.machine(machine.name()) == machine;
+    setMembership(
+        goneMachinesWithTasks,
+        machine,
+        exists && machine.phase() == Machine.Phase.GONE && !machine.slots().isEmpty());
+    TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+    String owner = machine.owner(view);
     boolean usable =
-        there
-            && t != null
-            && m.phase() == Machine.Phase.UP
-            && !tables.isReserved(m)
-            && !pending.test(m);
+        exists
+            && type != null
+            && machine.phase() == Machine.Phase.UP
+            && !tables.isReserved(machine)
+            && !pendingFilter.test(machine);
     if (usable) {
-      boolean shun = m.quarantinedUntilMs(timers.nowMs()) > timers.nowMs();
-      member(shunned, m, shun);
-      boolean answers =
-          m.provedAlive() && !m.reportsOverdue() && m.unreachableForCommandsSinceMs() == 0;
-      usable = !shun && (answers || !owner.equals(node));
+      boolean isQuarantined = machine.quarantinedUntilMs(timers.nowMs()) > timers.nowMs();
+      setMembership(quarantinedMachines, machine, isQuarantined);
+      boolean isResponsive =
+          machine.provedAlive()
+              && !machine.reportsOverdue()
+              && machine.unreachableForCommandsSinceMs() == 0;
+      usable = !isQuarantined && (isResponsive || !owner.equals(node));
     }
     if (usable) {
-      if (capacityIndex.put(m, t, owner, timers.nowMs())) {
-        capacityIndex.grew();
+      if (capacityIndex.put(machine, type, owner, timers.nowMs())) {
+        capacityIndex.incrementGrowthVersion();
       }
     } else {
-      capacityIndex.remove(m);
+      capacityIndex.remove(machine);
     }
   }
 
   /** Machines that were shunned for a while may be used again. */
   void readmitAvoidedMachines() {
     long now = timers.nowMs();
-    for (Machine m : new ArrayList<>(shunned)) {
-      if (m.quarantinedUntilMs(now) <= now) {
-        shunned.remove(m);
-        updateMachine(m);
+    for (Machine machine : new ArrayList<>(quarantinedMachines)) {
+      if (machine.quarantinedUntilMs(now) <= now) {
+        quarantinedMachines.remove(machine);
+        updateMachine(machine);
       }
     }
   }
 
   /** Lends a marked machine to the gang that marked it, for one look. */
-  void lend(Machine m) {
-    TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-    if (tables.isReserved(m) && t != null && m.phase() == Machine.Phase.UP && !pending.test(m)) {
-      capacityIndex.put(m, t, m.owner(tables.view()), timers.nowMs());
+  void exposeReserved(Machine machine) {
+    TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+    if (tables.isReserved(machine)
+        && type != null
+        && machine.phase() == Machine.Phase.UP
+        && !pendingFilter.test(machine)) {
+      capacityIndex.put(machine, type, machine.owner(tables.view()), timers.nowMs());
     }
   }
 
-  void takeBack(Machine m) {
-    if (tables.isReserved(m)) {
-      capacityIndex.remove(m);
+  void hideReserved(Machine machine) {
+    if (tables.isReserved(machine)) {
+      capacityIndex.remove(machine);
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -19,25 +19,25 @@
   private static final Logger LOG = LoggerFactory.getLogger(VictimSelection.class);
 
   /** So many jobs a round look for what to stop, each for so many of its tasks. */
-  private static final int PREEMPT_SCANS = 4;
+  private static final int MAX_SCANS_PER_ROUND = 4;
 
-  private static final int PREEMPT_MOST = 16;
+  private static final int MAX_MACHINES_PER_SCAN = 16;
 
-  private final CapacityIndex rooms;
+  private final CapacityIndex capacityIndex;
   private final Types types;
   private final Reservations reservations;
   private final Tuning tuning;
   private final Settings settings;
   private final String node;
-  private int preemptScans;
+  private int scansThisRound;
 
   VictimSelection(
-      CapacityIndex rooms,
+      CapacityIndex capacityIndex,
       Types types,
       Reservations reservations,
       Tuning tuning,
       Settings settings) {
-    this.rooms = rooms;
+    this.capacityIndex = capacityIndex;
     this.types = types;
     this.reservations = reservations;
     this.tuning = tuning;
@@ -45,8 +45,8 @@
     this.node = settings.node();
   }
 
-  void newRound() {
-    preemptScans = 0;
+  void beginRound() {
+    scansThisRound = 0;
   }
 
   /**
@@ -54,124 +54,147 @@
    * takes what others leave and gives it back; other work when a good part of the time in which the
    * job should start has passed.
    */
-  void draft(TransactionBuilder draft, Job job, boolean asLeader, Quota quota, long now) {
+  void preemptFor(
+      TransactionBuilder transaction, Job job, boolean asLeader, Quota quota, long now) {
     JobSpec spec = job.spec();
-    long waited = now - job.waitingSinceMs(now);
+    long waitedMs = now - job.waitingSinceMs(now);
     if (job.preemptionPriority() == JobSpec.Priority.LOW
         || job.isSuspected()
-        || preemptScans >= PREEMPT_SCANS
+        || scansThisRound >= MAX_SCANS_PER_ROUND
         || now < job.nextPreemptionAtMs()) {
       return;
     }
-    long patience = preemptAfterMs(spec);
-    if (waited < Math.min(patience, tuning.preemptLowMs()) || !quota.allows(spec)) {
+    long preemptAfterMs = preemptAfterMs(spec);
+    if (waitedMs < Math.min(preemptAfterMs, tuning.preemptLowMs()) || !quota.allows(spec)) {
       return;
     }
-    preemptScans++;
-    job.setNextPreemptionAtMs(now + TaskPlacer.BLOCKED_MS);
-    JobSpec.Priority strongest = waited < patience ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
-    List<FreeCapacity> may = new ArrayList<>();
-    Map<String, Integer> zones = TaskPlacer.zones(draft, job);
-    Predicate<CapacityIndex.MachineGroup> scope = TaskPlacer.scope(node, asLeader);
+    scansThisRound++;
+    job.setNextPreemptionAtMs(now + TaskPlacer.BLOCKED_RETRY_INTERVAL_MS);
+    JobSpec.Priority highestVictimPriority =
+        waitedMs < preemptAfterMs ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
+    List<FreeCapacity> candidates = new ArrayList<>();
+    Map<String, Integer> liveByZone = TaskPlacer.liveTasksByZone(transaction, job);
+    Predicate<CapacityIndex.MachineGroup> eligible = TaskPlacer.eligibleGroups(node, asLeader);
     boolean gang = spec.shape() == JobSpec.Shape.GANG;
     if (gang && asLeader) {
-      emptyMarked(draft, job, strongest, now);
+      preemptOnReserved(transaction, job, highestVictimPriority, now);
     }
-    int lack = job.waitingCount() - (gang ? reservations.of(job).size() : 0);
-    if (lack <= 0) {
+    int missing = job.waitingCount() - (gang ? reservations.machinesOf(job).size() : 0);
+    if (missing <= 0) {
       return;
     }
-    rooms.each(spec, c -> scope.test(c) && TaskPlacer.zoneAllows(spec, zones, c.zone), may::add);
+    capacityIndex.forEach(
+        spec,
+        choice -> eligible.test(choice) && TaskPlacer.zoneAllows(spec, liveByZone, choice.zone),
+        candidates::add);
     if (gang) {
-      keepToMarkedZone(job, may);
+      restrictToReservedZone(job, candidates);
       if (spec.oneZone()) {
-        keepToCheapestZone(may, job, strongest, lack, now);
+        restrictToCheapestZone(candidates, job, highestVictimPriority, missing, now);
       }
     }
-    for (Preemption.Choice c :
+    for (Preemption.Choice choice :
         Preemption.cheapestChoices(
-            may, spec, job.preemptionPriority(), strongest, now, Math.min(lack, PREEMPT_MOST))) {
+            candidates,
+            spec,
+            job.preemptionPriority(),
+            highestVictimPriority,
+            now,
+            Math.min(missing, MAX_MACHINES_PER_SCAN))) {
       if (gang && asLeader) {
         // Else what is stopped for it makes room for others.
-        reservations.markFor(job, c.machine(), now);
+        reservations.reserve(job, choice.machine(), now);
       }
-      stop(draft, job, c);
+      stopVictims(transaction, job, choice);
     }
   }
 
-  private void stop(TransactionBuilder draft, Job job, Preemption.Choice c) {
-    for (Machine.Slot s : c.victims()) {
-      if (draft.fitsInPage(s.job(), 1)) {
-        if (draft.taskState(s.job(), s.index()).stop() == TaskState.Stop.NONE) {
-          LOG.info("{} gives way to {}", s.taskName(), job.id());
+  private void stopVictims(TransactionBuilder transaction, Job job, Preemption.Choice choice) {
+    for (Machine.Slot slot : choice.victims()) {
+      if (transaction.fitsInPage(slot.job(), 1)) {
+        if (transaction.taskState(slot.job(), slot.index()).stop() == TaskState.Stop.NONE) {
+          LOG.info("{} gives way to {}", slot.taskName(), job.id());
         }
-        draft.changeTask(
-            s.job(), s.index(), t -> t.isLive() ? t.stopping(Preemption.how(s.job().spec())) : t);
+        transaction.changeTask(
+            slot.job(),
+            slot.index(),
+            t -> t.isLive() ? t.stopping(Preemption.stopMode(slot.job().spec())) : t);
       }
     }
   }
 
   /** Stops what may be stopped on all the machines that a gang has marked, not one by one. */
-  private void emptyMarked(
-      TransactionBuilder draft, Job job, JobSpec.Priority strongest, long now) {
-    for (Machine m : reservations.of(job)) {
-      TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-      Preemption.Choice c =
-          t == null
+  private void preemptOnReserved(
+      TransactionBuilder transaction, Job job, JobSpec.Priority highestVictimPriority, long now) {
+    for (Machine machine : reservations.machinesOf(job)) {
+      TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+      Preemption.Choice choice =
+          type == null
               ? null
-              : Preemption.on(
-                  new FreeCapacity(m, t), job.spec(), job.preemptionPriority(), strongest, now);
-      if (c != null) {
-        stop(draft, job, c);
+              : Preemption.choiceOn(
+                  new FreeCapacity(machine, type),
+                  job.spec(),
+                  job.preemptionPriority(),
+                  highestVictimPriority,
+                  now);
+      if (choice != null) {
+        stopVictims(transaction, job, choice);
       }
     }
   }
 
   /** Machines already marked are being emptied; the rest of a one-zone gang goes beside them. */
-  private void keepToMarkedZone(Job job, List<FreeCapacity> may) {
-    List<Machine> mine = reservations.of(job);
-    if (job.spec().oneZone() && !mine.isEmpty()) {
-      String zone = mine.get(0).info().zone();
-      may.removeIf(r -> !zone.equals(r.machine().info().zone()));
+  private void restrictToReservedZone(Job job, List<FreeCapacity> candidates) {
+    List<Machine> reserved = reservations.machinesOf(job);
+    if (job.spec().oneZone() && !reserved.isEmpty()) {
+      String zone = reserved.get(0).info().zone();
+      candidates.removeIf(r -> !zone.equals(r.machine().info().zone()));
     }
-    may.removeIf(r -> mine.contains(r.machine()));
+    candidates.removeIf(r -> reserved.contains(r.machine()));
   }
 
   /** Of the zones where enough machines can be emptied, the one where that costs least. */
-  private static void keepToCheapestZone(
-      List<FreeCapacity> may, Job job, JobSpec.Priority strongest, int lack, long now) {
+  private static void restrictToCheapestZone(
+      List<FreeCapacity> candidates,
+      Job job,
+      JobSpec.Priority highestVictimPriority,
+      int missing,
+      long now) {
     Map<String, List<FreeCapacity>> byZone = new HashMap<>();
-    for (FreeCapacity r : may) {
-      byZone.computeIfAbsent(r.machine().info().zone(), k -> new ArrayList<>()).add(r);
+    for (FreeCapacity capacity : candidates) {
+      byZone
+          .computeIfAbsent(capacity.machine().info().zone(), k -> new ArrayList<>())
+          .add(capacity);
     }
     List<FreeCapacity> best = List.of();
-    double least = Double.MAX_VALUE;
-    for (List<FreeCapacity> rooms : byZone.values()) {
-      List<Preemption.Choice> all =
+    double leastLost = Double.MAX_VALUE;
+    for (List<FreeCapacity> machines : byZone.values()) {
+      List<Preemption.Choice> choices =
           Preemption.cheapestChoices(
-              rooms, job.spec(), job.preemptionPriority(), strongest, now, lack);
-      double lost = all.stream().mapToDouble(Preemption.Choice::lost).sum();
-      if (all.size() == lack && lost < least) {
-        least = lost;
-        best = rooms;
+              machines, job.spec(), job.preemptionPriority(), highestVictimPriority, now, missing);
+      double lostWork = choices.stream().mapToDouble(Preemption.Choice::lostWork).sum();
+      if (choices.size() == missing && lostWork < leastLost) {
+        leastLost = lostWork;
+        best = machines;
       }
     }
-    may.retainAll(Set.copyOf(best));
+    candidates.retainAll(Set.copyOf(best));
   }
 
   private long preemptAfterMs(JobSpec spec) {
-    double boot = 0;
-    for (TypeInfo t : types.all()) {
-      boot = Math.max(boot, t.canHold(spec) ? t.bootS() * 1000 : 0);
+    double bootMs = 0;
+    for (TypeInfo type : types.all()) {
+      bootMs = Math.max(bootMs, type.canHold(spec) ? type.bootS() * 1000 : 0);
     }
     // Where a rented machine comes in time, it is waited for: stopping work wastes it.
-    long patient = Math.max(tuning.preemptMs(), (long) (boot * tuning.preemptBoots()));
-    for (Settings.Objective o : settings.objectives()) {
-      boolean ours = o.kind().equals("wait") && spec.jobClass().equals(o.jobClass());
-      if (ours && o.withinS() * 1000 < boot * tuning.preemptBoots()) {
-        patient = Math.min(patient, (long) (o.withinS() * 1000 * tuning.preemptShare()));
+    long waitMs = Math.max(tuning.preemptMs(), (long) (bootMs * tuning.preemptBoots()));
+    for (Settings.Objective objective : settings.objectives()) {
+      boolean appliesToJob =
+          objective.kind().equals("wait") && spec.jobClass().equals(objective.jobClass());
+      if (appliesToJob && objective.withinS() * 1000 < bootMs * tuning.preemptBoots()) {
+        waitMs = Math.min(waitMs, (long) (objective.withinS() * 1000 * tuning.preemptShare()));
       }
     }
-    return patient;
+    return waitMs;
   }
 }
