--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -8,19 +8,19 @@
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
-/** The users' interface: submissions, status and withdrawals. */
+/** The entry point for user requests: submissions, status queries and withdrawals. */
 public final class Admission {
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Types types;
   private final Submissions submissions;
   private final JobStatus status;
   private final Withdrawals withdrawals;
 
-  /** Wires the handlers of users' requests. */
+  /** Creates the handlers of user requests. */
   public Admission(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       JobHistory history,
       SchedulingState scheduling,
@@ -29,56 +29,62 @@
       Tuning tuning,
       PauseDetector pauseDetector,
       WithdrawalConfirmations confirmations) {
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.types = types;
     this.status =
-        new JobStatus(timers, ledger, tables, pauseDetector, confirmations, settings, tuning);
-    this.withdrawals = new Withdrawals(timers, ledger, tables, status);
+        new JobStatus(timers, stateService, tables, pauseDetector, confirmations, settings, tuning);
+    this.withdrawals = new Withdrawals(timers, stateService, tables, status);
     this.submissions =
         new Submissions(
             timers,
-            ledger,
+            stateService,
             tables,
             new JobRouter(tables, scheduling, types, settings, tuning),
-            new DependencyValidator(ledger, tables, history),
+            new DependencyValidator(stateService, tables, history),
             status,
             this::isReady);
   }
 
-  /** Whether requests can be served at all. */
+  /**
+   * Whether requests can be served: the state service is being followed, and the view and the
+   * machine types are known.
+   */
   public boolean isReady() {
-    return ledger.phase() == StateServiceClient.Phase.FOLLOWING
+    return stateService.phase() == StateServiceClient.Phase.FOLLOWING
         && tables.view() != null
         && types.known();
   }
 
-  /** Once that is so, no submission is taken any more. */
+  /** Sets the condition under which submissions are refused. */
   public void refuseSubmissionsWhen(BooleanSupplier condition) {
     submissions.stopAcceptingWhen(condition);
   }
 
-  /** Whether no submission waits for its answer. */
+  /** Whether no submission is waiting for its answer. */
   public boolean isIdle() {
     return submissions.isIdle();
   }
 
-  /** Questions that were answered 503, as the reads of the state service are limited. */
+  /**
+   * Returns the number of status queries answered with 503 because reads of the state service are
+   * limited.
+   */
   public long shedStatusRequests() {
     return status.shedCount();
   }
 
-  /** A job is submitted, perhaps not for the first time. */
+  /** Handles a submission of a job, which may be a repeated one. */
   public void submit(Exchange exchange) {
     submissions.submit(exchange);
   }
 
-  /** A user asks how a job stands. */
+  /** Handles a query for the status of a job. */
   public void jobStatus(Exchange exchange, String id) {
     status.poll(exchange, id);
   }
 
-  /** A user cancels a job. */
+  /** Handles a withdrawal of a job. */
   public void withdraw(Exchange exchange, String id) {
     withdrawals.withdraw(exchange, id);
   }
--- a/src/main/java/wickdrift/coordination/AdmissionQueue.java
+++ b/src/main/java/wickdrift/coordination/AdmissionQueue.java
@@ -6,24 +6,30 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * The submissions that wait to be written, so many at most. They leave in an order that is fair
- * among teams and classes by what each has had: each has a clock that goes on by one for each of
- * its submissions that leaves, slower for higher ranks, and the one whose clock is furthest behind
- * is next; who comes anew starts at the clock of the one that left last, and has saved up nothing
- * (start-time fair queuing; Goyal, Vin, Cheng, 1996). When it is full, one makes way that the team
- * and class with most there sent last: a swarm does not shut out another's one job.
+ * A bounded queue of submissions that wait to be written, fair among teams and job classes. Each
+ * combination of team, class and priority is a flow with a start tag, which advances by the cost of
+ * each submission that leaves; the cost is lower for higher priorities. The flow with the lowest
+ * start tag is served next. A flow that becomes active starts at the virtual time of the last
+ * submission served, and gains no credit for the time it was idle (start-time fair queuing; Goyal,
+ * Vin, Cheng, 1996). When the queue is full, the newest submission of the longest flow is evicted,
+ * so that a burst of one flow does not shut out the single job of another.
  *
  * @param <T> a submission
  */
 final class AdmissionQueue<T> {
+  /** Identifies a flow. */
   private record FlowKey(String team, String jobClass, JobSpec.Priority priority) {}
 
+  /** The waiting submissions of one flow and its start tag. */
   private static final class Flow<T> {
     final ArrayDeque<T> waiting = new ArrayDeque<>();
     double startTag;
   }
 
-  /** A class's clock is forgotten once it is behind, and none of it waits. */
+  /**
+   * Number of flows from which on idle flows are removed if their start tag is not ahead of the
+   * virtual time.
+   */
   private static final int FLOW_CLEANUP_THRESHOLD = 256;
 
   private final Map<FlowKey, Flow<T>> flows = new HashMap<>();
@@ -32,16 +38,20 @@
   private double virtualTime;
 
   /**
-   * @param maxWaiting how many may wait
+   * Creates an empty queue.
+   *
+   * @param maxWaiting the number of submissions that may wait
    */
   AdmissionQueue(int maxWaiting) {
     this.maxWaiting = maxWaiting;
   }
 
+  /** Returns the number of waiting submissions. */
   int size() {
     return size;
   }
 
+  /** Whether no submission is waiting. */
   boolean isEmpty() {
     return size == 0;
   }
@@ -51,12 +61,16 @@
   }
 
   /**
-   * What one submission of a rank costs: the highest is let in four times as often as the lowest.
+   * Returns the cost of one submission of a priority: the highest priority is admitted four times
+   * as often as the lowest.
    */
   private static double cost(JobSpec.Priority priority) {
     return 1.0 / (JobSpec.Priority.values().length - priority.ordinal());
   }
 
+  /**
+   * Returns the flow of a key; creates it if needed and advances an idle one to the virtual time.
+   */
   private Flow<T> flowOf(FlowKey key) {
     Flow<T> flow = flows.get(key);
     if (flow == null) {
@@ -76,8 +90,8 @@
   }
 
   /**
-   * Lets one wait. Returns who must go for it: null, another that waited, or itself, where nobody
-   * has more there than its own team and class.
+   * Adds a submission and returns the one that is evicted for it: null, another waiting submission,
+   * or this submission itself if no flow is longer than its own.
    */
   T offer(JobSpec spec, T submission) {
     Flow<T> ownFlow = flowOf(keyOf(spec));
@@ -98,7 +112,9 @@
     return evicted;
   }
 
-  /** Back to where it was: it had left, and could not be written. */
+  /**
+   * Puts a submission that could not be written back at the head of its flow and refunds its cost.
+   */
   void returnToFront(JobSpec spec, T submission) {
     Flow<T> flow = flowOf(keyOf(spec));
     flow.waiting.addFirst(submission);
@@ -106,7 +122,7 @@
     size++;
   }
 
-  /** The next to leave, or null. */
+  /** Removes and returns the next submission, or null if none waits. */
   T poll() {
     Map.Entry<FlowKey, Flow<T>> next = null;
     for (Map.Entry<FlowKey, Flow<T>> entry : flows.entrySet()) {
@@ -124,7 +140,7 @@
     return flow.waiting.pollFirst();
   }
 
-  /** By clock, then by rank, then by name, so that the order is the same each time. */
+  /** Orders by start tag, then by priority, team and class, so that the order is deterministic. */
   private boolean isServedBefore(Map.Entry<FlowKey, Flow<T>> a, Map.Entry<FlowKey, Flow<T>> b) {
     int order = Double.compare(a.getValue().startTag, b.getValue().startTag);
     order = order != 0 ? order : a.getKey().priority.compareTo(b.getKey().priority);
--- a/src/main/java/wickdrift/coordination/CapacityIndex.java
+++ b/src/main/java/wickdrift/coordination/CapacityIndex.java
@@ -16,11 +16,14 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * The machines that take tasks, kept in order so that no decision looks at all of them: by place
- * (part, type, zone, kind), in each place by load, and once more for each image.
+ * An index of the machines that accept tasks, so that no decision scans the whole fleet: by group
+ * (partition, type, zone, spot or not), within a group by load, and again by cached image.
  */
 final class CapacityIndex {
-  /** Machines that are alike but for what is on them. */
+  /**
+   * Machines with the same partition, type, zone and spot property, which differ only in their
+   * tasks and images.
+   */
   static final class MachineGroup {
     final String owner;
     final TypeInfo type;
@@ -40,6 +43,7 @@
       this.spot = spot;
     }
 
+    /** Whether the group may run a task of this kind, regardless of its free capacity. */
     boolean allows(JobSpec spec) {
       return (spec.spot() || !spot)
           && (spec.zone() == null || spec.zone().equals(zone))
@@ -53,7 +57,9 @@
     }
   }
 
-  /** A cell's machines that have an image, and those among them that fetch something. */
+  /**
+   * The machines of a group that have an image, and those among them that are fetching an image.
+   */
   private static final class ImageMachines {
     final LoadIndex machines = new LoadIndex();
     final LoadIndex fetching = new LoadIndex();
@@ -61,12 +67,13 @@
 
   private static final ImageMachines NO_MACHINES = new ImageMachines();
 
-  /** Most capable first: GPUs, then memory, then CPUs. */
+  /** Orders by capability, most capable first: GPUs, then memory, then CPUs. */
   private static final Comparator<MachineGroup> MOST_CAPABLE_FIRST =
       Comparator.comparingDouble((MachineGroup group) -> -group.type.gpus())
           .thenComparingDouble(group -> -group.type.memoryGb())
           .thenComparingDouble(group -> -group.type.cpus());
 
+  /** Identifies a group of machines. */
   private record GroupKey(String owner, String type, String zone, boolean spot) {}
 
   private final Map<GroupKey, MachineGroup> groupsByKey = new HashMap<>();
@@ -74,12 +81,13 @@
   private final Map<Machine, FreeCapacity> byMachine = new LinkedHashMap<>();
   private final Set<FreeCapacity> bookedThisRound = new HashSet<>();
 
-  /** Rooms listed as fetching, by when that is taken to be over. */
+  /** Machines indexed as fetching an image, by the expected end of the fetch. */
   private final TreeSet<Fetch> fetches =
       new TreeSet<>(
           Comparator.comparingLong(Fetch::untilMs)
               .thenComparingInt(f -> f.capacity.machine().number()));
 
+  /** A machine that is fetching an image and the expected end of the fetch. */
   private record Fetch(long untilMs, FreeCapacity capacity) {}
 
   private long growthVersion;
@@ -87,8 +95,8 @@
   private Predicate<String> preferredOwners = owner -> true;
 
   /**
-   * Of equals, machines of these owners are taken: for the leader those whose booking takes no
-   * further part's record into the transaction.
+   * Sets the owners whose machines win ties. For the leader these are the owners whose machines can
+   * be booked without adding another partition record to the transaction.
    */
   void setPreferredOwners(Predicate<String> owners) {
     preferredOwners = owners;
@@ -98,23 +106,24 @@
     return preferredOwners.test(capacity.group.owner);
   }
 
-  /** Changes whenever there is more room somewhere. */
+  /** Returns a version that increases whenever free capacity may have grown. */
   long growthVersion() {
     return growthVersion;
   }
 
-  /** How many rooms were looked at so far. */
+  /** Returns the number of machines examined so far. */
   long machinesExamined() {
     return machinesExamined;
   }
 
+  /** Returns the free capacity of a machine, or null if the machine accepts no tasks. */
   FreeCapacity find(Machine machine) {
     return byMachine.get(machine);
   }
 
-  // ---- keeping it ----
+  // ---- maintenance ----
 
-  /** Forgets all: a new view, or other types. */
+  /** Removes all machines, for a new view or other machine types. */
   void clear() {
     groupsByKey.clear();
     groups.clear();
@@ -124,12 +133,15 @@
     growthVersion++;
   }
 
-  /** There may be more room than before: what was blocked looks again. */
+  /** Records that free capacity may have grown, so that blocked jobs are tried again. */
   void incrementGrowthVersion() {
     growthVersion++;
   }
 
-  /** Lists the machine as it is now in the tables; true if it may have more room than before. */
+  /**
+   * Adds or updates a machine from its durable state; returns true if its free capacity or its
+   * images may have grown.
+   */
   boolean put(Machine machine, TypeInfo type, String owner, long nowMs) {
     FreeCapacity old = byMachine.get(machine);
     double loadBefore = Double.MAX_VALUE;
@@ -150,6 +162,7 @@
     return capacity.load() < loadBefore || capacity.listedImages.size() > imagesBefore;
   }
 
+  /** Removes a machine that accepts no tasks any more. */
   void remove(Machine machine) {
     FreeCapacity capacity = byMachine.remove(machine);
     if (capacity != null) {
@@ -208,7 +221,7 @@
     }
   }
 
-  /** Books in the round of decisions under way. */
+  /** Books the resources of one task for the current scheduling round. */
   void book(FreeCapacity capacity, JobSpec spec) {
     removeFromIndexes(capacity);
     capacity.book(spec);
@@ -216,14 +229,17 @@
     bookedThisRound.add(capacity);
   }
 
-  /** Undoes what was booked since the room looked like that. */
+  /** Restores the bookings of a machine to an earlier state of the current round. */
   void restore(FreeCapacity capacity, FreeCapacity.Bookings saved) {
     removeFromIndexes(capacity);
     capacity.restore(saved);
     addToIndexes(capacity, capacity.group);
   }
 
-  /** A new round starts from what is durable, and from the fetches that are not over yet. */
+  /**
+   * Starts a scheduling round: discards the bookings of the previous round and updates the machines
+   * whose image fetches have ended.
+   */
   void beginRound(long nowMs) {
     for (FreeCapacity capacity : bookedThisRound) {
       removeFromIndexes(capacity);
@@ -241,17 +257,19 @@
     }
   }
 
-  // ---- the choice ----
+  // ---- choosing a machine ----
 
   /**
-   * The sub-greedy rule for the linear hierarchy (Definition 3 with the sets of Lemma 1): a task
-   * that the i most capable machines can hold goes to the least loaded with room among ranks
-   * ceil(i/2) to i. If that half is full, any eligible machine with room takes it; else it waits.
+   * Chooses a machine by the sub-greedy rule for the linear hierarchy (Definition 3 with the sets
+   * of Lemma 1): a task that the i most capable machines can hold goes to the least loaded machine
+   * with enough free capacity among ranks ceil(i/2) to i. If that half has none, any eligible
+   * machine with enough free capacity is used; otherwise the task waits.
    *
-   * <p>Machines of equal capability are ranked in three groups: the rest, the fuller ones, by 64ths
-   * of load, after the emptier; then those without room, full or fetching another image; last, in
-   * the half that is looked at first, those that have the task's image and are not too full for it.
-   * So tasks of one image gather, and empty machines are left for gangs.
+   * <p>Machines of equal capability are ranked in three groups. First come the ordinary machines,
+   * those with higher load after those with lower load in steps of 1/64; then those that cannot
+   * hold the task, because they are full or are fetching another image; last, in the half that is
+   * searched first, those that have the image of the task and enough free capacity. Tasks with the
+   * same image thus gather on the same machines, and empty machines are left for gangs.
    */
   FreeCapacity choose(JobSpec spec, Predicate<MachineGroup> allowed) {
     List<MachineGroup> eligible = new ArrayList<>();
@@ -274,9 +292,9 @@
           && MOST_CAPABLE_FIRST.compare(eligible.get(from - 1), eligible.get(to - 1)) == 0) {
         from--;
       }
-      List<MachineGroup> equals = eligible.subList(from, to);
-      best = lessLoaded(leastLoadedInHalf(equals, remaining, spec), best, spec);
-      for (MachineGroup group : equals) {
+      List<MachineGroup> equalGroups = eligible.subList(from, to);
+      best = lessLoaded(leastLoadedInHalf(equalGroups, remaining, spec), best, spec);
+      for (MachineGroup group : equalGroups) {
         remaining -= group.machines.size();
       }
       to = from;
@@ -293,13 +311,15 @@
   }
 
   /**
-   * The least loaded with room among the last {@code most} of some machines of equal capability.
+   * Returns the least loaded machine that can hold the task among the last {@code maxMachines} of
+   * machines of equal capability.
    */
-  private FreeCapacity leastLoadedInHalf(List<MachineGroup> equals, int maxMachines, JobSpec spec) {
+  private FreeCapacity leastLoadedInHalf(
+      List<MachineGroup> equalGroups, int maxMachines, JobSpec spec) {
     int size = 0;
     int withImageCount = 0;
     int ordinaryCount = 0;
-    for (MachineGroup group : equals) {
+    for (MachineGroup group : equalGroups) {
       double maxLoad = maxLoadFor(spec, group.type);
       size += group.machines.size();
       withImageCount += withImage(group, spec).countUpTo(maxLoad);
@@ -309,28 +329,33 @@
     int halfSize = Math.min(maxMachines, size);
     int withImageInHalf = Math.min(withImageCount, halfSize);
     if (withImageInHalf == withImageCount) {
-      for (MachineGroup group : equals) {
+      for (MachineGroup group : equalGroups) {
         best = lessLoaded(best, leastLoadedFrom(withImage(group, spec), 0, spec), spec);
       }
-      int[] start = startPositions(equals, halfSize - (size - ordinaryCount), spec, false);
+      int[] start = startPositions(equalGroups, halfSize - (size - ordinaryCount), spec, false);
       for (int i = 0; i < start.length; i++) {
-        best = lessLoaded(best, leastLoadedFrom(equals.get(i).machines, start[i], spec), spec);
+        best = lessLoaded(best, leastLoadedFrom(equalGroups.get(i).machines, start[i], spec), spec);
       }
     } else {
-      int[] start = startPositions(equals, withImageInHalf, spec, true);
+      int[] start = startPositions(equalGroups, withImageInHalf, spec, true);
       for (int i = 0; i < start.length; i++) {
         best =
-            lessLoaded(best, leastLoadedFrom(withImage(equals.get(i), spec), start[i], spec), spec);
+            lessLoaded(
+                best, leastLoadedFrom(withImage(equalGroups.get(i), spec), start[i], spec), spec);
       }
     }
     return best;
   }
 
+  /** Counts machines of a load index by load. */
   private interface LoadCount {
     int of(LoadIndex list, double load);
   }
 
-  /** Of some machines of a cell, those that neither have the image nor fetch another one. */
+  /**
+   * Counts those of a group's machines that neither have the task's image nor are fetching another
+   * one.
+   */
   private static int countWithoutImageOrFetch(
       MachineGroup group, JobSpec spec, double maxLoad, LoadCount count) {
     ImageMachines withImage = imageMachines(group, spec);
@@ -341,24 +366,25 @@
   }
 
   /**
-   * Where in each cell the last {@code k} begin that are not too full, counted among the machines
-   * with the image, or among those that neither have it nor fetch another one. Within one 64th of
-   * load the later cell's machines rank later.
+   * Returns, for each group, the position where the last {@code count} machines begin that are not
+   * too loaded for the task, counted either among the machines with the image or among those that
+   * neither have it nor are fetching another one. Within a load bucket, machines of later groups
+   * rank later.
    */
   private int[] startPositions(
-      List<MachineGroup> equals, int remainingMachines, JobSpec spec, boolean withImageOnly) {
-    double maxLoad = maxLoadFor(spec, equals.get(0).type);
-    int[] start = new int[equals.size()];
+      List<MachineGroup> equalGroups, int count, JobSpec spec, boolean withImageOnly) {
+    double maxLoad = maxLoadFor(spec, equalGroups.get(0).type);
+    int[] start = new int[equalGroups.size()];
     for (int i = 0; i < start.length; i++) {
       start[i] =
-          (withImageOnly ? withImage(equals.get(i), spec) : equals.get(i).machines)
+          (withImageOnly ? withImage(equalGroups.get(i), spec) : equalGroups.get(i).machines)
               .countUpTo(maxLoad);
     }
-    int remaining = remainingMachines;
+    int remaining = count;
     for (int bucket = LoadIndex.bucket(maxLoad); bucket >= 0 && remaining > 0; bucket--) {
       int currentBucket = bucket;
       for (int i = start.length - 1; i >= 0 && remaining > 0; i--) {
-        MachineGroup group = equals.get(i);
+        MachineGroup group = equalGroups.get(i);
         LoadIndex list = withImageOnly ? withImage(group, spec) : group.machines;
         int counted =
             withImageOnly
@@ -372,7 +398,7 @@
           start[i] -= list.countInBucket(bucket, maxLoad);
           remaining -= counted;
         } else {
-          // The border is in this cell and level.
+          // The start position lies within this group and bucket.
           start[i] =
               withImageOnly
                   ? start[i] - remaining
@@ -385,13 +411,15 @@
   }
 
   /**
-   * From where on, up to a place in a cell, there are {@code k} machines that neither have the
-   * image nor fetch another one. Half a large fleet may lie there, so it is searched by halving.
+   * Returns the last position in a group from which there are still {@code count} machines before
+   * {@code end} that neither have the image nor are fetching another one. Uses a binary search,
+   * since half of a large fleet may be in this range.
    */
   private int findStart(MachineGroup group, ImageMachines withImage, int end, int count) {
     int from = 0;
     int to = end;
-    // Invariant: enough lie behind from, and too few behind to.
+    // Invariant: the range from "from" to "end" has enough such machines, the range from "to" has
+    // too few.
     while (to - from > 1) {
       int mid = from + to >>> 1;
       machinesExamined++;
@@ -408,18 +436,25 @@
     return from;
   }
 
-  /** How many of a part of a cell's machines lie between two places of the cell. */
+  /**
+   * Counts the machines of a subset of a group that lie between two positions of the group's load
+   * index.
+   */
   private static int countBetween(LoadIndex subset, MachineGroup group, int from, int to) {
     return countBefore(subset, group, to) - countBefore(subset, group, from);
   }
 
+  /** Returns how many machines of a subset precede a position of the group's load index. */
   private static int countBefore(LoadIndex subset, MachineGroup group, int position) {
     return position < group.machines.size()
         ? subset.countBefore(group.machines.get(position))
         : subset.size();
   }
 
-  /** The least loaded that fits, from a place in the list on. */
+  /**
+   * Returns the least loaded machine that can hold the task, starting at a position of the load
+   * index, or null.
+   */
   private FreeCapacity leastLoadedFrom(LoadIndex list, int from, JobSpec spec) {
     if (list.size() == 0) {
       return null;
@@ -438,21 +473,25 @@
     return null;
   }
 
-  /** No machine with a higher load than this can have room for it. */
+  /** Returns the highest load at which a machine of the type may still hold the task. */
   private static double maxLoadFor(JobSpec spec, TypeInfo type) {
-    double share = 1;
+    double neededFraction = 1;
     if (type.cpus() > 0) {
-      share = Math.min(share, spec.cpus() / type.cpus());
+      neededFraction = Math.min(neededFraction, spec.cpus() / type.cpus());
     }
     if (type.gpus() > 0) {
-      share = Math.min(share, spec.gpus() / type.gpus());
+      neededFraction = Math.min(neededFraction, spec.gpus() / type.gpus());
     }
     if (type.memoryGb() > 0) {
-      share = Math.min(share, spec.memoryGb() / type.memoryGb());
+      neededFraction = Math.min(neededFraction, spec.memoryGb() / type.memoryGb());
     }
-    return 1 - share + FreeCapacity.EPS;
+    return 1 - neededFraction + FreeCapacity.EPS;
   }
 
+  /**
+   * Returns the less loaded machine; ties go to one with the task's image, then to a preferred
+   * owner.
+   */
   private FreeCapacity lessLoaded(FreeCapacity a, FreeCapacity b, JobSpec spec) {
     if (a == null || b == null) {
       return a == null ? b : a;
@@ -466,7 +505,10 @@
     return isPreferred(b) && !isPreferred(a) ? b : a;
   }
 
-  /** Outside the half: one with the image, then the fullest, so that empty machines stay empty. */
+  /**
+   * Returns the most loaded eligible machine that can hold the task, preferring those with its
+   * image, so that empty machines stay empty.
+   */
   private FreeCapacity fullestWithCapacity(List<MachineGroup> eligible, JobSpec spec) {
     FreeCapacity best = null;
     for (MachineGroup group : eligible) {
@@ -481,6 +523,7 @@
     return best;
   }
 
+  /** Returns the more loaded machine; ties go to a preferred owner. */
   private FreeCapacity fuller(FreeCapacity a, FreeCapacity b) {
     if (a == null || b == null) {
       return a == null ? b : a;
@@ -491,6 +534,7 @@
     return isPreferred(b) && !isPreferred(a) ? b : a;
   }
 
+  /** Returns the most loaded machine of the index that can hold the task, or null. */
   private FreeCapacity fullestFitting(LoadIndex list, JobSpec spec) {
     if (list.size() == 0) {
       return null;
@@ -504,8 +548,9 @@
     return null;
   }
 
-  // ---- other questions ----
+  // ---- other queries ----
 
+  /** Whether any allowed machine can hold a task of this kind now. */
   boolean fitsAnywhere(JobSpec spec, Predicate<MachineGroup> allowed) {
     for (MachineGroup group : groups) {
       if (group.allows(spec)
@@ -517,7 +562,7 @@
     return false;
   }
 
-  /** In how many of the machines it would fit, counted up to {@code most}. */
+  /** Counts the machines that can hold a task of this kind, up to {@code limit}. */
   int countFitting(JobSpec spec, Predicate<MachineGroup> allowed, int limit) {
     int count = 0;
     for (MachineGroup group : groups) {
@@ -534,7 +579,7 @@
     return count;
   }
 
-  /** Whether so many tasks have room at once, several of them on one machine too. */
+  /** Whether this number of tasks fits at the same time, counting several tasks per machine. */
   boolean fitsAll(JobSpec spec, Predicate<MachineGroup> allowed, int tasks) {
     int remaining = tasks;
     for (MachineGroup group : groups) {
@@ -551,6 +596,7 @@
     return remaining <= 0;
   }
 
+  /** Returns the zones that have machines, sorted by name. */
   List<String> zones() {
     Set<String> zones = new HashSet<>();
     groups.forEach(group -> zones.add(group.zone));
@@ -559,6 +605,10 @@
     return sorted;
   }
 
+  /**
+   * Passes every machine of the allowed groups that may run such a task to the action, whatever its
+   * free capacity.
+   */
   void forEach(JobSpec spec, Predicate<MachineGroup> allowed, Consumer<FreeCapacity> action) {
     for (MachineGroup group : groups) {
       if (group.allows(spec) && allowed.test(group)) {
@@ -569,7 +619,7 @@
     }
   }
 
-  /** About how many tasks of this kind a part has room for. */
+  /** Estimates how many tasks of this kind fit into the free capacity of a partition. */
   double estimateTaskCapacity(JobSpec spec, String owner) {
     double total = 0;
     for (MachineGroup group : groups) {
@@ -584,7 +634,10 @@
     return total;
   }
 
-  /** The same beside the task's image, counted up to {@code most}. */
+  /**
+   * Counts the tasks of this kind that fit on machines of a partition that have the task's image,
+   * up to {@code limit}.
+   */
   int taskCapacityWithImage(JobSpec spec, String owner, int limit) {
     int tasks = 0;
     for (MachineGroup group : groups) {
@@ -601,6 +654,7 @@
     return Math.min(tasks, limit);
   }
 
+  /** Counts the machines whose type can hold a task of this kind when empty. */
   int countCapableMachines(JobSpec spec) {
     int count = 0;
     for (MachineGroup group : groups) {
--- a/src/main/java/wickdrift/coordination/DominantShareOrder.java
+++ b/src/main/java/wickdrift/coordination/DominantShareOrder.java
@@ -12,21 +12,22 @@
 import wickdrift.settings.Settings;
 
 /**
- * Jobs of one rank that no guarantee covers, of several teams, in an order that weighs what each
- * team holds: next is the first job of the team whose dominant share (Ghodsi et al., "Dominant
- * Resource Fairness", NSDI 2011) is least for its weight, counted with the jobs that were taken
- * before in this look. A team's weight is its guarantee; one without counts as the least that is
- * guaranteed. Within a team the order stays.
+ * Iterates over jobs of several teams that have the same priority and are not covered by a
+ * guarantee. The next job is the first of the team whose dominant share (Ghodsi et al., "Dominant
+ * Resource Fairness", NSDI 2011) is lowest relative to its weight, counting the jobs that this
+ * iterator has already returned. The weight of a team is its guarantee; a team without one gets the
+ * lowest weight among the teams with a guarantee. The order within a team is kept.
  */
 final class DominantShareOrder implements Iterator<Job> {
-  private static final class TeamLine {
+  /** A team's remaining jobs, its weight and the resources counted for it. */
+  private static final class TeamEntry {
     final Iterator<Job> jobs;
     final double weight;
     double cpus;
     double gpus;
     Job nextJob;
 
-    TeamLine(Iterator<Job> jobs, double weight, QuotaShare held) {
+    TeamEntry(Iterator<Job> jobs, double weight, QuotaShare held) {
       this.jobs = jobs;
       this.weight = weight;
       this.cpus = held.cpus();
@@ -39,13 +40,16 @@
     }
   }
 
-  private final List<TeamLine> teamLines = new ArrayList<>();
+  private final List<TeamEntry> teamEntries = new ArrayList<>();
   private double totalCpus;
   private double totalGpus;
 
   /**
-   * @param byTeam the jobs of each team, in its own order
-   * @param held what a team's live attempts take
+   * Creates an iterator over the jobs of several teams.
+   *
+   * @param byTeam the jobs of each team, in the team's own order
+   * @param held returns the resources held by a team's live attempts
+   * @param teams the settings of the teams by name
    */
   DominantShareOrder(
       Map<String, ? extends Iterable<Job>> byTeam,
@@ -61,15 +65,18 @@
           totalCpus += teamHeld.cpus();
           totalGpus += teamHeld.gpus();
           double weight = weights.get(team);
-          teamLines.add(new TeamLine(jobs.iterator(), weight > 0 ? weight : leastWeight, teamHeld));
+          teamEntries.add(
+              new TeamEntry(jobs.iterator(), weight > 0 ? weight : leastWeight, teamHeld));
         });
   }
 
+  /** Returns a team's guaranteed GPUs, or its guaranteed CPUs if it has no GPU guarantee. */
   private static double guarantee(Settings.Team team) {
     return team == null ? 0 : team.gpus() > 0 ? team.gpus() : team.cpus();
   }
 
-  private double weightedShare(TeamLine team) {
+  /** Returns a team's dominant share divided by its weight. */
+  private double weightedShare(TeamEntry team) {
     double cpus = totalCpus > 0 ? team.cpus / totalCpus : 0;
     double gpus = totalGpus > 0 ? team.gpus / totalGpus : 0;
     return Math.max(cpus, gpus) / team.weight;
@@ -77,13 +84,13 @@
 
   @Override
   public boolean hasNext() {
-    return teamLines.stream().anyMatch(l -> l.nextJob != null);
+    return teamEntries.stream().anyMatch(l -> l.nextJob != null);
   }
 
   @Override
   public Job next() {
-    TeamLine least = null;
-    for (TeamLine team : teamLines) {
+    TeamEntry least = null;
+    for (TeamEntry team : teamEntries) {
       if (team.nextJob != null && (least == null || weightedShare(team) < weightedShare(least))) {
         least = team;
       }
--- a/src/main/java/wickdrift/coordination/FreeCapacity.java
+++ b/src/main/java/wickdrift/coordination/FreeCapacity.java
@@ -6,8 +6,12 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.protocol.JobSpec;
 
-/** A machine's room: what is durable, plus what the round of decisions under way has booked. */
+/**
+ * The free capacity of a machine, after its durable bookings and those of the current scheduling
+ * round.
+ */
 public final class FreeCapacity {
+  /** Tolerance for comparing sums of fractional resources. */
   public static final double EPS = 1e-6;
 
   private final Machine machine;
@@ -20,13 +24,16 @@
   private String imageToFetch;
   private boolean isFetching;
 
-  /** The images it is listed under, and the place; the index of rooms keeps both. */
+  /** The images under which the capacity index lists this machine; maintained by the index. */
   final List<String> listedImages = new ArrayList<>();
 
+  /** The group under which the capacity index lists this machine; maintained by the index. */
   CapacityIndex.MachineGroup group;
 
   /**
-   * @param machine null for one that is not there yet
+   * Creates the free capacity of a machine without bookings of the current round.
+   *
+   * @param machine null for a machine that does not exist yet
    */
   public FreeCapacity(Machine machine, TypeInfo type) {
     this.machine = machine;
@@ -34,7 +41,7 @@
     reset();
   }
 
-  /** Back to what is durable. */
+  /** Discards the bookings of the current round and returns to the durable state. */
   void reset() {
     imageToFetch = null;
     bookedCpus = machine == null ? 0 : machine.cpus();
@@ -44,7 +51,7 @@
     updateLoad();
   }
 
-  /** The design's load: the largest booked share. */
+  /** Recomputes the load: the largest booked fraction of any resource. */
   private void updateLoad() {
     load = type.cpus() > 0 ? bookedCpus / type.cpus() : 0;
     if (type.gpus() > 0) {
@@ -55,33 +62,40 @@
     }
   }
 
+  /** Returns the machine, or null if it does not exist yet. */
   public Machine machine() {
     return machine;
   }
 
+  /** Returns the machine type. */
   public TypeInfo type() {
     return type;
   }
 
+  /** Whether the free resources can hold a task of this kind, without regard to image fetches. */
   public boolean fits(JobSpec spec) {
     return bookedCpus + spec.cpus() <= type.cpus() + EPS
         && bookedGpus + spec.gpus() <= type.gpus() + EPS
         && bookedMemoryGb + spec.memoryGb() <= type.memoryGb() + EPS;
   }
 
+  /**
+   * Whether the machine has the image of the task or will fetch it for a task booked in this round.
+   */
   public boolean hasImage(JobSpec spec) {
     return spec.image().equals(imageToFetch) || machine != null && machine.hasImage(spec.image());
   }
 
   /**
-   * Room for the fetch as well: images fetched side by side share one rate, so that a second one
-   * only delays the first. A machine that fetches takes tasks of the images it has or fetches.
+   * Whether a task of this kind fits and its image is present or may be fetched now. Concurrent
+   * fetches share one rate, so a second fetch only delays the first. A machine that is fetching
+   * accepts only tasks whose image it has or is fetching.
    */
   public boolean fitsWithFetch(JobSpec spec) {
     return fits(spec) && (!isFetching || hasImage(spec));
   }
 
-  /** How many tasks of a kind fit here side by side, {@code most} at most. */
+  /** Returns how many tasks of this kind can start here at the same time, at most {@code limit}. */
   int tasksThatFit(JobSpec spec, int limit) {
     if (!fitsWithFetch(spec)) {
       return 0;
@@ -89,7 +103,7 @@
     return Math.min(limit, taskCapacity(spec, freeCpus(), freeGpus(), freeMemoryGb()));
   }
 
-  /** How many tasks of a kind so much has room for. */
+  /** Returns how many tasks of this kind fit into the given resources. */
   static int taskCapacity(JobSpec spec, double cpus, double gpus, double memoryGb) {
     double tasks = Integer.MAX_VALUE;
     tasks = spec.cpus() > 0 ? Math.min(tasks, (cpus + EPS) / spec.cpus()) : tasks;
@@ -98,20 +112,30 @@
     return (int) Math.max(0, tasks);
   }
 
-  /** Looks whether it fetches at this time; the index calls it while the room is not listed. */
+  /**
+   * Updates whether the machine is fetching an image at this time. The capacity index must not list
+   * the machine while this is called.
+   */
   void updateFetching(long nowMs) {
     isFetching = imageToFetch != null || fetchesUntilMs > nowMs;
   }
 
+  /** Whether the machine is fetching an image, as of the last update. */
   boolean isFetching() {
     return isFetching;
   }
 
+  /**
+   * Returns the expected end of the image fetches; {@code Long.MAX_VALUE} if a fetch was booked in
+   * this round.
+   */
   long fetchesUntilMs() {
     return imageToFetch != null ? Long.MAX_VALUE : fetchesUntilMs;
   }
 
-  /** Takes what one task needs. */
+  /**
+   * Books the resources of one task, and the fetch of its image if the machine does not have it.
+   */
   public void book(JobSpec spec) {
     if (!hasImage(spec)) {
       imageToFetch = spec.image();
@@ -123,7 +147,7 @@
     updateLoad();
   }
 
-  /** What a round has booked, to go back to. */
+  /** A copy of the bookings, used to restore an earlier state of the round. */
   record Bookings(
       double cpus, double gpus, double memoryGb, String imageToFetch, boolean isFetching) {}
 
@@ -140,6 +164,7 @@
     updateLoad();
   }
 
+  /** Passes the images of the machine, including one booked in this round, to the action. */
   void forEachImage(Consumer<String> action) {
     if (machine != null) {
       machine.images().forEach(action);
@@ -149,23 +174,30 @@
     }
   }
 
+  /** Returns the largest booked fraction of any resource. */
   public double load() {
     return load;
   }
 
+  /** Returns the free GPUs. */
   public double freeGpus() {
     return type.gpus() - bookedGpus;
   }
 
+  /** Returns the free CPUs. */
   public double freeCpus() {
     return type.cpus() - bookedCpus;
   }
 
+  /** Returns the free memory in GB. */
   public double freeMemoryGb() {
     return type.memoryGb() - bookedMemoryGb;
   }
 
-  /** How many more tasks of this kind it could take. */
+  /**
+   * Returns how many more tasks of this kind the free resources can hold, without regard to image
+   * fetches.
+   */
   int remainingTasks(JobSpec spec) {
     if (!type.canHold(spec)) {
       return 0;
--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -14,52 +14,67 @@
 import wickdrift.settings.Settings;
 
 /**
- * The jobs that wait, in the order in which they are served: priority, then guarantees, then, of
- * teams that are beyond theirs, by what each holds ({@link DominantShareOrder}), then by when they
- * must start to be done in time (without a deadline: by age). Kept up to date by the changes of
- * jobs; no round sorts them anew.
+ * The waiting jobs in service order: by priority, then jobs within their team's guarantee before
+ * others, then, among teams beyond their guarantees, by the resources each team holds ({@link
+ * DominantShareOrder}), then by the latest start time that meets the deadline (without a deadline:
+ * by age). Maintained incrementally as jobs change; no round sorts the jobs again.
  */
 final class JobQueue {
-  private record Age(long acceptedMs, String id) {}
+  /** A time and a job id, ordered by time. */
+  private record JobTime(long timeMs, String id) {}
 
-  private static final Comparator<Age> BY_AGE =
-      Comparator.comparingLong(Age::acceptedMs).thenComparing(Age::id);
+  private static final Comparator<JobTime> BY_TIME =
+      Comparator.comparingLong(JobTime::timeMs).thenComparing(JobTime::id);
 
-  private static final Age OLDEST = new Age(Long.MIN_VALUE, "");
+  private static final JobTime EARLIEST = new JobTime(Long.MIN_VALUE, "");
 
-  /** Jobs that are served as one: of a priority, and within guarantees or beyond. */
+  /**
+   * Jobs that are served together: those of one priority that are all within or all beyond their
+   * guarantees.
+   */
   private record ServiceClass(int priority, int beyondGuarantee) {}
 
-  private record Position(int priority, int beyondGuarantee, Age startBy) {}
+  /** Position of a waiting job in the service order. */
+  private record Position(int priority, int beyondGuarantee, JobTime startBy) {}
 
   private static final Comparator<Position> SERVICE_ORDER =
       Comparator.comparingInt(Position::priority)
           .thenComparingInt(Position::beyondGuarantee)
-          .thenComparing(Position::startBy, BY_AGE);
+          .thenComparing(Position::startBy, BY_TIME);
 
+  /** Resources that the unfinished tasks of a job need. */
   private record Demand(double cpus, double gpus) {}
 
-  /** One team's unfinished jobs by age, and up to which of them its guarantee reaches. */
+  /**
+   * The unfinished jobs of a team by age, and the first of them that the team's guarantee does not
+   * cover.
+   */
   private static final class TeamJobs {
     final Settings.Team settings;
-    final TreeMap<Age, Job> jobs = new TreeMap<>(BY_AGE);
+    final TreeMap<JobTime, Job> jobs = new TreeMap<>(BY_TIME);
     final Map<Job, Demand> demands = new HashMap<>();
     double cpus;
     double gpus;
 
-    /** The first job that is not within the guarantee; null: all are. */
-    Age firstBeyondGuarantee;
+    /** The oldest job that the guarantee does not cover; null if it covers all. */
+    JobTime firstBeyondGuarantee;
 
+    /** Whether the jobs changed since the reach of the guarantee was last computed. */
     boolean stale;
 
     TeamJobs(Settings.Team settings) {
       this.settings = settings;
     }
 
+    /** Whether the team has a guarantee for any resource. */
     boolean hasGuarantee() {
       return settings.cpus() > 0 || settings.gpus() > 0;
     }
 
+    /**
+     * Whether the guarantee covers these resources; a guarantee of 0 sets no bound for its
+     * resource.
+     */
     boolean covers(double neededCpus, double neededGpus) {
       return (settings.cpus() == 0 || neededCpus <= settings.cpus() + FreeCapacity.EPS)
           && (settings.gpus() == 0 || neededGpus <= settings.gpus() + FreeCapacity.EPS);
@@ -70,7 +85,10 @@
   private final Map<Job, Position> positions = new HashMap<>();
   private final TreeMap<Position, Job> waiting = new TreeMap<>(SERVICE_ORDER);
 
-  /** By class and team, for those beyond a guarantee are served by what their teams hold. */
+  /**
+   * Waiting jobs by service class and team, since jobs beyond a guarantee are ordered by what their
+   * teams hold.
+   */
   private final TreeMap<ServiceClass, Map<String, TreeMap<Position, Job>>> byClassAndTeam =
       new TreeMap<>(
           Comparator.comparingInt(ServiceClass::priority)
@@ -86,25 +104,37 @@
     settings.teams().forEach(t -> teamSettings.put(t.name(), t));
   }
 
-  /** Since when it could have been served: what waits for others has no age. */
-  private static Age ageOf(Job job) {
-    return new Age(job.readyWallMs(), job.id());
+  /**
+   * Returns the time since which a job could have been served; the time it waited for other jobs
+   * does not count.
+   */
+  private static JobTime readyTimeOf(Job job) {
+    return new JobTime(job.readyWallMs(), job.id());
   }
 
-  private static Age startByOf(Job job) {
+  /**
+   * Returns the latest start time that meets the deadline of the job and of those that await it;
+   * without a deadline, the time since which the job could have been served.
+   */
+  private static JobTime startByOf(Job job) {
     Double deadlineS = job.spec().deadlineS();
     double slackS = deadlineS == null ? 0 : Math.max(0, deadlineS - job.spec().estimateS());
     long ownStartByMs =
         deadlineS == null ? job.readyWallMs() : job.acceptedWallMs() + (long) (slackS * 1000);
-    return new Age(Math.min(ownStartByMs, job.startByWallMs()), job.id());
+    return new JobTime(Math.min(ownStartByMs, job.startByWallMs()), job.id());
   }
 
-  /** A job has changed; {@code there}: it is still unfinished. */
-  void changed(Job job, boolean unfinished) {
+  /**
+   * Updates the queue after a change of a job.
+   *
+   * @param unfinished whether the job still exists and has not ended
+   */
+  void onJobChanged(Job job, boolean unfinished) {
     if (job.spec() == null) {
       return;
     }
-    // What waits for others holds nothing, asks for nothing, and is in nobody's way.
+    // A job that awaits other jobs holds no resources and requests none, so it must not count
+    // against the guarantee of its team.
     boolean counts =
         unfinished && !job.withdrawn() && job.dependencyState() == Job.DependencyState.READY;
     TeamJobs team = teams.get(job.spec().team());
@@ -116,9 +146,9 @@
       team.cpus += demand.cpus - (old == null ? 0 : old.cpus);
       team.gpus += demand.gpus - (old == null ? 0 : old.gpus);
       if (counts) {
-        team.jobs.put(ageOf(job), job);
+        team.jobs.put(readyTimeOf(job), job);
       } else {
-        team.jobs.remove(ageOf(job));
+        team.jobs.remove(readyTimeOf(job));
       }
       team.stale = true;
     }
@@ -126,11 +156,12 @@
     waitingByPartition.update(job, counts ? job.waitingCount() : 0);
   }
 
-  /** What waits at each part. */
+  /** Returns the demand of the waiting jobs by partition. */
   QueuedDemand waitingByPartition() {
     return waitingByPartition;
   }
 
+  /** Inserts, moves or removes a job according to its current state. */
   private void updatePosition(Job job, boolean waits) {
     Position oldPosition = positions.get(job);
     Position newPosition = null;
@@ -140,7 +171,7 @@
           team != null
               && team.hasGuarantee()
               && (team.firstBeyondGuarantee == null
-                  || BY_AGE.compare(ageOf(job), team.firstBeyondGuarantee) < 0);
+                  || BY_TIME.compare(readyTimeOf(job), team.firstBeyondGuarantee) < 0);
       newPosition =
           new Position(job.effectivePriority().ordinal(), withinGuarantee ? 0 : 1, startByOf(job));
     }
@@ -161,18 +192,22 @@
     }
   }
 
-  /** The waiting jobs in order. */
+  /** Returns the waiting jobs in service order. */
   Iterable<Job> waiting() {
     teams.values().forEach(this::updateGuaranteeReach);
     return teams.size() < 2 ? waiting.values() : ServiceIterator::new;
   }
 
+  /** Returns the waiting jobs by team of the service class of a position. */
   private Map<String, TreeMap<Position, Job>> jobsByTeam(Position position) {
     return byClassAndTeam.computeIfAbsent(
         new ServiceClass(position.priority, position.beyondGuarantee), k -> new LinkedHashMap<>());
   }
 
-  /** One class after the other; of one with several teams beyond their guarantees, fairly. */
+  /**
+   * Iterates over the service classes in order. Jobs beyond their guarantees are ordered by the
+   * dominant shares of their teams.
+   */
   private final class ServiceIterator implements Iterator<Job> {
     private final Iterator<Map.Entry<ServiceClass, Map<String, TreeMap<Position, Job>>>> classes =
         byClassAndTeam.entrySet().iterator();
@@ -191,9 +226,9 @@
     }
 
     private Iterator<Job> withinGuarantee(ServiceClass serviceClass) {
-      Position from = new Position(serviceClass.priority, 0, OLDEST);
+      Position from = new Position(serviceClass.priority, 0, EARLIEST);
       return waiting
-          .subMap(from, new Position(serviceClass.priority, 1, OLDEST))
+          .subMap(from, new Position(serviceClass.priority, 1, EARLIEST))
           .values()
           .iterator();
     }
@@ -218,17 +253,17 @@
     }
   }
 
-  /** Looks how far a guarantee reaches; where it covers all, that takes no look at the jobs. */
+  /** Recomputes which jobs of a team its guarantee covers. If it covers all, no job is examined. */
   private void updateGuaranteeReach(TeamJobs team) {
     if (!team.stale) {
       return;
     }
     team.stale = false;
-    Age firstBeyond = null;
+    JobTime firstBeyond = null;
     if (!team.covers(team.cpus, team.gpus)) {
       double cpus = 0;
       double gpus = 0;
-      for (Map.Entry<Age, Job> e : team.jobs.entrySet()) {
+      for (Map.Entry<JobTime, Job> e : team.jobs.entrySet()) {
         Demand demand = team.demands.get(e.getValue());
         cpus += demand.cpus;
         gpus += demand.gpus;
@@ -251,14 +286,17 @@
     }
   }
 
+  /** Returns the number of waiting jobs. */
   int size() {
     return waiting.size();
   }
 
+  /** Whether no job is waiting. */
   boolean isEmpty() {
     return waiting.isEmpty();
   }
 
+  /** Returns the settings of a team, or null if it is not configured. */
   static Settings.Team findTeam(Settings settings, String name) {
     for (Settings.Team t : settings.teams()) {
       if (t.name().equals(name)) {
--- a/src/main/java/wickdrift/coordination/LoadIndex.java
+++ b/src/main/java/wickdrift/coordination/LoadIndex.java
@@ -2,32 +2,37 @@
 
 import java.util.Arrays;
 
-/** Rooms in order of their load, and how many there are of each 64th of it. */
+/** Machines sorted by load, with the number of machines in each bucket of 1/64 of the load. */
 final class LoadIndex {
+  /** Number of load buckets; a full machine has a bucket of its own. */
   static final int BUCKETS = 64;
 
   private FreeCapacity[] machines = new FreeCapacity[8];
   private int size;
   private final int[] countByBucket = new int[BUCKETS + 1];
 
+  /** Returns the bucket of a load. */
   static int bucket(double load) {
     return Math.max(0, Math.min(BUCKETS, (int) (load * BUCKETS + FreeCapacity.EPS)));
   }
 
+  /** Returns the number of machines. */
   int size() {
     return size;
   }
 
+  /** Returns the machine at a position in the order of load. */
   FreeCapacity get(int i) {
     return machines[i];
   }
 
+  /** Compares by load, then by machine number. */
   private static int compare(FreeCapacity a, FreeCapacity b) {
     int c = Double.compare(a.load(), b.load());
     return c != 0 ? c : Integer.compare(a.machine().number(), b.machine().number());
   }
 
-  /** How many come before a room, which need not be here. */
+  /** Returns how many machines come before the given one, which need not be in the index. */
   int countBefore(FreeCapacity capacity) {
     int from = 0;
     int to = size;
@@ -42,7 +47,7 @@
     return from;
   }
 
-  /** How many have at most this load. */
+  /** Returns how many machines have at most this load. */
   int countUpTo(double maxLoad) {
     int from = 0;
     int to = size;
@@ -57,7 +62,7 @@
     return from;
   }
 
-  /** How many are below this level. */
+  /** Returns how many machines are in lower buckets. */
   int countBelowBucket(int bucket) {
     int from = 0;
     int to = size;
@@ -72,13 +77,17 @@
     return from;
   }
 
-  /** How many of a level have at most this load, which lies in or above it. */
+  /**
+   * Returns how many machines of a bucket have at most this load, which must lie in or above the
+   * bucket.
+   */
   int countInBucket(int bucket, double maxLoad) {
     return bucket < bucket(maxLoad)
         ? countByBucket[bucket]
         : countUpTo(maxLoad) - countBelowBucket(bucket);
   }
 
+  /** Inserts a machine at the position of its load. */
   void add(FreeCapacity capacity) {
     int at = countBefore(capacity);
     if (size == machines.length) {
@@ -90,11 +99,15 @@
     countByBucket[bucket(capacity.load())]++;
   }
 
-  /** Call it before the room's load changes. */
+  /**
+   * Removes a machine. Must be called before its load changes, because the position is found by
+   * load.
+   */
   void remove(FreeCapacity capacity) {
     int at = countBefore(capacity);
     if (at >= size || machines[at] != capacity) {
-      throw new IllegalStateException("not here: " + capacity.machine().name());
+      throw new IllegalStateException(
+          "machine is not in the load index: " + capacity.machine().name());
     }
     System.arraycopy(machines, at + 1, machines, at, size - at - 1);
     machines[--size] = null;
--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -7,19 +7,29 @@
 import wickdrift.bookkeeping.TaskState;
 import wickdrift.protocol.JobSpec;
 
-/** Which running tasks of lower priority to stop so that one of higher priority finds room. */
+/**
+ * Selects running tasks of lower priority to preempt so that a task of higher priority can be
+ * placed.
+ */
 final class Preemption {
-  /** The tasks to stop on one machine, and the work that is lost by it, in GPU-milliseconds. */
+  /**
+   * The preemption victims on one machine and the work that is lost by preempting them, in
+   * GPU-milliseconds.
+   */
   record Choice(Machine machine, List<Machine.Slot> victims, double lostWork) {}
 
   private Preemption() {}
 
   /**
-   * The machines on which stopping tasks of priority {@code strongest} or lower makes room for one
-   * task, one each, the cheapest first; of equals, one that has the task's image. A machine where
-   * stops already under way will do counts as found with no victims.
+   * Returns the machines on which preempting tasks frees enough capacity for one task, in the order
+   * of the work that is lost. The cost includes the fetch of the task's image, so that of otherwise
+   * equal machines one that has the image comes first. A machine where stops already in progress
+   * are sufficient is returned without victims.
    *
-   * @param preemptorPriority the priority for whose sake they are stopped: only lower ones are
+   * @param preemptorPriority the priority for which tasks are preempted; only lower ones are
+   *     victims
+   * @param highestVictimPriority the highest priority that victims may have
+   * @param limit the maximum number of machines returned
    */
   static List<Choice> cheapestChoices(
       List<FreeCapacity> machines,
@@ -39,6 +49,10 @@
     return choices.subList(0, Math.min(limit, choices.size()));
   }
 
+  /**
+   * Returns the victims on one machine, those with the least lost work first, or null if preemption
+   * cannot free enough capacity there.
+   */
   static Choice choiceOn(
       FreeCapacity capacity,
       JobSpec spec,
@@ -63,7 +77,8 @@
         candidates.add(slot);
       }
     }
-    // Most machines hold too much that may not be stopped: told before anything is sorted.
+    // Most machines run too many tasks that may not be preempted; these are excluded before the
+    // candidates are sorted.
     double allCpus = cpus;
     double allGpus = gpus;
     double allMemoryGb = memoryGb;
@@ -77,7 +92,7 @@
     }
     candidates.sort(Comparator.comparingDouble(slot -> lostWork(slot, nowMs)));
     List<Machine.Slot> victims = new ArrayList<>();
-    // A fetch is waited for by all of the task's GPUs.
+    // All GPUs of the task are idle while its image is fetched.
     double fetchMs =
         capacity.hasImage(spec) || capacity.type().fetchGbPerS() <= 0
             ? 0
@@ -97,12 +112,18 @@
     return new Choice(capacity.machine(), victims, lostWork);
   }
 
+  /** Whether a task needs more than these resources. */
   private static boolean exceeds(JobSpec spec, double cpus, double gpus, double memoryGb) {
     return spec.cpus() > cpus + FreeCapacity.EPS
         || spec.gpus() > gpus + FreeCapacity.EPS
         || spec.memoryGb() > memoryGb + FreeCapacity.EPS;
   }
 
+  /**
+   * Returns the work that is lost by preempting a task, in GPU-milliseconds: the time since its
+   * start or, if it makes checkpoints, at most the time that saving its state takes; for a gang,
+   * multiplied by its members.
+   */
   private static double lostWork(Machine.Slot slot, long nowMs) {
     JobSpec spec = slot.job().spec();
     double ageMs = slot.ageMs(nowMs);
@@ -112,6 +133,7 @@
         * Math.max(1, spec.shape() == JobSpec.Shape.GANG ? spec.tasks() : 1);
   }
 
+  /** Returns how a victim is stopped: a task that makes checkpoints saves its state first. */
   static TaskState.Stop stopMode(JobSpec victim) {
     return victim.checkpointS() > 0 ? TaskState.Stop.SAVE : TaskState.Stop.KILL;
   }
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -17,34 +17,42 @@
 import wickdrift.settings.Settings;
 
 /**
- * The teams' limits, divided among the controllers. Every attempt counts against the share of the
- * node that placed it, by its durable number, and the shares are in the part records, on which
- * placements are conditional. They start even among those of the first list ({@link
- * wickdrift.bookkeeping.level.Roster}) and sum to the limit; whoever comes later starts with none.
- * A node gives spare share away in one transaction that rewrites both records. So no interleaving
- * of placers passes a limit, however old their tables, and however many controllers their settings
- * name.
+ * The teams' limits, divided into quota shares of the controllers. Every attempt counts against the
+ * share of the node that placed it, identified by its durable number. The shares are stored in the
+ * partition records, on which placements are conditional. They start equal among the nodes of the
+ * initial list ({@link wickdrift.bookkeeping.level.NodeRegistry#initialNames}) and sum to the
+ * limit; nodes that join later start with none. A node transfers spare share in one transaction
+ * that rewrites both records. Therefore no interleaving of placements exceeds a limit, however
+ * stale the nodes' tables are and however many controllers their settings name.
  */
 final class Quota {
+  /** A team and a node. */
   private record TeamNode(String team, String node) {}
 
   private final Map<String, Settings.Team> limitedTeams = new HashMap<>();
 
-  /** What this round has booked for this node, by team. */
+  /** Resources booked for this node in the current round, by team. */
   private final Map<String, QuotaShare> bookedThisRound = new HashMap<>();
 
-  private final Map<TeamNode, QuotaShare> neededShares = new HashMap<>();
+  private final Map<TeamNode, QuotaShare> neededByNode = new HashMap<>();
 
-  /** By team, the gang for which its limit is saved up. */
-  private final Map<String, Job> heldForGang = new HashMap<>();
+  /** By team, the gang for which quota is held. */
+  private final Map<String, Job> gangWithHeldQuota = new HashMap<>();
 
-  /** A gang for which a limit had no room for so long has it saved up, and rests as long after. */
+  /** Time for which a gang must have waited before quota is held for it. */
   private static final long HOLD_AFTER_WAIT_MS = 30_000;
 
-  /** Below the time that a job may wait beside room for it: the team's others wait for so long. */
+  /**
+   * Duration of a period of holding quota for a gang, and of the pause after it. It is below the
+   * time for which a job may wait while there is free capacity, because the other jobs of the team
+   * wait for the whole period.
+   */
   private static final long HOLD_PERIOD_MS = 75_000;
 
-  /** Of what a gang needs. */
+  /**
+   * Fraction of what a gang needs that must be free for machines to be reserved for it while its
+   * quota is held.
+   */
   private static final double MIN_FREE_FRACTION = 0.25;
 
   private final Tables tables;
@@ -62,10 +70,16 @@
     }
   }
 
+  /** Returns the resources of one task. */
   private static QuotaShare demandOf(JobSpec spec) {
     return new QuotaShare(spec.cpus(), spec.gpus());
   }
 
+  /**
+   * Returns a node's quota share of a team's limit. In the first encoding a partition records the
+   * share itself, in later ones its difference from the initial share; without a record the node
+   * has its initial share.
+   */
   private QuotaShare shareOf(String team, String owner) {
     Partition partition = tables.partition(owner);
     QuotaShare recorded = partition == null ? null : partition.quotaShares().get(team);
@@ -76,16 +90,17 @@
     return recorded != null ? initial.plus(recorded) : initial;
   }
 
-  /** What a node starts with. */
+  /** Returns the quota share with which a node starts. */
   private static QuotaShare initialShare(NodeRegistry registry, Settings.Team team, String owner) {
-    double firstNodes = registry.initialNames().size();
+    double initialNodeCount = registry.initialNames().size();
     return registry.initialNames().contains(owner)
-        ? new QuotaShare(team.cpusMax() / firstNodes, team.gpusMax() / firstNodes)
+        ? new QuotaShare(team.cpusMax() / initialNodeCount, team.gpusMax() / initialNodeCount)
         : QuotaShare.NONE;
   }
 
   /**
-   * A part as {@link Encoding#NUMBERED} tells it: what a node may use, as more or less than even.
+   * Returns a partition in {@link Encoding#NUMBERED}, which records the share of a node as the
+   * difference from its initial share.
    */
   static Partition toNumberedEncoding(
       Partition partition, String owner, NodeRegistry registry, Settings settings) {
@@ -99,6 +114,10 @@
     return partition.inEncoding(Encoding.NUMBERED, differences);
   }
 
+  /**
+   * Returns the unused remainder of a node's share, after this node's bookings of the current
+   * round.
+   */
   private QuotaShare remaining(String team, String owner) {
     QuotaShare remaining =
         shareOf(team, owner)
@@ -109,18 +128,21 @@
   }
 
   /**
-   * A gang starts whole, so a team whose limit is always used up by small work would never start
-   * it: what ends is taken by the next small task at once. So the limit is saved up for the first
-   * gang in the order of service that has waited for a while: the team's other jobs start only what
-   * leaves room for it. For a while, then the others have as long: one that can't start for other
-   * reasons is not to hold them for ever. All controllers draw the same from the tables.
+   * Holds quota for gangs. A gang starts atomically, so a team whose limit is always used up by
+   * small tasks would never start it: each small task that starts uses what another has released.
+   * Therefore quota is held for the first gang in service order that has waited long enough, and
+   * the other jobs of the team start only what leaves enough quota for it. Periods of holding
+   * alternate with pauses of the same length, so that a gang that cannot start for other reasons
+   * does not block the other jobs forever. All controllers derive the same decision from the
+   * tables.
    *
-   * @param wallMs the time of day
+   * @param waiting the waiting jobs in service order
+   * @param wallMs the wall-clock time
    */
   void holdQuotaForGangs(Iterable<Job> waiting, long wallMs) {
     Set<String> nearLimit = new HashSet<>();
     for (String team : limitedTeams.keySet()) {
-      // Far from its limit there is nothing to save up.
+      // A team with at least half of its limit free needs no holding.
       if (!covers(limitedTeams.get(team), limit(team).minus(inUse(team)), limit(team).times(0.5))) {
         nearLimit.add(team);
       }
@@ -136,7 +158,7 @@
           && overdueMs > 0
           && overdueMs / HOLD_PERIOD_MS % 2 == 0
           && nearLimit.remove(job.spec().team())) {
-        heldForGang.put(job.spec().team(), job);
+        gangWithHeldQuota.put(job.spec().team(), job);
         if (nearLimit.isEmpty()) {
           return;
         }
@@ -144,30 +166,33 @@
     }
   }
 
+  /** Returns a team's limit. */
   private QuotaShare limit(String team) {
-    Settings.Team settings = limitedTeams.get(team);
-    return new QuotaShare(settings.cpusMax(), settings.gpusMax());
+    Settings.Team teamSettings = limitedTeams.get(team);
+    return new QuotaShare(teamSettings.cpusMax(), teamSettings.gpusMax());
   }
 
-  /** What a team has in use, with what this round has booked here. */
+  /**
+   * Returns the resources in use by a team, including this node's bookings of the current round.
+   */
   private QuotaShare inUse(String team) {
     return tables.usage().of(team).plus(bookedThisRound.getOrDefault(team, QuotaShare.NONE));
   }
 
   /**
-   * Whether a team's limit is saved up for this job now, and some of it is free already. While it
-   * is held by others' long tasks the job is not about to start.
+   * Whether quota of the job's team is held for this job and part of what it needs is already free.
+   * While long tasks of other jobs use that quota, the job is not about to start.
    */
   boolean isHeldFor(Job job) {
     QuotaShare requiredFree = demandOf(job.spec()).times(job.waitingCount() * MIN_FREE_FRACTION);
     String team = job.spec().team();
-    return heldForGang.get(team) == job
+    return gangWithHeldQuota.get(team) == job
         && covers(limitedTeams.get(team), limit(team).minus(inUse(team)), requiredFree);
   }
 
-  /** Whether a job's task may start, and leaves what is saved up for another. */
+  /** Whether one task of the job may start without using quota that is held for another job. */
   boolean allows(Job job) {
-    Job heldJob = heldForGang.get(job.spec().team());
+    Job heldJob = gangWithHeldQuota.get(job.spec().team());
     if (heldJob != null && heldJob != job) {
       QuotaShare needed =
           demandOf(job.spec()).plus(demandOf(heldJob.spec()).times(heldJob.waitingCount()));
@@ -179,21 +204,23 @@
     return allows(job.spec());
   }
 
+  /** Whether this node's share covers one task. */
   boolean allows(JobSpec spec) {
     return allows(spec, 1);
   }
 
+  /** Whether this node's share covers that many tasks; always true for a team without a limit. */
   boolean allows(JobSpec spec, int tasks) {
     Settings.Team team = limitedTeams.get(spec.team());
     return team == null || covers(team, remaining(spec.team(), node), demandOf(spec).times(tasks));
   }
 
-  /** What each team's limit leaves beside what is in use: gangs are given it in their order. */
+  /** The unused remainder of each team's limit, allocated to gangs in service order. */
   final class Remainder {
     private final Map<String, QuotaShare> remainingByTeam = new HashMap<>();
 
-    /** Takes what so many tasks need, if the limit leaves it. */
-    boolean tryTake(JobSpec spec, int tasks) {
+    /** Allocates the demand of that many tasks if the remaining limit covers it. */
+    boolean tryAllocate(JobSpec spec, int tasks) {
       Settings.Team team = limitedTeams.get(spec.team());
       if (team == null) {
         return true;
@@ -210,20 +237,25 @@
     }
   }
 
+  /**
+   * Whether the remaining share covers the demand; a limit of 0 means that the resource is not
+   * limited.
+   */
   private static boolean covers(Settings.Team team, QuotaShare remaining, QuotaShare demand) {
     return (team.cpusMax() == 0 || demand.cpus() <= remaining.cpus() + FreeCapacity.EPS)
         && (team.gpusMax() == 0 || demand.gpus() <= remaining.gpus() + FreeCapacity.EPS);
   }
 
+  /** Counts one task against this node's share for the current round. */
   void book(JobSpec spec) {
     if (limitedTeams.containsKey(spec.team())) {
       bookedThisRound.merge(spec.team(), demandOf(spec), QuotaShare::plus);
     }
   }
 
-  // ---- giving share away ----
+  // ---- quota transfers ----
 
-  /** A gift of share from one node to another. */
+  /** A transfer of quota share between two nodes, with the partitions as changed by it. */
   record Transfer(
       String team,
       String donor,
@@ -232,23 +264,24 @@
       Partition recipientPartition) {}
 
   /**
-   * What this node should give away, or null: spare share goes to a node whose waiting jobs lack
-   * it. A leader also gives on behalf of nodes outside the view, which can't place any more.
+   * Returns the transfer that this node should make, or null: spare share goes to a node whose
+   * waiting jobs lack it. The leader also transfers on behalf of nodes outside the view, which
+   * cannot place any more.
    */
   Transfer proposeTransfer(boolean leader, Iterable<Job> waiting) {
     var view = tables.view();
     for (Job job : waiting) {
       String team = job.spec().team();
-      // What a team's other jobs may not start, they do not need now.
-      if (limitedTeams.containsKey(team) && heldForGang.getOrDefault(team, job) == job) {
-        neededShares.merge(
+      // While quota is held for a gang, the other jobs of the team may not start and need no share.
+      if (limitedTeams.containsKey(team) && gangWithHeldQuota.getOrDefault(team, job) == job) {
+        neededByNode.merge(
             new TeamNode(team, view.placer(job.partition(), job.id())),
             demandOf(job.spec()).times(job.waitingCount()),
             QuotaShare::plus);
       }
     }
     for (String team : limitedTeams.keySet()) {
-      Settings.Team settings = limitedTeams.get(team);
+      Settings.Team teamSettings = limitedTeams.get(team);
       for (String donor : donors(leader)) {
         boolean mayGive = donor.equals(node) || leader && !view.members().containsKey(donor);
         if (!mayGive) {
@@ -257,13 +290,14 @@
         QuotaShare spare =
             nonNegative(
                 remaining(team, donor)
-                    .minus(neededShares.getOrDefault(new TeamNode(team, donor), QuotaShare.NONE)));
+                    .minus(neededByNode.getOrDefault(new TeamNode(team, donor), QuotaShare.NONE)));
         for (String recipient : recipients()) {
-          // One outside the view needs what it is short of: a limit that was lowered left it less
-          // than it had given away, and until it has that back the others may use too much.
+          // A node outside the view may have a deficit: after a limit was lowered, it may have less
+          // than it had transferred away, and until the deficit is covered the other nodes could
+          // exceed the limit.
           QuotaShare demand =
-              neededShares.getOrDefault(new TeamNode(team, recipient), QuotaShare.NONE);
-          if (recipient.equals(donor) || covers(settings, remaining(team, recipient), demand)) {
+              neededByNode.getOrDefault(new TeamNode(team, recipient), QuotaShare.NONE);
+          if (recipient.equals(donor) || covers(teamSettings, remaining(team, recipient), demand)) {
             continue;
           }
           QuotaShare deficit = nonNegative(demand.minus(remaining(team, recipient)));
@@ -285,8 +319,9 @@
   }
 
   /**
-   * Those that have a part. To a leader, once controllers come and go by their numbers, also those
-   * that never came to have one: the share that they would start with is not to be lost with them.
+   * Returns the nodes whose share may be transferred: those that have a partition. For the leader,
+   * once the gate for node numbers is open, also the nodes of the initial list that never had one,
+   * so that their initial shares are not lost.
    */
   private Set<String> donors(boolean leader) {
     Set<String> donors = new LinkedHashSet<>(tables.partitions().keySet());
@@ -296,18 +331,23 @@
     return donors;
   }
 
-  /** Those that have a part, and the members, whose parts are not written with the view. */
+  /**
+   * Returns the nodes that may receive share: those that have a partition, and the members of the
+   * view, whose partitions are not written together with the view.
+   */
   private Set<String> recipients() {
     Set<String> recipients = new LinkedHashSet<>(tables.partitions().keySet());
     recipients.addAll(tables.view().members().keySet());
     return recipients;
   }
 
+  /** Returns a node's partition, or an empty one if it has none. */
   private Partition partitionOf(String owner) {
     Partition partition = tables.currentPartition(owner);
     return partition == null ? Partition.empty(0, tables.encoding()) : partition;
   }
 
+  /** Returns a node's partition with its share of a team changed by an amount. */
   private Partition withTransfer(String team, String owner, QuotaShare amount) {
     Partition partition = partitionOf(owner);
     QuotaShare previous =
@@ -317,6 +357,7 @@
     return partition.withQuotaShare(team, previous.plus(amount));
   }
 
+  /** Replaces negative amounts by 0. */
   private static QuotaShare nonNegative(QuotaShare share) {
     return new QuotaShare(Math.max(0, share.cpus()), Math.max(0, share.gpus()));
   }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -15,9 +15,15 @@
 import wickdrift.bookkeeping.View;
 import wickdrift.protocol.JobSpec;
 
-/** Decides, as the leader, which machines take no new tasks for the sake of gangs that wait. */
+/**
+ * The reservations that the leader makes for waiting gangs: reserved machines accept no other new
+ * tasks.
+ */
 final class Reservations {
+  /** Interval between updates of the reservations. */
   private static final long UPDATE_INTERVAL_MS = 500;
+
+  /** Size allowed for a machine name in a partition record. */
   private static final int BYTES_PER_RESERVATION = 48;
 
   private final Tables tables;
@@ -27,7 +33,7 @@
   private final Tuning tuning;
   private final StateServiceLimits limits;
 
-  /** By gang, the machines that take no new tasks until it starts or gives them up. */
+  /** Reserved machines by job id of the gang, until it starts or loses its reservation. */
   private final Map<String, List<Machine>> machinesByGang = new LinkedHashMap<>();
 
   private long nextUpdateMs;
@@ -46,19 +52,23 @@
     this.limits = limits;
   }
 
-  /** Marks are of one view: the part records were written anew. */
+  /**
+   * Drops all reservations: they belong to one view, and a new view rewrites the partition records.
+   */
   void clear() {
     machinesByGang.clear();
   }
 
-  /** The machines that a gang has marked. */
+  /** Returns the machines reserved for a gang. */
   List<Machine> machinesOf(Job job) {
     return machinesByGang.getOrDefault(job.id(), List.of());
   }
 
   /**
-   * A gang that has waited for a while marks the machines that will be empty soonest. Marks are in
-   * the part records, so that their owners place nothing there; here is only whose they are.
+   * Updates the reservations and adds changed partition records to the transaction. A gang that has
+   * waited long enough reserves the machines that are expected to be empty soonest. The partition
+   * records list the reserved machines so that their owners place nothing there; which gang a
+   * machine is reserved for is known only in this process.
    */
   void update(TransactionBuilder transaction, Quota quota, View view, long now) {
     if (now < nextUpdateMs) {
@@ -66,8 +76,8 @@
     }
     nextUpdateMs = now + UPDATE_INTERVAL_MS;
     List<Job> gangs = waitingGangs(transaction);
-    FleetSize size = gangs.isEmpty() ? null : new FleetSize(tables, types);
-    Map<String, Job> startable = startableGangs(gangs, size, quota);
+    FleetSize fleetSize = gangs.isEmpty() ? null : new FleetSize(tables, types);
+    Map<String, Job> startable = startableGangs(gangs, fleetSize, quota);
     machinesByGang.keySet().retainAll(startable.keySet());
     for (List<Machine> machines : machinesByGang.values()) {
       machines.removeIf(machine -> machine.phase() != Machine.Phase.UP);
@@ -76,7 +86,7 @@
     machinesByGang.values().forEach(reserved::addAll);
     for (Job job : startable.values()) {
       if (now - job.waitingSinceMs(now) >= tuning.markWaitMs()) {
-        reserveMachines(job, size, reserved, now);
+        reserveMachines(job, fleetSize, reserved, now);
       }
     }
     Map<String, List<String>> namesByOwner = new HashMap<>();
@@ -97,6 +107,9 @@
     }
   }
 
+  /**
+   * Returns the gangs of the leader that wait and have no live attempts, without suspected ones.
+   */
   private List<Job> waitingGangs(TransactionBuilder transaction) {
     List<Job> gangs = new ArrayList<>();
     for (Job job : scheduling.queue().waiting()) {
@@ -112,29 +125,34 @@
   }
 
   /**
-   * Those that may keep machines from others. One that its team's limit forbids could not use them,
-   * unless the limit is being saved up for it; nor could one that there are too few machines for,
-   * whatever makes way.
+   * Returns the gangs that may hold reservations. A gang that its team's limit does not allow could
+   * not use the machines, unless quota is being held for it; neither could a gang for which the
+   * fleet is too small even if all other tasks were preempted.
    */
-  private static Map<String, Job> startableGangs(List<Job> gangs, FleetSize size, Quota quota) {
+  private static Map<String, Job> startableGangs(
+      List<Job> gangs, FleetSize fleetSize, Quota quota) {
     Quota.Remainder remainder = quota.new Remainder();
     Map<String, Job> startable = new LinkedHashMap<>();
     for (Job job : gangs) {
-      boolean enoughMachines = size.holds(job.spec(), job.waitingCount());
+      boolean enoughMachines = fleetSize.holds(job.spec(), job.waitingCount());
       if (enoughMachines
-          && (remainder.tryTake(job.spec(), job.waitingCount()) || quota.isHeldFor(job))) {
+          && (remainder.tryAllocate(job.spec(), job.waitingCount()) || quota.isHeldFor(job))) {
         startable.put(job.id(), job);
       }
     }
     return startable;
   }
 
-  /** So many names leave room in a part's record for its shares, whatever the limit of a value. */
+  /**
+   * Returns the largest number of reservations that leaves space in a partition record for its
+   * quota shares, whatever the size limit of a value.
+   */
   private int maxReservations() {
     return limits.maxValueBytes() / 2 / BYTES_PER_RESERVATION;
   }
 
-  private void reserveMachines(Job job, FleetSize size, Set<Machine> reserved, long now) {
+  /** Reserves machines for a gang until it has enough or the limit is reached. */
+  private void reserveMachines(Job job, FleetSize fleetSize, Set<Machine> reserved, long now) {
     List<Machine> ownMachines = machinesByGang.computeIfAbsent(job.id(), k -> new ArrayList<>());
     while (ownMachines.size() < job.waitingCount() && reserved.size() < maxReservations()) {
       boolean oneZone = job.spec().oneZone();
@@ -145,7 +163,7 @@
           group ->
               zone != null
                   ? zone.equals(group.zone)
-                  : !oneZone || size.holds(job.spec(), group.zone, job.waitingCount()),
+                  : !oneZone || fleetSize.holds(job.spec(), group.zone, job.waitingCount()),
           capacity -> {
             if (!reserved.contains(capacity.machine())) {
               earliest.consider(capacity.machine());
@@ -159,7 +177,10 @@
     }
   }
 
-  /** The machine that will be empty soonest, as far as the estimates tell. */
+  /**
+   * Selects the machine that is expected to be empty soonest, by the estimated durations of its
+   * tasks.
+   */
   private static final class EarliestEmpty {
     private final long now;
     private Machine best;
@@ -181,6 +202,7 @@
     }
   }
 
+  /** Reserves a machine for a gang and makes the next update due at once. */
   void reserve(Job job, Machine machine, long now) {
     List<Machine> ownMachines = machinesByGang.computeIfAbsent(job.id(), k -> new ArrayList<>());
     if (!ownMachines.contains(machine) && ownMachines.size() < job.waitingCount()) {
@@ -189,10 +211,12 @@
     }
   }
 
+  /** Adds the machines reserved for a gang to the capacity index, while that gang is placed. */
   void exposeMachinesOf(Job job) {
     machinesOf(job).forEach(scheduling::exposeReserved);
   }
 
+  /** Removes the machines reserved for a gang from the capacity index again. */
   void hideMachinesOf(Job job) {
     machinesOf(job).forEach(scheduling::hideReserved);
   }
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -18,9 +18,10 @@
 import wickdrift.transport.Timers;
 
 /**
- * What decisions are made from, kept up to date by the changes of the tables: rooms, waiting jobs,
- * jobs that can end, gangs that are being stopped, machines that are gone with tasks on them. So
- * the work of a round grows with what has changed, not with the fleet or the number of jobs.
+ * The inputs of scheduling decisions, updated incrementally from changes of the tables: free
+ * capacity, waiting jobs, jobs that can end, gangs that are partly stopping, and machines that are
+ * gone but still have tasks. The cost of a round therefore depends on the number of changes, not on
+ * the size of the fleet or the number of jobs.
  */
 public final class SchedulingState {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingState.class);
@@ -41,7 +42,7 @@
   private long epoch = -1;
   private int knownTypeCount;
 
-  /** An empty state, brought up to date by {@link #update}. */
+  /** Creates an empty state, which {@link #update} fills. */
   public SchedulingState(Timers timers, Tables tables, Types types, Settings settings) {
     this.timers = timers;
     this.tables = tables;
@@ -50,42 +51,53 @@
     this.queue = new JobQueue(settings, tables.usage());
   }
 
-  /** Machines with a change of their record on the way take no tasks. */
+  /** Sets the filter for machines whose record has a change in progress; these accept no tasks. */
   void setPendingFilter(Predicate<Machine> filter) {
     pendingFilter = filter;
   }
 
+  /** Returns the index of free capacity. */
   CapacityIndex capacityIndex() {
     return capacityIndex;
   }
 
-  /** How many rooms were looked at in all decisions so far: what they cost, whatever the clock. */
+  /**
+   * Returns the number of machines examined by all decisions so far: a measure of their cost that
+   * does not depend on the clock.
+   */
   public long machinesExamined() {
     return capacityIndex.machinesExamined();
   }
 
+  /** Returns the waiting jobs. */
   JobQueue queue() {
     return queue;
   }
 
+  /**
+   * Returns the jobs whose end can be recorded: all tasks are done, or the job is withdrawn and no
+   * task is live.
+   */
   Set<Job> finishableJobs() {
     return finishableJobs;
   }
 
+  /** Returns the gangs with a member that is being stopped and another that is not. */
   Set<Job> partlyStoppingGangs() {
     return partlyStoppingGangs;
   }
 
-  /** Withdrawn jobs with tasks that may still run. */
+  /** Returns the withdrawn jobs with tasks that may still be running. */
   Set<Job> withdrawnRunningJobs() {
     return withdrawnRunningJobs;
   }
 
+  /** Returns the machines that are gone but still have live tasks. */
   Set<Machine> goneMachinesWithTasks() {
     return goneMachinesWithTasks;
   }
 
-  /** Takes in what has changed in the tables, and in what reports told. */
+  /** Applies the changes of the tables and of the received reports. */
   public void update() {
     View view = tables.view();
     List<Machine> machines = tables.drainChangedMachines();
@@ -109,22 +121,25 @@
     }
   }
 
-  /** The machines that have changed since the last call. */
+  /** Returns the machines that have changed since the last call. */
   public List<Machine> drainChangedMachines() {
-    List<Machine> taken = new ArrayList<>(changedMachines);
+    List<Machine> drained = new ArrayList<>(changedMachines);
     changedMachines.clear();
-    return taken;
+    return drained;
   }
 
+  /** Updates the queue and the sets of jobs after a change of a job. */
   private void updateJob(Job job) {
     boolean exists = tables.job(job.id()) == job;
     long now = timers.nowMs();
     View view = tables.view();
     if (job.backOffAfterFailures(now) && view != null && node.equals(view.leader())) {
       LOG.info(
-          "{} fails wherever it runs: next try in {} s", job.id(), (job.retryAtMs() - now) / 1000);
+          "job fails on every machine: job={}, next try in {} s",
+          job.id(),
+          (job.retryAtMs() - now) / 1000);
     }
-    queue.changed(job, exists);
+    queue.onJobChanged(job, exists);
     boolean finished =
         job.withdrawn()
             ? job.liveCount() == 0
@@ -134,6 +149,7 @@
     setMembership(withdrawnRunningJobs, job, exists && job.withdrawn() && job.liveCount() > 0);
   }
 
+  /** Adds an element to a set or removes it. */
   private static <T> void setMembership(Set<T> set, T element, boolean isMember) {
     if (isMember) {
       set.add(element);
@@ -142,7 +158,7 @@
     }
   }
 
-  /** A gang with a member that is being stopped while another is not. */
+  /** Whether the job is a gang with a member that is being stopped and another that is not. */
   private static boolean isPartlyStopping(Job job) {
     if (job.spec().shape() != JobSpec.Shape.GANG || job.liveCount() < 2) {
       return false;
@@ -155,7 +171,7 @@
     return stopping > 0 && stopping < job.liveCount();
   }
 
-  /** The machine, or what this process knows of it, has changed. */
+  /** Updates the state after a change of a machine, or of what this process knows of it. */
   void updateMachine(Machine machine) {
     View view = tables.view();
     if (view == null) {
@@ -192,7 +208,7 @@
     }
   }
 
-  /** Machines that were shunned for a while may be used again. */
+  /** Allows placements again on machines whose quarantine has ended. */
   void readmitAvoidedMachines() {
     long now = timers.nowMs();
     for (Machine machine : new ArrayList<>(quarantinedMachines)) {
@@ -203,7 +219,7 @@
     }
   }
 
-  /** Lends a marked machine to the gang that marked it, for one look. */
+  /** Adds a reserved machine to the capacity index, while the gang it is reserved for is placed. */
   void exposeReserved(Machine machine) {
     TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
     if (tables.isReserved(machine)
@@ -214,6 +230,7 @@
     }
   }
 
+  /** Removes a reserved machine from the capacity index again. */
   void hideReserved(Machine machine) {
     if (tables.isReserved(machine)) {
       capacityIndex.remove(machine);
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -24,29 +24,40 @@
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
 
-/** Decides which waiting tasks go where, or to which part their job is handed. */
+/** Assigns waiting tasks to machines, or hands their job over to another partition. */
 final class TaskPlacer {
   private static final Logger LOG = LoggerFactory.getLogger(TaskPlacer.class);
   private static final int MAX_TASKS_PER_JOB_PER_ROUND = 256;
 
-  /** So many jobs are tried a round; the next round goes on from what that has changed. */
+  /**
+   * Limits the work of a scheduling round; the next round continues from the state that this one
+   * leaves.
+   */
   private static final int MAX_JOBS_TRIED_PER_ROUND = 64;
 
-  /** So many that find room, but no writes left for it, end a round. */
+  /** A round ends after this many jobs that fit on machines but not into the transaction. */
   private static final int MAX_DEFERRED_JOBS_PER_ROUND = 8;
 
-  /** Machines of several parts are taken together no more often than this. */
+  /**
+   * Minimum interval between transactions that claim machines of several partitions with one
+   * record.
+   */
   private static final long CLAIM_INTERVAL_MS = 250;
 
-  /** The part's record, and two that say that its log stands. */
+  /** One condition on the owner's partition record and two that its log has not advanced. */
   private static final int CONDITIONS_PER_OWNER = 3;
 
   /**
-   * A job that found no room looks again when there is more, or after this: a fetch may be over.
+   * A blocked job is tried again when free capacity grows, or after this interval, because an image
+   * fetch may have completed.
    */
   static final long BLOCKED_RETRY_INTERVAL_MS = 500;
 
+  /**
+   * Machines of a zone that can hold a task are counted up to this multiple of the waiting tasks.
+   */
   private static final int ZONE_COUNT_FACTOR = 4;
+
   private static final long MAX_STAGE_DELAY_MS = 3_600_000;
 
   private final Timers timers;
@@ -59,22 +70,31 @@
   private final Settings settings;
   private final String node;
   private final Set<String> controllerZones;
-  private final BooleanSupplier leadSettled;
+  private final BooleanSupplier leaderSettled;
   private long placedTasks;
 
-  /** From the end of the last job that one awaited to the first placement of its own. */
+  /**
+   * Delays from the completion of the last awaited job to the first placement of the job awaiting
+   * it.
+   */
   private final Histogram stageDelays = new Histogram(MAX_STAGE_DELAY_MS, 2);
 
-  /** Set when the job at hand was left out for lack of writes, not of room. */
+  /**
+   * Whether the current job was left out because the transaction has no space for its writes,
+   * although there is free capacity.
+   */
   private boolean transactionFull;
 
-  /** When several parts' machines were last taken with one record. */
+  /** Time of the last transaction that claimed machines of several partitions with one record. */
   private long lastSharedClaimMs = Long.MIN_VALUE / 2;
 
-  /** Whether this round may do so. */
+  /** Whether this round may claim machines of several partitions with one record. */
   private boolean usesSharedClaim;
 
-  /** After how long the leader's jobs that this round passed over may be placed; 0: none was. */
+  /**
+   * Milliseconds until the leader's jobs that this round postponed may be placed; 0 if none was
+   * postponed.
+   */
   private long postponedForMs;
 
   TaskPlacer(
@@ -85,7 +105,7 @@
       Tuning tuning,
       Settings settings,
       StateServiceLimits limits,
-      BooleanSupplier leadSettled) {
+      BooleanSupplier leaderSettled) {
     this.timers = timers;
     this.tables = tables;
     this.scheduling = scheduling;
@@ -97,32 +117,41 @@
     this.settings = settings;
     this.node = settings.node();
     this.controllerZones = settings.controllerZones();
-    this.leadSettled = leadSettled;
+    this.leaderSettled = leaderSettled;
   }
 
-  /** Marks are of one view: the part records were written anew. */
+  /**
+   * Drops all reservations: they belong to one view, and a new view rewrites the partition records.
+   */
   void onNewView() {
     reservations.clear();
   }
 
-  /** Milliseconds until what was passed over may be placed, or 0. */
+  /**
+   * Returns the milliseconds until the postponed jobs may be placed, or 0 if none was postponed.
+   */
   long postponedForMs() {
     return postponedForMs;
   }
 
   /**
-   * Milliseconds from a stage's last end to the next one's first placement, by percentile; 0 if
-   * there was none. By the time of day of two controllers, which differ a little.
+   * Returns a percentile of the delays, in milliseconds, from the completion of the last awaited
+   * job to the first placement of the job awaiting it; 0 if there was none. The two times may come
+   * from the wall clocks of two controllers, which differ slightly.
    */
   double stageDelayMs(double percentile) {
     return stageDelays.getValueAtPercentile(percentile);
   }
 
-  /** Tasks placed so far, those of transactions that failed too. */
+  /** Returns the number of tasks placed so far, including those of transactions that failed. */
   long placedTasks() {
     return placedTasks;
   }
 
+  /**
+   * Adds placements of waiting tasks to the transaction, in service order, together with handovers,
+   * preemptions and, on the leader, reservations.
+   */
   void placeWaitingTasks(TransactionBuilder transaction) {
     View view = tables.view();
     Partition ownPartition = tables.currentPartition(node);
@@ -153,7 +182,7 @@
         break;
       }
       if (!node.equals(view.placer(job.partition(), job.id()))
-          || job.partition().equals(Job.LEADER_PARTITION) && !leadSettled.getAsBoolean()) {
+          || job.partition().equals(Job.LEADER_PARTITION) && !leaderSettled.getAsBoolean()) {
         continue;
       }
       if (job.retryAtMs() > now) {
@@ -165,22 +194,24 @@
       }
       boolean asLeader = leader && job.partition().equals(Job.LEADER_PARTITION);
       if (asLeader && usesSharedClaim && now - lastSharedClaimMs < CLAIM_INTERVAL_MS) {
-        // Looked for a place only when it can be taken: each look costs, and would be for nothing.
+        // Skips a costly search whose result could not be used before the claim interval ends.
         postponedForMs = lastSharedClaimMs + CLAIM_INTERVAL_MS - now;
         continue;
       }
       if (!asLeader && !claimedOwners.isEmpty()) {
-        // Others may have written meanwhile: what is in our own part is not to fail with that.
+        // A transaction that claims machines of other partitions fails if their owners have written
+        // since. Placements in this node's own partition must not fail with it.
         continue;
       }
       List<JobSpec> failed = asLeader ? unplaceableAnywhere : unplaceableHere;
       int liveBefore = transaction.liveTaskCount(job);
-      // A gang that has marked machines has room that nobody else saw.
+      // Reserved machines are not in the capacity index, so the failure of another job says nothing
+      // about a gang that holds reservations.
       boolean hopeless =
           reservations.machinesOf(job).isEmpty()
               && failed.stream().anyMatch(f -> needsAtLeast(job.spec(), f));
       if (!asLeader && transaction.canAddWrites() && hasCapacityWithImageElsewhere(job)) {
-        // The leader, who sees all parts, places it beside the image at once.
+        // The leader sees all partitions and can place the job at once where its image is.
         transaction.moveToPartition(job, Job.LEADER_PARTITION);
         continue;
       }
@@ -207,7 +238,7 @@
         continue;
       }
       if (transactionFull) {
-        // There is room: it is not blocked, and nothing is stopped for it.
+        // There is free capacity, so the job is not blocked and nothing is preempted for it.
         if (!tables.isOpen(Gate.TAKES)) {
           transaction.requestMaxWrites();
         }
@@ -224,7 +255,7 @@
         }
       }
     }
-    if (leader && leadSettled.getAsBoolean()) {
+    if (leader && leaderSettled.getAsBoolean()) {
       reservations.update(transaction, quota, view, now);
     }
     if (transaction.touches(Tables.CLAIMS_KEY)) {
@@ -237,13 +268,14 @@
       }
     }
     if (anyPlaced && !leader && tables.isOpen(Gate.TAKES)) {
-      // The leader may have taken machines of ours with those of others.
+      // The leader may have claimed machines of this node together with those of others.
       transaction.addCondition(Tables.CLAIMS_KEY, tables.claimsStamp());
     }
   }
 
   /**
-   * Whether a service would have to fetch its image here, while another part has room beside it.
+   * Whether a service would have to fetch its image in this node's partition while the other
+   * partitions have enough free capacity on machines with the image.
    */
   private boolean hasCapacityWithImageElsewhere(Job job) {
     JobSpec spec = job.spec();
@@ -262,7 +294,10 @@
     return tasksElsewhere >= job.waitingCount();
   }
 
-  /** Whether there is no room for it either, given that there was none for the other. */
+  /**
+   * Whether a job needs at least what another job needs that found no free capacity, so that it
+   * cannot be placed either.
+   */
   private static boolean needsAtLeast(JobSpec spec, JobSpec failed) {
     return spec.cpus() >= failed.cpus()
         && spec.gpus() >= failed.gpus()
@@ -273,26 +308,35 @@
         && (failed.types() == null || failed.types().equals(spec.types()));
   }
 
+  /**
+   * Returns a filter for the machines that a job may use: all of them for the leader's jobs, else
+   * those of the node's own partition.
+   */
   static Predicate<CapacityIndex.MachineGroup> eligibleGroups(String node, boolean asLeader) {
-    return asLeader ? c -> true : c -> c.owner.equals(node);
+    return asLeader ? group -> true : group -> group.owner.equals(node);
   }
 
   /**
-   * A job waits in a part that has no room for it while another has: the leader, who sees all,
-   * takes it. Room in a zone where no more of it may be is none: a part may have lost the machines
-   * of other zones since the job came to it.
+   * Whether the job has waited long enough in a partition without free capacity for it while
+   * another partition has some; the leader, which sees all partitions, then takes the job over.
+   * Free capacity in a zone that may hold no more tasks of the job does not count: a partition may
+   * have lost the machines of other zones since the job was routed to it.
    */
   private boolean shouldHandOver(TransactionBuilder transaction, Job job, long now) {
     if (now - job.waitingSinceMs(now) < tuning.handoverMs()) {
       return false;
     }
     Map<String, Integer> liveByZone = liveTasksByZone(transaction, job);
-    Predicate<CapacityIndex.MachineGroup> allowed = c -> zoneAllows(job.spec(), liveByZone, c.zone);
+    Predicate<CapacityIndex.MachineGroup> allowed =
+        group -> zoneAllows(job.spec(), liveByZone, group.zone);
     return !capacityIndex.fitsAnywhere(job.spec(), eligibleGroups(node, false).and(allowed))
         && capacityIndex.fitsAnywhere(job.spec(), eligibleGroups(node, true).and(allowed));
   }
 
-  /** How many of the job's live attempts are in each zone, as durable plus drafted. */
+  /**
+   * Counts the job's live attempts by zone, in the durable state as changed by the transaction
+   * under construction.
+   */
   static Map<String, Integer> liveTasksByZone(TransactionBuilder transaction, Job job) {
     Map<String, Integer> liveByZone = new HashMap<>();
     if (!job.spec().oneZone() && !job.spec().spread() || transaction.liveTaskCount(job) == 0) {
@@ -302,13 +346,14 @@
       TaskState state = transaction.taskState(job, i);
       if (state.isLive()) {
         Machine.Info info = state.machine().info();
-        // A machine whose record is gone may be in any zone; the mark blocks a one-zone job.
+        // A machine without a record may be in any zone; the "?" entry blocks a one-zone job.
         liveByZone.merge(info == null ? "?" : info.zone(), 1, Integer::sum);
       }
     }
     return liveByZone;
   }
 
+  /** Whether one more task in the zone satisfies the job's one-zone or spread constraint. */
   static boolean zoneAllows(JobSpec spec, Map<String, Integer> liveByZone, String zone) {
     int unknown = liveByZone.getOrDefault("?", 0);
     if (spec.oneZone()
@@ -319,6 +364,7 @@
     return !spec.spread() || liveByZone.getOrDefault(zone, 0) + unknown < spec.zoneLimit();
   }
 
+  /** Places as many waiting tasks of the job as possible, one by one. */
   private void placeTasks(
       TransactionBuilder transaction,
       Job job,
@@ -331,7 +377,7 @@
     Map<String, Integer> liveByZone = liveTasksByZone(transaction, job);
     Predicate<CapacityIndex.MachineGroup> eligible = eligibleGroups(node, asLeader);
     int placed = 0;
-    // Of a job that seems to fail everywhere, one task is enough to see.
+    // One task is enough to find out whether a suspected job still fails.
     int maxTasks = job.isSuspected() ? 1 : MAX_TASKS_PER_JOB_PER_ROUND;
     for (int i = job.nextWaiting(0); i >= 0 && placed < maxTasks; i = job.nextWaiting(i + 1)) {
       if (transaction.taskState(job, i).phase() != TaskState.Phase.WAITING) {
@@ -341,7 +387,8 @@
         return;
       }
       FreeCapacity capacity =
-          chooseMachine(spec, c -> eligible.test(c) && zoneAllows(spec, liveByZone, c.zone));
+          chooseMachine(
+              spec, group -> eligible.test(group) && zoneAllows(spec, liveByZone, group.zone));
       if (capacity == null && liveByZone.isEmpty()) {
         failed.add(spec);
       }
@@ -355,16 +402,16 @@
   }
 
   /**
-   * Replicas go to zones that have a controller, if there is room: when another zone is cut off, no
-   * one renews its workers' leases, and all that runs there ends. A machine that has the image is
-   * worth more than that.
+   * Chooses a machine for one task. Service replicas prefer zones that have a controller: if a zone
+   * without one is cut off, nothing renews its workers' leases and all its tasks end. A machine
+   * that already has the image takes precedence over that preference.
    */
   private FreeCapacity chooseMachine(JobSpec spec, Predicate<CapacityIndex.MachineGroup> allowed) {
     if (spec.shape() != JobSpec.Shape.SERVICE) {
       return capacityIndex.choose(spec, allowed);
     }
     FreeCapacity inControllerZone =
-        capacityIndex.choose(spec, allowed.and(c -> controllerZones.contains(c.zone)));
+        capacityIndex.choose(spec, allowed.and(group -> controllerZones.contains(group.zone)));
     if (inControllerZone != null && inControllerZone.hasImage(spec)) {
       return inControllerZone;
     }
@@ -374,6 +421,7 @@
         : inControllerZone;
   }
 
+  /** Adds one task's placement to the transaction and books its resources and quota. */
   private void place(
       TransactionBuilder transaction,
       Job job,
@@ -382,7 +430,7 @@
       FreeCapacity capacity,
       Quota quota) {
     LOG.debug(
-        "placing {} {}/{} on {}, load {}, image there {}, {} ms after it was accepted",
+        "placing task: class={}, task={}/{}, machine={}, load={}, hasImage={}, ageMs={}",
         job.spec().jobClass(),
         job.id(),
         index,
@@ -398,8 +446,9 @@
   }
 
   /**
-   * The leader takes a machine of another's part by rewriting that part's record, and hands it back
-   * in the same step: from then on the booking itself is what the owner sees.
+   * Claims a machine for the transaction. The leader claims a machine of another node's partition
+   * by rewriting that partition's record, and returns it in the same transaction: from then on the
+   * owner sees the booking itself.
    */
   private boolean claim(
       TransactionBuilder transaction, FreeCapacity capacity, View view, Set<String> claimedOwners) {
@@ -419,24 +468,25 @@
     if (!usesSharedClaim || claimedOwners.isEmpty()) {
       transaction.write(Partition.key(owner), partition.toStore(), partition.stamp());
     } else if (claimedOwners.size() == 1) {
-      // One write for all of them. It fails whatever any owner has under way, so it is not used
-      // for one, nor more often than now and then; the leader's jobs wait for that.
+      // A single shared record replaces the writes for all owners. It conflicts with any concurrent
+      // write of any owner, so it is not used for a single owner and is rate-limited; the jobs of
+      // the leader wait for the interval.
       transaction.removeWrite(Partition.key(claimedOwners.iterator().next()));
       transaction.write(Tables.CLAIMS_KEY, Map.of("epoch", view.epoch()), tables.claimsStamp());
     }
-    // The owner's own placements leave its part's record alone. Those that we have not seen yet
-    // are in its log: if it has written since, what we took for room may be gone.
+    // The owner's placements do not change its partition record. Those not yet received are in its
+    // log: if it has written since, the capacity may no longer be free.
     transaction.requireUnchangedLog(owner);
     claimedOwners.add(owner);
     return true;
   }
 
-  /** How many writes it takes to take machines of so many more owners. */
+  /** Returns the number of writes needed to claim machines of that many more owners. */
   private int writesToClaim(int newOwners, Set<String> claimedOwners) {
     return !usesSharedClaim ? newOwners : newOwners > 0 && claimedOwners.isEmpty() ? 1 : 0;
   }
 
-  /** A gang starts whole: every member has a machine, or none is placed. */
+  /** Places a gang atomically: either every member gets a machine, or none is placed. */
   private void placeGang(
       TransactionBuilder transaction, Job job, Quota quota, View view, Set<String> claimedOwners) {
     JobSpec spec = job.spec();
@@ -444,7 +494,7 @@
         || transaction.doneTaskCount(job) > 0 && job.waitingCount() == 0) {
       return;
     }
-    // Counted as drafted: members whose exits are in this transaction wait from then on.
+    // Includes the changes of this transaction: members whose exits it records are waiting again.
     int waiting = 0;
     int attempt = 0;
     for (int i = 0; i < job.taskCount(); i++) {
@@ -455,13 +505,14 @@
       return;
     }
     if (!transaction.fitsWholeGang(job, waiting, 0)) {
-      // The page is full: known before machines are looked for.
+      // The gang does not fit into the transaction, which is known before the search for machines.
       transactionFull = true;
       return;
     }
     reservations.exposeMachinesOf(job);
-    // Two gangs may have marked a machine: lent anew, its room knows only what is durable, and
-    // would be given to the second as well.
+    // Two gangs may have reserved the same machine. Exposing it again resets its free capacity to
+    // the durable state, so what this transaction has placed there is booked again; otherwise the
+    // second gang would get the same capacity.
     for (Machine reserved : reservations.machinesOf(job)) {
       FreeCapacity capacity = capacityIndex.find(reserved);
       if (capacity != null && tables.isReserved(reserved)) {
@@ -470,7 +521,7 @@
     }
     List<FreeCapacity> machines = chooseGangMachines(job, waiting);
     if (machines != null) {
-      // All of it or nothing: counted before anything of it is in the transaction.
+      // The writes for the whole gang are counted before any of them is added to the transaction.
       Set<String> owners = new HashSet<>();
       machines.forEach(capacity -> owners.add(capacity.machine().owner(view)));
       owners.remove(node);
@@ -499,21 +550,21 @@
     reservations.hideMachinesOf(job);
   }
 
-  /** Machines for all waiting members, or null; nothing stays booked. */
+  /** Returns machines for all waiting members, or null; no booking remains. */
   private List<FreeCapacity> chooseGangMachines(Job job, int waiting) {
     JobSpec spec = job.spec();
     List<String> candidateZones = new ArrayList<>();
     if (spec.oneZone()) {
-      // Zones that have a controller, and of those the one with the most room, first.
+      // Zones with a controller come first, then those with the most free capacity.
       Map<String, Integer> fittingByZone = new HashMap<>();
       for (String candidateZone : capacityIndex.zones()) {
         fittingByZone.put(
             candidateZone,
             capacityIndex.countFitting(
-                spec, c -> c.zone.equals(candidateZone), ZONE_COUNT_FACTOR * waiting));
+                spec, group -> group.zone.equals(candidateZone), ZONE_COUNT_FACTOR * waiting));
         boolean fits =
             fittingByZone.get(candidateZone) >= waiting
-                || capacityIndex.fitsAll(spec, c -> c.zone.equals(candidateZone), waiting);
+                || capacityIndex.fitsAll(spec, group -> group.zone.equals(candidateZone), waiting);
         if (fits) {
           candidateZones.add(candidateZone);
         }
@@ -532,8 +583,9 @@
         FreeCapacity capacity =
             capacityIndex.choose(
                 spec,
-                c ->
-                    (zone == null || zone.equals(c.zone)) && zoneAllows(spec, tasksByZone, c.zone));
+                group ->
+                    (zone == null || zone.equals(group.zone))
+                        && zoneAllows(spec, tasksByZone, group.zone));
         if (capacity == null) {
           break;
         }
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -14,13 +14,16 @@
 import wickdrift.protocol.JobSpec;
 import wickdrift.settings.Settings;
 
-/** Decides when a job that finds no room stops work of lower priority, and where. */
+/**
+ * Decides when a job without free capacity preempts tasks of lower priority, and on which machines.
+ */
 final class VictimSelection {
   private static final Logger LOG = LoggerFactory.getLogger(VictimSelection.class);
 
-  /** So many jobs a round look for what to stop, each for so many of its tasks. */
+  /** Maximum number of jobs per round that search for preemption victims. */
   private static final int MAX_SCANS_PER_ROUND = 4;
 
+  /** Maximum number of machines on which one search preempts tasks. */
   private static final int MAX_MACHINES_PER_SCAN = 16;
 
   private final CapacityIndex capacityIndex;
@@ -45,14 +48,15 @@
     this.node = settings.node();
   }
 
+  /** Resets the limit of searches for a new scheduling round. */
   void beginRound() {
     scansThisRound = 0;
   }
 
   /**
-   * A job that finds no room stops work of lower priority: work of the lowest at once, for that
-   * takes what others leave and gives it back; other work when a good part of the time in which the
-   * job should start has passed.
+   * Preempts tasks of lower priority for a job without free capacity. Tasks of the lowest priority
+   * are preempted after a short wait, because they only use capacity that others leave idle; other
+   * tasks only when a large part of the time in which the job should start has passed.
    */
   void preemptFor(
       TransactionBuilder transaction, Job job, boolean asLeader, Quota quota, long now) {
@@ -85,7 +89,7 @@
     }
     capacityIndex.forEach(
         spec,
-        choice -> eligible.test(choice) && TaskPlacer.zoneAllows(spec, liveByZone, choice.zone),
+        group -> eligible.test(group) && TaskPlacer.zoneAllows(spec, liveByZone, group.zone),
         candidates::add);
     if (gang) {
       restrictToReservedZone(job, candidates);
@@ -102,18 +106,19 @@
             now,
             Math.min(missing, MAX_MACHINES_PER_SCAN))) {
       if (gang && asLeader) {
-        // Else what is stopped for it makes room for others.
+        // Without a reservation, the freed capacity would be available to other jobs.
         reservations.reserve(job, choice.machine(), now);
       }
       stopVictims(transaction, job, choice);
     }
   }
 
+  /** Adds the stops of the victims to the transaction. */
   private void stopVictims(TransactionBuilder transaction, Job job, Preemption.Choice choice) {
     for (Machine.Slot slot : choice.victims()) {
       if (transaction.fitsInPage(slot.job(), 1)) {
         if (transaction.taskState(slot.job(), slot.index()).stop() == TaskState.Stop.NONE) {
-          LOG.info("{} gives way to {}", slot.taskName(), job.id());
+          LOG.info("task preempted: victim={}, preemptor={}", slot.taskName(), job.id());
         }
         transaction.changeTask(
             slot.job(),
@@ -123,7 +128,7 @@
     }
   }
 
-  /** Stops what may be stopped on all the machines that a gang has marked, not one by one. */
+  /** Preempts on all the machines reserved for a gang, in one pass instead of one by one. */
   private void preemptOnReserved(
       TransactionBuilder transaction, Job job, JobSpec.Priority highestVictimPriority, long now) {
     for (Machine machine : reservations.machinesOf(job)) {
@@ -143,7 +148,10 @@
     }
   }
 
-  /** Machines already marked are being emptied; the rest of a one-zone gang goes beside them. */
+  /**
+   * Restricts a one-zone gang to the zone of its reserved machines, and excludes these, since they
+   * are already being emptied.
+   */
   private void restrictToReservedZone(Job job, List<FreeCapacity> candidates) {
     List<Machine> reserved = reservations.machinesOf(job);
     if (job.spec().oneZone() && !reserved.isEmpty()) {
@@ -153,7 +161,10 @@
     candidates.removeIf(r -> reserved.contains(r.machine()));
   }
 
-  /** Of the zones where enough machines can be emptied, the one where that costs least. */
+  /**
+   * Restricts the candidates to the zone where enough machines can be emptied with the least lost
+   * work.
+   */
   private static void restrictToCheapestZone(
       List<FreeCapacity> candidates,
       Job job,
@@ -181,12 +192,16 @@
     candidates.retainAll(Set.copyOf(best));
   }
 
+  /**
+   * Returns how long a job of this kind waits before it preempts tasks above the lowest priority.
+   */
   private long preemptAfterMs(JobSpec spec) {
     double bootMs = 0;
     for (TypeInfo type : types.all()) {
       bootMs = Math.max(bootMs, type.canHold(spec) ? type.bootS() * 1000 : 0);
     }
-    // Where a rented machine comes in time, it is waited for: stopping work wastes it.
+    // If a newly rented machine will be ready in time, the job waits for it, because preemption
+    // wastes work.
     long waitMs = Math.max(tuning.preemptMs(), (long) (bootMs * tuning.preemptBoots()));
     for (Settings.Objective objective : settings.objectives()) {
       boolean appliesToJob =
