--- a/src/main/java/wickdrift/coordination/AdmissionQueue.java
+++ b/src/main/java/wickdrift/coordination/AdmissionQueue.java
@@ -6,126 +6,145 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * The submissions that wait to be written, so many at most. They leave in an order that is fair
- * among teams and classes by what each has had: each has a clock that goes on by one for each of
- * its submissions that leaves, slower for higher ranks, and the one whose clock is furthest behind
- * is next; who comes anew starts at the clock of the one that left last, and has saved up nothing
- * (start-time fair queuing; Goyal, Vin, Cheng, 1996). When it is full, one makes way that the team
- * and class with most there sent last: a swarm does not shut out another's one job.
+ * A bounded queue of submissions that wait to be written, fair among teams and job classes. Each
+ * combination of team, class and priority is a flow with a start tag, which advances by the cost of
+ * each submission that leaves; the cost is lower for higher priorities. The flow with the lowest
+ * start tag is served next. A flow that becomes active starts at the virtual time of the last
+ * submission served, and gains no credit for the time it was idle (start-time fair queuing; Goyal,
+ * Vin, Cheng, 1996). When the queue is full, the newest submission of the longest flow is evicted,
+ * so that a burst of one flow does not shut out the single job of another.
  *
  * @param <T> a submission
  */
 final class AdmissionQueue<T> {
-  private record Key(String team, String jobClass, JobSpec.Priority rank) {}
+  /** Identifies a flow. */
+  private record FlowKey(String team, String jobClass, JobSpec.Priority priority) {}
 
-  private static final class Line<T> {
+  /** The waiting submissions of one flow and its start tag. */
+  private static final class Flow<T> {
     final ArrayDeque<T> waiting = new ArrayDeque<>();
-    double clock;
+    double startTag;
   }
 
-  /** A class's clock is forgotten once it is behind, and none of it waits. */
-  private static final int LINES_KEPT = 256;
+  /**
+   * Number of flows from which on idle flows are removed if their start tag is not ahead of the
+   * virtual time.
+   */
+  private static final int FLOW_CLEANUP_THRESHOLD = 256;
 
-  private final Map<Key, Line<T>> lines = new HashMap<>();
-  private final int most;
+  private final Map<FlowKey, Flow<T>> flows = new HashMap<>();
+  private final int maxWaiting;
   private int size;
-  private double now;
+  private double virtualTime;
 
   /**
-   * @param most how many may wait
+   * Creates an empty queue.
+   *
+   * @param maxWaiting the number of submissions that may wait
    */
-  AdmissionQueue(int most) {
-    this.most = most;
+  AdmissionQueue(int maxWaiting) {
+    this.maxWaiting = maxWaiting;
   }
 
+  /** Returns the number of waiting submissions. */
   int size() {
     return size;
   }
 
+  /** Whether no submission is waiting. */
   boolean isEmpty() {
     return size == 0;
   }
 
-  private static Key key(JobSpec s) {
-    return new Key(s.team(), s.jobClass(), s.priority());
+  private static FlowKey keyOf(JobSpec spec) {
+    return new FlowKey(spec.team(), spec.jobClass(), spec.priority());
   }
 
   /**
-   * What one submission of a rank costs: the highest is let in four times as often as the lowest.
+   * Returns the cost of one submission of a priority: the highest priority is admitted four times
+   * as often as the lowest.
    */
-  private static double cost(JobSpec.Priority rank) {
-    return 1.0 / (JobSpec.Priority.values().length - rank.ordinal());
+  private static double cost(JobSpec.Priority priority) {
+    return 1.0 / (JobSpec.Priority.values().length - priority.ordinal());
   }
 
-  private Line<T> line(Key k) {
-    Line<T> l = lines.get(k);
-    if (l == null) {
-      if (lines.size() >= LINES_KEPT) {
-        lines.values().removeIf(x -> x.waiting.isEmpty() && x.clock <= now);
+  /**
+   * Returns the flow of a key; creates it if needed and advances an idle one to the virtual time.
+   */
+  private Flow<T> flowOf(FlowKey key) {
+    Flow<T> flow = flows.get(key);
+    if (flow == null) {
+      if (flows.size() >= FLOW_CLEANUP_THRESHOLD) {
+        flows
+            .values()
+            .removeIf(
+                candidate -> candidate.waiting.isEmpty() && candidate.startTag <= virtualTime);
       }
-      l = new Line<>();
-      lines.put(k, l);
+      flow = new Flow<>();
+      flows.put(key, flow);
     }
-    if (l.waiting.isEmpty()) {
-      l.clock = Math.max(l.clock, now);
+    if (flow.waiting.isEmpty()) {
+      flow.startTag = Math.max(flow.startTag, virtualTime);
     }
-    return l;
+    return flow;
   }
 
   /**
-   * Lets one wait. Returns who must go for it: null, another that waited, or itself, where nobody
-   * has more there than its own team and class.
+   * Adds a submission and returns the one that is evicted for it: null, another waiting submission,
+   * or this submission itself if no flow is longer than its own.
    */
   T offer(JobSpec spec, T submission) {
-    Line<T> own = line(key(spec));
-    T gone = null;
-    if (size >= most) {
-      Line<T> longest = own;
-      for (Line<T> l : lines.values()) {
-        longest = l.waiting.size() > longest.waiting.size() ? l : longest;
+    Flow<T> ownFlow = flowOf(keyOf(spec));
+    T evicted = null;
+    if (size >= maxWaiting) {
+      Flow<T> longest = ownFlow;
+      for (Flow<T> flow : flows.values()) {
+        longest = flow.waiting.size() > longest.waiting.size() ? flow : longest;
       }
-      if (longest == own) {
+      if (longest == ownFlow) {
         return submission;
       }
-      gone = longest.waiting.pollLast();
+      evicted = longest.waiting.pollLast();
       size--;
     }
-    own.waiting.addLast(submission);
+    ownFlow.waiting.addLast(submission);
     size++;
-    return gone;
+    return evicted;
   }
 
-  /** Back to where it was: it had left, and could not be written. */
+  /**
+   * Puts a submission that could not be written back at the head of its flow and refunds its cost.
+   */
   void returnToFront(JobSpec spec, T submission) {
-    Line<T> l = line(key(spec));
-    l.waiting.addFirst(submission);
-    l.clock -= cost(spec.priority());
+    Flow<T> flow = flowOf(keyOf(spec));
+    flow.waiting.addFirst(submission);
+    flow.startTag -= cost(spec.priority());
     size++;
   }
 
-  /** The next to leave, or null. */
+  /** Removes and returns the next submission, or null if none waits. */
   T poll() {
-    Map.Entry<Key, Line<T>> next = null;
-    for (Map.Entry<Key, Line<T>> e : lines.entrySet()) {
-      if (!e.getValue().waiting.isEmpty() && (next == null || before(e, next))) {
-        next = e;
+    Map.Entry<FlowKey, Flow<T>> next = null;
+    for (Map.Entry<FlowKey, Flow<T>> entry : flows.entrySet()) {
+      if (!entry.getValue().waiting.isEmpty() && (next == null || isServedBefore(entry, next))) {
+        next = entry;
       }
     }
     if (next == null) {
       return null;
     }
-    Line<T> l = next.getValue();
-    now = Math.max(now, l.clock);
-    l.clock += cost(next.getKey().rank);
+    Flow<T> flow = next.getValue();
+    virtualTime = Math.max(virtualTime, flow.startTag);
+    flow.startTag += cost(next.getKey().priority);
     size--;
-    return l.waiting.pollFirst();
+    return flow.waiting.pollFirst();
   }
 
-  /** By clock, then by rank, then by name, so that the order is the same each time. */
-  private boolean before(Map.Entry<Key, Line<T>> a, Map.Entry<Key, Line<T>> b) {
-    int c = Double.compare(a.getValue().clock, b.getValue().clock);
-    c = c != 0 ? c : a.getKey().rank.compareTo(b.getKey().rank);
-    c = c != 0 ? c : a.getKey().team.compareTo(b.getKey().team);
-    return (c != 0 ? c : a.getKey().jobClass.compareTo(b.getKey().jobClass)) < 0;
+  /** Orders by start tag, then by priority, team and class, so that the order is deterministic. */
+  private boolean isServedBefore(Map.Entry<FlowKey, Flow<T>> a, Map.Entry<FlowKey, Flow<T>> b) {
+    int order = Double.compare(a.getValue().startTag, b.getValue().startTag);
+    order = order != 0 ? order : a.getKey().priority.compareTo(b.getKey().priority);
+    order = order != 0 ? order : a.getKey().team.compareTo(b.getKey().team);
+    return (order != 0 ? order : a.getKey().jobClass.compareTo(b.getKey().jobClass)) < 0;
   }
 }
--- a/src/main/java/wickdrift/coordination/DominantShareOrder.java
+++ b/src/main/java/wickdrift/coordination/DominantShareOrder.java
@@ -12,21 +12,22 @@
 import wickdrift.settings.Settings;
 
 /**
- * Jobs of one rank that no guarantee covers, of several teams, in an order that weighs what each
- * team holds: next is the first job of the team whose dominant share (Ghodsi et al., "Dominant
- * Resource Fairness", NSDI 2011) is least for its weight, counted with the jobs that were taken
- * before in this look. A team's weight is its guarantee; one without counts as the least that is
- * guaranteed. Within a team the order stays.
+ * Iterates over jobs of several teams that have the same priority and are not covered by a
+ * guarantee. The next job is the first of the team whose dominant share (Ghodsi et al., "Dominant
+ * Resource Fairness", NSDI 2011) is lowest relative to its weight, counting the jobs that this
+ * iterator has already returned. The weight of a team is its guarantee; a team without one gets the
+ * lowest weight among the teams with a guarantee. The order within a team is kept.
  */
 final class DominantShareOrder implements Iterator<Job> {
-  private static final class Line {
+  /** A team's remaining jobs, its weight and the resources counted for it. */
+  private static final class TeamEntry {
     final Iterator<Job> jobs;
     final double weight;
     double cpus;
     double gpus;
-    Job next;
+    Job nextJob;
 
-    Line(Iterator<Job> jobs, double weight, QuotaShare held) {
+    TeamEntry(Iterator<Job> jobs, double weight, QuotaShare held) {
       this.jobs = jobs;
       this.weight = weight;
       this.cpus = held.cpus();
@@ -35,69 +36,76 @@
     }
 
     void advance() {
-      next = jobs.hasNext() ? jobs.next() : null;
+      nextJob = jobs.hasNext() ? jobs.next() : null;
     }
   }
 
-  private final List<Line> lines = new ArrayList<>();
-  private double allCpus;
-  private double allGpus;
+  private final List<TeamEntry> teamEntries = new ArrayList<>();
+  private double totalCpus;
+  private double totalGpus;
 
   /**
-   * @param byTeam the jobs of each team, in its own order
-   * @param held what a team's live attempts take
+   * Creates an iterator over the jobs of several teams.
+   *
+   * @param byTeam the jobs of each team, in the team's own order
+   * @param held returns the resources held by a team's live attempts
+   * @param teams the settings of the teams by name
    */
   DominantShareOrder(
       Map<String, ? extends Iterable<Job>> byTeam,
       Function<String, QuotaShare> held,
       Map<String, Settings.Team> teams) {
     Map<String, Double> weights = new HashMap<>();
-    byTeam.keySet().forEach(t -> weights.put(t, guarantee(teams.get(t))));
-    double least = weights.values().stream().filter(w -> w > 0).min(Double::compare).orElse(1.0);
+    byTeam.keySet().forEach(name -> weights.put(name, guarantee(teams.get(name))));
+    double leastWeight =
+        weights.values().stream().filter(weight -> weight > 0).min(Double::compare).orElse(1.0);
     byTeam.forEach(
         (team, jobs) -> {
-          QuotaShare h = held.apply(team);
-          allCpus += h.cpus();
-          allGpus += h.gpus();
-          double w = weights.get(team);
-          lines.add(new Line(jobs.iterator(), w > 0 ? w : least, h));
+          QuotaShare teamHeld = held.apply(team);
+          totalCpus += teamHeld.cpus();
+          totalGpus += teamHeld.gpus();
+          double weight = weights.get(team);
+          teamEntries.add(
+              new TeamEntry(jobs.iterator(), weight > 0 ? weight : leastWeight, teamHeld));
         });
   }
 
-  private static double guarantee(Settings.Team t) {
-    return t == null ? 0 : t.gpus() > 0 ? t.gpus() : t.cpus();
+  /** Returns a team's guaranteed GPUs, or its guaranteed CPUs if it has no GPU guarantee. */
+  private static double guarantee(Settings.Team team) {
+    return team == null ? 0 : team.gpus() > 0 ? team.gpus() : team.cpus();
   }
 
-  private double share(Line l) {
-    double cpus = allCpus > 0 ? l.cpus / allCpus : 0;
-    double gpus = allGpus > 0 ? l.gpus / allGpus : 0;
-    return Math.max(cpus, gpus) / l.weight;
+  /** Returns a team's dominant share divided by its weight. */
+  private double weightedShare(TeamEntry team) {
+    double cpus = totalCpus > 0 ? team.cpus / totalCpus : 0;
+    double gpus = totalGpus > 0 ? team.gpus / totalGpus : 0;
+    return Math.max(cpus, gpus) / team.weight;
   }
 
   @Override
   public boolean hasNext() {
-    return lines.stream().anyMatch(l -> l.next != null);
+    return teamEntries.stream().anyMatch(l -> l.nextJob != null);
   }
 
   @Override
   public Job next() {
-    Line least = null;
-    for (Line l : lines) {
-      if (l.next != null && (least == null || share(l) < share(least))) {
-        least = l;
+    TeamEntry least = null;
+    for (TeamEntry team : teamEntries) {
+      if (team.nextJob != null && (least == null || weightedShare(team) < weightedShare(least))) {
+        least = team;
       }
     }
     if (least == null) {
       throw new NoSuchElementException();
     }
-    Job j = least.next;
-    double cpus = j.waitingCount() * j.spec().cpus();
-    double gpus = j.waitingCount() * j.spec().gpus();
+    Job job = least.nextJob;
+    double cpus = job.waitingCount() * job.spec().cpus();
+    double gpus = job.waitingCount() * job.spec().gpus();
     least.cpus += cpus;
     least.gpus += gpus;
-    allCpus += cpus;
-    allGpus += gpus;
+    totalCpus += cpus;
+    totalGpus += gpus;
     least.advance();
-    return j;
+    return job;
   }
 }
--- a/src/main/java/wickdrift/coordination/FreeCapacity.java
+++ b/src/main/java/wickdrift/coordination/FreeCapacity.java
@@ -6,27 +6,34 @@
 import wickdrift.bookkeeping.Machine;
 import wickdrift.protocol.JobSpec;
 
-/** A machine's room: what is durable, plus what the round of decisions under way has booked. */
+/**
+ * The free capacity of a machine, after its durable bookings and those of the current scheduling
+ * round.
+ */
 public final class FreeCapacity {
+  /** Tolerance for comparing sums of fractional resources. */
   public static final double EPS = 1e-6;
 
   private final Machine machine;
   private final TypeInfo type;
-  private double cpus;
-  private double gpus;
-  private double memoryGb;
+  private double bookedCpus;
+  private double bookedGpus;
+  private double bookedMemoryGb;
   private double load;
   private long fetchesUntilMs;
-  private String fetched;
-  private boolean fetching;
+  private String imageToFetch;
+  private boolean isFetching;
 
-  /** The images it is listed under, and the place; the index of rooms keeps both. */
-  final List<String> listed = new ArrayList<>();
+  /** The images under which the capacity index lists this machine; maintained by the index. */
+  final List<String> listedImages = new ArrayList<>();
 
-  CapacityIndex.MachineGroup cell;
+  /** The group under which the capacity index lists this machine; maintained by the index. */
+  CapacityIndex.MachineGroup group;
 
   /**
-   * @param machine null for one that is not there yet
+   * Creates the free capacity of a machine without bookings of the current round.
+   *
+   * @param machine null for a machine that does not exist yet
    */
   public FreeCapacity(Machine machine, TypeInfo type) {
     this.machine = machine;
@@ -34,151 +41,177 @@
     reset();
   }
 
-  /** Back to what is durable. */
+  /** Discards the bookings of the current round and returns to the durable state. */
   void reset() {
-    fetched = null;
-    cpus = machine == null ? 0 : machine.cpus();
-    gpus = machine == null ? 0 : machine.gpus();
-    memoryGb = machine == null ? 0 : machine.memoryGb();
+    imageToFetch = null;
+    bookedCpus = machine == null ? 0 : machine.cpus();
+    bookedGpus = machine == null ? 0 : machine.gpus();
+    bookedMemoryGb = machine == null ? 0 : machine.memoryGb();
     fetchesUntilMs = machine == null ? 0 : machine.estimatedFetchEndMs(type.fetchGbPerS());
-    reckon();
+    updateLoad();
   }
 
-  /** The design's load: the largest booked share. */
-  private void reckon() {
-    load = type.cpus() > 0 ? cpus / type.cpus() : 0;
+  /** Recomputes the load: the largest booked fraction of any resource. */
+  private void updateLoad() {
+    load = type.cpus() > 0 ? bookedCpus / type.cpus() : 0;
     if (type.gpus() > 0) {
-      load = Math.max(load, gpus / type.gpus());
+      load = Math.max(load, bookedGpus / type.gpus());
     }
     if (type.memoryGb() > 0) {
-      load = Math.max(load, memoryGb / type.memoryGb());
+      load = Math.max(load, bookedMemoryGb / type.memoryGb());
     }
   }
 
+  /** Returns the machine, or null if it does not exist yet. */
   public Machine machine() {
     return machine;
   }
 
+  /** Returns the machine type. */
   public TypeInfo type() {
     return type;
   }
 
-  public boolean fits(JobSpec s) {
-    return cpus + s.cpus() <= type.cpus() + EPS
-        && gpus + s.gpus() <= type.gpus() + EPS
-        && memoryGb + s.memoryGb() <= type.memoryGb() + EPS;
+  /** Whether the free resources can hold a task of this kind, without regard to image fetches. */
+  public boolean fits(JobSpec spec) {
+    return bookedCpus + spec.cpus() <= type.cpus() + EPS
+        && bookedGpus + spec.gpus() <= type.gpus() + EPS
+        && bookedMemoryGb + spec.memoryGb() <= type.memoryGb() + EPS;
   }
 
-  public boolean hasImage(JobSpec s) {
-    return s.image().equals(fetched) || machine != null && machine.hasImage(s.image());
+  /**
+   * Whether the machine has the image of the task or will fetch it for a task booked in this round.
+   */
+  public boolean hasImage(JobSpec spec) {
+    return spec.image().equals(imageToFetch) || machine != null && machine.hasImage(spec.image());
   }
 
   /**
-   * Room for the fetch as well: images fetched side by side share one rate, so that a second one
-   * only delays the first. A machine that fetches takes tasks of the images it has or fetches.
+   * Whether a task of this kind fits and its image is present or may be fetched now. Concurrent
+   * fetches share one rate, so a second fetch only delays the first. A machine that is fetching
+   * accepts only tasks whose image it has or is fetching.
    */
-  public boolean fitsWithFetch(JobSpec s) {
-    return fits(s) && (!fetching || hasImage(s));
+  public boolean fitsWithFetch(JobSpec spec) {
+    return fits(spec) && (!isFetching || hasImage(spec));
   }
 
-  /** How many tasks of a kind fit here side by side, {@code most} at most. */
-  int tasksThatFit(JobSpec s, int most) {
-    if (!fitsWithFetch(s)) {
+  /** Returns how many tasks of this kind can start here at the same time, at most {@code limit}. */
+  int tasksThatFit(JobSpec spec, int limit) {
+    if (!fitsWithFetch(spec)) {
       return 0;
     }
-    return Math.min(most, taskCapacity(s, freeCpus(), freeGpus(), freeMemoryGb()));
+    return Math.min(limit, taskCapacity(spec, freeCpus(), freeGpus(), freeMemoryGb()));
   }
 
-  /** How many tasks of a kind so much has room for. */
-  static int taskCapacity(JobSpec s, double cpus, double gpus, double memoryGb) {
-    double n = Integer.MAX_VALUE;
-    n = s.cpus() > 0 ? Math.min(n, (cpus + EPS) / s.cpus()) : n;
-    n = s.gpus() > 0 ? Math.min(n, (gpus + EPS) / s.gpus()) : n;
-    n = s.memoryGb() > 0 ? Math.min(n, (memoryGb + EPS) / s.memoryGb()) : n;
-    return (int) Math.max(0, n);
+  /** Returns how many tasks of this kind fit into the given resources. */
+  static int taskCapacity(JobSpec spec, double cpus, double gpus, double memoryGb) {
+    double tasks = Integer.MAX_VALUE;
+    tasks = spec.cpus() > 0 ? Math.min(tasks, (cpus + EPS) / spec.cpus()) : tasks;
+    tasks = spec.gpus() > 0 ? Math.min(tasks, (gpus + EPS) / spec.gpus()) : tasks;
+    tasks = spec.memoryGb() > 0 ? Math.min(tasks, (memoryGb + EPS) / spec.memoryGb()) : tasks;
+    return (int) Math.max(0, tasks);
   }
 
-  /** Looks whether it fetches at this time; the index calls it while the room is not listed. */
-  void fetches(long nowMs) {
-    fetching = fetched != null || fetchesUntilMs > nowMs;
+  /**
+   * Updates whether the machine is fetching an image at this time. The capacity index must not list
+   * the machine while this is called.
+   */
+  void updateFetching(long nowMs) {
+    isFetching = imageToFetch != null || fetchesUntilMs > nowMs;
   }
 
+  /** Whether the machine is fetching an image, as of the last update. */
   boolean isFetching() {
-    return fetching;
+    return isFetching;
   }
 
+  /**
+   * Returns the expected end of the image fetches; {@code Long.MAX_VALUE} if a fetch was booked in
+   * this round.
+   */
   long fetchesUntilMs() {
-    return fetched != null ? Long.MAX_VALUE : fetchesUntilMs;
+    return imageToFetch != null ? Long.MAX_VALUE : fetchesUntilMs;
   }
 
-  /** Takes what one task needs. */
-  public void book(JobSpec s) {
-    if (!hasImage(s)) {
-      fetched = s.image();
-      fetching = true;
+  /**
+   * Books the resources of one task, and the fetch of its image if the machine does not have it.
+   */
+  public void book(JobSpec spec) {
+    if (!hasImage(spec)) {
+      imageToFetch = spec.image();
+      isFetching = true;
     }
-    cpus += s.cpus();
-    gpus += s.gpus();
-    memoryGb += s.memoryGb();
-    reckon();
+    bookedCpus += spec.cpus();
+    bookedGpus += spec.gpus();
+    bookedMemoryGb += spec.memoryGb();
+    updateLoad();
   }
 
-  /** What a round has booked, to go back to. */
-  record Saved(double cpus, double gpus, double memoryGb, String fetched, boolean fetching) {}
+  /** A copy of the bookings, used to restore an earlier state of the round. */
+  record Bookings(
+      double cpus, double gpus, double memoryGb, String imageToFetch, boolean isFetching) {}
 
-  Saved save() {
-    return new Saved(cpus, gpus, memoryGb, fetched, fetching);
+  Bookings save() {
+    return new Bookings(bookedCpus, bookedGpus, bookedMemoryGb, imageToFetch, isFetching);
   }
 
-  void restore(Saved s) {
-    cpus = s.cpus;
-    gpus = s.gpus;
-    memoryGb = s.memoryGb;
-    fetched = s.fetched;
-    fetching = s.fetching;
-    reckon();
+  void restore(Bookings saved) {
+    bookedCpus = saved.cpus;
+    bookedGpus = saved.gpus;
+    bookedMemoryGb = saved.memoryGb;
+    imageToFetch = saved.imageToFetch;
+    isFetching = saved.isFetching;
+    updateLoad();
   }
 
-  void images(Consumer<String> use) {
+  /** Passes the images of the machine, including one booked in this round, to the action. */
+  void forEachImage(Consumer<String> action) {
     if (machine != null) {
-      machine.images().forEach(use);
+      machine.images().forEach(action);
     }
-    if (fetched != null && !(machine != null && machine.hasImage(fetched))) {
-      use.accept(fetched);
+    if (imageToFetch != null && !(machine != null && machine.hasImage(imageToFetch))) {
+      action.accept(imageToFetch);
     }
   }
 
+  /** Returns the largest booked fraction of any resource. */
   public double load() {
     return load;
   }
 
+  /** Returns the free GPUs. */
   public double freeGpus() {
-    return type.gpus() - gpus;
+    return type.gpus() - bookedGpus;
   }
 
+  /** Returns the free CPUs. */
   public double freeCpus() {
-    return type.cpus() - cpus;
+    return type.cpus() - bookedCpus;
   }
 
+  /** Returns the free memory in GB. */
   public double freeMemoryGb() {
-    return type.memoryGb() - memoryGb;
+    return type.memoryGb() - bookedMemoryGb;
   }
 
-  /** How many more tasks of this kind it could take. */
-  int times(JobSpec s) {
-    if (!type.canHold(s)) {
+  /**
+   * Returns how many more tasks of this kind the free resources can hold, without regard to image
+   * fetches.
+   */
+  int remainingTasks(JobSpec spec) {
+    if (!type.canHold(spec)) {
       return 0;
     }
-    double n = 1e9;
-    if (s.cpus() > 0) {
-      n = Math.min(n, freeCpus() / s.cpus());
+    double tasks = 1e9;
+    if (spec.cpus() > 0) {
+      tasks = Math.min(tasks, freeCpus() / spec.cpus());
     }
-    if (s.gpus() > 0) {
-      n = Math.min(n, freeGpus() / s.gpus());
+    if (spec.gpus() > 0) {
+      tasks = Math.min(tasks, freeGpus() / spec.gpus());
     }
-    if (s.memoryGb() > 0) {
-      n = Math.min(n, freeMemoryGb() / s.memoryGb());
+    if (spec.memoryGb() > 0) {
+      tasks = Math.min(tasks, freeMemoryGb() / spec.memoryGb());
     }
-    return (int) Math.max(0, n + EPS);
+    return (int) Math.max(0, tasks + EPS);
   }
 }
--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -14,181 +14,234 @@
 import wickdrift.settings.Settings;
 
 /**
- * The jobs that wait, in the order in which they are served: priority, then guarantees, then, of
- * teams that are beyond theirs, by what each holds ({@link DominantShareOrder}), then by when they
- * must start to be done in time (without a deadline: by age). Kept up to date by the changes of
- * jobs; no round sorts them anew.
+ * The waiting jobs in service order: by priority, then jobs within their team's guarantee before
+ * others, then, among teams beyond their guarantees, by the resources each team holds ({@link
+ * DominantShareOrder}), then by the latest start time that meets the deadline (without a deadline:
+ * by age). Maintained incrementally as jobs change; no round sorts the jobs again.
  */
 final class JobQueue {
-  private record Age(long acceptedMs, String id) {}
+  /** A time and a job id, ordered by time. */
+  private record JobTime(long timeMs, String id) {}
 
-  private static final Comparator<Age> BY_AGE =
-      Comparator.comparingLong(Age::acceptedMs).thenComparing(Age::id);
+  private static final Comparator<JobTime> BY_TIME =
+      Comparator.comparingLong(JobTime::timeMs).thenComparing(JobTime::id);
 
-  private static final Age FIRST = new Age(Long.MIN_VALUE, "");
+  private static final JobTime EARLIEST = new JobTime(Long.MIN_VALUE, "");
 
-  /** Jobs that are served as one: of a priority, and within guarantees or beyond. */
-  private record Class(int priority, int borrowed) {}
+  /**
+   * Jobs that are served together: those of one priority that are all within or all beyond their
+   * guarantees.
+   */
+  private record ServiceClass(int priority, int beyondGuarantee) {}
 
-  private record Place(int priority, int borrowed, Age startBy) {}
+  /** Position of a waiting job in the service order. */
+  private record Position(int priority, int beyondGuarantee, JobTime startBy) {}
 
-  private static final Comparator<Place> ORDER =
-      Comparator.comparingInt(Place::priority)
-          .thenComparingInt(Place::borrowed)
-          .thenComparing(Place::startBy, BY_AGE);
+  private static final Comparator<Position> SERVICE_ORDER =
+      Comparator.comparingInt(Position::priority)
+          .thenComparingInt(Position::beyondGuarantee)
+          .thenComparing(Position::startBy, BY_TIME);
 
-  private record Need(double cpus, double gpus) {}
+  /** Resources that the unfinished tasks of a job need. */
+  private record Demand(double cpus, double gpus) {}
 
-  /** One team's unfinished jobs by age, and up to which of them its guarantee reaches. */
-  private static final class Team {
+  /**
+   * The unfinished jobs of a team by age, and the first of them that the team's guarantee does not
+   * cover.
+   */
+  private static final class TeamJobs {
     final Settings.Team settings;
-    final TreeMap<Age, Job> jobs = new TreeMap<>(BY_AGE);
-    final Map<Job, Need> needs = new HashMap<>();
+    final TreeMap<JobTime, Job> jobs = new TreeMap<>(BY_TIME);
+    final Map<Job, Demand> demands = new HashMap<>();
     double cpus;
     double gpus;
 
-    /** The first job that is not within the guarantee; null: all are. */
-    Age beyond;
+    /** The oldest job that the guarantee does not cover; null if it covers all. */
+    JobTime firstBeyondGuarantee;
 
+    /** Whether the jobs changed since the reach of the guarantee was last computed. */
     boolean stale;
 
-    Team(Settings.Team settings) {
+    TeamJobs(Settings.Team settings) {
       this.settings = settings;
     }
 
-    boolean guarantees() {
+    /** Whether the team has a guarantee for any resource. */
+    boolean hasGuarantee() {
       return settings.cpus() > 0 || settings.gpus() > 0;
     }
 
-    boolean covers(double c, double g) {
-      return (settings.cpus() == 0 || c <= settings.cpus() + FreeCapacity.EPS)
-          && (settings.gpus() == 0 || g <= settings.gpus() + FreeCapacity.EPS);
+    /**
+     * Whether the guarantee covers these resources; a guarantee of 0 sets no bound for its
+     * resource.
+     */
+    boolean covers(double neededCpus, double neededGpus) {
+      return (settings.cpus() == 0 || neededCpus <= settings.cpus() + FreeCapacity.EPS)
+          && (settings.gpus() == 0 || neededGpus <= settings.gpus() + FreeCapacity.EPS);
     }
   }
 
-  private final Map<String, Team> teams = new HashMap<>();
-  private final Map<Job, Place> places = new HashMap<>();
-  private final TreeMap<Place, Job> waiting = new TreeMap<>(ORDER);
+  private final Map<String, TeamJobs> teams = new HashMap<>();
+  private final Map<Job, Position> positions = new HashMap<>();
+  private final TreeMap<Position, Job> waiting = new TreeMap<>(SERVICE_ORDER);
 
-  /** By class and team, for those beyond a guarantee are served by what their teams hold. */
-  private final TreeMap<Class, Map<String, TreeMap<Place, Job>>> beyond =
-      new TreeMap<>(Comparator.comparingInt(Class::priority).thenComparingInt(Class::borrowed));
+  /**
+   * Waiting jobs by service class and team, since jobs beyond a guarantee are ordered by what their
+   * teams hold.
+   */
+  private final TreeMap<ServiceClass, Map<String, TreeMap<Position, Job>>> byClassAndTeam =
+      new TreeMap<>(
+          Comparator.comparingInt(ServiceClass::priority)
+              .thenComparingInt(ServiceClass::beyondGuarantee));
 
-  private final Map<String, Settings.Team> byName = new HashMap<>();
+  private final Map<String, Settings.Team> teamSettings = new HashMap<>();
   private final TeamUsage usage;
   private final QueuedDemand waitingByPartition = new QueuedDemand();
 
   JobQueue(Settings settings, TeamUsage usage) {
     this.usage = usage;
-    settings.teams().forEach(t -> teams.put(t.name(), new Team(t)));
-    settings.teams().forEach(t -> byName.put(t.name(), t));
+    settings.teams().forEach(t -> teams.put(t.name(), new TeamJobs(t)));
+    settings.teams().forEach(t -> teamSettings.put(t.name(), t));
   }
 
-  /** Since when it could have been served: what waits for others has no age. */
-  private static Age age(Job j) {
-    return new Age(j.readyWallMs(), j.id());
+  /**
+   * Returns the time since which a job could have been served; the time it waited for other jobs
+   * does not count.
+   */
+  private static JobTime readyTimeOf(Job job) {
+    return new JobTime(job.readyWallMs(), job.id());
   }
 
-  private static Age startBy(Job j) {
-    Double due = j.spec().deadlineS();
-    double slackS = due == null ? 0 : Math.max(0, due - j.spec().estimateS());
-    long own = due == null ? j.readyWallMs() : j.acceptedWallMs() + (long) (slackS * 1000);
-    return new Age(Math.min(own, j.startByWallMs()), j.id());
+  /**
+   * Returns the latest start time that meets the deadline of the job and of those that await it;
+   * without a deadline, the time since which the job could have been served.
+   */
+  private static JobTime startByOf(Job job) {
+    Double deadlineS = job.spec().deadlineS();
+    double slackS = deadlineS == null ? 0 : Math.max(0, deadlineS - job.spec().estimateS());
+    long ownStartByMs =
+        deadlineS == null ? job.readyWallMs() : job.acceptedWallMs() + (long) (slackS * 1000);
+    return new JobTime(Math.min(ownStartByMs, job.startByWallMs()), job.id());
   }
 
-  /** A job has changed; {@code there}: it is still unfinished. */
-  void changed(Job j, boolean there) {
-    if (j.spec() == null) {
+  /**
+   * Updates the queue after a change of a job.
+   *
+   * @param unfinished whether the job still exists and has not ended
+   */
+  void onJobChanged(Job job, boolean unfinished) {
+    if (job.spec() == null) {
       return;
     }
-    // What waits for others holds nothing, asks for nothing, and is in nobody's way.
-    boolean counts = there && !j.withdrawn() && j.dependencyState() == Job.DependencyState.READY;
-    Team t = teams.get(j.spec().team());
-    if (t != null && t.guarantees()) {
-      int n = counts ? j.taskCount() - j.doneCount() : 0;
-      Need need = new Need(n * j.spec().cpus(), n * j.spec().gpus());
-      Need old = counts ? t.needs.put(j, need) : t.needs.remove(j);
-      t.cpus += need.cpus - (old == null ? 0 : old.cpus);
-      t.gpus += need.gpus - (old == null ? 0 : old.gpus);
+    // A job that awaits other jobs holds no resources and requests none, so it must not count
+    // against the guarantee of its team.
+    boolean counts =
+        unfinished && !job.withdrawn() && job.dependencyState() == Job.DependencyState.READY;
+    TeamJobs team = teams.get(job.spec().team());
+    if (team != null && team.hasGuarantee()) {
+      int unfinishedTasks = counts ? job.taskCount() - job.doneCount() : 0;
+      Demand demand =
+          new Demand(unfinishedTasks * job.spec().cpus(), unfinishedTasks * job.spec().gpus());
+      Demand old = counts ? team.demands.put(job, demand) : team.demands.remove(job);
+      team.cpus += demand.cpus - (old == null ? 0 : old.cpus);
+      team.gpus += demand.gpus - (old == null ? 0 : old.gpus);
       if (counts) {
-        t.jobs.put(age(j), j);
+        team.jobs.put(readyTimeOf(job), job);
       } else {
-        t.jobs.remove(age(j));
+        team.jobs.remove(readyTimeOf(job));
       }
-      t.stale = true;
+      team.stale = true;
     }
-    place(j, counts && j.waitingCount() > 0);
-    waitingByPartition.update(j, counts ? j.waitingCount() : 0);
+    updatePosition(job, counts && job.waitingCount() > 0);
+    waitingByPartition.update(job, counts ? job.waitingCount() : 0);
   }
 
-  /** What waits at each part. */
+  /** Returns the demand of the waiting jobs by partition. */
   QueuedDemand waitingByPartition() {
     return waitingByPartition;
   }
 
-  private void place(Job j, boolean waits) {
-    Place old = places.get(j);
-    Place now = null;
+  /** Inserts, moves or removes a job according to its current state. */
+  private void updatePosition(Job job, boolean waits) {
+    Position oldPosition = positions.get(job);
+    Position newPosition = null;
     if (waits) {
-      Team t = teams.get(j.spec().team());
-      boolean in =
-          t != null && t.guarantees() && (t.beyond == null || BY_AGE.compare(age(j), t.beyond) < 0);
-      now = new Place(j.effectivePriority().ordinal(), in ? 0 : 1, startBy(j));
+      TeamJobs team = teams.get(job.spec().team());
+      boolean withinGuarantee =
+          team != null
+              && team.hasGuarantee()
+              && (team.firstBeyondGuarantee == null
+                  || BY_TIME.compare(readyTimeOf(job), team.firstBeyondGuarantee) < 0);
+      newPosition =
+          new Position(job.effectivePriority().ordinal(), withinGuarantee ? 0 : 1, startByOf(job));
     }
-    if (now == null ? old == null : now.equals(old)) {
+    if (newPosition == null ? oldPosition == null : newPosition.equals(oldPosition)) {
       return;
     }
-    if (old != null) {
-      waiting.remove(old);
-      places.remove(j);
-      lines(old).get(j.spec().team()).remove(old);
+    if (oldPosition != null) {
+      waiting.remove(oldPosition);
+      positions.remove(job);
+      jobsByTeam(oldPosition).get(job.spec().team()).remove(oldPosition);
     }
-    if (now != null) {
-      waiting.put(now, j);
-      places.put(j, now);
-      lines(now).computeIfAbsent(j.spec().team(), k -> new TreeMap<>(ORDER)).put(now, j);
+    if (newPosition != null) {
+      waiting.put(newPosition, job);
+      positions.put(job, newPosition);
+      jobsByTeam(newPosition)
+          .computeIfAbsent(job.spec().team(), k -> new TreeMap<>(SERVICE_ORDER))
+          .put(newPosition, job);
     }
   }
 
-  /** The waiting jobs in order. */
+  /** Returns the waiting jobs in service order. */
   Iterable<Job> waiting() {
-    teams.values().forEach(this::reach);
-    return teams.size() < 2 ? waiting.values() : Served::new;
+    teams.values().forEach(this::updateGuaranteeReach);
+    return teams.size() < 2 ? waiting.values() : ServiceIterator::new;
   }
 
-  private Map<String, TreeMap<Place, Job>> lines(Place p) {
-    return beyond.computeIfAbsent(new Class(p.priority, p.borrowed), k -> new LinkedHashMap<>());
+  /** Returns the waiting jobs by team of the service class of a position. */
+  private Map<String, TreeMap<Position, Job>> jobsByTeam(Position position) {
+    return byClassAndTeam.computeIfAbsent(
+        new ServiceClass(position.priority, position.beyondGuarantee), k -> new LinkedHashMap<>());
   }
 
-  /** One class after the other; of one with several teams beyond their guarantees, fairly. */
-  private final class Served implements Iterator<Job> {
-    private final Iterator<Map.Entry<Class, Map<String, TreeMap<Place, Job>>>> classes =
-        beyond.entrySet().iterator();
-    private Iterator<Job> now = List.<Job>of().iterator();
+  /**
+   * Iterates over the service classes in order. Jobs beyond their guarantees are ordered by the
+   * dominant shares of their teams.
+   */
+  private final class ServiceIterator implements Iterator<Job> {
+    private final Iterator<Map.Entry<ServiceClass, Map<String, TreeMap<Position, Job>>>> classes =
+        byClassAndTeam.entrySet().iterator();
+    private Iterator<Job> current = List.<Job>of().iterator();
 
     @Override
     public boolean hasNext() {
-      while (!now.hasNext() && classes.hasNext()) {
-        Map.Entry<Class, Map<String, TreeMap<Place, Job>>> e = classes.next();
-        now = e.getKey().borrowed == 0 ? covered(e.getKey()) : fairly(e.getValue());
+      while (!current.hasNext() && classes.hasNext()) {
+        Map.Entry<ServiceClass, Map<String, TreeMap<Position, Job>>> entry = classes.next();
+        current =
+            entry.getKey().beyondGuarantee == 0
+                ? withinGuarantee(entry.getKey())
+                : byDominantShare(entry.getValue());
       }
-      return now.hasNext();
+      return current.hasNext();
     }
 
-    private Iterator<Job> covered(Class c) {
-      Place from = new Place(c.priority, 0, FIRST);
-      return waiting.subMap(from, new Place(c.priority, 1, FIRST)).values().iterator();
+    private Iterator<Job> withinGuarantee(ServiceClass serviceClass) {
+      Position from = new Position(serviceClass.priority, 0, EARLIEST);
+      return waiting
+          .subMap(from, new Position(serviceClass.priority, 1, EARLIEST))
+          .values()
+          .iterator();
     }
 
-    private Iterator<Job> fairly(Map<String, TreeMap<Place, Job>> byTeam) {
-      Map<String, Collection<Job>> lines = new LinkedHashMap<>();
+    private Iterator<Job> byDominantShare(Map<String, TreeMap<Position, Job>> byTeam) {
+      Map<String, Collection<Job>> nonEmpty = new LinkedHashMap<>();
       byTeam.forEach(
           (team, jobs) -> {
             if (!jobs.isEmpty()) {
-              lines.put(team, jobs.values());
+              nonEmpty.put(team, jobs.values());
             }
           });
-      return new DominantShareOrder(lines, usage::of, byName);
+      return new DominantShareOrder(nonEmpty, usage::of, teamSettings);
     }
 
     @Override
@@ -196,49 +249,54 @@
       if (!hasNext()) {
         throw new NoSuchElementException();
       }
-      return now.next();
+      return current.next();
     }
   }
 
-  /** Looks how far a guarantee reaches; where it covers all, that takes no look at the jobs. */
-  private void reach(Team t) {
-    if (!t.stale) {
+  /** Recomputes which jobs of a team its guarantee covers. If it covers all, no job is examined. */
+  private void updateGuaranteeReach(TeamJobs team) {
+    if (!team.stale) {
       return;
     }
-    t.stale = false;
-    Age beyond = null;
-    if (!t.covers(t.cpus, t.gpus)) {
-      double c = 0;
-      double g = 0;
-      for (Map.Entry<Age, Job> e : t.jobs.entrySet()) {
-        Need n = t.needs.get(e.getValue());
-        c += n.cpus;
-        g += n.gpus;
-        if (!t.covers(c, g)) {
-          beyond = e.getKey();
+    team.stale = false;
+    JobTime firstBeyond = null;
+    if (!team.covers(team.cpus, team.gpus)) {
+      double cpus = 0;
+      double gpus = 0;
+      for (Map.Entry<JobTime, Job> e : team.jobs.entrySet()) {
+        Demand demand = team.demands.get(e.getValue());
+        cpus += demand.cpus;
+        gpus += demand.gpus;
+        if (!team.covers(cpus, gpus)) {
+          firstBeyond = e.getKey();
           break;
         }
       }
-    } else if (t.jobs.isEmpty()) {
-      t.cpus = 0;
-      t.gpus = 0;
-    }
-    if (beyond == null ? t.beyond != null : !beyond.equals(t.beyond)) {
-      t.beyond = beyond;
-      for (Job j : t.jobs.values()) {
-        place(j, j.waitingCount() > 0);
+    } else if (team.jobs.isEmpty()) {
+      team.cpus = 0;
+      team.gpus = 0;
+    }
+    if (firstBeyond == null
+        ? team.firstBeyondGuarantee != null
+        : !firstBeyond.equals(team.firstBeyondGuarantee)) {
+      team.firstBeyondGuarantee = firstBeyond;
+      for (Job job : team.jobs.values()) {
+        updatePosition(job, job.waitingCount() > 0);
       }
     }
   }
 
+  /** Returns the number of waiting jobs. */
   int size() {
     return waiting.size();
   }
 
+  /** Whether no job is waiting. */
   boolean isEmpty() {
     return waiting.isEmpty();
   }
 
+  /** Returns the settings of a team, or null if it is not configured. */
   static Settings.Team findTeam(Settings settings, String name) {
     for (Settings.Team t : settings.teams()) {
       if (t.name().equals(name)) {
--- a/src/main/java/wickdrift/coordination/LoadIndex.java
+++ b/src/main/java/wickdrift/coordination/LoadIndex.java
@@ -2,38 +2,43 @@
 
 import java.util.Arrays;
 
-/** Rooms in order of their load, and how many there are of each 64th of it. */
+/** Machines sorted by load, with the number of machines in each bucket of 1/64 of the load. */
 final class LoadIndex {
-  static final int LEVELS = 64;
+  /** Number of load buckets; a full machine has a bucket of its own. */
+  static final int BUCKETS = 64;
 
-  private FreeCapacity[] rooms = new FreeCapacity[8];
+  private FreeCapacity[] machines = new FreeCapacity[8];
   private int size;
-  private final int[] levels = new int[LEVELS + 1];
+  private final int[] countByBucket = new int[BUCKETS + 1];
 
+  /** Returns the bucket of a load. */
   static int bucket(double load) {
-    return Math.max(0, Math.min(LEVELS, (int) (load * LEVELS + FreeCapacity.EPS)));
+    return Math.max(0, Math.min(BUCKETS, (int) (load * BUCKETS + FreeCapacity.EPS)));
   }
 
+  /** Returns the number of machines. */
   int size() {
     return size;
   }
 
+  /** Returns the machine at a position in the order of load. */
   FreeCapacity get(int i) {
-    return rooms[i];
+    return machines[i];
   }
 
+  /** Compares by load, then by machine number. */
   private static int compare(FreeCapacity a, FreeCapacity b) {
     int c = Double.compare(a.load(), b.load());
     return c != 0 ? c : Integer.compare(a.machine().number(), b.machine().number());
   }
 
-  /** How many come before a room, which need not be here. */
-  int search(FreeCapacity r) {
+  /** Returns how many machines come before the given one, which need not be in the index. */
+  int countBefore(FreeCapacity capacity) {
     int from = 0;
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (compare(rooms[mid], r) < 0) {
+      if (compare(machines[mid], capacity) < 0) {
         from = mid + 1;
       } else {
         to = mid;
@@ -42,13 +47,13 @@
     return from;
   }
 
-  /** How many have at most this load. */
-  int upTo(double load) {
+  /** Returns how many machines have at most this load. */
+  int countUpTo(double maxLoad) {
     int from = 0;
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (rooms[mid].load() <= load) {
+      if (machines[mid].load() <= maxLoad) {
         from = mid + 1;
       } else {
         to = mid;
@@ -57,13 +62,13 @@
     return from;
   }
 
-  /** How many are below this level. */
-  int below(int level) {
+  /** Returns how many machines are in lower buckets. */
+  int countBelowBucket(int bucket) {
     int from = 0;
     int to = size;
     while (from < to) {
       int mid = from + to >>> 1;
-      if (bucket(rooms[mid].load()) < level) {
+      if (bucket(machines[mid].load()) < bucket) {
         from = mid + 1;
       } else {
         to = mid;
@@ -72,30 +77,40 @@
     return from;
   }
 
-  /** How many of a level have at most this load, which lies in or above it. */
-  int atLevel(int level, double most) {
-    return level < bucket(most) ? levels[level] : upTo(most) - below(level);
+  /**
+   * Returns how many machines of a bucket have at most this load, which must lie in or above the
+   * bucket.
+   */
+  int countInBucket(int bucket, double maxLoad) {
+    return bucket < bucket(maxLoad)
+        ? countByBucket[bucket]
+        : countUpTo(maxLoad) - countBelowBucket(bucket);
   }
 
-  void add(FreeCapacity r) {
-    int at = search(r);
-    if (size == rooms.length) {
-      rooms = Arrays.copyOf(rooms, size * 2);
+  /** Inserts a machine at the position of its load. */
+  void add(FreeCapacity capacity) {
+    int at = countBefore(capacity);
+    if (size == machines.length) {
+      machines = Arrays.copyOf(machines, size * 2);
     }
-    System.arraycopy(rooms, at, rooms, at + 1, size - at);
-    rooms[at] = r;
+    System.arraycopy(machines, at, machines, at + 1, size - at);
+    machines[at] = capacity;
     size++;
-    levels[bucket(r.load())]++;
+    countByBucket[bucket(capacity.load())]++;
   }
 
-  /** Call it before the room's load changes. */
-  void remove(FreeCapacity r) {
-    int at = search(r);
-    if (at >= size || rooms[at] != r) {
-      throw new IllegalStateException("not here: " + r.machine().name());
+  /**
+   * Removes a machine. Must be called before its load changes, because the position is found by
+   * load.
+   */
+  void remove(FreeCapacity capacity) {
+    int at = countBefore(capacity);
+    if (at >= size || machines[at] != capacity) {
+      throw new IllegalStateException(
+          "machine is not in the load index: " + capacity.machine().name());
     }
-    System.arraycopy(rooms, at + 1, rooms, at, size - at - 1);
-    rooms[--size] = null;
-    levels[bucket(r.load())]--;
+    System.arraycopy(machines, at + 1, machines, at, size - at - 1);
+    machines[--size] = null;
+    countByBucket[bucket(capacity.load())]--;
   }
 }
