--- a/src/main/java/wickdrift/coordination/DependencyValidator.java
+++ b/src/main/java/wickdrift/coordination/DependencyValidator.java
@@ -11,18 +11,18 @@
 final class DependencyValidator {
 
   /** What was found. Where nothing can be said yet the user is sent away. */
-  interface Outcome {
-    void known(Submission s);
+  interface Callback {
+    void onValid(Submission submission);
 
-    void refused(Submission s, String why);
+    void onInvalid(Submission submission, String reason);
   }
 
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final JobHistory history;
 
-  DependencyValidator(StateServiceClient ledger, Tables tables, JobHistory history) {
-    this.ledger = ledger;
+  DependencyValidator(StateServiceClient stateService, Tables tables, JobHistory history) {
+    this.stateService = stateService;
     this.tables = tables;
     this.history = history;
   }
@@ -31,69 +31,70 @@
    * Takes a submission on once all that it names are known to have been accepted. That one was not
    * is said only when the state service has said so since the question came: the tables lag.
    */
-  void check(Submission s, Outcome outcome) {
-    if (unknownNames(s.spec()).isEmpty()) {
-      named(s, outcome);
+  void validate(Submission submission, Callback callback) {
+    if (unknownJobs(submission.spec()).isEmpty()) {
+      rejectServices(submission, callback);
       return;
     }
-    ledger.barrier(
-        UserRequests.BARRIER_MS,
+    stateService.barrier(
+        UserRequests.BARRIER_TIMEOUT_MS,
         ok -> {
-          List<String> unknown = unknownNames(s.spec());
+          List<String> unknown = unknownJobs(submission.spec());
           if (unknown.isEmpty()) {
-            named(s, outcome);
+            rejectServices(submission, callback);
           } else if (!ok) {
-            UserRequests.later(s.exchange());
+            UserRequests.replyTryAgain(submission.exchange());
           } else {
-            readNames(s, unknown, outcome);
+            queryHistory(submission, unknown, callback);
           }
         });
   }
 
-  private List<String> unknownNames(JobSpec spec) {
+  private List<String> unknownJobs(JobSpec spec) {
     return spec.awaits().stream()
-        .filter(a -> tables.job(a) == null && tables.terminalState(a) == null)
+        .filter(jobId -> tables.job(jobId) == null && tables.terminalState(jobId) == null)
         .toList();
   }
 
-  private void readNames(Submission s, List<String> unknown, Outcome outcome) {
-    int[] left = {unknown.size()};
-    String[] never = new String[1];
-    boolean[] unsaid = new boolean[1];
-    for (String id : unknown) {
+  private void queryHistory(Submission submission, List<String> unknown, Callback callback) {
+    int[] remaining = {unknown.size()};
+    String[] neverAccepted = new String[1];
+    boolean[] undetermined = new boolean[1];
+    for (String jobId : unknown) {
       history.lookUp(
-          id,
-          a -> {
-            if (a == JobHistory.LookupResult.UNAVAILABLE) {
-              unsaid[0] = true;
-            } else if (a == JobHistory.LookupResult.NOT_TERMINAL
-                && tables.job(id) == null
-                && tables.terminalState(id) == null) {
-              never[0] = id;
+          jobId,
+          answer -> {
+            if (answer == JobHistory.LookupResult.UNAVAILABLE) {
+              undetermined[0] = true;
+            } else if (answer == JobHistory.LookupResult.NOT_TERMINAL
+                && tables.job(jobId) == null
+                && tables.terminalState(jobId) == null) {
+              neverAccepted[0] = jobId;
             }
-            if (--left[0] > 0) {
+            if (--remaining[0] > 0) {
               return;
             }
-            if (unsaid[0]) {
-              UserRequests.later(s.exchange());
-            } else if (never[0] != null) {
-              outcome.refused(s, "awaits " + never[0] + ", which was never accepted");
+            if (undetermined[0]) {
+              UserRequests.replyTryAgain(submission.exchange());
+            } else if (neverAccepted[0] != null) {
+              callback.onInvalid(
+                  submission, "awaits " + neverAccepted[0] + ", which was never accepted");
             } else {
-              named(s, outcome);
+              rejectServices(submission, callback);
             }
           });
     }
   }
 
   /** All names are of accepted jobs. One that is never done can't be awaited. */
-  private void named(Submission s, Outcome outcome) {
-    for (String id : s.spec().awaits()) {
-      Job j = tables.job(id);
-      if (j != null && j.spec().shape() == JobSpec.Shape.SERVICE && !j.withdrawn()) {
-        outcome.refused(s, "awaits " + id + ", a service, which is never done");
+  private void rejectServices(Submission submission, Callback callback) {
+    for (String jobId : submission.spec().awaits()) {
+      Job job = tables.job(jobId);
+      if (job != null && job.spec().shape() == JobSpec.Shape.SERVICE && !job.withdrawn()) {
+        callback.onInvalid(submission, "awaits " + jobId + ", a service, which is never done");
         return;
       }
     }
-    outcome.known(s);
+    callback.onValid(submission);
   }
 }
--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -26,24 +26,24 @@
   static final double MIN_WRITE_BUDGET_FRACTION = 0.5;
 
   /** At most one record in so long. */
-  private static final long GAP_MS = 250;
+  private static final long MIN_INTERVAL_MS = 250;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Membership membership;
   private final Settings settings;
   private final String node;
-  private long nextMs;
+  private long nextRecordMs;
 
   EncodingMigration(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       Membership membership,
       Settings settings) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.membership = membership;
     this.settings = settings;
@@ -51,27 +51,28 @@
   }
 
   /** Puts the next record into a draft that is empty so far. */
-  void addNextRecord(TransactionBuilder draft) {
+  void addNextRecord(TransactionBuilder builder) {
     long now = timers.nowMs();
-    if (tables.encoding() == Encoding.FIRST || now < nextMs) {
+    if (tables.encoding() == Encoding.FIRST || now < nextRecordMs) {
       return;
     }
-    nextMs = now + GAP_MS;
+    nextRecordMs = now + MIN_INTERVAL_MS;
     boolean leads = membership.isLeader();
     for (String key : tables.keysInOldEncoding()) {
-      if (page(draft, key) || leads && (chunk(draft, key) || part(draft, key))) {
+      if (migratePage(builder, key)
+          || leads && (migrateChunk(builder, key) || migratePartition(builder, key))) {
         return;
       }
     }
-    boolean left = !tables.keysInOldEncoding().isEmpty();
-    if (leads && left != tables.registry().convertedLevel() < tables.level()) {
-      draft.addCondition(View.KEY, tables.viewStamp());
-      if (left) {
-        draft.addCondition(
+    boolean remaining = !tables.keysInOldEncoding().isEmpty();
+    if (leads && remaining != tables.registry().convertedLevel() < tables.level()) {
+      builder.addCondition(View.KEY, tables.viewStamp());
+      if (remaining) {
+        builder.addCondition(
             NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
-        draft.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
+        builder.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
       } else {
-        draft.write(
+        builder.write(
             NodeRegistry.CONVERTED_LEVEL_KEY,
             NodeRegistry.encodeConvertedLevel(tables.level()),
             tables.registry().convertedLevelStamp());
@@ -79,44 +80,48 @@
     }
   }
 
-  private boolean page(TransactionBuilder draft, String key) {
-    for (LogPage p : tables.logPages(node).values()) {
-      if (p.key().equals(key)) {
-        draft.write(
-            key, LogPage.encode(p, tables.encoding(), List.of(), tables::isObsolete), p.stamp());
+  private boolean migratePage(TransactionBuilder builder, String key) {
+    for (LogPage page : tables.logPages(node).values()) {
+      if (page.key().equals(key)) {
+        builder.write(
+            key,
+            LogPage.encode(page, tables.encoding(), List.of(), tables::isObsolete),
+            page.stamp());
         return true;
       }
     }
     return false;
   }
 
-  private boolean part(TransactionBuilder draft, String key) {
-    for (Map.Entry<String, Partition> p : tables.partitions().entrySet()) {
-      if (Partition.key(p.getKey()).equals(key)) {
-        Partition told =
-            Quota.toNumberedEncoding(p.getValue(), p.getKey(), tables.registry(), settings);
-        draft.write(key, told.toStore(), told.stamp());
+  private boolean migratePartition(TransactionBuilder builder, String key) {
+    for (Map.Entry<String, Partition> partition : tables.partitions().entrySet()) {
+      if (Partition.key(partition.getKey()).equals(key)) {
+        Partition updated =
+            Quota.toNumberedEncoding(
+                partition.getValue(), partition.getKey(), tables.registry(), settings);
+        builder.write(key, updated.toStore(), updated.stamp());
         return true;
       }
     }
     return false;
   }
 
-  private boolean chunk(TransactionBuilder draft, String key) {
+  private boolean migrateChunk(TransactionBuilder builder, String key) {
     if (!Job.isChunkKey(key)) {
       return false;
     }
-    String name = key.substring(key.indexOf('/', 2) + 1);
-    int slash = name.lastIndexOf('/');
-    Job job = tables.job(name.substring(0, slash));
+    String path = key.substring(key.indexOf('/', 2) + 1);
+    int slash = path.lastIndexOf('/');
+    Job job = tables.job(path.substring(0, slash));
     if (job == null) {
       return false;
     }
-    int chunk = Integer.parseInt(name.substring(slash + 1));
-    int most = ledger.limits().targetValueBytes();
-    Object value = job.chunkToStore(chunk, ledger.rev(), job::task, tables.encoding(), most);
-    draft.addCondition(job.key(), job.stamp());
-    draft.write(key, value, job.chunkStamp(chunk));
+    int chunk = Integer.parseInt(path.substring(slash + 1));
+    int maxBytes = stateService.limits().targetValueBytes();
+    Object value =
+        job.chunkToStore(chunk, stateService.rev(), job::task, tables.encoding(), maxBytes);
+    builder.addCondition(job.key(), job.stamp());
+    builder.write(key, value, job.chunkStamp(chunk));
     return true;
   }
 }
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -13,7 +13,7 @@
  * goes to.
  */
 final class JobRouter {
-  private static final int BESIDE_MOST = 24;
+  private static final int MAX_IMAGE_HEADROOM_TASKS = 24;
 
   private final Tables tables;
   private final SchedulingState scheduling;
@@ -31,29 +31,30 @@
   }
 
   /** Why the job can never run, or null. */
-  String impossible(JobSpec s) {
-    Settings.Team team = JobQueue.findTeam(settings, s.team());
+  String rejectionReason(JobSpec spec) {
+    Settings.Team team = JobQueue.findTeam(settings, spec.team());
     if (team == null) {
       return "unknown team";
     }
-    if (types.all().stream().noneMatch(t -> t.canHold(s))) {
+    if (types.all().stream().noneMatch(type -> type.canHold(spec))) {
       return "a task fits no allowed machine type";
     }
-    int n = s.shape() == JobSpec.Shape.ARRAY ? 1 : s.tasks();
-    if (n > s.zoneLimit() && (s.oneZone() || s.zone() != null || zonesOf(s) < 2)) {
+    int tasksAtOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
+    if (tasksAtOnce > spec.zoneLimit()
+        && (spec.oneZone() || spec.zone() != null || countEligibleZones(spec) < 2)) {
       return "its tasks must be in several zones, and may be in one only";
     }
-    if (team.cpusMax() > 0 && n * s.cpus() > team.cpusMax() + FreeCapacity.EPS
-        || team.gpusMax() > 0 && n * s.gpus() > team.gpusMax() + FreeCapacity.EPS) {
+    if (team.cpusMax() > 0 && tasksAtOnce * spec.cpus() > team.cpusMax() + FreeCapacity.EPS
+        || team.gpusMax() > 0 && tasksAtOnce * spec.gpus() > team.gpusMax() + FreeCapacity.EPS) {
       return "more than the team's limit";
     }
     return null;
   }
 
-  private long zonesOf(JobSpec s) {
+  private long countEligibleZones(JobSpec spec) {
     return types.all().stream()
-        .filter(t -> t.canHold(s))
-        .flatMap(t -> t.zones().stream())
+        .filter(type -> type.canHold(spec))
+        .flatMap(type -> type.zones().stream())
         .distinct()
         .count();
   }
@@ -61,68 +62,77 @@
   /**
    * The part with most free room for it; gangs and what is large against a part go to the leader.
    */
-  String route(JobSpec s, QueuedDemand together) {
-    View v = tables.view();
+  String route(JobSpec spec, QueuedDemand batchDemand) {
+    View view = tables.view();
     // A part holds its own zone's machines first: what must be in several is for who sees all.
-    boolean manyZones = s.spread() && s.tasks() > 1 && v.partitionsAreZonal();
-    if (s.shape() == JobSpec.Shape.GANG || manyZones) {
+    boolean spansZones = spec.spread() && spec.tasks() > 1 && view.partitionsAreZonal();
+    if (spec.shape() == JobSpec.Shape.GANG || spansZones) {
       return Job.LEADER_PARTITION;
     }
-    CapacityIndex rooms = scheduling.capacityIndex();
+    CapacityIndex capacityIndex = scheduling.capacityIndex();
     // Room beside its image, if a part has enough of that for the whole job: elsewhere it would
     // wait for a fetch, which may take longer than its class has to start.
     // The one with most of it, counted far enough that several jobs at once do not meet there.
-    String best = v.owner(s.id());
-    QueuedDemand waiting = scheduling.queue().waitingByPartition();
-    int enough = s.tasks() + BESIDE_MOST;
-    int beside = Integer.MIN_VALUE;
-    double free = Double.NEGATIVE_INFINITY;
-    String freest = best;
-    for (String part : inOrder(v, best)) {
-      int promised = waiting.tasksWithImage(s, part) + together.tasksWithImage(s, part);
+    String best = view.owner(spec.id());
+    QueuedDemand queuedDemand = scheduling.queue().waitingByPartition();
+    int maxImageTasks = spec.tasks() + MAX_IMAGE_HEADROOM_TASKS;
+    int bestImageTasks = Integer.MIN_VALUE;
+    double mostFreeTasks = Double.NEGATIVE_INFINITY;
+    String freestPartition = best;
+    for (String partition : membersStartingWith(view, best)) {
+      int queuedWithImage =
+          queuedDemand.tasksWithImage(spec, partition)
+              + batchDemand.tasksWithImage(spec, partition);
       // Counted no further than that: with more promised the image is no reason to go there.
-      int most = enough + Math.min(promised, BESIDE_MOST);
-      int n = Math.min(enough, rooms.taskCapacityWithImage(s, part, most) - promised);
-      if (n > beside) {
-        best = part;
-        beside = n;
+      int countLimit = maxImageTasks + Math.min(queuedWithImage, MAX_IMAGE_HEADROOM_TASKS);
+      int imageTasks =
+          Math.min(
+              maxImageTasks,
+              capacityIndex.taskCapacityWithImage(spec, partition, countLimit) - queuedWithImage);
+      if (imageTasks > bestImageTasks) {
+        best = partition;
+        bestImageTasks = imageTasks;
       }
-      double f =
-          rooms.estimateTaskCapacity(s, part)
-              - waiting.equivalentTasks(s, part)
-              - together.equivalentTasks(s, part);
-      if (f > free + FreeCapacity.EPS) {
-        freest = part;
-        free = f;
+      double freeTasks =
+          capacityIndex.estimateTaskCapacity(spec, partition)
+              - queuedDemand.equivalentTasks(spec, partition)
+              - batchDemand.equivalentTasks(spec, partition);
+      if (freeTasks > mostFreeTasks + FreeCapacity.EPS) {
+        freestPartition = partition;
+        mostFreeTasks = freeTasks;
       }
     }
-    if (beside < s.tasks()) {
-      best = freest;
+    if (bestImageTasks < spec.tasks()) {
+      best = freestPartition;
     }
-    double total = rooms.countCapableMachines(s);
-    double partMachines = total / v.members().size();
-    double wanted = s.tasks() * largestShare(s);
-    return total > 0 && wanted > tuning.largeShare() * partMachines ? Job.LEADER_PARTITION : best;
+    double totalMachines = capacityIndex.countCapableMachines(spec);
+    double machinesPerPartition = totalMachines / view.members().size();
+    double wantedMachines = spec.tasks() * largestMachineShare(spec);
+    return totalMachines > 0 && wantedMachines > tuning.largeShare() * machinesPerPartition
+        ? Job.LEADER_PARTITION
+        : best;
   }
 
   /** The members, the one that the hash names first: it is taken among equals. */
-  private static List<String> inOrder(View v, String first) {
-    List<String> all = new ArrayList<>(v.members().keySet());
-    all.remove(first);
-    all.add(0, first);
-    return all;
+  private static List<String> membersStartingWith(View view, String first) {
+    List<String> members = new ArrayList<>(view.members().keySet());
+    members.remove(first);
+    members.add(0, first);
+    return members;
   }
 
-  private double largestShare(JobSpec s) {
+  private double largestMachineShare(JobSpec spec) {
     double share = 0;
-    for (TypeInfo t : types.all()) {
-      if (t.canHold(s)) {
+    for (TypeInfo type : types.all()) {
+      if (type.canHold(spec)) {
         share =
             Math.max(
                 share,
                 Math.max(
-                    s.cpus() / t.cpus(),
-                    Math.max(t.gpus() > 0 ? s.gpus() / t.gpus() : 0, s.memoryGb() / t.memoryGb())));
+                    spec.cpus() / type.cpus(),
+                    Math.max(
+                        type.gpus() > 0 ? spec.gpus() / type.gpus() : 0,
+                        spec.memoryGb() / type.memoryGb())));
       }
     }
     return share;
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -23,37 +23,37 @@
  */
 final class JobStatus {
   private static final Logger LOG = LoggerFactory.getLogger(JobStatus.class);
-  private static final int LOOK_UPS_MOST = 64;
+  private static final int MAX_WAITERS_PER_LOOKUP = 64;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final PauseDetector pauseDetector;
   private final WithdrawalConfirmations confirmations;
   private final Tuning tuning;
 
   /** By job, who waits for the read after the one that is out. */
-  private final Map<String, List<Exchange>> lookUps = new HashMap<>();
+  private final Map<String, List<Exchange>> lookupWaiters = new HashMap<>();
 
-  private final TokenBucket reads;
+  private final TokenBucket readBudget;
   private long shedCount;
 
   JobStatus(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       PauseDetector pauseDetector,
       WithdrawalConfirmations confirmations,
       Settings settings,
       Tuning tuning) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.pauseDetector = pauseDetector;
     this.confirmations = confirmations;
     this.tuning = tuning;
-    double share = settings.stateLimits().rps() / (settings.peers().size() + 1);
-    this.reads = new TokenBucket(share * tuning.lookUpShare(), timers.nowMs());
+    double readsPerSecond = settings.stateLimits().rps() / (settings.peers().size() + 1);
+    this.readBudget = new TokenBucket(readsPerSecond * tuning.lookUpShare(), timers.nowMs());
   }
 
   /** Questions that were answered 503, as the reads of the state service are limited. */
@@ -65,62 +65,62 @@
    * A user's poll. When this node falls behind, polls are what it leaves out: reports, leases,
    * submissions and withdrawals wait in the same line.
    */
-  void poll(Exchange x, String id) {
-    if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(id) == null) {
+  void poll(Exchange exchange, String jobId) {
+    if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(jobId) == null) {
       shedCount++;
-      UserRequests.later(x);
+      UserRequests.replyTryAgain(exchange);
     } else {
-      status(x, id);
+      replyStatus(exchange, jobId);
     }
   }
 
   /** Answers from tables that are no older than this request. */
-  void status(Exchange x, String id) {
-    TerminalState fin = tables.terminalState(id);
-    if (fin != null) {
+  void replyStatus(Exchange exchange, String jobId) {
+    TerminalState terminalState = tables.terminalState(jobId);
+    if (terminalState != null) {
       // Final: no node can have told anyone anything newer.
-      answerFinal(x, id, fin);
+      replyTerminalState(exchange, jobId, terminalState);
       return;
     }
-    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
-      UserRequests.later(x);
+    if (stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
+      UserRequests.replyTryAgain(exchange);
       return;
     }
-    ledger.barrier(
-        UserRequests.BARRIER_MS,
+    stateService.barrier(
+        UserRequests.BARRIER_TIMEOUT_MS,
         ok -> {
           if (ok) {
-            answerStatus(x, id);
+            replyFromTables(exchange, jobId);
           } else {
-            UserRequests.later(x);
+            UserRequests.replyTryAgain(exchange);
           }
         });
   }
 
-  void answerStatus(Exchange x, String id) {
-    Job job = tables.job(id);
-    if (job == null && tables.terminalState(id) != null) {
+  void replyFromTables(Exchange exchange, String jobId) {
+    Job job = tables.job(jobId);
+    if (job == null && tables.terminalState(jobId) != null) {
       // It has ended since it was asked for; where that is kept for good it may not stand yet.
-      answerFinal(x, id, tables.terminalState(id));
+      replyTerminalState(exchange, jobId, tables.terminalState(jobId));
       return;
     }
     if (job == null) {
-      lookUp(x, id);
+      lookUpFinalRecord(exchange, jobId);
       return;
     }
     if (job.dependencyState() == Job.DependencyState.UNRESOLVED && !job.withdrawn()) {
       // It may have been withdrawn with one that it awaits, and someone may have been told so.
-      UserRequests.later(x);
+      UserRequests.replyTryAgain(exchange);
       return;
     }
     if (job.withdrawn()) {
-      tellWithdrawn(x, id);
+      replyWithdrawn(exchange, jobId);
       return;
     }
     String phase = job.liveCount() > 0 ? "running" : "pending";
-    x.reply(
+    exchange.reply(
         200,
-        Map.of("ref", id, "phase", phase, "done", job.doneCount(), "running", job.liveCount()));
+        Map.of("ref", jobId, "phase", phase, "done", job.doneCount(), "running", job.liveCount()));
   }
 
   /**
@@ -128,52 +128,53 @@
    * jobs that no one has submitted, as often as they like. Who asks while a read is out shares the
    * next one: the one that is out may be older than the question.
    */
-  private void lookUp(Exchange x, String id) {
-    List<Exchange> next = lookUps.get(id);
-    if (next != null && next.size() < LOOK_UPS_MOST) {
-      next.add(x);
-    } else if (next == null && reads.tryAcquire(1, 0, timers.nowMs())) {
-      read(id, List.of(x));
+  private void lookUpFinalRecord(Exchange exchange, String jobId) {
+    List<Exchange> waiters = lookupWaiters.get(jobId);
+    if (waiters != null && waiters.size() < MAX_WAITERS_PER_LOOKUP) {
+      waiters.add(exchange);
+    } else if (waiters == null && readBudget.tryAcquire(1, 0, timers.nowMs())) {
+      readFinalRecord(jobId, List.of(exchange));
     } else {
       shedCount++;
-      UserRequests.later(x);
+      UserRequests.replyTryAgain(exchange);
     }
   }
 
-  private void read(String id, List<Exchange> asking) {
-    lookUps.put(id, new ArrayList<>());
-    ledger.read(
-        Job.terminalStateKey(id),
-        r -> {
-          List<Exchange> next = lookUps.remove(id);
-          if (!next.isEmpty()) {
-            read(id, next);
+  private void readFinalRecord(String jobId, List<Exchange> requests) {
+    lookupWaiters.put(jobId, new ArrayList<>());
+    stateService.read(
+        Job.terminalStateKey(jobId),
+        result -> {
+          List<Exchange> waiters = lookupWaiters.remove(jobId);
+          if (!waiters.isEmpty()) {
+            readFinalRecord(jobId, waiters);
           }
-          for (Exchange x : asking) {
-            if (!r.ok()) {
-              UserRequests.later(x);
-            } else if (r.value() == null) {
-              x.reply(404, Map.of("error", "no such job"));
+          for (Exchange exchange : requests) {
+            if (!result.ok()) {
+              UserRequests.replyTryAgain(exchange);
+            } else if (result.value() == null) {
+              exchange.reply(404, Map.of("error", "no such job"));
             } else {
-              answerFinal(x, id, r.value());
+              replyTerminalState(exchange, jobId, result.value());
             }
           }
         });
   }
 
-  static void answerFinal(Exchange x, String id, TerminalState how) {
-    long done = how.done() ? how.tasks() : 0;
-    x.reply(200, Map.of("ref", id, "phase", how.phase(), "done", done, "running", 0));
+  static void replyTerminalState(Exchange exchange, String jobId, TerminalState terminalState) {
+    long done = terminalState.done() ? terminalState.tasks() : 0;
+    exchange.reply(
+        200, Map.of("ref", jobId, "phase", terminalState.phase(), "done", done, "running", 0));
   }
 
-  void answerFinal(Exchange x, String id, Document value) {
+  void replyTerminalState(Exchange exchange, String jobId, Document value) {
     try {
-      TerminalState how = TerminalState.parse(value);
-      tables.rememberTerminalState(id, how);
-      answerFinal(x, id, how);
+      TerminalState terminalState = TerminalState.parse(value);
+      tables.rememberTerminalState(jobId, terminalState);
+      replyTerminalState(exchange, jobId, terminalState);
     } catch (BadMessage e) {
-      LOG.error("unreadable final record of {}: {}", id, e.getMessage());
-      UserRequests.later(x);
+      LOG.error("unreadable final record of {}: {}", jobId, e.getMessage());
+      UserRequests.replyTryAgain(exchange);
     }
   }
 
@@ -181,21 +182,21 @@
    * Says that a job is withdrawn, which its record says, once that will be kept whatever fails
    * next. Until then nobody is told anything else of it: someone may have been told already.
    */
-  void tellWithdrawn(Exchange x, String id) {
-    confirmations.whenKept(
-        id,
-        kept -> {
-          TerminalState fin = tables.terminalState(id);
-          Job job = tables.job(id);
-          if (fin != null) {
-            answerFinal(x, id, fin);
-          } else if (!kept) {
-            UserRequests.later(x);
+  void replyWithdrawn(Exchange exchange, String jobId) {
+    confirmations.whenConfirmed(
+        jobId,
+        confirmed -> {
+          TerminalState terminalState = tables.terminalState(jobId);
+          Job job = tables.job(jobId);
+          if (terminalState != null) {
+            replyTerminalState(exchange, jobId, terminalState);
+          } else if (!confirmed) {
+            UserRequests.replyTryAgain(exchange);
           } else {
             int done = job == null ? 0 : job.doneCount();
-            x.reply(
+            exchange.reply(
                 200,
-                Map.of("ref", id, "phase", TerminalState.WITHDRAWN, "done", done, "running", 0));
+                Map.of("ref", jobId, "phase", TerminalState.WITHDRAWN, "done", done, "running", 0));
           }
         });
   }
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -17,13 +17,13 @@
  */
 final class MachineHealthMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
-  private static final long PERIOD_MS = 500;
+  private static final long CHECK_INTERVAL_MS = 500;
 
   /** A run that is unanswered for so long, and unwanted, is made void by a higher epoch. */
-  private static final long UNCERTAIN_MS = 5000;
+  private static final long UNCERTAIN_RUN_TIMEOUT_MS = 5000;
 
   /** A new epoch has time to reach the workers before a higher one is proposed. */
-  private static final long EPOCH_SETTLES_MS = 2000;
+  private static final long MIN_EPOCH_INTERVAL_MS = 2000;
 
   private final Timers timers;
   private final Tables tables;
@@ -59,7 +59,7 @@
   }
 
   void start() {
-    watch();
+    checkMachines();
   }
 
   /** An epoch has begun, as this node knows it. */
@@ -68,8 +68,8 @@
     epochSinceMs = nowMs;
   }
 
-  private void watch() {
-    timers.after(PERIOD_MS, this::watch);
+  private void checkMachines() {
+    timers.after(CHECK_INTERVAL_MS, this::checkMachines);
     View view = tables.view();
     if (view == null || membership.status() != Membership.Status.MEMBER) {
       return;
@@ -83,8 +83,8 @@
         zones.recorded(machine.info().zone(), lost);
       }
       if (node.equals(machine.owner(view))) {
-        silence(machine, up, up || lost, now);
-        lapse(machine, view, now);
+        checkSilence(machine, up, up || lost, now);
+        checkLease(machine, view, now);
         needsHigherEpoch |= needsHigherEpoch(machine, view, now);
       }
     }
@@ -95,34 +95,34 @@
     }
   }
 
-  private void silence(Machine machine, boolean up, boolean known, long now) {
+  private void checkSilence(Machine machine, boolean up, boolean known, long now) {
     // A change of view is no news of a machine that was ours before: with one every few seconds
     // none would ever be found silent.
-    long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
-    if (known && silent > tuning.quietMs()) {
+    long silentMs = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
+    if (known && silentMs > tuning.quietMs()) {
       machine.markReportsOverdue();
       zones.silent(machine.info().zone());
     }
-    boolean deaf =
+    boolean unreachable =
         machine.unreachableForCommandsSinceMs() > 0
             && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
-    if (up && (deaf || silent > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
-      LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
+    if (up && (unreachable || silentMs > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
+      LOG.info("{} is {}", machine.name(), unreachable ? "deaf: nothing reaches it" : "silent");
       pipeline.enqueueRecord(
           machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
   }
 
-  private void lapse(Machine machine, View view, long now) {
-    long base = machine.latestLeaseRenewalMs();
-    if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
+  private void checkLease(Machine machine, View view, long now) {
+    long leaseBaseMs = machine.latestLeaseRenewalMs();
+    if (!machine.slots().isEmpty() && leaseBaseMs > 0 && now - leaseBaseMs > tuning.lapseMs()) {
       // No one can have renewed its lease since: the worker has killed all it had.
       links.recordEvent(
           CommandEvent.Kind.LEASE_EXPIRED,
           machine,
           machine.report(),
           view.epoch(),
-          "not renewed for " + (now - base) + " ms");
+          "not renewed for " + (now - leaseBaseMs) + " ms");
       pipeline.onWorkerLeaseExpired(machine);
       links.forgetRuns(machine);
     }
@@ -131,16 +131,16 @@
   private boolean needsHigherEpoch(Machine machine, View view, long now) {
     // One that has begun anew is trusted again with a higher token; no more often than that has
     // time to reach the workers.
-    boolean anew =
-        machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
-    return anew || uncertainStop(machine, now);
+    boolean needsNewToken =
+        machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > MIN_EPOCH_INTERVAL_MS;
+    return needsNewToken || hasUncertainCommand(machine, now);
   }
 
   /**
    * Whether an attempt is to be stopped while a run for it may still arrive; or has ended and can't
    * be cleared for that, for longer than a lease: what is not cleared makes reports grow.
    */
-  private boolean uncertainStop(Machine machine, long now) {
+  private boolean hasUncertainCommand(Machine machine, long now) {
     WorkerCommands commands = links.commandsIfKnown(machine);
     if (commands == null
         || commands.hasNoOutstandingRuns()
@@ -150,7 +150,7 @@
     for (Machine.Slot slot : machine.slots()) {
       TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
       if (slot.mustStop()
-          && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_MS, now)) {
+          && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_RUN_TIMEOUT_MS, now)) {
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -31,15 +31,15 @@
 /** This node's lease and membership, and the changes of view. */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-  private static final long TICK_MS = 250;
-  private static final long PEER_FRESH_MS = 2000;
-  private static final double BUSIER = 1.25;
-  private static final double RAMP = 2;
+  private static final long TICK_INTERVAL_MS = 250;
+  private static final long MAX_PEER_STATUS_AGE_MS = 2000;
+  private static final double PEER_WRITES_MARGIN = 1.25;
+  private static final double MAX_WRITES_GROWTH = 2;
 
   /** Conditions of a change of view besides the members': the view, and a few of a rise. */
-  private static final int BESIDE_MEMBERS = 4;
+  private static final int NON_MEMBER_CONDITIONS = 4;
 
-  private static final long BARRIER_MS = 1500;
+  private static final long CATCH_UP_TIMEOUT_MS = 1500;
 
   /** How this node stands. */
   public enum Status {
@@ -51,18 +51,18 @@
     GRACE
   }
 
-  private record Heard(boolean stateOk, long atMs, int writes) {}
+  private record PeerStatus(boolean stateReachable, long receivedMs, int writesPerSecond) {}
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Tuning tuning;
   private final String node;
   private final Settings settings;
-  private final LevelRange levels;
-  private final String process;
+  private final LevelRange supportedLevels;
+  private final String processIncarnation;
   private final Map<String, Consumer<ByteBuffer>> peers;
-  private final Map<Integer, Heard> heard = new HashMap<>();
+  private final Map<Integer, PeerStatus> peerStatuses = new HashMap<>();
 
   /**
    * A new one with each lease. If one process kept its incarnation, then between the grant of a new
@@ -70,14 +70,14 @@
    */
   private String incarnation;
 
-  private int leases;
-  private long tether;
-  private long leaseUntilMs = Long.MIN_VALUE / 2;
-  private boolean asking;
-  private boolean writing;
-  private long differsSinceMs = -1;
-  private boolean proposing;
-  private long peerEpoch;
+  private int leaseCount;
+  private long leaseId;
+  private long leaseDeadlineMs = Long.MIN_VALUE / 2;
+  private boolean leaseRequestInFlight;
+  private boolean writeInFlight;
+  private long viewDiffersSinceMs = -1;
+  private boolean proposalInFlight;
+  private long highestPeerEpoch;
 
   /** False from waking until the tables hold all that was durable by then. */
   private boolean caughtUp = true;
@@ -90,18 +90,18 @@
     /** Told to end: it takes nothing new, and keeps its lease until what it has begun is done. */
     LEAVING,
     /** Its lease is given back. */
-    GONE
+    RELEASED
   }
 
   private Stage stage = Stage.SERVING;
   private boolean joined;
-  private String said;
-  private double toldWrites;
+  private String lastLoggedReason;
+  private double announcedWrites;
 
   /** Asks for no lease before it is started. */
   public Membership(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       Tuning tuning,
       Settings settings,
@@ -109,13 +109,13 @@
       String incarnation,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.tuning = tuning;
     this.node = settings.node();
     this.settings = settings;
-    this.levels = levels;
-    this.process = incarnation;
+    this.supportedLevels = levels;
+    this.processIncarnation = incarnation;
     this.incarnation = incarnation;
     this.peers = peers;
   }
@@ -126,20 +126,20 @@
 
   /** What this node may do now. */
   public Status status() {
-    View v = tables.view();
+    View view = tables.view();
     // What can't be read whole, or stands at a level that this build does not speak, proves
     // nothing.
-    if (v == null
-        || stage == Stage.GONE
+    if (view == null
+        || stage == Stage.RELEASED
         || tables.blockedReason() != null
-        || !incarnation.equals(v.members().get(node))) {
+        || !incarnation.equals(view.members().get(node))) {
       return Status.OUTSIDE;
     }
     long now = timers.nowMs();
-    if (now < leaseUntilMs && caughtUp) {
+    if (now < leaseDeadlineMs && caughtUp) {
       return Status.MEMBER;
     }
-    return now < leaseUntilMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
+    return now < leaseDeadlineMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
   }
 
   /**
@@ -161,8 +161,8 @@
       return;
     }
     catchingUp = true;
-    ledger.barrier(
-        BARRIER_MS,
+    stateService.barrier(
+        CATCH_UP_TIMEOUT_MS,
         ok -> {
           catchingUp = false;
           caughtUp |= ok;
@@ -171,7 +171,7 @@
 
   /** Whether this node is there with a lease that holds, and the view has no room for it. */
   public boolean isSpare() {
-    return timers.nowMs() < leaseUntilMs
+    return timers.nowMs() < leaseDeadlineMs
         && caughtUp
         && stage == Stage.SERVING
         && tables.blockedReason() == null
@@ -184,7 +184,7 @@
 
   /** True when a peer has shown a view newer than ours: ours must not be acted on. */
   public boolean isViewOutdated() {
-    return tables.view() != null && peerEpoch > tables.view().epoch();
+    return tables.view() != null && highestPeerEpoch > tables.view().epoch();
   }
 
   /**
@@ -192,126 +192,138 @@
    * who has lost both has only its workers, and users are better off anywhere else.
    */
   public boolean isIsolated() {
-    if (ledger.reachable()) {
+    if (stateService.reachable()) {
       return false;
     }
     long now = timers.nowMs();
-    List<Heard> fresh = heard.values().stream().filter(h -> now - h.atMs < PEER_FRESH_MS).toList();
-    return fresh.isEmpty() ? !peers.isEmpty() : fresh.stream().anyMatch(Heard::stateOk);
+    List<PeerStatus> recentStatuses =
+        peerStatuses.values().stream()
+            .filter(status -> now - status.receivedMs < MAX_PEER_STATUS_AGE_MS)
+            .toList();
+    return recentStatuses.isEmpty()
+        ? !peers.isEmpty()
+        : recentStatuses.stream().anyMatch(PeerStatus::stateReachable);
   }
 
   private void tick() {
-    timers.after(TICK_MS, this::tick);
-    keepLease();
+    timers.after(TICK_INTERVAL_MS, this::tick);
+    maintainLease();
     catchUp();
-    if (ledger.phase() == StateServiceClient.Phase.FOLLOWING
+    if (stateService.phase() == StateServiceClient.Phase.FOLLOWING
         && tables.blockedReason() == null
         && stage == Stage.SERVING) {
-      keepMember();
-      keepRoster();
-      fenceParts();
-      considerView();
+      maintainMemberRecord();
+      correctAnnouncements();
+      fencePartitions();
+      evaluateView();
     }
-    tellPeers();
-    shareWrites();
+    broadcastStatus();
+    updateWriteBudget();
   }
 
   // ---- the lease ----
 
-  private void keepLease() {
+  private void maintainLease() {
     long now = timers.nowMs();
-    if (asking || stage == Stage.GONE || tables.blockedReason() != null) {
+    if (leaseRequestInFlight || stage == Stage.RELEASED || tables.blockedReason() != null) {
       // Who may not take part asks for no lease, and lets the one it has end.
       return;
     }
-    if (tether == 0) {
-      asking = true;
-      ledger.grantLease(
+    if (leaseId == 0) {
+      leaseRequestInFlight = true;
+      stateService.grantLease(
           tuning.memberLeaseMs(),
-          t -> {
-            asking = false;
-            if (t > 0) {
-              tether = t;
-              incarnation = leases++ == 0 ? process : process + "-" + leases;
-              renewed(now);
+          grantedId -> {
+            leaseRequestInFlight = false;
+            if (grantedId > 0) {
+              leaseId = grantedId;
+              incarnation =
+                  leaseCount++ == 0 ? processIncarnation : processIncarnation + "-" + leaseCount;
+              extendLeaseDeadline(now);
             }
           });
-    } else if (leaseUntilMs - now < tuning.memberLeaseMs() * 3 / 4) {
-      asking = true;
-      long asked = tether;
-      ledger.extendLease(
-          asked,
+    } else if (leaseDeadlineMs - now < tuning.memberLeaseMs() * 3 / 4) {
+      leaseRequestInFlight = true;
+      long extendedId = leaseId;
+      stateService.extendLease(
+          extendedId,
           status -> {
-            asking = false;
+            leaseRequestInFlight = false;
             if (status == 200) {
-              renewed(now);
+              extendLeaseDeadline(now);
             } else if (status == 404) {
               LOG.warn("our lease has ended");
-              tether = 0;
+              leaseId = 0;
             }
           });
     }
   }
 
   /** Measured from when the renewal was sent, less drift: never later than the state service's. */
-  private void renewed(long sentMs) {
-    leaseUntilMs = sentMs + tuning.memberLeaseMs() - tuning.memberLeaseMs() / 1000 - 1;
+  private void extendLeaseDeadline(long sentMs) {
+    leaseDeadlineMs = sentMs + tuning.memberLeaseMs() - tuning.memberLeaseMs() / 1000 - 1;
   }
 
-  private void keepMember() {
-    String stands = tables.members().get(node);
-    if (tether == 0 || writing || incarnation.equals(stands)) {
-      joined |= incarnation.equals(stands);
+  private void maintainMemberRecord() {
+    String recorded = tables.members().get(node);
+    if (leaseId == 0 || writeInFlight || incarnation.equals(recorded)) {
+      joined |= incarnation.equals(recorded);
       return;
     }
-    if (stands != null && joined && !stands.startsWith(process)) {
+    if (recorded != null && joined && !recorded.startsWith(processIncarnation)) {
       // We were in and were put out by a process that is not an earlier one of ours: were both to
       // go on claiming the name, every claim would change the view for all.
-      say("another process serves under the name " + node + ": staying outside until it is gone");
+      logReasonOnce(
+          "another process serves under the name " + node + ": staying outside until it is gone");
       return;
     }
     NodeRegistry registry = tables.registry();
-    NodeRecord known = registry.nodeRecord(node);
+    NodeRecord announced = registry.nodeRecord(node);
     List<String> names = settings.nodeNames();
-    Transaction txn = new Transaction();
-    boolean may = mayJoin(names);
+    Transaction transaction = new Transaction();
+    boolean mayJoin = mayJoin(names);
     if (!registry.hasStoredInitialNames()) {
-      if (!may) {
+      if (!mayJoin) {
         return;
       }
       // Before anyone has a number: else two might be given one of different lists.
-      txn.requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
+      transaction
+          .requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
           .write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
     }
-    if (known == null || !known.levels().equals(levels) || !known.peers().equals(names)) {
+    if (announced == null
+        || !announced.levels().equals(supportedLevels)
+        || !announced.peers().equals(names)) {
       int number = registry.numberOf(node) < 0 ? registry.nextNumber() : registry.numberOf(node);
-      NodeRecord next =
-          known == null
-              ? NodeRecord.create(number, node, levels, names)
-              : known.withLevels(levels, names);
-      txn.requireStamp(NodeRecord.key(number), next.stamp())
-          .write(NodeRecord.key(number), next.toStore());
-    }
-    if (may) {
+      NodeRecord announcement =
+          announced == null
+              ? NodeRecord.create(number, node, supportedLevels, names)
+              : announced.withLevels(supportedLevels, names);
+      transaction
+          .requireStamp(NodeRecord.key(number), announcement.stamp())
+          .write(NodeRecord.key(number), announcement.toStore());
+    }
+    if (mayJoin) {
       Map<String, Object> member = new LinkedHashMap<>();
       member.put("inc", incarnation);
       member.put("zone", settings.zone());
-      levels.addTo(member);
-      txn.requireStamp("w/m/" + node, tables.memberStamp(node))
-          .write("w/m/" + node, member, tether);
+      supportedLevels.addTo(member);
+      transaction
+          .requireStamp("w/m/" + node, tables.memberStamp(node))
+          .write("w/m/" + node, member, leaseId);
     }
-    if (txn.changeCount() == 0) {
+    if (transaction.changeCount() == 0) {
       return;
     }
-    writing = true;
-    ledger.commit(
-        txn,
+    writeInFlight = true;
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.AUTHORITY,
-        r -> {
-          if (r.leaseNotFound()) {
-            tether = 0;
+        result -> {
+          if (result.leaseNotFound()) {
+            leaseId = 0;
           }
-          ledger.barrier(2000, ok -> writing = false);
+          stateService.barrier(2000, ok -> writeInFlight = false);
         });
   }
 
@@ -322,16 +334,16 @@
    */
   private boolean mayJoin(List<String> names) {
     NodeRegistry registry = tables.registry();
-    View v = tables.view();
+    View view = tables.view();
     if (tables.isOpen(Gate.NUMBERS)) {
       return true;
     }
-    boolean same =
+    boolean listMatches =
         registry.hasStoredInitialNames()
             ? registry.initialNames().equals(names)
-            : v == null || names.containsAll(v.members().keySet());
-    if (!same) {
-      say(
+            : view == null || names.containsAll(view.members().keySet());
+    if (!listMatches) {
+      logReasonOnce(
           "staying outside until level "
               + Gate.NUMBERS.level()
               + " is in force: the settings name "
@@ -339,16 +351,16 @@
               + ", and the others go by "
               + (registry.hasStoredInitialNames()
                   ? registry.initialNames()
-                  : v.members().keySet()));
+                  : view.members().keySet()));
     }
-    return same;
+    return listMatches;
   }
 
   /** A reason is told once, not at each try. */
-  private void say(String why) {
-    if (!why.equals(said)) {
-      said = why;
-      LOG.error("{}", why);
+  private void logReasonOnce(String reason) {
+    if (!reason.equals(lastLoggedReason)) {
+      lastLoggedReason = reason;
+      LOG.error("{}", reason);
     }
   }
 
@@ -357,27 +369,32 @@
    * which it runs now does not. One that was put back to an older build and is down when the level
    * rises would stay outside for ever.
    */
-  private void keepRoster() {
-    if (writing || !isLeader()) {
+  private void correctAnnouncements() {
+    if (writeInFlight || !isLeader()) {
       return;
     }
     NodeRegistry registry = tables.registry();
-    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (Map.Entry<String, LevelRange> m : tables.memberLevels().entrySet()) {
-      NodeRecord a = registry.nodeRecord(m.getKey());
-      if (a != null && !a.levels().equals(m.getValue()) && txn.changeCount() == 0) {
-        LOG.info("{} speaks levels {} now", a.name(), m.getValue());
-        txn.requireStamp(NodeRecord.key(a.number()), a.stamp())
-            .requireStamp("w/m/" + a.name(), tables.memberStamp(a.name()))
-            .write(NodeRecord.key(a.number()), a.withLevels(m.getValue(), a.peers()).toStore());
+    Transaction transaction = new Transaction().requireStamp(View.KEY, tables.viewStamp());
+    for (Map.Entry<String, LevelRange> live : tables.memberLevels().entrySet()) {
+      NodeRecord announced = registry.nodeRecord(live.getKey());
+      if (announced != null
+          && !announced.levels().equals(live.getValue())
+          && transaction.changeCount() == 0) {
+        LOG.info("{} speaks levels {} now", announced.name(), live.getValue());
+        transaction
+            .requireStamp(NodeRecord.key(announced.number()), announced.stamp())
+            .requireStamp("w/m/" + announced.name(), tables.memberStamp(announced.name()))
+            .write(
+                NodeRecord.key(announced.number()),
+                announced.withLevels(live.getValue(), announced.peers()).toStore());
       }
     }
-    if (txn.changeCount() > 0) {
-      writing = true;
-      ledger.commit(
-          txn,
+    if (transaction.changeCount() > 0) {
+      writeInFlight = true;
+      stateService.commit(
+          transaction,
           StateServiceClient.WritePriority.WORK,
-          r -> ledger.barrier(2000, ok -> writing = false));
+          r -> stateService.barrier(2000, ok -> writeInFlight = false));
     }
   }
 
@@ -385,29 +402,30 @@
    * The parts that did not fit into the switch to a view that is a condition itself. Until they are
    * rewritten nobody places anything: what was prepared before is conditional on them alone.
    */
-  private void fenceParts() {
-    if (writing || !isLeader()) {
+  private void fencePartitions() {
+    if (writeInFlight || !isLeader()) {
       return;
     }
-    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (String n : tables.unfencedPartitions()) {
-      Partition p = tables.partition(n);
-      if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
-        Partition told =
-            p.encoding() == Encoding.FIRST
-                ? Quota.toNumberedEncoding(p, n, tables.registry(), settings)
-                : p;
-        txn.requireStamp(Partition.key(n), p.stamp())
-            .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
+    Transaction transaction = new Transaction().requireStamp(View.KEY, tables.viewStamp());
+    for (String name : tables.unfencedPartitions()) {
+      Partition partition = tables.partition(name);
+      if (transaction.changeCount() < stateService.limits().maxTransactionChanges()) {
+        Partition updated =
+            partition.encoding() == Encoding.FIRST
+                ? Quota.toNumberedEncoding(partition, name, tables.registry(), settings)
+                : partition;
+        transaction
+            .requireStamp(Partition.key(name), partition.stamp())
+            .write(Partition.key(name), updated.inEpoch(tables.view().epoch()).toStore());
       }
     }
-    if (txn.changeCount() > 0) {
-      LOG.info("writing {} parts anew for the view to count", txn.changeCount());
-      writing = true;
-      ledger.commit(
-          txn,
+    if (transaction.changeCount() > 0) {
+      LOG.info("writing {} parts anew for the view to count", transaction.changeCount());
+      writeInFlight = true;
+      stateService.commit(
+          transaction,
           StateServiceClient.WritePriority.AUTHORITY,
-          r -> ledger.barrier(2000, ok -> writing = false));
+          r -> stateService.barrier(2000, ok -> writeInFlight = false));
     }
   }
 
@@ -416,7 +434,7 @@
   /** Told to end: from now on nothing new is taken. */
   public void leave() {
     if (stage == Stage.SERVING) {
-      to(Stage.LEAVING, "told to end");
+      advanceTo(Stage.LEAVING, "told to end");
     }
   }
 
@@ -431,59 +449,63 @@
    * @param done called once the state service has answered, or has not in time
    */
   public void releaseLease(Runnable done) {
-    if (stage == Stage.GONE || tether == 0) {
-      to(Stage.GONE, "without a lease");
+    if (stage == Stage.RELEASED || leaseId == 0) {
+      advanceTo(Stage.RELEASED, "without a lease");
       done.run();
       return;
     }
-    to(Stage.GONE, "giving the lease back");
-    ledger.revokeLease(tether, done);
+    advanceTo(Stage.RELEASED, "giving the lease back");
+    stateService.revokeLease(leaseId, done);
   }
 
-  private void to(Stage next, String why) {
+  private void advanceTo(Stage next, String reason) {
     if (next.ordinal() > stage.ordinal()) {
-      LOG.info("{} -> {}: {}", stage, next, why);
+      LOG.info("{} -> {}: {}", stage, next, reason);
       stage = next;
     }
   }
 
   // ---- the view ----
 
-  private void considerView() {
-    View now = tables.view();
-    View next = View.next(now, tables.members(), tables.memberZones());
-    View base = next != null ? next : now == null ? null : now.withNextEpoch();
+  private void evaluateView() {
+    View current = tables.view();
+    View next = View.next(current, tables.members(), tables.memberZones());
+    View base = next != null ? next : current == null ? null : current.withNextEpoch();
     long nowMs = timers.nowMs();
-    if (base == null || proposing || nowMs >= leaseUntilMs || !mayPropose()) {
-      differsSinceMs = -1;
+    if (base == null || proposalInFlight || nowMs >= leaseDeadlineMs || !mayPropose()) {
+      viewDiffersSinceMs = -1;
       return;
     }
-    LevelUpgrade rise =
+    LevelUpgrade upgrade =
         LevelUpgrade.evaluate(
-            base.level(), levels, tables.memberLevels(), settings.nodeNames(), tables.registry());
-    boolean rises = rise.level() > base.level() && tables.registry().hasStoredInitialNames();
-    View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
-    boolean same = now != null && wanted.members().equals(now.members());
-    if (same && !rises) {
-      differsSinceMs = -1;
+            base.level(),
+            supportedLevels,
+            tables.memberLevels(),
+            settings.nodeNames(),
+            tables.registry());
+    boolean upgrades = upgrade.level() > base.level() && tables.registry().hasStoredInitialNames();
+    View wanted = fitToTransactionLimit(upgrades ? base.withLevel(upgrade.level()) : base);
+    boolean sameMembers = current != null && wanted.members().equals(current.members());
+    if (sameMembers && !upgrades) {
+      viewDiffersSinceMs = -1;
       return;
     }
-    if (differsSinceMs < 0) {
-      differsSinceMs = nowMs;
+    if (viewDiffersSinceMs < 0) {
+      viewDiffersSinceMs = nowMs;
     }
     // The coming leader proposes first; the others only if it does not.
-    long turn = base.leader().equals(node) ? 0 : 600L * (1 + place());
-    if (nowMs - differsSinceMs < turn) {
+    long turnDelayMs = base.leader().equals(node) ? 0 : 600L * (1 + memberIndex());
+    if (nowMs - viewDiffersSinceMs < turnDelayMs) {
       return;
     }
-    if (rises) {
-      LOG.info("level {} may come into force: all speak it", rise.level());
-      Map<String, Long> conditions = new LinkedHashMap<>(rise.conditions());
+    if (upgrades) {
+      LOG.info("level {} may come into force: all speak it", upgrade.level());
+      Map<String, Long> conditions = new LinkedHashMap<>(upgrade.conditions());
       conditions.put(NodeRegistry.INITIAL_NAMES_KEY, tables.registry().initialNamesStamp());
       tables
           .memberLevels()
           .keySet()
-          .forEach(m -> conditions.put("w/m/" + m, tables.memberStamp(m)));
+          .forEach(member -> conditions.put("w/m/" + member, tables.memberStamp(member)));
       propose(wanted, conditions);
     } else {
       propose(wanted, Map.of());
@@ -496,11 +518,11 @@
    */
   private boolean mayPropose() {
     return incarnation.equals(tables.members().get(node))
-        || tables.members().isEmpty() && tables.view() != null && tether > 0;
+        || tables.members().isEmpty() && tables.view() != null && leaseId > 0;
   }
 
   /** This node's place among those that are there: it decides whose turn it is. */
-  private int place() {
+  private int memberIndex() {
     return new ArrayList<>(tables.members().keySet()).indexOf(node);
   }
 
@@ -509,41 +531,42 @@
    * may hold, those that go come first, and of those that come as many as fit. The rest are spares:
    * they serve users as all do, and take the place of the next member that goes.
    */
-  private View fitting(View next) {
-    View now = tables.view();
+  private View fitToTransactionLimit(View next) {
+    View current = tables.view();
     if (next.isOpen(Gate.VIEWS)) {
-      return named(next);
+      return fitToConditionLimit(next);
     }
-    int most = ledger.limits().maxTransactionChanges() - 1;
-    TreeSet<String> all = new TreeSet<>(next.members().keySet());
-    all.addAll(now == null ? Set.of() : now.members().keySet());
-    if (all.size() <= most) {
+    int maxMembers = stateService.limits().maxTransactionChanges() - 1;
+    TreeSet<String> oldAndNew = new TreeSet<>(next.members().keySet());
+    oldAndNew.addAll(current == null ? Set.of() : current.members().keySet());
+    if (oldAndNew.size() <= maxMembers) {
       return next;
     }
-    Set<String> before = now == null ? Set.of() : now.members().keySet();
-    Map<String, String> fewer = new TreeMap<>(next.members());
-    fewer.keySet().retainAll(before);
-    int room = most - before.size();
-    while (room-- > 0 && fewer.size() < next.members().size()) {
-      String comes = nextIn(next, fewer.keySet());
-      fewer.put(comes, next.members().get(comes));
+    Set<String> currentMembers = current == null ? Set.of() : current.members().keySet();
+    Map<String, String> selected = new TreeMap<>(next.members());
+    selected.keySet().retainAll(currentMembers);
+    int slots = maxMembers - currentMembers.size();
+    while (slots-- > 0 && selected.size() < next.members().size()) {
+      String added = nextMemberToAdd(next, selected.keySet());
+      selected.put(added, next.members().get(added));
     }
-    if (fewer.isEmpty()) {
+    if (selected.isEmpty()) {
       // All members are gone at once: one of them makes room for the first that comes.
-      fewer.putAll(now.members());
-      fewer.remove(before.iterator().next());
+      selected.putAll(current.members());
+      selected.remove(currentMembers.iterator().next());
     }
-    Map<String, String> zones = new TreeMap<>(now == null ? Map.of() : now.zones());
+    Map<String, String> zones = new TreeMap<>(current == null ? Map.of() : current.zones());
     zones.putAll(next.zones());
-    return among(next, fewer, zones);
+    return restrictTo(next, selected, zones);
   }
 
   /** The view with fewer members; its leader stays, if it is one of them. */
-  private static View among(View next, Map<String, String> fewer, Map<String, String> zones) {
-    zones.keySet().retainAll(fewer.keySet());
+  private static View restrictTo(
+      View next, Map<String, String> selected, Map<String, String> zones) {
+    zones.keySet().retainAll(selected.keySet());
     String leader =
-        fewer.containsKey(next.leader()) ? next.leader() : fewer.keySet().iterator().next();
-    return next.withMembers(fewer, leader, zones);
+        selected.containsKey(next.leader()) ? next.leader() : selected.keySet().iterator().next();
+    return next.withMembers(selected, leader, zones);
   }
 
   /**
@@ -551,41 +574,50 @@
    * transaction allow, which must all be there: of those that come, as many as fit beside those
    * that stay.
    */
-  private View named(View next) {
+  private View fitToConditionLimit(View next) {
     // The switch itself rewrites parts still, on condition of each.
-    int parts = tables.isOpen(Gate.VIEWS) ? 0 : ledger.limits().maxTransactionChanges() - 1;
-    int most = ledger.limits().maxTransactionConditions() - BESIDE_MEMBERS - parts;
-    if (next.members().size() <= most) {
+    int partitionConditions =
+        tables.isOpen(Gate.VIEWS) ? 0 : stateService.limits().maxTransactionChanges() - 1;
+    int maxMembers =
+        stateService.limits().maxTransactionConditions()
+            - NON_MEMBER_CONDITIONS
+            - partitionConditions;
+    if (next.members().size() <= maxMembers) {
       return next;
     }
-    Map<String, String> fewer = new TreeMap<>(next.members());
+    Map<String, String> selected = new TreeMap<>(next.members());
     if (tables.view() != null) {
-      fewer.keySet().retainAll(tables.view().members().keySet());
+      selected.keySet().retainAll(tables.view().members().keySet());
     }
-    while (fewer.size() > most) {
-      String last = ((TreeMap<String, String>) fewer).lastKey();
-      String other =
-          fewer.keySet().stream().filter(m -> !m.equals(next.leader())).findFirst().get();
-      fewer.remove(last.equals(next.leader()) ? other : last);
+    while (selected.size() > maxMembers) {
+      String lastName = ((TreeMap<String, String>) selected).lastKey();
+      String lastOther =
+          selected.keySet().stream()
+              .filter(member -> !member.equals(next.leader()))
+              .findFirst()
+              .get();
+      selected.remove(lastName.equals(next.leader()) ? lastOther : lastName);
     }
-    while (fewer.size() < most) {
-      String comes = nextIn(next, fewer.keySet());
-      fewer.put(comes, next.members().get(comes));
+    while (selected.size() < maxMembers) {
+      String added = nextMemberToAdd(next, selected.keySet());
+      selected.put(added, next.members().get(added));
     }
     Map<String, String> zones = new TreeMap<>(next.zones());
-    return among(next, fewer, zones);
+    return restrictTo(next, selected, zones);
   }
 
   /** Who comes next: of the zone that has the fewest members, or it would stand alone in a cut. */
-  private static String nextIn(View next, Set<String> in) {
-    Map<String, Integer> zones = new HashMap<>();
-    in.forEach(m -> zones.merge(next.zones().getOrDefault(m, ""), 1, Integer::sum));
+  private static String nextMemberToAdd(View next, Set<String> selected) {
+    Map<String, Integer> membersPerZone = new HashMap<>();
+    selected.forEach(
+        member -> membersPerZone.merge(next.zones().getOrDefault(member, ""), 1, Integer::sum));
     String best = null;
-    for (String m : next.members().keySet()) {
-      int here = zones.getOrDefault(next.zones().getOrDefault(m, ""), 0);
-      if (!in.contains(m)
-          && (best == null || here < zones.getOrDefault(next.zones().getOrDefault(best, ""), 0))) {
-        best = m;
+    for (String member : next.members().keySet()) {
+      int inZone = membersPerZone.getOrDefault(next.zones().getOrDefault(member, ""), 0);
+      if (!selected.contains(member)
+          && (best == null
+              || inZone < membersPerZone.getOrDefault(next.zones().getOrDefault(best, ""), 0))) {
+        best = member;
       }
     }
     return best;
@@ -593,50 +625,56 @@
 
   /** The same view under a higher epoch, so that commands given under this one are void. */
   public void raiseEpoch() {
-    View v = tables.view();
+    View view = tables.view();
     // Spares are there too.
-    boolean whole = tables.members().entrySet().containsAll(v.members().entrySet());
-    if (!proposing && status() == Status.MEMBER && whole) {
-      propose(v.withNextEpoch(), Map.of());
+    boolean allPresent = tables.members().entrySet().containsAll(view.members().entrySet());
+    if (!proposalInFlight && status() == Status.MEMBER && allPresent) {
+      propose(view.withNextEpoch(), Map.of());
     }
   }
 
   private void propose(View next, Map<String, Long> conditions) {
-    proposing = true;
-    Transaction txn =
+    proposalInFlight = true;
+    Transaction transaction =
         new Transaction()
             .requireStamp(View.KEY, tables.viewStamp())
             .write(View.KEY, next.toStore());
-    next.members().keySet().forEach(m -> txn.requireStamp("w/m/" + m, tables.memberStamp(m)));
+    next.members()
+        .keySet()
+        .forEach(member -> transaction.requireStamp("w/m/" + member, tables.memberStamp(member)));
     // Rewriting the parts makes whatever was prepared under the old view fail. Those of nodes in
     // neither view were rewritten when they left: nothing of theirs can come any more. Since what
     // is prepared is conditional on the view itself, they are rewritten no more; at the switch, as
     // many as the transaction holds, and the rest before anything is placed.
-    Set<String> all = new LinkedHashSet<>();
+    Set<String> rewritten = new LinkedHashSet<>();
     if (!tables.isOpen(Gate.VIEWS)) {
-      all.addAll(
+      rewritten.addAll(
           tables.view() == null ? tables.partitions().keySet() : tables.view().members().keySet());
-      all.addAll(next.members().keySet());
-    }
-    int parts = next.isOpen(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
-    for (String m : all) {
-      if (parts-- <= 0) {
+      rewritten.addAll(next.members().keySet());
+    }
+    int remaining =
+        next.isOpen(Gate.VIEWS)
+            ? stateService.limits().maxTransactionChanges() - 1
+            : rewritten.size();
+    for (String member : rewritten) {
+      if (remaining-- <= 0) {
         break;
       }
-      Partition p = tables.partition(m);
-      Partition told = p == null ? Partition.empty(0, Encoding.forLevel(next.level())) : p;
-      if (next.isOpen(Gate.NUMBERS) && told.encoding() == Encoding.FIRST) {
-        told = Quota.toNumberedEncoding(told, m, tables.registry(), settings);
+      Partition partition = tables.partition(member);
+      Partition updated =
+          partition == null ? Partition.empty(0, Encoding.forLevel(next.level())) : partition;
+      if (next.isOpen(Gate.NUMBERS) && updated.encoding() == Encoding.FIRST) {
+        updated = Quota.toNumberedEncoding(updated, member, tables.registry(), settings);
       }
-      txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
-      txn.write(Partition.key(m), told.inEpoch(next.epoch()).toStore());
+      transaction.requireStamp(Partition.key(member), partition == null ? 0 : partition.stamp());
+      transaction.write(Partition.key(member), updated.inEpoch(next.epoch()).toStore());
     }
     // Nobody outside the view acts, so what is known of them is asked for as far as it fits.
-    int most = ledger.limits().maxTransactionConditions();
+    int maxConditions = stateService.limits().maxTransactionConditions();
     conditions.forEach(
         (key, stamp) -> {
-          if (txn.conditions().size() < most) {
-            txn.requireStamp(key, stamp);
+          if (transaction.conditions().size() < maxConditions) {
+            transaction.requireStamp(key, stamp);
           }
         });
     LOG.info(
@@ -645,15 +683,15 @@
         next.level(),
         next.members().keySet(),
         next.leader());
-    ledger.commit(
-        txn,
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.AUTHORITY,
         r ->
-            ledger.barrier(
+            stateService.barrier(
                 2000,
                 ok -> {
-                  proposing = false;
-                  differsSinceMs = -1;
+                  proposalInFlight = false;
+                  viewDiffersSinceMs = -1;
                 }));
   }
 
@@ -667,30 +705,32 @@
    * <p>One that is idle may begin at any time, one that is busy may become busier, and of one that
    * is not heard half an even share is assumed.
    */
-  private void shareWrites() {
-    View v = tables.view();
-    if (v == null) {
+  private void updateWriteBudget() {
+    View view = tables.view();
+    if (view == null) {
       return;
     }
-    int there = Math.max(v.members().size(), tables.memberLevels().size());
-    ledger.divideLimits(there, node.equals(v.leader()));
-    double fair = ledger.fairWriteRate();
-    double even = ledger.evenWriteRate();
+    int controllers = Math.max(view.members().size(), tables.memberLevels().size());
+    stateService.divideLimits(controllers, node.equals(view.leader()));
+    double fairWrites = stateService.fairWriteRate();
+    double evenWrites = stateService.evenWriteRate();
     long now = timers.nowMs();
-    int known = 0;
-    double others = 0;
-    for (Heard h : heard.values()) {
-      if (now - h.atMs < PEER_FRESH_MS) {
-        known++;
-        others += Math.max(h.writes * BUSIER, even / 4);
+    int reporting = 0;
+    double othersWrites = 0;
+    for (PeerStatus status : peerStatuses.values()) {
+      if (now - status.receivedMs < MAX_PEER_STATUS_AGE_MS) {
+        reporting++;
+        othersWrites += Math.max(status.writesPerSecond * PEER_WRITES_MARGIN, evenWrites / 4);
       }
     }
-    int unknown = Math.max(0, there - 1 - known);
-    ledger.setOtherMembersWriteRate(others + unknown * even / 2, Math.max(fair, toldWrites * RAMP));
-    toldWrites = ledger.recentWriteRate();
+    int silent = Math.max(0, controllers - 1 - reporting);
+    stateService.setOtherMembersWriteRate(
+        othersWrites + silent * evenWrites / 2,
+        Math.max(fairWrites, announcedWrites * MAX_WRITES_GROWTH));
+    announcedWrites = stateService.recentWriteRate();
   }
 
-  private void tellPeers() {
+  private void broadcastStatus() {
     long epoch = tables.view() == null ? 0 : tables.view().epoch();
     int number = tables.registry().numberOf(node);
     if (number < 0) {
@@ -698,13 +738,17 @@
     }
     ByteBuffer frame =
         new PeerFrame.Standing(
-                number, epoch, ledger.reachable(), (int) Math.ceil(ledger.recentWriteRate()))
+                number,
+                epoch,
+                stateService.reachable(),
+                (int) Math.ceil(stateService.recentWriteRate()))
             .encode();
-    peers.values().forEach(p -> p.accept(frame.duplicate()));
+    peers.values().forEach(peer -> peer.accept(frame.duplicate()));
   }
 
-  public void handlePeerStatus(PeerFrame.Standing s) {
-    heard.put(s.from(), new Heard(s.stateOk(), timers.nowMs(), s.writes()));
-    peerEpoch = Math.max(peerEpoch, s.epoch());
+  public void handlePeerStatus(PeerFrame.Standing status) {
+    peerStatuses.put(
+        status.from(), new PeerStatus(status.stateOk(), timers.nowMs(), status.writes()));
+    highestPeerEpoch = Math.max(highestPeerEpoch, status.epoch());
   }
 }
--- a/src/main/java/wickdrift/coordination/PauseDetector.java
+++ b/src/main/java/wickdrift/coordination/PauseDetector.java
@@ -16,41 +16,42 @@
  */
 public final class PauseDetector {
   private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
-  private static final long BEAT_MS = 200;
+  private static final long CHECK_INTERVAL_MS = 200;
 
   private final Timers timers;
-  private final long stillMs;
-  private final List<LongConsumer> wakers = new ArrayList<>();
-  private long lastMs;
+  private final long pauseThresholdMs;
+  private final List<LongConsumer> resumeListeners = new ArrayList<>();
+  private long lastActivityMs;
   private long uninterruptedSinceMs;
-  private long dueMs;
+  private long nextTickDueMs;
   private long timerDelayMs;
   private long pauseCount;
   private long totalPausedMs;
 
   /**
-   * @param stillMs a longer gap than this is a pause; the beat and a slow processor take some
+   * @param pauseThresholdMs a longer gap than this is a pause; the beat and a slow processor take
+   *     some
    */
-  public PauseDetector(Timers timers, long stillMs) {
+  public PauseDetector(Timers timers, long pauseThresholdMs) {
     this.timers = timers;
-    this.stillMs = stillMs;
-    this.lastMs = timers.nowMs();
-    this.uninterruptedSinceMs = lastMs;
+    this.pauseThresholdMs = pauseThresholdMs;
+    this.lastActivityMs = timers.nowMs();
+    this.uninterruptedSinceMs = lastActivityMs;
   }
 
   /** Begins to beat. */
   public void start() {
     // Whatever lies between making the process and its first turn is no pause.
-    lastMs = timers.nowMs();
-    uninterruptedSinceMs = lastMs;
-    dueMs = lastMs;
+    lastActivityMs = timers.nowMs();
+    uninterruptedSinceMs = lastActivityMs;
+    nextTickDueMs = lastActivityMs;
     tick();
   }
 
   private void tick() {
-    timerDelayMs = Math.max(0, timers.nowMs() - dueMs);
-    dueMs = timers.nowMs() + BEAT_MS;
-    timers.after(BEAT_MS, this::tick);
+    timerDelayMs = Math.max(0, timers.nowMs() - nextTickDueMs);
+    nextTickDueMs = timers.nowMs() + CHECK_INTERVAL_MS;
+    timers.after(CHECK_INTERVAL_MS, this::tick);
     recordActivity();
   }
 
@@ -60,23 +61,23 @@
   }
 
   /** Told, with how long the pause was, before anything else is done after it. */
-  public void onResume(LongConsumer waker) {
-    wakers.add(waker);
+  public void onResume(LongConsumer listener) {
+    resumeListeners.add(listener);
   }
 
   /** Something has come in. */
   public void recordActivity() {
     long now = timers.nowMs();
-    long gap = now - lastMs;
-    lastMs = now;
-    if (gap <= stillMs) {
+    long gapMs = now - lastActivityMs;
+    lastActivityMs = now;
+    if (gapMs <= pauseThresholdMs) {
       return;
     }
     pauseCount++;
-    totalPausedMs += gap;
+    totalPausedMs += gapMs;
     uninterruptedSinceMs = now;
-    LOG.warn("stood still for {} ms: what is known is caught up before anything is decided", gap);
-    wakers.forEach(w -> w.accept(gap));
+    LOG.warn("stood still for {} ms: what is known is caught up before anything is decided", gapMs);
+    resumeListeners.forEach(listener -> listener.accept(gapMs));
   }
 
   /** Since when this process has listened without a pause. */
--- a/src/main/java/wickdrift/coordination/QueuedDemand.java
+++ b/src/main/java/wickdrift/coordination/QueuedDemand.java
@@ -11,68 +11,76 @@
  * part, the largest, while the others stand empty. Kept up to date by the changes of jobs.
  */
 final class QueuedDemand {
-  private record Need(
-      String part, String image, int tasks, double cpus, double gpus, double memoryGb) {
-    static Need of(JobSpec s, String part, int n) {
-      return new Need(part, s.image(), n, n * s.cpus(), n * s.gpus(), n * s.memoryGb());
+  private record Demand(
+      String partition, String image, int tasks, double cpus, double gpus, double memoryGb) {
+    static Demand of(JobSpec spec, String partition, int tasks) {
+      return new Demand(
+          partition,
+          spec.image(),
+          tasks,
+          tasks * spec.cpus(),
+          tasks * spec.gpus(),
+          tasks * spec.memoryGb());
     }
   }
 
-  private static final class Sum {
+  private static final class PartitionDemand {
     double cpus;
     double gpus;
     double memoryGb;
     final Map<String, Integer> tasksByImage = new HashMap<>();
 
-    void add(Need n, int sign) {
-      cpus += sign * n.cpus;
-      gpus += sign * n.gpus;
-      memoryGb += sign * n.memoryGb;
-      tasksByImage.merge(n.image, sign * n.tasks, Integer::sum);
-      tasksByImage.remove(n.image, 0);
+    void add(Demand demand, int sign) {
+      cpus += sign * demand.cpus;
+      gpus += sign * demand.gpus;
+      memoryGb += sign * demand.memoryGb;
+      tasksByImage.merge(demand.image, sign * demand.tasks, Integer::sum);
+      tasksByImage.remove(demand.image, 0);
     }
   }
 
-  private final Map<Job, Need> needs = new HashMap<>();
-  private final Map<String, Sum> sums = new HashMap<>();
+  private final Map<Job, Demand> demandByJob = new HashMap<>();
+  private final Map<String, PartitionDemand> demandByPartition = new HashMap<>();
 
   /** So many of the job's tasks wait now. */
-  void update(Job j, int waiting) {
-    Need now = waiting > 0 ? Need.of(j.spec(), j.partition(), waiting) : null;
-    Need old = now == null ? needs.remove(j) : needs.put(j, now);
-    if (old != null) {
-      add(old, -1);
+  void update(Job job, int waitingTasks) {
+    Demand current = waitingTasks > 0 ? Demand.of(job.spec(), job.partition(), waitingTasks) : null;
+    Demand previous = current == null ? demandByJob.remove(job) : demandByJob.put(job, current);
+    if (previous != null) {
+      add(previous, -1);
     }
-    if (now != null) {
-      add(now, 1);
+    if (current != null) {
+      add(current, 1);
     }
   }
 
   /** A job that goes there, before any table tells. */
-  void add(JobSpec s, String part) {
-    add(Need.of(s, part, s.tasks()), 1);
+  void add(JobSpec spec, String partition) {
+    add(Demand.of(spec, partition, spec.tasks()), 1);
   }
 
-  private void add(Need n, int sign) {
-    sums.computeIfAbsent(n.part, k -> new Sum()).add(n, sign);
+  private void add(Demand demand, int sign) {
+    demandByPartition
+        .computeIfAbsent(demand.partition, k -> new PartitionDemand())
+        .add(demand, sign);
   }
 
   /** How many tasks of this kind would take what is promised at a part. */
-  double equivalentTasks(JobSpec s, String part) {
-    Sum sum = sums.get(part);
-    if (sum == null) {
+  double equivalentTasks(JobSpec spec, String partition) {
+    PartitionDemand demand = demandByPartition.get(partition);
+    if (demand == null) {
       return 0;
     }
-    double n = 0;
-    n = s.cpus() > 0 ? Math.max(n, sum.cpus / s.cpus()) : n;
-    n = s.gpus() > 0 ? Math.max(n, sum.gpus / s.gpus()) : n;
-    n = s.memoryGb() > 0 ? Math.max(n, sum.memoryGb / s.memoryGb()) : n;
-    return Math.max(0, n);
+    double tasks = 0;
+    tasks = spec.cpus() > 0 ? Math.max(tasks, demand.cpus / spec.cpus()) : tasks;
+    tasks = spec.gpus() > 0 ? Math.max(tasks, demand.gpus / spec.gpus()) : tasks;
+    tasks = spec.memoryGb() > 0 ? Math.max(tasks, demand.memoryGb / spec.memoryGb()) : tasks;
+    return Math.max(0, tasks);
   }
 
   /** How many tasks with this image wait at a part. */
-  int tasksWithImage(JobSpec s, String part) {
-    Sum sum = sums.get(part);
-    return sum == null ? 0 : sum.tasksByImage.getOrDefault(s.image(), 0);
+  int tasksWithImage(JobSpec spec, String partition) {
+    PartitionDemand demand = demandByPartition.get(partition);
+    return demand == null ? 0 : demand.tasksByImage.getOrDefault(spec.image(), 0);
   }
 }
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -17,7 +17,7 @@
  * controller cut off from the workers alone keeps its lease, and its part's tasks all die.
  */
 public final class ReportRelay {
-  private static final long WAIT_MS = 1500;
+  private static final long REPLY_TIMEOUT_MS = 1500;
   private static final int MAX_PENDING = 200;
 
   private final Timers timers;
@@ -25,7 +25,7 @@
   private final NodeRegistry registry;
   private final Map<String, Consumer<ByteBuffer>> peers;
   private final Map<Long, Exchange> pending = new HashMap<>();
-  private long nextId;
+  private long lastRequestId;
 
   public ReportRelay(
       Timers timers, String node, NodeRegistry registry, Map<String, Consumer<ByteBuffer>> peers) {
@@ -36,40 +36,40 @@
   }
 
   /** Passes a report on; false if that can't be done. The answer, or 421, follows in time. */
-  public boolean forward(Exchange x, String owner) {
+  public boolean forward(Exchange exchange, String owner) {
     Consumer<ByteBuffer> peer = peers.get(owner);
     int number = registry.numberOf(node);
     if (peer == null || number < 0 || pending.size() >= MAX_PENDING) {
       return false;
     }
-    long id = ++nextId;
-    pending.put(id, x);
-    peer.accept(new PeerFrame.Relayed(number, id, x.body()).encode());
+    long requestId = ++lastRequestId;
+    pending.put(requestId, exchange);
+    peer.accept(new PeerFrame.Relayed(number, requestId, exchange.body()).encode());
     timers.after(
-        WAIT_MS,
+        REPLY_TIMEOUT_MS,
         () -> {
-          if (pending.remove(id) != null) {
-            x.reply(421, Map.of());
+          if (pending.remove(requestId) != null) {
+            exchange.reply(421, Map.of());
           }
         });
     return true;
   }
 
   /** A peer's answer to a report that was passed on. */
-  public void handleReply(PeerFrame.Answered a) {
-    Exchange x = pending.remove(a.id());
-    if (x == null) {
+  public void handleReply(PeerFrame.Answered answer) {
+    Exchange exchange = pending.remove(answer.id());
+    if (exchange == null) {
       return;
     }
     try {
-      x.reply(a.status(), Document.parse(a.body()).rawMap());
+      exchange.reply(answer.status(), Document.parse(answer.body()).rawMap());
     } catch (BadMessage e) {
-      x.reply(421, Map.of());
+      exchange.reply(421, Map.of());
     }
   }
 
   /** A report that a peer passed on to us, as a request whose answer goes back to that peer. */
-  public Exchange exchangeFor(PeerFrame.Relayed r) {
+  public Exchange exchangeFor(PeerFrame.Relayed relayed) {
     return new Exchange() {
       @Override
       public String method() {
@@ -83,17 +83,17 @@
 
       @Override
       public byte[] body() {
-        return r.body();
+        return relayed.body();
       }
 
       @Override
       public void reply(int status, Object value, int retryAfterS) {
-        String from = registry.name(r.from());
+        String from = registry.name(relayed.from());
         Consumer<ByteBuffer> peer = from == null ? null : peers.get(from);
         int number = registry.numberOf(node);
         if (peer != null && number >= 0) {
           byte[] body = MessageCodec.encode(value == null ? Map.of() : value);
-          peer.accept(new PeerFrame.Answered(number, r.id(), status, body).encode());
+          peer.accept(new PeerFrame.Answered(number, relayed.id(), status, body).encode());
         }
       }
     };
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -24,49 +24,49 @@
  * its record is durable.
  */
 final class Submissions {
-  private static final int MAX_QUEUE = 300;
-  private static final long GIVE_UP_MS = 3000;
+  private static final int MAX_QUEUED_SUBMISSIONS = 300;
+  private static final long SUBMISSION_TIMEOUT_MS = 3000;
 
   /** A user tries for a minute: nobody is sent away for a large part of that. */
-  private static final int COME_AGAIN_MOST_S = 8;
+  private static final int MAX_RETRY_AFTER_S = 8;
 
   /** A batch that is not answered by then no longer holds up the next one. */
-  private static final long OVERTAKE_MS = 250;
+  private static final long MAX_BATCH_BLOCKING_MS = 250;
 
   /** So many batches may be out at once. */
-  private static final int BATCHES_MOST = 4;
+  private static final int MAX_BATCHES_IN_FLIGHT = 4;
 
   /** Of a job's record, besides what was submitted. */
-  private static final int RECORD_BYTES = 160;
+  private static final int RECORD_OVERHEAD_BYTES = 160;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final JobRouter router;
-  private final DependencyValidator awaited;
+  private final DependencyValidator dependencyValidator;
   private final JobStatus status;
   private final BooleanSupplier ready;
-  private final AdmissionQueue<Submission> queue = new AdmissionQueue<>(MAX_QUEUE);
-  private BooleanSupplier leaving = () -> false;
+  private final AdmissionQueue<Submission> queue = new AdmissionQueue<>(MAX_QUEUED_SUBMISSIONS);
+  private BooleanSupplier stopCondition = () -> false;
 
   /** Whether the next batch waits, for more to come or for the one that is out. */
-  private boolean busy;
+  private boolean nextBatchBlocked;
 
   /** Batches that are out, and the newest of them. */
-  private int batchesOut;
+  private int batchesInFlight;
 
-  private long newestBatch;
+  private long newestBatchNumber;
 
-  private final DependencyValidator.Outcome onNames =
-      new DependencyValidator.Outcome() {
+  private final DependencyValidator.Callback dependencyCallback =
+      new DependencyValidator.Callback() {
         @Override
-        public void known(Submission s) {
-          enqueue(s);
+        public void onValid(Submission submission) {
+          enqueue(submission);
         }
 
         @Override
-        public void refused(Submission s, String why) {
-          refuse(s, 422, why);
+        public void onInvalid(Submission submission, String reason) {
+          reject(submission, 422, reason);
         }
       };
 
@@ -75,61 +75,61 @@
    */
   Submissions(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       JobRouter router,
-      DependencyValidator awaited,
+      DependencyValidator dependencyValidator,
       JobStatus status,
       BooleanSupplier ready) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.router = router;
-    this.awaited = awaited;
+    this.dependencyValidator = dependencyValidator;
     this.status = status;
     this.ready = ready;
   }
 
   /** Once that is so, no submission is taken any more. */
-  void stopAcceptingWhen(BooleanSupplier now) {
-    leaving = now;
+  void stopAcceptingWhen(BooleanSupplier condition) {
+    stopCondition = condition;
   }
 
   /** Whether no submission waits for its answer. */
   boolean isIdle() {
-    return !busy && batchesOut == 0 && queue.isEmpty();
+    return !nextBatchBlocked && batchesInFlight == 0 && queue.isEmpty();
   }
 
-  void submit(Exchange x) {
+  void submit(Exchange exchange) {
     JobSpec spec;
-    String lacks;
+    String missingField;
     try {
-      Document d = Document.parse(x.body());
-      spec = JobSpec.parse(d);
-      lacks = JobSpec.lacks(d);
+      Document document = Document.parse(exchange.body());
+      spec = JobSpec.parse(document);
+      missingField = JobSpec.lacks(document);
     } catch (BadMessage e) {
-      x.reply(400, Map.of("error", e.getMessage()));
+      exchange.reply(400, Map.of("error", e.getMessage()));
       return;
     }
     if (tables.job(spec.id()) != null || tables.terminalState(spec.id()) != null) {
-      status.status(x, spec.id());
+      status.replyStatus(exchange, spec.id());
       return;
     }
-    if (!ready.getAsBoolean() || !ledger.reachable() || leaving.getAsBoolean()) {
-      UserRequests.later(x);
+    if (!ready.getAsBoolean() || !stateService.reachable() || stopCondition.getAsBoolean()) {
+      UserRequests.replyTryAgain(exchange);
       return;
     }
-    Submission s = new Submission(x, spec, timers.nowMs());
-    if (lacks != null) {
+    Submission submission = new Submission(exchange, spec, timers.nowMs());
+    if (missingField != null) {
       // A build before this one may have taken it.
-      refuse(s, 400, lacks + " is missing");
+      reject(submission, 400, missingField + " is missing");
     } else if (spec.awaits().isEmpty()) {
-      enqueue(s);
+      enqueue(submission);
     } else if (!tables.isOpen(Gate.AWAITS)) {
       // An older build would read the record, and run the job too early.
-      UserRequests.later(x);
+      UserRequests.replyTryAgain(exchange);
     } else {
-      awaited.check(s, onNames);
+      dependencyValidator.validate(submission, dependencyCallback);
     }
   }
 
@@ -137,27 +137,27 @@
    * In how many seconds a submission that is sent away should come again: when half of what waits
    * here now has been taken at the rate that users have, so that the door is never empty meanwhile.
    */
-  private int comeAgainS() {
-    double seconds = queue.size() / 2.0 / Math.max(1, ledger.guaranteedUserWriteRate());
-    return (int) Math.max(1, Math.min(COME_AGAIN_MOST_S, Math.round(seconds)));
+  private int retryAfterS() {
+    double seconds = queue.size() / 2.0 / Math.max(1, stateService.guaranteedUserWriteRate());
+    return (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, Math.round(seconds)));
   }
 
-  private void tooMany(Exchange x) {
-    x.reply(429, Map.of("error", "too many submissions"), comeAgainS());
+  private void replyTooManySubmissions(Exchange exchange) {
+    exchange.reply(429, Map.of("error", "too many submissions"), retryAfterS());
   }
 
-  private void enqueue(Submission s) {
-    Submission gone = queue.offer(s.spec(), s);
-    if (gone != null) {
-      tooMany(gone.exchange());
+  private void enqueue(Submission submission) {
+    Submission evicted = queue.offer(submission.spec(), submission);
+    if (evicted != null) {
+      replyTooManySubmissions(evicted.exchange());
     }
-    pump();
+    scheduleBatch();
   }
 
   /** Whether a job's record has no room for all names that it awaits. */
-  private boolean overflows(JobSpec spec) {
-    int most = ledger.limits().targetValueBytes() - RECORD_BYTES;
-    return !spec.awaits().isEmpty() && MessageCodec.jsonSize(spec.toStore()) > most;
+  private boolean needsOverflowRecords(JobSpec spec) {
+    int maxBytes = stateService.limits().targetValueBytes() - RECORD_OVERHEAD_BYTES;
+    return !spec.awaits().isEmpty() && MessageCodec.jsonSize(spec.toStore()) > maxBytes;
   }
 
   /**
@@ -165,223 +165,256 @@
    * is accepted: each transaction is conditional on the job's absence, and who tries again writes
    * the same.
    */
-  private void writeNames(Submission s, AwaitsOverflow more) {
-    List<Map.Entry<String, Object>> open =
+  private void writeOverflow(Submission submission, AwaitsOverflow overflow) {
+    List<Map.Entry<String, Object>> remaining =
         new ArrayList<>(
-            more.values(s.spec().awaits(), ledger.limits().targetValueBytes()).entrySet());
-    writeNames(s, more, open);
+            overflow
+                .values(submission.spec().awaits(), stateService.limits().targetValueBytes())
+                .entrySet());
+    writeOverflow(submission, overflow, remaining);
   }
 
-  private void writeNames(Submission s, AwaitsOverflow more, List<Map.Entry<String, Object>> open) {
-    if (open.isEmpty()) {
-      batchOf(s, more);
+  private void writeOverflow(
+      Submission submission, AwaitsOverflow overflow, List<Map.Entry<String, Object>> remaining) {
+    if (remaining.isEmpty()) {
+      commitWithOverflow(submission, overflow);
       return;
     }
-    String id = s.spec().id();
-    Transaction txn =
-        new Transaction().requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
-    int n = Math.min(open.size(), ledger.limits().maxTransactionChanges() / 2);
-    open.subList(0, n).forEach(e -> txn.write(e.getKey(), e.getValue()));
-    ledger.commit(
-        txn,
+    String jobId = submission.spec().id();
+    Transaction transaction =
+        new Transaction()
+            .requireStamp(Job.key(jobId), 0)
+            .requireStamp(Job.terminalStateKey(jobId), 0);
+    int count = Math.min(remaining.size(), stateService.limits().maxTransactionChanges() / 2);
+    remaining
+        .subList(0, count)
+        .forEach(entry -> transaction.write(entry.getKey(), entry.getValue()));
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.USER,
-        r -> {
-          if (r.outcome() == StateServiceClient.Outcome.OK) {
-            writeNames(s, more, open.subList(n, open.size()));
-          } else if (r.outcome() == StateServiceClient.Outcome.REFUSED
-              && ledger.reachable()
-              && timers.nowMs() - s.sinceMs() < GIVE_UP_MS) {
-            timers.after(UserRequests.RETRY_MS, () -> writeNames(s, more, open));
-          } else if (r.outcome() == StateServiceClient.Outcome.CONDITION_FAILED) {
-            busy = false;
-            status.status(s.exchange(), id);
-            pump();
+        result -> {
+          if (result.outcome() == StateServiceClient.Outcome.OK) {
+            writeOverflow(submission, overflow, remaining.subList(count, remaining.size()));
+          } else if (result.outcome() == StateServiceClient.Outcome.REFUSED
+              && stateService.reachable()
+              && timers.nowMs() - submission.receivedMs() < SUBMISSION_TIMEOUT_MS) {
+            timers.after(
+                UserRequests.RETRY_DELAY_MS, () -> writeOverflow(submission, overflow, remaining));
+          } else if (result.outcome() == StateServiceClient.Outcome.CONDITION_FAILED) {
+            nextBatchBlocked = false;
+            status.replyStatus(submission.exchange(), jobId);
+            scheduleBatch();
           } else {
-            busy = false;
-            UserRequests.later(s.exchange());
-            pump();
+            nextBatchBlocked = false;
+            UserRequests.replyTryAgain(submission.exchange());
+            scheduleBatch();
           }
         });
   }
 
   /** A transaction for one job alone, whose names are written. */
-  private void batchOf(Submission s, AwaitsOverflow more) {
-    Transaction txn = new Transaction();
-    put(txn, s.spec(), more, new QueuedDemand());
-    ledger.commit(
-        txn,
+  private void commitWithOverflow(Submission submission, AwaitsOverflow overflow) {
+    Transaction transaction = new Transaction();
+    addToTransaction(transaction, submission.spec(), overflow, new QueuedDemand());
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.USER,
-        r -> {
-          busy = false;
-          accepted(r, Map.of(s.spec().id(), new ArrayList<>(List.of(s))));
+        result -> {
+          nextBatchBlocked = false;
+          handleBatchResult(
+              result, Map.of(submission.spec().id(), new ArrayList<>(List.of(submission))));
         });
   }
 
-  private void put(Transaction txn, JobSpec spec, AwaitsOverflow more, QueuedDemand together) {
-    String id = spec.id();
-    txn.requireStamp(Job.key(id), 0).requireStamp(Job.terminalStateKey(id), 0);
-    String part = router.route(spec, together);
-    together.add(spec, part);
-    txn.write(Job.key(id), Job.toStore(spec, more, timers.wallMs(), part, 0));
+  private void addToTransaction(
+      Transaction transaction, JobSpec spec, AwaitsOverflow overflow, QueuedDemand batchDemand) {
+    String jobId = spec.id();
+    transaction.requireStamp(Job.key(jobId), 0).requireStamp(Job.terminalStateKey(jobId), 0);
+    String partition = router.route(spec, batchDemand);
+    batchDemand.add(spec, partition);
+    transaction.write(Job.key(jobId), Job.toStore(spec, overflow, timers.wallMs(), partition, 0));
   }
 
-  private void pump() {
-    if (busy || queue.isEmpty()) {
+  private void scheduleBatch() {
+    if (nextBatchBlocked || queue.isEmpty()) {
       return;
     }
-    busy = true;
+    nextBatchBlocked = true;
     // Submissions that arrive together are accepted in one transaction.
-    timers.after(2, this::accept);
+    timers.after(2, this::commitBatch);
   }
 
-  private void accept() {
+  private void commitBatch() {
     Map<String, List<Submission>> batch = new LinkedHashMap<>();
-    QueuedDemand together = new QueuedDemand();
-    Transaction txn = new Transaction();
-    while (!queue.isEmpty() && batch.size() < ledger.limits().maxTransactionChanges()) {
-      Submission s = queue.poll();
-      String id = s.spec().id();
-      if (timers.nowMs() - s.sinceMs() > GIVE_UP_MS) {
-        s.exchange().reply(503, Map.of("error", "try again"), comeAgainS());
+    QueuedDemand batchDemand = new QueuedDemand();
+    Transaction transaction = new Transaction();
+    while (!queue.isEmpty() && batch.size() < stateService.limits().maxTransactionChanges()) {
+      Submission submission = queue.poll();
+      String jobId = submission.spec().id();
+      if (timers.nowMs() - submission.receivedMs() > SUBMISSION_TIMEOUT_MS) {
+        submission.exchange().reply(503, Map.of("error", "try again"), retryAfterS());
         continue;
       }
-      if (tables.job(id) != null || tables.terminalState(id) != null) {
-        status.status(s.exchange(), id);
+      if (tables.job(jobId) != null || tables.terminalState(jobId) != null) {
+        status.replyStatus(submission.exchange(), jobId);
         continue;
       }
-      if (overflows(s.spec()) && router.impossible(s.spec()) == null) {
+      if (needsOverflowRecords(submission.spec())
+          && router.rejectionReason(submission.spec()) == null) {
         if (!batch.isEmpty()) {
-          queue.returnToFront(s.spec(), s);
+          queue.returnToFront(submission.spec(), submission);
           break;
         }
         // By itself, in several steps: the next ones wait for it.
-        writeNames(s, AwaitsOverflow.of(id, s.spec().awaits(), ledger.limits().targetValueBytes()));
+        writeOverflow(
+            submission,
+            AwaitsOverflow.of(
+                jobId, submission.spec().awaits(), stateService.limits().targetValueBytes()));
         return;
       }
-      if (!batch.containsKey(id)) {
-        put(txn, s.spec(), null, together);
+      if (!batch.containsKey(jobId)) {
+        addToTransaction(transaction, submission.spec(), null, batchDemand);
       }
-      batch.computeIfAbsent(id, k -> new ArrayList<>()).add(s);
+      batch.computeIfAbsent(jobId, k -> new ArrayList<>()).add(submission);
     }
     // A job that can never run is refused only if it was not accepted before.
     batch
         .entrySet()
         .removeIf(
-            e -> {
-              String why = router.impossible(e.getValue().get(0).spec());
-              if (why == null) {
+            entry -> {
+              String reason = router.rejectionReason(entry.getValue().get(0).spec());
+              if (reason == null) {
                 return false;
               }
-              txn.remove(Job.key(e.getKey()));
-              txn.remove(Job.terminalStateKey(e.getKey()));
-              e.getValue().forEach(s -> refuse(s, 422, why));
+              transaction.remove(Job.key(entry.getKey()));
+              transaction.remove(Job.terminalStateKey(entry.getKey()));
+              entry.getValue().forEach(submission -> reject(submission, 422, reason));
               return true;
             });
     if (batch.isEmpty()) {
-      busy = false;
-      pump();
+      nextBatchBlocked = false;
+      scheduleBatch();
       return;
     }
-    batchesOut++;
-    long number = ++newestBatch;
-    ledger.commit(
-        txn,
+    batchesInFlight++;
+    long batchNumber = ++newestBatchNumber;
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.USER,
-        r -> {
-          batchesOut--;
+        result -> {
+          batchesInFlight--;
           // One that was overtaken holds up nobody any more.
-          busy &= number != newestBatch;
-          accepted(r, batch);
+          nextBatchBlocked &= batchNumber != newestBatchNumber;
+          handleBatchResult(result, batch);
         });
-    timers.after(OVERTAKE_MS, () -> overtake(number));
+    timers.after(MAX_BATCH_BLOCKING_MS, () -> unblockNextBatch(batchNumber));
   }
 
   /** Lets the next batch go, where this one's answer is late or lost. */
-  private void overtake(long number) {
-    if (busy && number == newestBatch && batchesOut > 0 && batchesOut < BATCHES_MOST) {
-      busy = false;
-      pump();
+  private void unblockNextBatch(long batchNumber) {
+    if (nextBatchBlocked
+        && batchNumber == newestBatchNumber
+        && batchesInFlight > 0
+        && batchesInFlight < MAX_BATCHES_IN_FLIGHT) {
+      nextBatchBlocked = false;
+      scheduleBatch();
     }
   }
 
-  private void refuse(Submission s, int code, String why) {
-    ledger.barrier(
-        UserRequests.BARRIER_MS,
+  private void reject(Submission submission, int statusCode, String reason) {
+    stateService.barrier(
+        UserRequests.BARRIER_TIMEOUT_MS,
         ok -> {
           if (!ok) {
-            UserRequests.later(s.exchange());
-          } else if (tables.job(s.spec().id()) != null
-              || tables.terminalState(s.spec().id()) != null) {
-            status.answerStatus(s.exchange(), s.spec().id());
+            UserRequests.replyTryAgain(submission.exchange());
+          } else if (tables.job(submission.spec().id()) != null
+              || tables.terminalState(submission.spec().id()) != null) {
+            status.replyFromTables(submission.exchange(), submission.spec().id());
           } else {
-            ledger.read(
-                Job.terminalStateKey(s.spec().id()),
+            stateService.read(
+                Job.terminalStateKey(submission.spec().id()),
                 read -> {
                   if (!read.ok()) {
-                    UserRequests.later(s.exchange());
+                    UserRequests.replyTryAgain(submission.exchange());
                   } else if (read.value() != null) {
-                    status.answerFinal(s.exchange(), s.spec().id(), read.value());
+                    status.replyTerminalState(
+                        submission.exchange(), submission.spec().id(), read.value());
                   } else {
-                    s.exchange().reply(code, Map.of("error", why));
+                    submission.exchange().reply(statusCode, Map.of("error", reason));
                   }
                 });
           }
         });
   }
 
-  private void accepted(StateServiceClient.CommitResult r, Map<String, List<Submission>> batch) {
-    switch (r.outcome()) {
+  private void handleBatchResult(
+      StateServiceClient.CommitResult result, Map<String, List<Submission>> batch) {
+    switch (result.outcome()) {
       case OK ->
           batch.forEach(
-              (id, all) ->
-                  all.forEach(s -> s.exchange().reply(201, Map.of("ref", id, "phase", "pending"))));
+              (jobId, submissions) ->
+                  submissions.forEach(
+                      submission ->
+                          submission
+                              .exchange()
+                              .reply(201, Map.of("ref", jobId, "phase", "pending"))));
       case CONDITION_FAILED ->
           batch.forEach(
-              (id, all) -> {
+              (jobId, submissions) -> {
                 boolean known =
-                    r.failedKeys().contains(Job.key(id))
-                        || r.failedKeys().contains(Job.terminalStateKey(id));
-                for (Submission s : all) {
+                    result.failedKeys().contains(Job.key(jobId))
+                        || result.failedKeys().contains(Job.terminalStateKey(jobId));
+                for (Submission submission : submissions) {
                   if (known) {
-                    status.status(s.exchange(), id);
+                    status.replyStatus(submission.exchange(), jobId);
                   } else {
-                    queue.returnToFront(s.spec(), s);
+                    queue.returnToFront(submission.spec(), submission);
                   }
                 }
               });
       case REFUSED -> {
-        if (ledger.reachable()) {
-          putBack(batch);
-          busy = true;
+        if (stateService.reachable()) {
+          requeue(batch);
+          nextBatchBlocked = true;
           timers.after(
-              UserRequests.RETRY_MS,
+              UserRequests.RETRY_DELAY_MS,
               () -> {
-                busy = false;
-                pump();
+                nextBatchBlocked = false;
+                scheduleBatch();
               });
           return;
         }
-        batch.values().forEach(l -> l.forEach(s -> UserRequests.later(s.exchange())));
+        batch
+            .values()
+            .forEach(
+                submissions ->
+                    submissions.forEach(
+                        submission -> UserRequests.replyTryAgain(submission.exchange())));
       }
       // Sent again: who finds a job's record there answers by it, and of two that are carried out
       // only one finds it absent.
       case UNKNOWN -> {
-        if (ledger.reachable()) {
-          putBack(batch);
+        if (stateService.reachable()) {
+          requeue(batch);
         } else {
-          batch.values().forEach(l -> l.forEach(s -> UserRequests.later(s.exchange())));
+          batch
+              .values()
+              .forEach(
+                  submissions ->
+                      submissions.forEach(
+                          submission -> UserRequests.replyTryAgain(submission.exchange())));
         }
       }
-      default -> throw new AssertionError(r.outcome());
+      default -> throw new AssertionError(result.outcome());
     }
-    pump();
+    scheduleBatch();
   }
 
   /** Back where they were: the oldest is not to give up for those that came later. */
-  private void putBack(Map<String, List<Submission>> batch) {
-    List<Submission> again = new ArrayList<>();
-    batch.values().forEach(again::addAll);
-    Collections.reverse(again);
-    again.forEach(s -> queue.returnToFront(s.spec(), s));
+  private void requeue(Map<String, List<Submission>> batch) {
+    List<Submission> submissions = new ArrayList<>();
+    batch.values().forEach(submissions::addAll);
+    Collections.reverse(submissions);
+    submissions.forEach(submission -> queue.returnToFront(submission.spec(), submission));
   }
 }
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -36,59 +36,59 @@
   private static final Logger LOG = LoggerFactory.getLogger(WithdrawalConfirmations.class);
 
   /** Who asks is answered within this time, kept or not. */
-  private static final long WAIT_MS = 700;
+  private static final long CONFIRMATION_TIMEOUT_MS = 700;
 
   /** An owner that can't say so yet is asked again after that. */
-  private static final long AGAIN_MS = 150;
+  private static final long RETRY_INTERVAL_MS = 150;
 
   /** An answer that comes later than this is of no use to whoever waits; the next one asks anew. */
-  private static final long QUESTION_MS = 2000;
+  private static final long REQUEST_TIMEOUT_MS = 2000;
 
   /** A frame is bounded: so many machines' names fit. */
-  static final int NAMES_MOST = 1000;
+  static final int MAX_NAMES_PER_FRAME = 1000;
 
-  private static final long TIDY_MS = 5000;
+  private static final long CLEANUP_INTERVAL_MS = 5000;
 
   /** A question that is out. */
-  private record Question(String job, String owner, List<String> machines, long sinceMs) {}
+  private record Request(String job, String owner, List<String> machines, long sentMs) {}
 
-  private record Waiter(Consumer<Boolean> done, long untilMs) {}
+  private record Waiter(Consumer<Boolean> callback, long deadlineMs) {}
 
   /** A withdrawn job that somebody has asked about. */
-  private static final class Open {
+  private static final class TrackedJob {
     /** Machines of which it is proved; it stays so. */
-    final Set<String> proved = new HashSet<>();
+    final Set<String> confirmedMachines = new HashSet<>();
 
     final List<Waiter> waiters = new ArrayList<>();
-    boolean kept;
-    boolean armed;
-    long askedMs = Long.MIN_VALUE / 2;
-    long askedEpoch;
+    boolean confirmed;
+    boolean retryScheduled;
+    long lastRequestMs = Long.MIN_VALUE / 2;
+    long lastRequestEpoch;
   }
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final ReportHandler reporting;
   private final String node;
   private final Map<String, Consumer<ByteBuffer>> peers;
-  private final Map<String, Open> open = new HashMap<>();
-  private final Map<Long, Question> questions = new HashMap<>();
-  private long nextId;
-  private boolean tidying;
+  private final Map<String, TrackedJob> trackedJobs = new HashMap<>();
+  private final Map<Long, Request> requests = new HashMap<>();
+  private long lastRequestId;
+  private boolean cleanupScheduled;
   private long confirmedCount;
   private long unconfirmedCount;
 
   /** Nothing is asked until somebody waits for an answer. */
   public WithdrawalConfirmations(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       ReportHandler reporting,
       String node,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.reporting = reporting;
     this.node = node;
@@ -108,178 +108,184 @@
   /**
    * Asks whether a job's withdrawal will be kept. The tables must hold it, as after a barrier.
    *
-   * @param done told soon, and once; false: not proved yet
+   * @param callback told soon, and once; false: not proved yet
    */
-  public void whenKept(String job, Consumer<Boolean> done) {
-    Open o = open.computeIfAbsent(job, k -> new Open());
-    o.waiters.add(new Waiter(done, timers.nowMs() + WAIT_MS));
-    judge(job, o);
-    arm(job, o);
-    tidy();
+  public void whenConfirmed(String jobId, Consumer<Boolean> callback) {
+    TrackedJob tracked = trackedJobs.computeIfAbsent(jobId, k -> new TrackedJob());
+    tracked.waiters.add(new Waiter(callback, timers.nowMs() + CONFIRMATION_TIMEOUT_MS));
+    evaluate(jobId, tracked);
+    scheduleRetry(jobId, tracked);
+    scheduleCleanup();
   }
 
-  private void arm(String job, Open o) {
-    if (o.waiters.isEmpty() || o.armed) {
+  private void scheduleRetry(String jobId, TrackedJob tracked) {
+    if (tracked.waiters.isEmpty() || tracked.retryScheduled) {
       return;
     }
-    o.armed = true;
+    tracked.retryScheduled = true;
     timers.after(
-        AGAIN_MS,
+        RETRY_INTERVAL_MS,
         () -> {
-          o.armed = false;
-          judge(job, o);
+          tracked.retryScheduled = false;
+          evaluate(jobId, tracked);
           long now = timers.nowMs();
-          List<Waiter> late = new ArrayList<>();
-          o.waiters.removeIf(w -> w.untilMs <= now && late.add(w));
-          unconfirmedCount += late.size();
-          late.forEach(w -> w.done.accept(false));
-          arm(job, o);
+          List<Waiter> expired = new ArrayList<>();
+          tracked.waiters.removeIf(waiter -> waiter.deadlineMs <= now && expired.add(waiter));
+          unconfirmedCount += expired.size();
+          expired.forEach(waiter -> waiter.callback.accept(false));
+          scheduleRetry(jobId, tracked);
         });
   }
 
   /** Looks at what is proved, asks for what is not, and tells those who wait. */
-  private void judge(String job, Open o) {
-    if (!o.kept) {
-      Map<String, List<String>> left = unproved(job, o);
-      if (left == null) {
+  private void evaluate(String jobId, TrackedJob tracked) {
+    if (!tracked.confirmed) {
+      Map<String, List<String>> unconfirmed = unconfirmedMachines(jobId, tracked);
+      if (unconfirmed == null) {
         return;
       }
-      if (!left.isEmpty()) {
-        ask(job, o, left);
+      if (!unconfirmed.isEmpty()) {
+        requestConfirmations(jobId, tracked, unconfirmed);
         return;
       }
-      o.kept = true;
+      tracked.confirmed = true;
       confirmedCount++;
     }
-    List<Waiter> told = List.copyOf(o.waiters);
-    o.waiters.clear();
-    told.forEach(w -> w.done.accept(true));
+    List<Waiter> confirmedWaiters = List.copyOf(tracked.waiters);
+    tracked.waiters.clear();
+    confirmedWaiters.forEach(waiter -> waiter.callback.accept(true));
   }
 
   /** By owner, the machines of which it is not proved; null: these tables can't tell. */
-  private Map<String, List<String>> unproved(String id, Open o) {
-    View v = tables.view();
-    Job job = tables.job(id);
-    if (job == null && tables.terminalState(id) != null) {
+  private Map<String, List<String>> unconfirmedMachines(String jobId, TrackedJob tracked) {
+    View view = tables.view();
+    Job job = tables.job(jobId);
+    if (job == null && tables.terminalState(jobId) != null) {
       return Map.of();
     }
-    if (v == null
+    if (view == null
         || job == null
         || !job.withdrawn()
         || tables.blockedReason() != null
-        || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
+        || stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       return null;
     }
-    Map<String, List<String>> left = new TreeMap<>();
-    for (Machine m : job.machines()) {
-      if (o.proved.contains(m.name())) {
+    Map<String, List<String>> unconfirmed = new TreeMap<>();
+    for (Machine machine : job.machines()) {
+      if (tracked.confirmedMachines.contains(machine.name())) {
         continue;
       }
-      String owner = m.owner(v);
-      if (owner.equals(node) && reporting.canConfirmWithdrawal(m, id)) {
-        o.proved.add(m.name());
+      String owner = machine.owner(view);
+      if (owner.equals(node) && reporting.canConfirmWithdrawal(machine, jobId)) {
+        tracked.confirmedMachines.add(machine.name());
       } else {
-        left.computeIfAbsent(owner, k -> new ArrayList<>()).add(m.name());
+        unconfirmed.computeIfAbsent(owner, k -> new ArrayList<>()).add(machine.name());
       }
     }
-    return left;
+    return unconfirmed;
   }
 
-  private void ask(String job, Open o, Map<String, List<String>> left) {
+  private void requestConfirmations(
+      String jobId, TrackedJob tracked, Map<String, List<String>> unconfirmed) {
     long now = timers.nowMs();
     long epoch = tables.view().epoch();
     int number = tables.registry().numberOf(node);
-    if (number < 0 || now - o.askedMs < AGAIN_MS && o.askedEpoch == epoch) {
+    if (number < 0
+        || now - tracked.lastRequestMs < RETRY_INTERVAL_MS && tracked.lastRequestEpoch == epoch) {
       return;
     }
-    o.askedMs = now;
-    o.askedEpoch = epoch;
-    left.forEach(
+    tracked.lastRequestMs = now;
+    tracked.lastRequestEpoch = epoch;
+    unconfirmed.forEach(
         (owner, machines) -> {
           Consumer<ByteBuffer> peer = peers.get(owner);
-          for (int i = 0; peer != null && i < machines.size(); i += NAMES_MOST) {
-            List<String> some =
-                List.copyOf(machines.subList(i, Math.min(machines.size(), i + NAMES_MOST)));
-            long id = ++nextId;
-            questions.put(id, new Question(job, owner, some, now));
+          for (int i = 0; peer != null && i < machines.size(); i += MAX_NAMES_PER_FRAME) {
+            List<String> batch =
+                List.copyOf(
+                    machines.subList(i, Math.min(machines.size(), i + MAX_NAMES_PER_FRAME)));
+            long requestId = ++lastRequestId;
+            requests.put(requestId, new Request(jobId, owner, batch, now));
             peer.accept(
-                new PeerFrame.Withdrawn(number, id, epoch, tables.appliedRev(), job, some)
+                new PeerFrame.Withdrawn(number, requestId, epoch, tables.appliedRev(), jobId, batch)
                     .encode());
           }
         });
   }
 
   /** An owner's answer. Whoever was not asked has nothing to say. */
-  public void handleConfirmation(PeerFrame.Obeyed a) {
-    Question q = questions.get(a.id());
-    if (q == null || !q.owner.equals(tables.registry().name(a.from()))) {
+  public void handleConfirmation(PeerFrame.Obeyed answer) {
+    Request request = requests.get(answer.id());
+    if (request == null || !request.owner.equals(tables.registry().name(answer.from()))) {
       return;
     }
-    questions.remove(a.id());
-    Open o = open.get(q.job);
-    if (o == null) {
+    requests.remove(answer.id());
+    TrackedJob tracked = trackedJobs.get(request.job);
+    if (tracked == null) {
       return;
     }
-    BitSet places = BitSet.valueOf(a.places());
-    for (int i = places.nextSetBit(0);
-        i >= 0 && i < q.machines.size();
-        i = places.nextSetBit(i + 1)) {
-      o.proved.add(q.machines.get(i));
+    BitSet positions = BitSet.valueOf(answer.places());
+    for (int i = positions.nextSetBit(0);
+        i >= 0 && i < request.machines.size();
+        i = positions.nextSetBit(i + 1)) {
+      tracked.confirmedMachines.add(request.machines.get(i));
     }
-    judge(q.job, o);
+    evaluate(request.job, tracked);
   }
 
   /**
    * A peer has told of a withdrawal and asks which of our machines obey us alone. From here on we
    * know, whether the state service serves us or not; what can't be kept is not answered.
    */
-  public void handleConfirmationRequest(PeerFrame.Withdrawn w) {
-    boolean knew = tables.isWithdrawalAnnounced(w.job()) || w.rev() <= tables.appliedRev();
-    if (!tables.announceWithdrawal(w.job(), w.rev())) {
-      LOG.error("too many withdrawals are known ahead of the tables: {} is not", w.job());
+  public void handleConfirmationRequest(PeerFrame.Withdrawn request) {
+    boolean alreadyKnown =
+        tables.isWithdrawalAnnounced(request.job()) || request.rev() <= tables.appliedRev();
+    if (!tables.announceWithdrawal(request.job(), request.rev())) {
+      LOG.error("too many withdrawals are known ahead of the tables: {} is not", request.job());
       return;
     }
-    Job job = tables.job(w.job());
-    if (!knew && job != null) {
+    Job job = tables.job(request.job());
+    if (!alreadyKnown && job != null) {
       reporting.haltTasksOf(job);
     }
-    View v = tables.view();
-    Consumer<ByteBuffer> peer = peers.get(tables.registry().name(w.from()));
+    View view = tables.view();
+    Consumer<ByteBuffer> peer = peers.get(tables.registry().name(request.from()));
     int number = tables.registry().numberOf(node);
-    if (peer == null || number < 0 || v == null || v.epoch() != w.epoch()) {
+    if (peer == null || number < 0 || view == null || view.epoch() != request.epoch()) {
       return;
     }
-    if (tables.blockedReason() != null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
+    if (tables.blockedReason() != null
+        || stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       return;
     }
-    BitSet places = new BitSet();
-    for (int i = 0; i < w.machines().size(); i++) {
-      Machine m = tables.machine(w.machines().get(i));
-      places.set(i, m != null && reporting.canConfirmWithdrawal(m, w.job()));
+    BitSet positions = new BitSet();
+    for (int i = 0; i < request.machines().size(); i++) {
+      Machine machine = tables.machine(request.machines().get(i));
+      positions.set(i, machine != null && reporting.canConfirmWithdrawal(machine, request.job()));
     }
-    peer.accept(new PeerFrame.Obeyed(number, w.id(), places.toByteArray()).encode());
+    peer.accept(new PeerFrame.Obeyed(number, request.id(), positions.toByteArray()).encode());
   }
 
   /** What is known of a job is kept as long as it lives. */
-  private void tidy() {
-    if (tidying) {
+  private void scheduleCleanup() {
+    if (cleanupScheduled) {
       return;
     }
-    tidying = true;
+    cleanupScheduled = true;
     timers.after(
-        TIDY_MS,
+        CLEANUP_INTERVAL_MS,
         () -> {
-          tidying = false;
+          cleanupScheduled = false;
           long now = timers.nowMs();
-          questions.values().removeIf(q -> now - q.sinceMs > QUESTION_MS);
-          for (Iterator<Map.Entry<String, Open>> it = open.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<String, Open> e = it.next();
-            if (e.getValue().waiters.isEmpty() && tables.job(e.getKey()) == null) {
+          requests.values().removeIf(request -> now - request.sentMs > REQUEST_TIMEOUT_MS);
+          for (Iterator<Map.Entry<String, TrackedJob>> it = trackedJobs.entrySet().iterator();
+              it.hasNext(); ) {
+            Map.Entry<String, TrackedJob> entry = it.next();
+            if (entry.getValue().waiters.isEmpty() && tables.job(entry.getKey()) == null) {
               it.remove();
             }
           }
-          if (!open.isEmpty() || !questions.isEmpty()) {
-            tidy();
+          if (!trackedJobs.isEmpty() || !requests.isEmpty()) {
+            scheduleCleanup();
           }
         });
   }
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -10,86 +10,88 @@
 
 /** Cancels jobs for their users. */
 final class Withdrawals {
-  private static final int TRIES = 6;
+  private static final int MAX_ATTEMPTS = 6;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final JobStatus status;
 
-  Withdrawals(Timers timers, StateServiceClient ledger, Tables tables, JobStatus status) {
+  Withdrawals(Timers timers, StateServiceClient stateService, Tables tables, JobStatus status) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.status = status;
   }
 
-  void withdraw(Exchange x, String id) {
-    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
-      UserRequests.later(x);
+  void withdraw(Exchange exchange, String jobId) {
+    if (stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
+      UserRequests.replyTryAgain(exchange);
       return;
     }
-    withdraw(x, id, TRIES);
+    withdraw(exchange, jobId, MAX_ATTEMPTS);
   }
 
-  private void withdraw(Exchange x, String id, int tries) {
-    if (tables.terminalState(id) != null) {
-      x.reply(200, Map.of("ref", id, "phase", tables.terminalState(id).phase()));
+  private void withdraw(Exchange exchange, String jobId, int attemptsLeft) {
+    if (tables.terminalState(jobId) != null) {
+      exchange.reply(200, Map.of("ref", jobId, "phase", tables.terminalState(jobId).phase()));
       return;
     }
-    ledger.barrier(
-        UserRequests.BARRIER_MS,
+    stateService.barrier(
+        UserRequests.BARRIER_TIMEOUT_MS,
         ok -> {
-          Job job = tables.job(id);
-          if (!ok || tries == 0) {
-            UserRequests.later(x);
+          Job job = tables.job(jobId);
+          if (!ok || attemptsLeft == 0) {
+            UserRequests.replyTryAgain(exchange);
           } else if (job == null) {
-            status.answerStatus(x, id);
+            status.replyFromTables(exchange, jobId);
           } else if (job.withdrawn()) {
-            status.tellWithdrawn(x, id);
+            status.replyWithdrawn(exchange, jobId);
           } else {
-            commitWithdrawal(x, job, tries);
+            commitWithdrawal(exchange, job, attemptsLeft);
           }
         });
   }
 
-  private void commitWithdrawal(Exchange x, Job job, int tries) {
-    Transaction txn =
+  private void commitWithdrawal(Exchange exchange, Job job, int attemptsLeft) {
+    Transaction transaction =
         new Transaction()
             .requireStamp(job.key(), job.stamp())
             .write(job.key(), job.toStore(job.partition(), timers.wallMs()));
-    ledger.commit(
-        txn,
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.USER,
-        r -> {
-          switch (r.outcome()) {
+        result -> {
+          switch (result.outcome()) {
             // Whom to ask is known once the tables hold what was placed before.
             case OK ->
-                ledger.barrier(
-                    UserRequests.BARRIER_MS,
+                stateService.barrier(
+                    UserRequests.BARRIER_TIMEOUT_MS,
                     ok -> {
                       if (ok) {
-                        status.tellWithdrawn(x, job.id());
+                        status.replyWithdrawn(exchange, job.id());
                       } else {
-                        UserRequests.later(x);
+                        UserRequests.replyTryAgain(exchange);
                       }
                     });
-            case CONDITION_FAILED -> withdraw(x, job.id(), tries - 1);
+            case CONDITION_FAILED -> withdraw(exchange, job.id(), attemptsLeft - 1);
             case REFUSED -> {
-              if (ledger.reachable()) {
-                timers.after(UserRequests.RETRY_MS, () -> withdraw(x, job.id(), tries - 1));
+              if (stateService.reachable()) {
+                timers.after(
+                    UserRequests.RETRY_DELAY_MS,
+                    () -> withdraw(exchange, job.id(), attemptsLeft - 1));
               } else {
-                UserRequests.later(x);
+                UserRequests.replyTryAgain(exchange);
               }
             }
             case UNKNOWN -> {
-              if (r.settled()) {
-                withdraw(x, job.id(), tries - 1);
+              if (result.settled()) {
+                withdraw(exchange, job.id(), attemptsLeft - 1);
               } else {
-                UserRequests.later(x);
+                UserRequests.replyTryAgain(exchange);
               }
             }
-            default -> throw new AssertionError(r.outcome());
+            default -> throw new AssertionError(result.outcome());
           }
         });
   }
