--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -33,8 +33,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
   private static final long TICK_INTERVAL_MS = 250;
   private static final long MAX_PEER_STATUS_AGE_MS = 2000;
-  private static final double PEER_WRITES_MARGIN = 1.25;
-  private static final double MAX_WRITES_GROWTH = 2;
+  private static final double PEER_WRITE_RATE_MARGIN = 1.25;
+  private static final double MAX_WRITE_RATE_GROWTH = 2;
 
   /** Conditions of a change of view besides the members': the view, and a few of a rise. */
   private static final int NON_MEMBER_CONDITIONS = 4;
@@ -51,7 +51,7 @@
     GRACE
   }
 
-  private record PeerStatus(boolean stateReachable, long receivedMs, int writesPerSecond) {}
+  private record PeerStatus(boolean stateReachable, long receivedMs, int writeRate) {}
 
   private final Timers timers;
   private final StateServiceClient stateService;
@@ -96,7 +96,7 @@
   private Stage stage = Stage.SERVING;
   private boolean joined;
   private String lastLoggedReason;
-  private double announcedWrites;
+  private double lastSentWriteRate;
 
   /** Asks for no lease before it is started. */
   public Membership(
@@ -213,7 +213,7 @@
         && tables.blockedReason() == null
         && stage == Stage.SERVING) {
       maintainMemberRecord();
-      correctAnnouncements();
+      correctNodeRecords();
       fencePartitions();
       evaluateView();
     }
@@ -278,7 +278,7 @@
       return;
     }
     NodeRegistry registry = tables.registry();
-    NodeRecord announced = registry.nodeRecord(node);
+    NodeRecord nodeRecord = registry.nodeRecord(node);
     List<String> names = settings.nodeNames();
     Transaction transaction = new Transaction();
     boolean mayJoin = mayJoin(names);
@@ -291,17 +291,17 @@
           .requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
           .write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
     }
-    if (announced == null
-        || !announced.levels().equals(supportedLevels)
-        || !announced.peers().equals(names)) {
+    if (nodeRecord == null
+        || !nodeRecord.levels().equals(supportedLevels)
+        || !nodeRecord.peers().equals(names)) {
       int number = registry.numberOf(node) < 0 ? registry.nextNumber() : registry.numberOf(node);
-      NodeRecord announcement =
-          announced == null
+      NodeRecord updatedRecord =
+          nodeRecord == null
               ? NodeRecord.create(number, node, supportedLevels, names)
-              : announced.withLevels(supportedLevels, names);
+              : nodeRecord.withLevels(supportedLevels, names);
       transaction
-          .requireStamp(NodeRecord.key(number), announcement.stamp())
-          .write(NodeRecord.key(number), announcement.toStore());
+          .requireStamp(NodeRecord.key(number), updatedRecord.stamp())
+          .write(NodeRecord.key(number), updatedRecord.toStore());
     }
     if (mayJoin) {
       Map<String, Object> member = new LinkedHashMap<>();
@@ -369,24 +369,24 @@
    * which it runs now does not. One that was put back to an older build and is down when the level
    * rises would stay outside for ever.
    */
-  private void correctAnnouncements() {
+  private void correctNodeRecords() {
     if (writeInFlight || !isLeader()) {
       return;
     }
     NodeRegistry registry = tables.registry();
     Transaction transaction = new Transaction().requireStamp(View.KEY, tables.viewStamp());
     for (Map.Entry<String, LevelRange> live : tables.memberLevels().entrySet()) {
-      NodeRecord announced = registry.nodeRecord(live.getKey());
-      if (announced != null
-          && !announced.levels().equals(live.getValue())
+      NodeRecord nodeRecord = registry.nodeRecord(live.getKey());
+      if (nodeRecord != null
+          && !nodeRecord.levels().equals(live.getValue())
           && transaction.changeCount() == 0) {
-        LOG.info("{} speaks levels {} now", announced.name(), live.getValue());
+        LOG.info("{} speaks levels {} now", nodeRecord.name(), live.getValue());
         transaction
-            .requireStamp(NodeRecord.key(announced.number()), announced.stamp())
-            .requireStamp("w/m/" + announced.name(), tables.memberStamp(announced.name()))
+            .requireStamp(NodeRecord.key(nodeRecord.number()), nodeRecord.stamp())
+            .requireStamp("w/m/" + nodeRecord.name(), tables.memberStamp(nodeRecord.name()))
             .write(
-                NodeRecord.key(announced.number()),
-                announced.withLevels(live.getValue(), announced.peers()).toStore());
+                NodeRecord.key(nodeRecord.number()),
+                nodeRecord.withLevels(live.getValue(), nodeRecord.peers()).toStore());
       }
     }
     if (transaction.changeCount() > 0) {
@@ -712,22 +712,22 @@
     }
     int controllers = Math.max(view.members().size(), tables.memberLevels().size());
     stateService.divideLimits(controllers, node.equals(view.leader()));
-    double fairWrites = stateService.fairWriteRate();
-    double evenWrites = stateService.evenWriteRate();
+    double fairWriteRate = stateService.fairWriteRate();
+    double evenWriteRate = stateService.evenWriteRate();
     long now = timers.nowMs();
     int reporting = 0;
-    double othersWrites = 0;
+    double othersWriteRate = 0;
     for (PeerStatus status : peerStatuses.values()) {
       if (now - status.receivedMs < MAX_PEER_STATUS_AGE_MS) {
         reporting++;
-        othersWrites += Math.max(status.writesPerSecond * PEER_WRITES_MARGIN, evenWrites / 4);
+        othersWriteRate += Math.max(status.writeRate * PEER_WRITE_RATE_MARGIN, evenWriteRate / 4);
       }
     }
     int silent = Math.max(0, controllers - 1 - reporting);
     stateService.setOtherMembersWriteRate(
-        othersWrites + silent * evenWrites / 2,
-        Math.max(fairWrites, announcedWrites * MAX_WRITES_GROWTH));
-    announcedWrites = stateService.recentWriteRate();
+        othersWriteRate + silent * evenWriteRate / 2,
+        Math.max(fairWriteRate, lastSentWriteRate * MAX_WRITE_RATE_GROWTH));
+    lastSentWriteRate = stateService.recentWriteRate();
   }
 
   private void broadcastStatus() {
