--- a/src/main/java/wickdrift/coordination/DependencyValidator.java
+++ b/src/main/java/wickdrift/coordination/DependencyValidator.java
@@ -7,13 +7,18 @@
 import wickdrift.bookkeeping.Tables;
 import wickdrift.protocol.JobSpec;
 
-/** Whether the jobs that a submission awaits were accepted, and can be awaited. */
+/** Checks that the jobs that a submission awaits were accepted and can complete. */
 final class DependencyValidator {
 
-  /** What was found. Where nothing can be said yet the user is sent away. */
+  /**
+   * Receives the result of a validation. It is not called when the result can't be determined yet;
+   * the user is then asked to try again.
+   */
   interface Callback {
+    /** Called when all awaited jobs were accepted and can complete. */
     void onValid(Submission submission);
 
+    /** Called when an awaited job was never accepted or can't complete. */
     void onInvalid(Submission submission, String reason);
   }
 
@@ -28,8 +33,8 @@
   }
 
   /**
-   * Takes a submission on once all that it names are known to have been accepted. That one was not
-   * is said only when the state service has said so since the question came: the tables lag.
+   * Validates the jobs that a submission awaits. A job counts as never accepted only by an answer
+   * of the state service that is newer than the submission, because the tables lag behind it.
    */
   void validate(Submission submission, Callback callback) {
     if (unknownJobs(submission.spec()).isEmpty()) {
@@ -86,7 +91,7 @@
     }
   }
 
-  /** All names are of accepted jobs. One that is never done can't be awaited. */
+  /** Rejects a submission that awaits a running service; all awaited jobs are accepted here. */
   private void rejectServices(Submission submission, Callback callback) {
     for (String jobId : submission.spec().awaits()) {
       Job job = tables.job(jobId);
--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -14,18 +14,21 @@
 import wickdrift.transport.Timers;
 
 /**
- * Brings records to the form of the level in force, one at a time, while there is nothing else to
- * write: a node the pages of its own log, the leader the chunks, and the parts of nodes that are
- * away, whose pages it folds. (The parts of members are rewritten with the view.) Nothing is
- * remembered but what is durable, so whoever leads next goes on where the last one was. When
- * nothing of an older form is left, that is made durable; should a transaction that was long under
- * way bring another such record, it is converted too, and the level's end of work told anew.
+ * Rewrites records in the encoding version of the level in force, one at a time, while there is
+ * nothing else to write. Each node rewrites the pages of its own log. The leader rewrites the
+ * chunks, and the partitions of absent nodes, whose pages it compacts; the partitions of members
+ * are rewritten with the view.
+ *
+ * <p>The progress is in durable state only, so a new leader continues where the last one stopped.
+ * When no record of an older encoding version is left, the completed level is stored. If a delayed
+ * transaction then adds such a record, the stored level is removed, the record is rewritten, and
+ * the level is stored again.
  */
 final class EncodingMigration {
-  /** Of the budget of writes, so much must be left. */
+  /** Fraction of the write budget that must be unused for the migration to write. */
   static final double MIN_WRITE_BUDGET_FRACTION = 0.5;
 
-  /** At most one record in so long. */
+  /** Minimum interval between two rewritten records. */
   private static final long MIN_INTERVAL_MS = 250;
 
   private final Timers timers;
@@ -50,7 +53,7 @@
     this.node = settings.node();
   }
 
-  /** Puts the next record into a draft that is empty so far. */
+  /** Adds the next record to rewrite to a transaction that is empty so far. */
   void addNextRecord(TransactionBuilder builder) {
     long now = timers.nowMs();
     if (tables.encoding() == Encoding.FIRST || now < nextRecordMs) {
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -9,10 +9,11 @@
 import wickdrift.settings.Settings;
 
 /**
- * Decides, from the tables alone, whether a job can ever run and which controller's partition it
- * goes to.
+ * Decides whether a job can ever run, and which controller's partition it is routed to, from the
+ * tables only.
  */
 final class JobRouter {
+  /** Tasks beyond a job's own up to which free capacity on machines with its image is compared. */
   private static final int MAX_IMAGE_HEADROOM_TASKS = 24;
 
   private final Tables tables;
@@ -30,7 +31,7 @@
     this.tuning = tuning;
   }
 
-  /** Why the job can never run, or null. */
+  /** Returns why the job can never run, or null if it can. */
   String rejectionReason(JobSpec spec) {
     Settings.Team team = JobQueue.findTeam(settings, spec.team());
     if (team == null) {
@@ -42,7 +43,7 @@
     int tasksAtOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
     if (tasksAtOnce > spec.zoneLimit()
         && (spec.oneZone() || spec.zone() != null || countEligibleZones(spec) < 2)) {
-      return "its tasks must be in several zones, and may be in one only";
+      return "its tasks must spread over several zones, but are allowed in only one";
     }
     if (team.cpusMax() > 0 && tasksAtOnce * spec.cpus() > team.cpusMax() + FreeCapacity.EPS
         || team.gpusMax() > 0 && tasksAtOnce * spec.gpus() > team.gpusMax() + FreeCapacity.EPS) {
@@ -60,19 +61,24 @@
   }
 
   /**
-   * The part with most free room for it; gangs and what is large against a part go to the leader.
+   * Returns the partition for a job: the one with the most free capacity for it, and the leader for
+   * gangs and for jobs that are large compared with a partition.
+   *
+   * @param batchDemand the demand of the jobs routed before in the same batch
    */
   String route(JobSpec spec, QueuedDemand batchDemand) {
     View view = tables.view();
-    // A part holds its own zone's machines first: what must be in several is for who sees all.
+    // A partition holds machines of its own zone first, so a job that must spread over zones is for
+    // the leader, which uses the machines of all.
     boolean spansZones = spec.spread() && spec.tasks() > 1 && view.partitionsAreZonal();
     if (spec.shape() == JobSpec.Shape.GANG || spansZones) {
       return Job.LEADER_PARTITION;
     }
     CapacityIndex capacityIndex = scheduling.capacityIndex();
-    // Room beside its image, if a part has enough of that for the whole job: elsewhere it would
-    // wait for a fetch, which may take longer than its class has to start.
-    // The one with most of it, counted far enough that several jobs at once do not meet there.
+    // A partition is preferred if the machines that have the job's image have free capacity for the
+    // whole job: elsewhere it would wait for an image fetch, which may take longer than the start
+    // time allowed for its class. The partition with most such capacity wins; capacity beyond the
+    // job's size counts too, so that several jobs at once don't go to the same partition.
     String best = view.owner(spec.id());
     QueuedDemand queuedDemand = scheduling.queue().waitingByPartition();
     int maxImageTasks = spec.tasks() + MAX_IMAGE_HEADROOM_TASKS;
@@ -83,7 +89,8 @@
       int queuedWithImage =
           queuedDemand.tasksWithImage(spec, partition)
               + batchDemand.tasksWithImage(spec, partition);
-      // Counted no further than that: with more promised the image is no reason to go there.
+      // The limit is bounded: if more tasks are queued, the image is no reason to choose this
+      // partition.
       int countLimit = maxImageTasks + Math.min(queuedWithImage, MAX_IMAGE_HEADROOM_TASKS);
       int imageTasks =
           Math.min(
@@ -113,7 +120,7 @@
         : best;
   }
 
-  /** The members, the one that the hash names first: it is taken among equals. */
+  /** Returns the members, starting with the given one, which is chosen among equals. */
   private static List<String> membersStartingWith(View view, String first) {
     List<String> members = new ArrayList<>(view.members().keySet());
     members.remove(first);
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -18,8 +18,8 @@
 import wickdrift.transport.Timers;
 
 /**
- * Tells users how their jobs stand, from tables that are no older than the question, so that no
- * controller answers something older than another one did.
+ * Answers users' requests for the status of jobs. It answers from tables that are at least as
+ * recent as the request, so that no controller answers with an older state than another one did.
  */
 final class JobStatus {
   private static final Logger LOG = LoggerFactory.getLogger(JobStatus.class);
@@ -32,12 +32,13 @@
   private final WithdrawalConfirmations confirmations;
   private final Tuning tuning;
 
-  /** By job, who waits for the read after the one that is out. */
+  /** Requests that wait for the next read of a final record, by job, while one is in flight. */
   private final Map<String, List<Exchange>> lookupWaiters = new HashMap<>();
 
   private final TokenBucket readBudget;
   private long shedCount;
 
+  /** Creates the service; its budget for reads is a fraction of this node's request limit. */
   JobStatus(
       Timers timers,
       StateServiceClient stateService,
@@ -56,14 +57,14 @@
     this.readBudget = new TokenBucket(readsPerSecond * tuning.lookUpShare(), timers.nowMs());
   }
 
-  /** Questions that were answered 503, as the reads of the state service are limited. */
+  /** Returns the number of requests that were answered 503 because of load or the read budget. */
   long shedCount() {
     return shedCount;
   }
 
   /**
-   * A user's poll. When this node falls behind, polls are what it leaves out: reports, leases,
-   * submissions and withdrawals wait in the same line.
+   * Handles a user's poll. When this node is overloaded it sheds polls first, because reports,
+   * leases, submissions and withdrawals wait for the same event loop.
    */
   void poll(Exchange exchange, String jobId) {
     if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(jobId) == null) {
@@ -74,11 +75,11 @@
     }
   }
 
-  /** Answers from tables that are no older than this request. */
+  /** Replies with a job's status from tables that are at least as recent as this call. */
   void replyStatus(Exchange exchange, String jobId) {
     TerminalState terminalState = tables.terminalState(jobId);
     if (terminalState != null) {
-      // Final: no node can have told anyone anything newer.
+      // A terminal state never changes, so no node can have answered with a newer one.
       replyTerminalState(exchange, jobId, terminalState);
       return;
     }
@@ -97,10 +98,11 @@
         });
   }
 
+  /** Replies with a job's status from the tables as they are; the caller ensures their age. */
   void replyFromTables(Exchange exchange, String jobId) {
     Job job = tables.job(jobId);
     if (job == null && tables.terminalState(jobId) != null) {
-      // It has ended since it was asked for; where that is kept for good it may not stand yet.
+      // The job ended after the request; its final record may not be stored yet.
       replyTerminalState(exchange, jobId, tables.terminalState(jobId));
       return;
     }
@@ -109,7 +111,8 @@
       return;
     }
     if (job.dependencyState() == Job.DependencyState.UNRESOLVED && !job.withdrawn()) {
-      // It may have been withdrawn with one that it awaits, and someone may have been told so.
+      // The job may have been withdrawn together with a job that it awaits, and another request may
+      // have been answered so.
       UserRequests.replyTryAgain(exchange);
       return;
     }
@@ -124,9 +127,9 @@
   }
 
   /**
-   * What is in no table is read from the store, and so many a second at most: users also ask for
-   * jobs that no one has submitted, as often as they like. Who asks while a read is out shares the
-   * next one: the one that is out may be older than the question.
+   * Reads the final record of a job that is not in the tables. These reads are limited, because
+   * users may request jobs that were never submitted at any rate. Requests that arrive during a
+   * read share the next one, because the result of the one in flight may be older than the request.
    */
   private void lookUpFinalRecord(Exchange exchange, String jobId) {
     List<Exchange> waiters = lookupWaiters.get(jobId);
@@ -161,26 +164,28 @@
         });
   }
 
+  /** Replies with a job's terminal state. */
   static void replyTerminalState(Exchange exchange, String jobId, TerminalState terminalState) {
     long done = terminalState.done() ? terminalState.tasks() : 0;
     exchange.reply(
         200, Map.of("ref", jobId, "phase", terminalState.phase(), "done", done, "running", 0));
   }
 
+  /** Replies with a job's terminal state from its final record, and keeps it in the tables. */
   void replyTerminalState(Exchange exchange, String jobId, Document value) {
     try {
       TerminalState terminalState = TerminalState.parse(value);
       tables.rememberTerminalState(jobId, terminalState);
       replyTerminalState(exchange, jobId, terminalState);
     } catch (BadMessage e) {
-      LOG.error("unreadable final record of {}: {}", jobId, e.getMessage());
+      LOG.error("unreadable final record: job={}, error={}", jobId, e.getMessage());
       UserRequests.replyTryAgain(exchange);
     }
   }
 
   /**
-   * Says that a job is withdrawn, which its record says, once that will be kept whatever fails
-   * next. Until then nobody is told anything else of it: someone may have been told already.
+   * Replies that a job is withdrawn once the withdrawal is confirmed. Until then no other status is
+   * given, because another request may have been answered that the job is withdrawn.
    */
   void replyWithdrawn(Exchange exchange, String jobId) {
     confirmations.whenConfirmed(
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -12,17 +12,19 @@
 import wickdrift.transport.Timers;
 
 /**
- * Looks regularly for machines that are silent or deaf, for workers whose lease has surely ended,
- * and for commands that only a higher epoch can make void.
+ * Periodically checks for machines that are silent or unreachable for commands, for workers whose
+ * lease has certainly expired, and for commands that only a higher epoch can void.
  */
 final class MachineHealthMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
   private static final long CHECK_INTERVAL_MS = 500;
 
-  /** A run that is unanswered for so long, and unwanted, is made void by a higher epoch. */
+  /**
+   * Time after which an unanswered run command for an unwanted attempt is voided by a higher epoch.
+   */
   private static final long UNCERTAIN_RUN_TIMEOUT_MS = 5000;
 
-  /** A new epoch has time to reach the workers before a higher one is proposed. */
+  /** Time that a new epoch has to reach the workers before a higher one is proposed for them. */
   private static final long MIN_EPOCH_INTERVAL_MS = 2000;
 
   private final Timers timers;
@@ -58,11 +60,12 @@
     this.node = node;
   }
 
+  /** Starts the periodic checks. */
   void start() {
     checkMachines();
   }
 
-  /** An epoch has begun, as this node knows it. */
+  /** Called when this node starts to work under a new epoch. */
   void onEpochStarted(long newEpoch, long nowMs) {
     epoch = newEpoch;
     epochSinceMs = nowMs;
@@ -90,14 +93,14 @@
     }
     zones.judge(pauseDetector.uninterruptedSinceMs(), now);
     if (needsHigherEpoch) {
-      // Only a higher epoch, shown by the worker, proves that a command can't arrive any more.
+      // Only a report with a higher epoch proves that a command can no longer reach the worker.
       membership.raiseEpoch();
     }
   }
 
   private void checkSilence(Machine machine, boolean up, boolean known, long now) {
-    // A change of view is no news of a machine that was ours before: with one every few seconds
-    // none would ever be found silent.
+    // A view change does not reset the silence of a machine that this node owned before: with a
+    // view change every few seconds no machine would ever be found silent.
     long silentMs = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
     if (known && silentMs > tuning.quietMs()) {
       machine.markReportsOverdue();
@@ -107,7 +110,10 @@
         machine.unreachableForCommandsSinceMs() > 0
             && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
     if (up && (unreachable || silentMs > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
-      LOG.info("{} is {}", machine.name(), unreachable ? "deaf: nothing reaches it" : "silent");
+      LOG.info(
+          "machine lost: name={}, reason={}",
+          machine.name(),
+          unreachable ? "unreachable for commands" : "silent: no reports");
       pipeline.enqueueRecord(
           machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
@@ -116,7 +122,8 @@
   private void checkLease(Machine machine, View view, long now) {
     long leaseBaseMs = machine.latestLeaseRenewalMs();
     if (!machine.slots().isEmpty() && leaseBaseMs > 0 && now - leaseBaseMs > tuning.lapseMs()) {
-      // No one can have renewed its lease since: the worker has killed all it had.
+      // No controller can have renewed the worker's lease since then, so the worker has killed all
+      // its tasks.
       links.recordEvent(
           CommandEvent.Kind.LEASE_EXPIRED,
           machine,
@@ -129,16 +136,17 @@
   }
 
   private boolean needsHigherEpoch(Machine machine, View view, long now) {
-    // One that has begun anew is trusted again with a higher token; no more often than that has
-    // time to reach the workers.
+    // A restarted worker is trusted again once it reports a higher epoch. Epochs are not raised
+    // faster for this than they reach the workers.
     boolean needsNewToken =
         machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > MIN_EPOCH_INTERVAL_MS;
     return needsNewToken || hasUncertainCommand(machine, now);
   }
 
   /**
-   * Whether an attempt is to be stopped while a run for it may still arrive; or has ended and can't
-   * be cleared for that, for longer than a lease: what is not cleared makes reports grow.
+   * Returns whether a run command that may still arrive blocks other work: its attempt is to be
+   * stopped, or has ended and can't be cleared because of it for longer than a worker's lease.
+   * Attempts that are not cleared make the reports grow.
    */
   private boolean hasUncertainCommand(Machine machine, long now) {
     WorkerCommands commands = links.commandsIfKnown(machine);
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -28,29 +28,43 @@
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
 
-/** This node's lease and membership, and the changes of view. */
+/**
+ * Maintains this controller's member lease and its record in the list of live members, and proposes
+ * changes of the view.
+ */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
   private static final long TICK_INTERVAL_MS = 250;
   private static final long MAX_PEER_STATUS_AGE_MS = 2000;
+
+  /** Factor by which a busy peer is assumed to exceed the write rate that it reported last. */
   private static final double PEER_WRITE_RATE_MARGIN = 1.25;
+
+  /** Factor by which this node may exceed the write rate that it reported to its peers last. */
   private static final double MAX_WRITE_RATE_GROWTH = 2;
 
-  /** Conditions of a change of view besides the members': the view, and a few of a rise. */
+  /**
+   * Conditions of a view change other than those on member records: one on the view, and a few for
+   * a level upgrade.
+   */
   private static final int NON_MEMBER_CONDITIONS = 4;
 
   private static final long CATCH_UP_TIMEOUT_MS = 1500;
 
-  /** How this node stands. */
+  /** The authority that this node has under the current view. */
   public enum Status {
-    /** No lease, or the view does not hold this incarnation. */
+    /** The node has no lease, or the view does not contain its incarnation. */
     OUTSIDE,
-    /** In the view with a lease that surely holds. */
+    /** The view contains the node, and its lease is certainly valid. */
     MEMBER,
-    /** Was a member; the lease may have ended, but within the grace reports are answered. */
+    /**
+     * The view contains the node, but its lease may have expired. It still answers reports until
+     * the grace period ends.
+     */
     GRACE
   }
 
+  /** The last status message from a peer. */
   private record PeerStatus(boolean stateReachable, long receivedMs, int writeRate) {}
 
   private final Timers timers;
@@ -65,8 +79,9 @@
   private final Map<Integer, PeerStatus> peerStatuses = new HashMap<>();
 
   /**
-   * A new one with each lease. If one process kept its incarnation, then between the grant of a new
-   * lease and the news of its expulsion under the old one it would take itself for a member.
+   * The incarnation under the current lease; each lease gets a new one. If the process kept its
+   * incarnation, it would consider itself a member between the grant of a new lease and the arrival
+   * of the view that removes it because the old lease expired.
    */
   private String incarnation;
 
@@ -79,17 +94,23 @@
   private boolean proposalInFlight;
   private long highestPeerEpoch;
 
-  /** False from waking until the tables hold all that was durable by then. */
+  /**
+   * False after a process pause until the tables hold everything that was durable when the process
+   * resumed.
+   */
   private boolean caughtUp = true;
 
   private boolean catchingUp;
 
-  /** Whether this process goes on, for whoever asks for the reasons. */
+  /** The stages of this process; it only moves forward. */
   private enum Stage {
     SERVING,
-    /** Told to end: it takes nothing new, and keeps its lease until what it has begun is done. */
+    /**
+     * Shutdown was requested: the node accepts no new work and keeps its lease until the work in
+     * progress is done.
+     */
     LEAVING,
-    /** Its lease is given back. */
+    /** The lease was revoked, or there was none. */
     RELEASED
   }
 
@@ -98,7 +119,13 @@
   private String lastLoggedReason;
   private double lastSentWriteRate;
 
-  /** Asks for no lease before it is started. */
+  /**
+   * Creates the membership of this node; it requests no lease before {@link #start}.
+   *
+   * @param levels the levels of stored state that this build supports
+   * @param incarnation the incarnation of this process
+   * @param peers senders of frames to the other controllers, by name
+   */
   public Membership(
       Timers timers,
       StateServiceClient stateService,
@@ -120,15 +147,16 @@
     this.peers = peers;
   }
 
+  /** Starts the periodic work: lease, member record, view and peer status. */
   public void start() {
     tick();
   }
 
-  /** What this node may do now. */
+  /** Returns the authority that this node has now. */
   public Status status() {
     View view = tables.view();
-    // What can't be read whole, or stands at a level that this build does not speak, proves
-    // nothing.
+    // Stored state that can't be read completely, or is at a level that this build does not
+    // support, proves no membership.
     if (view == null
         || stage == Stage.RELEASED
         || tables.blockedReason() != null
@@ -143,15 +171,16 @@
   }
 
   /**
-   * This process has stood still. Its lease may hold, but the view may have changed: it decides
-   * nothing, and answers no report with an epoch that may be superseded, until it has caught up.
+   * Called when the process resumes after a pause. The lease may still be valid, but the view may
+   * have changed: until the tables have caught up, the node decides nothing and answers no report
+   * with an epoch that may be superseded.
    */
   public void onProcessResumed() {
     caughtUp = false;
     catchUp();
   }
 
-  /** Whether what this node knows is no older than its last pause. */
+  /** Returns whether the tables are at least as recent as the end of the last process pause. */
   public boolean caughtUp() {
     return caughtUp;
   }
@@ -169,7 +198,10 @@
         });
   }
 
-  /** Whether this node is there with a lease that holds, and the view has no room for it. */
+  /**
+   * Returns whether this node is live with a valid lease. Such a node is a spare if the view does
+   * not contain it because the view is full.
+   */
   public boolean isSpare() {
     return timers.nowMs() < leaseDeadlineMs
         && caughtUp
@@ -178,18 +210,23 @@
         && incarnation.equals(tables.members().get(node));
   }
 
+  /** Returns whether this node is a member and the leader of the current view. */
   public boolean isLeader() {
     return status() == Status.MEMBER && node.equals(tables.view().leader());
   }
 
-  /** True when a peer has shown a view newer than ours: ours must not be acted on. */
+  /**
+   * Returns whether a peer has reported a higher epoch than that of the local view. The local view
+   * must not be acted on then.
+   */
   public boolean isViewOutdated() {
     return tables.view() != null && highestPeerEpoch > tables.view().epoch();
   }
 
   /**
-   * True when we are not served by the state service, and a peer says that it is, or none is heard:
-   * who has lost both has only its workers, and users are better off anywhere else.
+   * Returns whether this controller is isolated: it can't reach the state service, and either a
+   * peer can or no peer has sent its status recently. It may still reach its workers, but any other
+   * controller serves users better. A controller without peers is never isolated.
    */
   public boolean isIsolated() {
     if (stateService.reachable()) {
@@ -221,12 +258,12 @@
     updateWriteBudget();
   }
 
-  // ---- the lease ----
+  // ---- lease and member record ----
 
   private void maintainLease() {
     long now = timers.nowMs();
     if (leaseRequestInFlight || stage == Stage.RELEASED || tables.blockedReason() != null) {
-      // Who may not take part asks for no lease, and lets the one it has end.
+      // A node that may not take part requests no lease and lets the one that it has expire.
       return;
     }
     if (leaseId == 0) {
@@ -252,14 +289,17 @@
             if (status == 200) {
               extendLeaseDeadline(now);
             } else if (status == 404) {
-              LOG.warn("our lease has ended");
+              LOG.warn("member lease expired");
               leaseId = 0;
             }
           });
     }
   }
 
-  /** Measured from when the renewal was sent, less drift: never later than the state service's. */
+  /**
+   * Sets the local lease deadline. It counts from the time the request was sent, less clock drift,
+   * so it is never later than the expiry at the state service.
+   */
   private void extendLeaseDeadline(long sentMs) {
     leaseDeadlineMs = sentMs + tuning.memberLeaseMs() - tuning.memberLeaseMs() / 1000 - 1;
   }
@@ -271,8 +311,8 @@
       return;
     }
     if (recorded != null && joined && !recorded.startsWith(processIncarnation)) {
-      // We were in and were put out by a process that is not an earlier one of ours: were both to
-      // go on claiming the name, every claim would change the view for all.
+      // This node was a member and was replaced by another process that uses the same name. If
+      // both kept claiming the name, every claim would change the view for all controllers.
       logReasonOnce(
           "another process serves under the name " + node + ": staying outside until it is gone");
       return;
@@ -286,7 +326,8 @@
       if (!mayJoin) {
         return;
       }
-      // Before anyone has a number: else two might be given one of different lists.
+      // The list is stored before any number is assigned: otherwise the same number might be
+      // assigned to two controllers from different lists.
       transaction
           .requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
           .write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
@@ -328,9 +369,10 @@
   }
 
   /**
-   * Where numbers are places in the list of the settings still, only those may act whose list is
-   * the one that the others go by: to any other the same number would be another controller, and
-   * its attempts would count against the wrong share of a team's limit.
+   * Returns whether this node may become a member. While controller numbers are positions in the
+   * list of the settings, a node may join only with the same list as the others: with another list
+   * the same number would mean another controller, and its attempts would count against the wrong
+   * quota share.
    */
   private boolean mayJoin(List<String> names) {
     NodeRegistry registry = tables.registry();
@@ -356,7 +398,7 @@
     return listMatches;
   }
 
-  /** A reason is told once, not at each try. */
+  /** Logs a reason when it differs from the last one, not at each attempt. */
   private void logReasonOnce(String reason) {
     if (!reason.equals(lastLoggedReason)) {
       lastLoggedReason = reason;
@@ -365,9 +407,9 @@
   }
 
   /**
-   * What the leader keeps of the roster: that nobody counts as speaking a level that the build
-   * which it runs now does not. One that was put back to an older build and is down when the level
-   * rises would stay outside for ever.
+   * As leader, corrects node records that differ from the levels in the live member records. A
+   * level upgrade must not rely on a level that a controller's present build does not support: a
+   * controller that was downgraded and is down during the upgrade could never rejoin.
    */
   private void correctNodeRecords() {
     if (writeInFlight || !isLeader()) {
@@ -399,8 +441,9 @@
   }
 
   /**
-   * The parts that did not fit into the switch to a view that is a condition itself. Until they are
-   * rewritten nobody places anything: what was prepared before is conditional on them alone.
+   * As leader, rewrites the partitions that did not fit into the transaction that opened {@link
+   * Gate#VIEWS}. Transactions prepared before it are conditional on their partitions only, so no
+   * controller places anything until all partitions are rewritten.
    */
   private void fencePartitions() {
     if (writeInFlight || !isLeader()) {
@@ -420,7 +463,9 @@
       }
     }
     if (transaction.changeCount() > 0) {
-      LOG.info("writing {} parts anew for the view to count", transaction.changeCount());
+      LOG.info(
+          "rewriting {} partitions to fence transactions of earlier views",
+          transaction.changeCount());
       writeInFlight = true;
       stateService.commit(
           transaction,
@@ -429,43 +474,43 @@
     }
   }
 
-  // ---- ending ----
+  // ---- shutdown ----
 
-  /** Told to end: from now on nothing new is taken. */
+  /** Starts the shutdown of this node: from now on it accepts no new work. */
   public void leave() {
     if (stage == Stage.SERVING) {
-      advanceTo(Stage.LEAVING, "told to end");
+      advanceTo(Stage.LEAVING, "shutdown requested");
     }
   }
 
-  /** Whether this process was told to end. */
+  /** Returns whether shutdown was requested. */
   public boolean isLeaving() {
     return stage != Stage.SERVING;
   }
 
   /**
-   * Gives the lease back, so that the others need not wait for its end.
+   * Revokes the lease, so that the other controllers need not wait for its expiry.
    *
-   * @param done called once the state service has answered, or has not in time
+   * @param done called when the state service has answered or the request has timed out
    */
   public void releaseLease(Runnable done) {
     if (stage == Stage.RELEASED || leaseId == 0) {
-      advanceTo(Stage.RELEASED, "without a lease");
+      advanceTo(Stage.RELEASED, "no lease to revoke");
       done.run();
       return;
     }
-    advanceTo(Stage.RELEASED, "giving the lease back");
+    advanceTo(Stage.RELEASED, "revoking the lease");
     stateService.revokeLease(leaseId, done);
   }
 
   private void advanceTo(Stage next, String reason) {
     if (next.ordinal() > stage.ordinal()) {
-      LOG.info("{} -> {}: {}", stage, next, reason);
+      LOG.info("membership stage changed: {} -> {}, reason={}", stage, next, reason);
       stage = next;
     }
   }
 
-  // ---- the view ----
+  // ---- view changes ----
 
   private void evaluateView() {
     View current = tables.view();
@@ -493,7 +538,7 @@
     if (viewDiffersSinceMs < 0) {
       viewDiffersSinceMs = nowMs;
     }
-    // The coming leader proposes first; the others only if it does not.
+    // The leader of the next view proposes first. The others follow in turn if it does not.
     long turnDelayMs = base.leader().equals(node) ? 0 : 600L * (1 + memberIndex());
     if (nowMs - viewDiffersSinceMs < turnDelayMs) {
       return;
@@ -513,23 +558,25 @@
   }
 
   /**
-   * Members do, and where there is none, those who wait outside for the level to rise: else nobody
-   * would ever raise it when the settings of all were changed at once.
+   * Returns whether this node may propose a view: a live member may, and where there is none, a
+   * controller that waits for a level upgrade. Otherwise no controller could upgrade the level
+   * after the settings of all of them were changed at once.
    */
   private boolean mayPropose() {
     return incarnation.equals(tables.members().get(node))
         || tables.members().isEmpty() && tables.view() != null && leaseId > 0;
   }
 
-  /** This node's place among those that are there: it decides whose turn it is. */
+  /** Returns this node's position among the live members, which sets the order of proposals. */
   private int memberIndex() {
     return new ArrayList<>(tables.members().keySet()).indexOf(node);
   }
 
   /**
-   * One transaction rewrites the parts of all that come, stay and go. Where that is more than it
-   * may hold, those that go come first, and of those that come as many as fit. The rest are spares:
-   * they serve users as all do, and take the place of the next member that goes.
+   * Restricts a view so that one transaction can rewrite the partitions of all members that join,
+   * stay or leave. If they are too many, all leaving members are removed, and as many joining
+   * members as fit are added. The remaining nodes are spares: they serve users too, and replace the
+   * next member that leaves.
    */
   private View fitToTransactionLimit(View next) {
     View current = tables.view();
@@ -551,7 +598,7 @@
       selected.put(added, next.members().get(added));
     }
     if (selected.isEmpty()) {
-      // All members are gone at once: one of them makes room for the first that comes.
+      // All members left at once: one of them is removed so that the first new one can join.
       selected.putAll(current.members());
       selected.remove(currentMembers.iterator().next());
     }
@@ -560,7 +607,7 @@
     return restrictTo(next, selected, zones);
   }
 
-  /** The view with fewer members; its leader stays, if it is one of them. */
+  /** Returns the view with the selected members; the leader stays if it is one of them. */
   private static View restrictTo(
       View next, Map<String, String> selected, Map<String, String> zones) {
     zones.keySet().retainAll(selected.keySet());
@@ -570,12 +617,12 @@
   }
 
   /**
-   * Where a change of view rewrites no parts, a view has as many members as the conditions of one
-   * transaction allow, which must all be there: of those that come, as many as fit beside those
-   * that stay.
+   * Restricts a view to as many members as the conditions of one transaction allow, as the record
+   * of each member is a condition. Members that stay have precedence; joining ones are added as far
+   * as they fit. This applies when view changes no longer rewrite partitions.
    */
   private View fitToConditionLimit(View next) {
-    // The switch itself rewrites parts still, on condition of each.
+    // The view change that opens the gate still rewrites partitions, each with its condition.
     int partitionConditions =
         tables.isOpen(Gate.VIEWS) ? 0 : stateService.limits().maxTransactionChanges() - 1;
     int maxMembers =
@@ -606,7 +653,10 @@
     return restrictTo(next, selected, zones);
   }
 
-  /** Who comes next: of the zone that has the fewest members, or it would stand alone in a cut. */
+  /**
+   * Returns the next node to add: one from the zone with the fewest selected members, so that a
+   * zone that gets cut off is not left without a controller.
+   */
   private static String nextMemberToAdd(View next, Set<String> selected) {
     Map<String, Integer> membersPerZone = new HashMap<>();
     selected.forEach(
@@ -623,10 +673,10 @@
     return best;
   }
 
-  /** The same view under a higher epoch, so that commands given under this one are void. */
+  /** Proposes the same view under a higher epoch, which voids the commands of the current one. */
   public void raiseEpoch() {
     View view = tables.view();
-    // Spares are there too.
+    // The live members may include spares, so this is no test for equality.
     boolean allPresent = tables.members().entrySet().containsAll(view.members().entrySet());
     if (!proposalInFlight && status() == Status.MEMBER && allPresent) {
       propose(view.withNextEpoch(), Map.of());
@@ -642,10 +692,11 @@
     next.members()
         .keySet()
         .forEach(member -> transaction.requireStamp("w/m/" + member, tables.memberStamp(member)));
-    // Rewriting the parts makes whatever was prepared under the old view fail. Those of nodes in
-    // neither view were rewritten when they left: nothing of theirs can come any more. Since what
-    // is prepared is conditional on the view itself, they are rewritten no more; at the switch, as
-    // many as the transaction holds, and the rest before anything is placed.
+    // Rewriting a partition makes every transaction prepared under the old view fail. Partitions of
+    // nodes in neither view were rewritten when the nodes left, so no transaction of theirs can
+    // succeed. Once Gate.VIEWS is open, transactions are conditional on the view itself and
+    // partitions are not rewritten. The view change that opens it rewrites as many as fit; the rest
+    // follow before anything is placed (see fencePartitions).
     Set<String> rewritten = new LinkedHashSet<>();
     if (!tables.isOpen(Gate.VIEWS)) {
       rewritten.addAll(
@@ -669,7 +720,8 @@
       transaction.requireStamp(Partition.key(member), partition == null ? 0 : partition.stamp());
       transaction.write(Partition.key(member), updated.inEpoch(next.epoch()).toStore());
     }
-    // Nobody outside the view acts, so what is known of them is asked for as far as it fits.
+    // Nodes outside the view don't act, so the conditions on their records are added only as far
+    // as they fit.
     int maxConditions = stateService.limits().maxTransactionConditions();
     conditions.forEach(
         (key, stamp) -> {
@@ -678,7 +730,7 @@
           }
         });
     LOG.info(
-        "proposing epoch {}: level {}, members {}, leader {}",
+        "proposing view: epoch={}, level={}, members={}, leader={}",
         next.epoch(),
         next.level(),
         next.members().keySet(),
@@ -698,12 +750,14 @@
   // ---- peers ----
 
   /**
-   * The writes that the others leave are ours; but beyond an even share no more than a few times
-   * what we told them last, or all who are idle and begin at once would each take what the others
-   * left.
+   * Updates this node's share of the write limit of the state service. The node may use what the
+   * other controllers leave, but beyond a fair share at most {@link #MAX_WRITE_RATE_GROWTH} times
+   * the rate that it reported last. Otherwise several idle controllers that start writing at once
+   * would each take the whole unused budget.
    *
-   * <p>One that is idle may begin at any time, one that is busy may become busier, and of one that
-   * is not heard half an even share is assumed.
+   * <p>A peer counts with its reported rate times {@link #PEER_WRITE_RATE_MARGIN}, as it may become
+   * busier, but at least with a quarter of an even share, as an idle one may start to write at any
+   * time. A peer without a recent status counts with half an even share.
    */
   private void updateWriteBudget() {
     View view = tables.view();
@@ -746,6 +800,7 @@
     peers.values().forEach(peer -> peer.accept(frame.duplicate()));
   }
 
+  /** Handles the status message of a peer. */
   public void handlePeerStatus(PeerFrame.Standing status) {
     peerStatuses.put(
         status.from(), new PeerStatus(status.stateOk(), timers.nowMs(), status.writes()));
--- a/src/main/java/wickdrift/coordination/PauseDetector.java
+++ b/src/main/java/wickdrift/coordination/PauseDetector.java
@@ -8,11 +8,11 @@
 import wickdrift.transport.Timers;
 
 /**
- * Notices, in one place, that this process stood still while its clocks ran on. Whatever wakes it
- * first, a timer, a request or an answer, comes through {@link #recordActivity}; a gap since the
- * last one that no ordinary work explains is a pause. Nothing was heard in it, so the clock proves
- * nothing about others: no machine silent, no boot overdue, no peer dead. Who judges by silence
- * asks {@link #uninterruptedSinceMs}.
+ * Detects that this process was paused while its clocks kept running. Every event that the process
+ * handles first, a timer, a request or a response, calls {@link #recordActivity}; a gap between two
+ * calls that ordinary work can't explain is a process pause. The process received nothing during a
+ * pause, so the elapsed time proves nothing about others: it makes no machine silent, no boot
+ * overdue and no peer unreachable. Code that decides by silence uses {@link #uninterruptedSinceMs}.
  */
 public final class PauseDetector {
   private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
@@ -29,8 +29,8 @@
   private long totalPausedMs;
 
   /**
-   * @param pauseThresholdMs a longer gap than this is a pause; the beat and a slow processor take
-   *     some
+   * @param pauseThresholdMs a gap longer than this is a pause; it must exceed the check interval
+   *     and the delays of a slow processor
    */
   public PauseDetector(Timers timers, long pauseThresholdMs) {
     this.timers = timers;
@@ -39,9 +39,9 @@
     this.uninterruptedSinceMs = lastActivityMs;
   }
 
-  /** Begins to beat. */
+  /** Starts the periodic check. */
   public void start() {
-    // Whatever lies between making the process and its first turn is no pause.
+    // The time between construction and the first turn of the event loop is no pause.
     lastActivityMs = timers.nowMs();
     uninterruptedSinceMs = lastActivityMs;
     nextTickDueMs = lastActivityMs;
@@ -55,17 +55,20 @@
     recordActivity();
   }
 
-  /** By how much the last beat was late: how long what comes in waits for its turn. */
+  /** Returns the delay of the last periodic check, which is how long events wait for their turn. */
   public long timerDelayMs() {
     return timerDelayMs;
   }
 
-  /** Told, with how long the pause was, before anything else is done after it. */
+  /**
+   * Adds a listener that is called with the length of a pause in milliseconds, before anything else
+   * is done after the pause.
+   */
   public void onResume(LongConsumer listener) {
     resumeListeners.add(listener);
   }
 
-  /** Something has come in. */
+  /** Records that the process handles an event, and detects a pause before it. */
   public void recordActivity() {
     long now = timers.nowMs();
     long gapMs = now - lastActivityMs;
@@ -76,24 +79,29 @@
     pauseCount++;
     totalPausedMs += gapMs;
     uninterruptedSinceMs = now;
-    LOG.warn("stood still for {} ms: what is known is caught up before anything is decided", gapMs);
+    LOG.warn("process was paused for {} ms: catching up before any further decision", gapMs);
     resumeListeners.forEach(listener -> listener.accept(gapMs));
   }
 
-  /** Since when this process has listened without a pause. */
+  /** Returns the time since which this process has run without a pause. */
   public long uninterruptedSinceMs() {
     return uninterruptedSinceMs;
   }
 
+  /** Returns the number of pauses so far. */
   public long pauseCount() {
     return pauseCount;
   }
 
+  /** Returns the total length of all pauses so far. */
   public long totalPausedMs() {
     return totalPausedMs;
   }
 
-  /** Timers whose actions beat first: after a pause all of them are due at once. */
+  /**
+   * Returns timers that call {@link #recordActivity} before each action. After a pause all timers
+   * are due at once, so any of them may be the first to run.
+   */
   public Timers monitoredTimers() {
     return new Timers() {
       @Override
--- a/src/main/java/wickdrift/coordination/QueuedDemand.java
+++ b/src/main/java/wickdrift/coordination/QueuedDemand.java
@@ -6,11 +6,12 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * What waits at each part, as if it had been placed there already: room that is promised is not
- * free for the next job. Without that, all that comes before the first of it is placed goes to one
- * part, the largest, while the others stand empty. Kept up to date by the changes of jobs.
+ * The resources that waiting tasks need in each partition. The job router counts them as used.
+ * Without that, all jobs that arrive before the first of them is placed would be routed to the
+ * largest partition, while the others stay empty. The totals are updated with each change of a job.
  */
 final class QueuedDemand {
+  /** The resources that the waiting tasks of one job need in a partition. */
   private record Demand(
       String partition, String image, int tasks, double cpus, double gpus, double memoryGb) {
     static Demand of(JobSpec spec, String partition, int tasks) {
@@ -24,6 +25,7 @@
     }
   }
 
+  /** The sum of the demands in one partition. */
   private static final class PartitionDemand {
     double cpus;
     double gpus;
@@ -42,7 +44,7 @@
   private final Map<Job, Demand> demandByJob = new HashMap<>();
   private final Map<String, PartitionDemand> demandByPartition = new HashMap<>();
 
-  /** So many of the job's tasks wait now. */
+  /** Updates the demand of a job to its present number of waiting tasks. */
   void update(Job job, int waitingTasks) {
     Demand current = waitingTasks > 0 ? Demand.of(job.spec(), job.partition(), waitingTasks) : null;
     Demand previous = current == null ? demandByJob.remove(job) : demandByJob.put(job, current);
@@ -54,7 +56,7 @@
     }
   }
 
-  /** A job that goes there, before any table tells. */
+  /** Adds the demand of a job that is routed to a partition but not in the tables yet. */
   void add(JobSpec spec, String partition) {
     add(Demand.of(spec, partition, spec.tasks()), 1);
   }
@@ -65,7 +67,10 @@
         .add(demand, sign);
   }
 
-  /** How many tasks of this kind would take what is promised at a part. */
+  /**
+   * Returns how many tasks of the given job would need as much as the demand in a partition, by the
+   * resource for which that is most.
+   */
   double equivalentTasks(JobSpec spec, String partition) {
     PartitionDemand demand = demandByPartition.get(partition);
     if (demand == null) {
@@ -78,7 +83,7 @@
     return Math.max(0, tasks);
   }
 
-  /** How many tasks with this image wait at a part. */
+  /** Returns how many tasks with the image of the given job wait in a partition. */
   int tasksWithImage(JobSpec spec, String partition) {
     PartitionDemand demand = demandByPartition.get(partition);
     return demand == null ? 0 : demand.tasksByImage.getOrDefault(spec.image(), 0);
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -13,8 +13,9 @@
 import wickdrift.transport.Timers;
 
 /**
- * Passes reports on to the owner of a machine that its worker can't reach. Without this, a
- * controller cut off from the workers alone keeps its lease, and its part's tasks all die.
+ * Forwards reports to the owner of a machine when the worker can't reach it. Without this, a
+ * controller that is cut off from the workers only would keep its member lease, while all tasks of
+ * its partition die.
  */
 public final class ReportRelay {
   private static final long REPLY_TIMEOUT_MS = 1500;
@@ -27,6 +28,11 @@
   private final Map<Long, Exchange> pending = new HashMap<>();
   private long lastRequestId;
 
+  /**
+   * Creates a relay between this node and its peers.
+   *
+   * @param peers senders of frames to the other controllers, by name
+   */
   public ReportRelay(
       Timers timers, String node, NodeRegistry registry, Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
@@ -35,7 +41,12 @@
     this.peers = peers;
   }
 
-  /** Passes a report on; false if that can't be done. The answer, or 421, follows in time. */
+  /**
+   * Forwards a report to the owner of its machine. The exchange gets the owner's reply, or 421
+   * after {@link #REPLY_TIMEOUT_MS}.
+   *
+   * @return false if the report can't be forwarded
+   */
   public boolean forward(Exchange exchange, String owner) {
     Consumer<ByteBuffer> peer = peers.get(owner);
     int number = registry.numberOf(node);
@@ -55,7 +66,7 @@
     return true;
   }
 
-  /** A peer's answer to a report that was passed on. */
+  /** Handles a peer's reply to a forwarded report. */
   public void handleReply(PeerFrame.Answered answer) {
     Exchange exchange = pending.remove(answer.id());
     if (exchange == null) {
@@ -68,7 +79,7 @@
     }
   }
 
-  /** A report that a peer passed on to us, as a request whose answer goes back to that peer. */
+  /** Returns an exchange for a report that a peer forwarded; its reply goes back to that peer. */
   public Exchange exchangeFor(PeerFrame.Relayed relayed) {
     return new Exchange() {
       @Override
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -20,23 +20,25 @@
 import wickdrift.transport.Timers;
 
 /**
- * Accepts jobs. Submissions wait in a fair order and are written in batches; each is answered once
+ * Accepts jobs. Submissions wait in a fair queue and are written in batches; each is answered once
  * its record is durable.
  */
 final class Submissions {
   private static final int MAX_QUEUED_SUBMISSIONS = 300;
   private static final long SUBMISSION_TIMEOUT_MS = 3000;
 
-  /** A user tries for a minute: nobody is sent away for a large part of that. */
+  /**
+   * Upper bound of the Retry-After header. Users retry for a minute, so each wait must be a small
+   * part of that.
+   */
   private static final int MAX_RETRY_AFTER_S = 8;
 
-  /** A batch that is not answered by then no longer holds up the next one. */
+  /** Time after which an unanswered batch no longer blocks the next one. */
   private static final long MAX_BATCH_BLOCKING_MS = 250;
 
-  /** So many batches may be out at once. */
   private static final int MAX_BATCHES_IN_FLIGHT = 4;
 
-  /** Of a job's record, besides what was submitted. */
+  /** Bytes of a job's record other than the submitted specification. */
   private static final int RECORD_OVERHEAD_BYTES = 160;
 
   private final Timers timers;
@@ -49,12 +51,10 @@
   private final AdmissionQueue<Submission> queue = new AdmissionQueue<>(MAX_QUEUED_SUBMISSIONS);
   private BooleanSupplier stopCondition = () -> false;
 
-  /** Whether the next batch waits, for more to come or for the one that is out. */
+  /** Whether the next batch waits, for more submissions or for the batch in flight. */
   private boolean nextBatchBlocked;
 
-  /** Batches that are out, and the newest of them. */
   private int batchesInFlight;
-
   private long newestBatchNumber;
 
   private final DependencyValidator.Callback dependencyCallback =
@@ -71,6 +71,8 @@
       };
 
   /**
+   * Creates the service with an empty queue.
+   *
    * @param ready whether requests can be served at all
    */
   Submissions(
@@ -90,16 +92,17 @@
     this.ready = ready;
   }
 
-  /** Once that is so, no submission is taken any more. */
+  /** Sets the condition under which new submissions are no longer accepted. */
   void stopAcceptingWhen(BooleanSupplier condition) {
     stopCondition = condition;
   }
 
-  /** Whether no submission waits for its answer. */
+  /** Returns whether no queued or written submission waits for its reply. */
   boolean isIdle() {
     return !nextBatchBlocked && batchesInFlight == 0 && queue.isEmpty();
   }
 
+  /** Handles a submission; the reply follows once its outcome is known. */
   void submit(Exchange exchange) {
     JobSpec spec;
     String missingField;
@@ -121,12 +124,12 @@
     }
     Submission submission = new Submission(exchange, spec, timers.nowMs());
     if (missingField != null) {
-      // A build before this one may have taken it.
+      // An earlier build may have accepted the job without the field; reject() checks for that.
       reject(submission, 400, missingField + " is missing");
     } else if (spec.awaits().isEmpty()) {
       enqueue(submission);
     } else if (!tables.isOpen(Gate.AWAITS)) {
-      // An older build would read the record, and run the job too early.
+      // An older build would ignore the dependencies in the record and run the job too early.
       UserRequests.replyTryAgain(exchange);
     } else {
       dependencyValidator.validate(submission, dependencyCallback);
@@ -134,8 +137,8 @@
   }
 
   /**
-   * In how many seconds a submission that is sent away should come again: when half of what waits
-   * here now has been taken at the rate that users have, so that the door is never empty meanwhile.
+   * Returns the Retry-After time of a rejected submission: the time in which half of the queue is
+   * written at the rate reserved for users, so that the queue does not run empty before the retry.
    */
   private int retryAfterS() {
     double seconds = queue.size() / 2.0 / Math.max(1, stateService.guaranteedUserWriteRate());
@@ -154,16 +157,16 @@
     scheduleBatch();
   }
 
-  /** Whether a job's record has no room for all names that it awaits. */
+  /** Returns whether a job's record is too small for the names of all jobs that it awaits. */
   private boolean needsOverflowRecords(JobSpec spec) {
     int maxBytes = stateService.limits().targetValueBytes() - RECORD_OVERHEAD_BYTES;
     return !spec.awaits().isEmpty() && MessageCodec.jsonSize(spec.toStore()) > maxBytes;
   }
 
   /**
-   * Writes the names that a job's record has no room for, in records of their own, before the job
-   * is accepted: each transaction is conditional on the job's absence, and who tries again writes
-   * the same.
+   * Writes the awaited names that don't fit into a job's record to overflow records, before the job
+   * is accepted. Each transaction is conditional on the job's absence, and a retry writes the same
+   * records.
    */
   private void writeOverflow(Submission submission, AwaitsOverflow overflow) {
     List<Map.Entry<String, Object>> remaining =
@@ -212,7 +215,7 @@
         });
   }
 
-  /** A transaction for one job alone, whose names are written. */
+  /** Commits a single job whose overflow records are written. */
   private void commitWithOverflow(Submission submission, AwaitsOverflow overflow) {
     Transaction transaction = new Transaction();
     addToTransaction(transaction, submission.spec(), overflow, new QueuedDemand());
@@ -265,7 +268,7 @@
           queue.returnToFront(submission.spec(), submission);
           break;
         }
-        // By itself, in several steps: the next ones wait for it.
+        // Such a job is written alone and in several steps; the next batch waits for it.
         writeOverflow(
             submission,
             AwaitsOverflow.of(
@@ -277,7 +280,7 @@
       }
       batch.computeIfAbsent(jobId, k -> new ArrayList<>()).add(submission);
     }
-    // A job that can never run is refused only if it was not accepted before.
+    // A job that can never run is rejected only if it was not accepted before; reject() checks it.
     batch
         .entrySet()
         .removeIf(
@@ -303,14 +306,14 @@
         StateServiceClient.WritePriority.USER,
         result -> {
           batchesInFlight--;
-          // One that was overtaken holds up nobody any more.
+          // Only the newest batch blocks the next one.
           nextBatchBlocked &= batchNumber != newestBatchNumber;
           handleBatchResult(result, batch);
         });
     timers.after(MAX_BATCH_BLOCKING_MS, () -> unblockNextBatch(batchNumber));
   }
 
-  /** Lets the next batch go, where this one's answer is late or lost. */
+  /** Unblocks the next batch if the answer to the given one is late or lost. */
   private void unblockNextBatch(long batchNumber) {
     if (nextBatchBlocked
         && batchNumber == newestBatchNumber
@@ -391,8 +394,8 @@
                     submissions.forEach(
                         submission -> UserRequests.replyTryAgain(submission.exchange())));
       }
-      // Sent again: who finds a job's record there answers by it, and of two that are carried out
-      // only one finds it absent.
+      // The batch is sent again. If both transactions are applied, only one finds the job's record
+      // absent; a submission whose record exists is answered from it.
       case UNKNOWN -> {
         if (stateService.reachable()) {
           requeue(batch);
@@ -410,7 +413,10 @@
     scheduleBatch();
   }
 
-  /** Back where they were: the oldest is not to give up for those that came later. */
+  /**
+   * Returns submissions to the front of the queue in their order, so that the oldest don't time out
+   * behind later ones.
+   */
   private void requeue(Map<String, List<Submission>> batch) {
     List<Submission> submissions = new ArrayList<>();
     batch.values().forEach(submissions::addAll);
--- a/src/main/java/wickdrift/coordination/UserRequests.java
+++ b/src/main/java/wickdrift/coordination/UserRequests.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 import wickdrift.transport.Exchange;
 
-/** What the handlers of users' requests share. */
+/** Constants and replies shared by the handlers of users' requests. */
 final class UserRequests {
-  /** How long a request waits for the tables to be caught up. */
+  /** Time that a request waits for the tables to catch up. */
   static final long BARRIER_TIMEOUT_MS = 1500;
 
-  /** After that a transaction that was refused is tried again. */
+  /** Delay before a refused transaction is tried again. */
   static final long RETRY_DELAY_MS = 120;
 
   private UserRequests() {}
 
-  /** Nothing can be said now; the user comes again. */
+  /** Replies 503 with a Retry-After of one second. */
   static void replyTryAgain(Exchange exchange) {
     exchange.reply(503, Map.of("error", "try again"), 1);
   }
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -22,41 +22,47 @@
 import wickdrift.transport.Timers;
 
 /**
- * When a user may be told that a job is withdrawn. That it is durably so is not enough: the owner
- * of a machine may be refused by the state service, know nothing of it, and go on renewing its
- * worker's lease for longer than a cancelled task may stay. So the word is given once, for every
- * machine that may hold a task of the job, everyone who can still renew its worker's lease knows.
+ * Decides when a user may be told that a job is withdrawn. A durable withdrawal is not enough: the
+ * owner of a machine may be cut off from the state service, not know of the withdrawal, and renew
+ * its worker's lease for longer than a cancelled task may stay. A withdrawal is therefore confirmed
+ * once, for every machine that may hold a task of the job, every controller that can still renew
+ * the worker's lease knows of it.
  *
- * <p>The proof for a machine, from tables that hold the withdrawal: its owner under their view says
- * that it knows, and that the worker has shown that view's epoch. The worker drops whatever an
- * earlier owner says, and a later view's owner has read the withdrawal before the view. So it stays
- * proved, whoever fails next: if the owner does, the lease ends. What is over needs no proof.
+ * <p>A machine is confirmed, from tables that hold the withdrawal, when its owner under their view
+ * states that it knows the withdrawal and that the worker has reported the epoch of that view. The
+ * worker ignores earlier owners, and the owner under a later view has read the withdrawal before
+ * that view. The confirmation therefore stays valid whichever controller fails next; if the owner
+ * fails, the worker's lease expires. A job in a terminal state needs no confirmation.
  */
 public final class WithdrawalConfirmations {
   private static final Logger LOG = LoggerFactory.getLogger(WithdrawalConfirmations.class);
 
-  /** Who asks is answered within this time, kept or not. */
+  /** Time after which a waiting request is answered even if the withdrawal is not confirmed. */
   private static final long CONFIRMATION_TIMEOUT_MS = 700;
 
-  /** An owner that can't say so yet is asked again after that. */
+  /** Interval at which owners that have not confirmed are asked again. */
   private static final long RETRY_INTERVAL_MS = 150;
 
-  /** An answer that comes later than this is of no use to whoever waits; the next one asks anew. */
+  /**
+   * Age at which a request to an owner is discarded. No user waits for its answer any more, and the
+   * next user's request sends a new one.
+   */
   private static final long REQUEST_TIMEOUT_MS = 2000;
 
-  /** A frame is bounded: so many machines' names fit. */
+  /** Number of machine names that fit into one frame, whose size is limited. */
   static final int MAX_NAMES_PER_FRAME = 1000;
 
   private static final long CLEANUP_INTERVAL_MS = 5000;
 
-  /** A question that is out. */
+  /** A request to an owner that is not answered yet. */
   private record Request(String job, String owner, List<String> machines, long sentMs) {}
 
+  /** A user's request that waits for the confirmation of a job. */
   private record Waiter(Consumer<Boolean> callback, long deadlineMs) {}
 
-  /** A withdrawn job that somebody has asked about. */
+  /** A withdrawn job whose confirmation was requested. */
   private static final class TrackedJob {
-    /** Machines of which it is proved; it stays so. */
+    /** Names of the machines that are confirmed; a confirmation is never taken back. */
     final Set<String> confirmedMachines = new HashSet<>();
 
     final List<Waiter> waiters = new ArrayList<>();
@@ -79,7 +85,11 @@
   private long confirmedCount;
   private long unconfirmedCount;
 
-  /** Nothing is asked until somebody waits for an answer. */
+  /**
+   * Creates an instance that sends nothing until a confirmation is requested.
+   *
+   * @param peers senders of frames to the other controllers, by name
+   */
   public WithdrawalConfirmations(
       Timers timers,
       StateServiceClient stateService,
@@ -95,20 +105,22 @@
     this.peers = peers;
   }
 
-  /** Jobs of which this node found that their withdrawal will be kept. */
+  /** Returns the number of jobs whose withdrawal this node has confirmed. */
   public long confirmedCount() {
     return confirmedCount;
   }
 
-  /** Questions that were answered without the word, as it was not proved in time. */
+  /** Returns the number of requests that timed out before the withdrawal was confirmed. */
   public long unconfirmedCount() {
     return unconfirmedCount;
   }
 
   /**
-   * Asks whether a job's withdrawal will be kept. The tables must hold it, as after a barrier.
+   * Waits for the confirmation of a job's withdrawal. The tables must hold the withdrawal, as they
+   * do after a barrier.
    *
-   * @param callback told soon, and once; false: not proved yet
+   * @param callback called exactly once, after {@link #CONFIRMATION_TIMEOUT_MS} at the latest, with
+   *     whether the withdrawal is confirmed
    */
   public void whenConfirmed(String jobId, Consumer<Boolean> callback) {
     TrackedJob tracked = trackedJobs.computeIfAbsent(jobId, k -> new TrackedJob());
@@ -137,7 +149,10 @@
         });
   }
 
-  /** Looks at what is proved, asks for what is not, and tells those who wait. */
+  /**
+   * Determines which machines are confirmed. Requests the missing confirmations, or notifies the
+   * waiters if there are none.
+   */
   private void evaluate(String jobId, TrackedJob tracked) {
     if (!tracked.confirmed) {
       Map<String, List<String>> unconfirmed = unconfirmedMachines(jobId, tracked);
@@ -156,7 +171,9 @@
     confirmedWaiters.forEach(waiter -> waiter.callback.accept(true));
   }
 
-  /** By owner, the machines of which it is not proved; null: these tables can't tell. */
+  /**
+   * Returns the machines that are not confirmed, by owner, or null if the local tables can't tell.
+   */
   private Map<String, List<String>> unconfirmedMachines(String jobId, TrackedJob tracked) {
     View view = tables.view();
     Job job = tables.job(jobId);
@@ -212,7 +229,7 @@
         });
   }
 
-  /** An owner's answer. Whoever was not asked has nothing to say. */
+  /** Handles an owner's answer. An answer from a controller that was not asked is ignored. */
   public void handleConfirmation(PeerFrame.Obeyed answer) {
     Request request = requests.get(answer.id());
     if (request == null || !request.owner.equals(tables.registry().name(answer.from()))) {
@@ -233,14 +250,15 @@
   }
 
   /**
-   * A peer has told of a withdrawal and asks which of our machines obey us alone. From here on we
-   * know, whether the state service serves us or not; what can't be kept is not answered.
+   * Handles a peer's request: it announces a withdrawal and asks which of this node's machines
+   * accept the token of this node only. The node knows of the withdrawal from now on, even if it
+   * can't reach the state service. A request whose withdrawal can't be remembered is not answered.
    */
   public void handleConfirmationRequest(PeerFrame.Withdrawn request) {
     boolean alreadyKnown =
         tables.isWithdrawalAnnounced(request.job()) || request.rev() <= tables.appliedRev();
     if (!tables.announceWithdrawal(request.job(), request.rev())) {
-      LOG.error("too many withdrawals are known ahead of the tables: {} is not", request.job());
+      LOG.error("too many announced withdrawals, announcement ignored: job={}", request.job());
       return;
     }
     Job job = tables.job(request.job());
@@ -265,7 +283,10 @@
     peer.accept(new PeerFrame.Obeyed(number, request.id(), positions.toByteArray()).encode());
   }
 
-  /** What is known of a job is kept as long as it lives. */
+  /**
+   * Schedules the removal of expired requests, and of tracked jobs that nobody waits for and that
+   * are no longer in the tables. It repeats while anything is left.
+   */
   private void scheduleCleanup() {
     if (cleanupScheduled) {
       return;
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -8,7 +8,7 @@
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
-/** Cancels jobs for their users. */
+/** Handles users' requests to withdraw jobs. */
 final class Withdrawals {
   private static final int MAX_ATTEMPTS = 6;
 
@@ -24,6 +24,7 @@
     this.status = status;
   }
 
+  /** Withdraws a job and replies once the withdrawal is confirmed. */
   void withdraw(Exchange exchange, String jobId) {
     if (stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       UserRequests.replyTryAgain(exchange);
@@ -63,7 +64,7 @@
         StateServiceClient.WritePriority.USER,
         result -> {
           switch (result.outcome()) {
-            // Whom to ask is known once the tables hold what was placed before.
+            // The machines to confirm are known once the tables hold all earlier placements.
             case OK ->
                 stateService.barrier(
                     UserRequests.BARRIER_TIMEOUT_MS,
