--- a/src/main/java/wickdrift/coordination/DependencyValidator.java
+++ b/src/main/java/wickdrift/coordination/DependencyValidator.java
@@ -38,7 +38,7 @@
    */
   void validate(Submission submission, Callback callback) {
     if (unknownJobs(submission.spec()).isEmpty()) {
-      rejectServices(submission, callback);
+      checkCanComplete(submission, callback);
       return;
     }
     stateService.barrier(
@@ -46,7 +46,7 @@
         ok -> {
           List<String> unknown = unknownJobs(submission.spec());
           if (unknown.isEmpty()) {
-            rejectServices(submission, callback);
+            checkCanComplete(submission, callback);
           } else if (!ok) {
             UserRequests.replyTryAgain(submission.exchange());
           } else {
@@ -85,14 +85,14 @@
               callback.onInvalid(
                   submission, "awaits " + neverAccepted[0] + ", which was never accepted");
             } else {
-              rejectServices(submission, callback);
+              checkCanComplete(submission, callback);
             }
           });
     }
   }
 
   /** Rejects a submission that awaits a running service; all awaited jobs are accepted here. */
-  private void rejectServices(Submission submission, Callback callback) {
+  private void checkCanComplete(Submission submission, Callback callback) {
     for (String jobId : submission.spec().awaits()) {
       Job job = tables.job(jobId);
       if (job != null && job.spec().shape() == JobSpec.Shape.SERVICE && !job.withdrawn()) {
--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -60,15 +60,15 @@
       return;
     }
     nextRecordMs = now + MIN_INTERVAL_MS;
-    boolean leads = membership.isLeader();
+    boolean isLeader = membership.isLeader();
     for (String key : tables.keysInOldEncoding()) {
       if (migratePage(builder, key)
-          || leads && (migrateChunk(builder, key) || migratePartition(builder, key))) {
+          || isLeader && (migrateChunk(builder, key) || migratePartition(builder, key))) {
         return;
       }
     }
     boolean remaining = !tables.keysInOldEncoding().isEmpty();
-    if (leads && remaining != tables.registry().convertedLevel() < tables.level()) {
+    if (isLeader && remaining != tables.registry().convertedLevel() < tables.level()) {
       builder.addCondition(View.KEY, tables.viewStamp());
       if (remaining) {
         builder.addCondition(
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -120,8 +120,8 @@
   }
 
   private void checkLease(Machine machine, View view, long now) {
-    long leaseBaseMs = machine.latestLeaseRenewalMs();
-    if (!machine.slots().isEmpty() && leaseBaseMs > 0 && now - leaseBaseMs > tuning.lapseMs()) {
+    long lastRenewalMs = machine.latestLeaseRenewalMs();
+    if (!machine.slots().isEmpty() && lastRenewalMs > 0 && now - lastRenewalMs > tuning.lapseMs()) {
       // No controller can have renewed the worker's lease since then, so the worker has killed all
       // its tasks.
       links.recordEvent(
@@ -129,7 +129,7 @@
           machine,
           machine.report(),
           view.epoch(),
-          "not renewed for " + (now - leaseBaseMs) + " ms");
+          "not renewed for " + (now - lastRenewalMs) + " ms");
       pipeline.onWorkerLeaseExpired(machine);
       links.forgetRuns(machine);
     }
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -19,13 +19,13 @@
  */
 public final class ReportRelay {
   private static final long REPLY_TIMEOUT_MS = 1500;
-  private static final int MAX_PENDING = 200;
+  private static final int MAX_PENDING_REPORTS = 200;
 
   private final Timers timers;
   private final String node;
   private final NodeRegistry registry;
   private final Map<String, Consumer<ByteBuffer>> peers;
-  private final Map<Long, Exchange> pending = new HashMap<>();
+  private final Map<Long, Exchange> pendingExchanges = new HashMap<>();
   private long lastRequestId;
 
   /**
@@ -50,16 +50,16 @@
   public boolean forward(Exchange exchange, String owner) {
     Consumer<ByteBuffer> peer = peers.get(owner);
     int number = registry.numberOf(node);
-    if (peer == null || number < 0 || pending.size() >= MAX_PENDING) {
+    if (peer == null || number < 0 || pendingExchanges.size() >= MAX_PENDING_REPORTS) {
       return false;
     }
     long requestId = ++lastRequestId;
-    pending.put(requestId, exchange);
+    pendingExchanges.put(requestId, exchange);
     peer.accept(new PeerFrame.Relayed(number, requestId, exchange.body()).encode());
     timers.after(
         REPLY_TIMEOUT_MS,
         () -> {
-          if (pending.remove(requestId) != null) {
+          if (pendingExchanges.remove(requestId) != null) {
             exchange.reply(421, Map.of());
           }
         });
@@ -68,7 +68,7 @@
 
   /** Handles a peer's reply to a forwarded report. */
   public void handleReply(PeerFrame.Answered answer) {
-    Exchange exchange = pending.remove(answer.id());
+    Exchange exchange = pendingExchanges.remove(answer.id());
     if (exchange == null) {
       return;
     }
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -75,7 +75,7 @@
   private final Timers timers;
   private final StateServiceClient stateService;
   private final Tables tables;
-  private final ReportHandler reporting;
+  private final ReportHandler reportHandler;
   private final String node;
   private final Map<String, Consumer<ByteBuffer>> peers;
   private final Map<String, TrackedJob> trackedJobs = new HashMap<>();
@@ -94,13 +94,13 @@
       Timers timers,
       StateServiceClient stateService,
       Tables tables,
-      ReportHandler reporting,
+      ReportHandler reportHandler,
       String node,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
     this.stateService = stateService;
     this.tables = tables;
-    this.reporting = reporting;
+    this.reportHandler = reportHandler;
     this.node = node;
     this.peers = peers;
   }
@@ -193,7 +193,7 @@
         continue;
       }
       String owner = machine.owner(view);
-      if (owner.equals(node) && reporting.canConfirmWithdrawal(machine, jobId)) {
+      if (owner.equals(node) && reportHandler.canConfirmWithdrawal(machine, jobId)) {
         tracked.confirmedMachines.add(machine.name());
       } else {
         unconfirmed.computeIfAbsent(owner, k -> new ArrayList<>()).add(machine.name());
@@ -263,7 +263,7 @@
     }
     Job job = tables.job(request.job());
     if (!alreadyKnown && job != null) {
-      reporting.haltTasksOf(job);
+      reportHandler.haltTasksOf(job);
     }
     View view = tables.view();
     Consumer<ByteBuffer> peer = peers.get(tables.registry().name(request.from()));
@@ -278,7 +278,8 @@
     BitSet positions = new BitSet();
     for (int i = 0; i < request.machines().size(); i++) {
       Machine machine = tables.machine(request.machines().get(i));
-      positions.set(i, machine != null && reporting.canConfirmWithdrawal(machine, request.job()));
+      positions.set(
+          i, machine != null && reportHandler.canConfirmWithdrawal(machine, request.job()));
     }
     peer.accept(new PeerFrame.Obeyed(number, request.id(), positions.toByteArray()).encode());
   }
