--- a/src/main/java/wickdrift/coordination/DependencyValidator.java
+++ b/src/main/java/wickdrift/coordination/DependencyValidator.java
@@ -91,7 +91,10 @@
     }
   }
 
-  /** Rejects a submission that awaits a running service; all awaited jobs are accepted here. */
+  /**
+   * Reports whether all awaited jobs, which are known to be accepted, can complete. A service does
+   * not complete unless it is withdrawn.
+   */
   private void checkCanComplete(Submission submission, Callback callback) {
     for (String jobId : submission.spec().awaits()) {
       Job job = tables.job(jobId);
--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -53,7 +53,10 @@
     this.node = settings.node();
   }
 
-  /** Adds the next record to rewrite to a transaction that is empty so far. */
+  /**
+   * Adds the rewriting of one record to a transaction that is empty so far. If no record is to be
+   * rewritten, the leader adds the change of the completed level, if one is due.
+   */
   void addNextRecord(TransactionBuilder builder) {
     long now = timers.nowMs();
     if (tables.encoding() == Encoding.FIRST || now < nextRecordMs) {
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -127,9 +127,10 @@
   }
 
   /**
-   * Reads the final record of a job that is not in the tables. These reads are limited, because
-   * users may request jobs that were never submitted at any rate. Requests that arrive during a
-   * read share the next one, because the result of the one in flight may be older than the request.
+   * Reads the final record of a job that is not in the tables. The rate of these reads is limited,
+   * because users may request jobs that were never submitted, as often as they like. Requests that
+   * arrive during a read share the next one, because the result of the one in flight may be older
+   * than the request.
    */
   private void lookUpFinalRecord(Exchange exchange, String jobId) {
     List<Exchange> waiters = lookupWaiters.get(jobId);
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -464,7 +464,7 @@
     }
     if (transaction.changeCount() > 0) {
       LOG.info(
-          "rewriting {} partitions to fence transactions of earlier views",
+          "rewriting partitions to fence transactions of earlier views: count={}",
           transaction.changeCount());
       writeInFlight = true;
       stateService.commit(
--- a/src/main/java/wickdrift/coordination/PauseDetector.java
+++ b/src/main/java/wickdrift/coordination/PauseDetector.java
@@ -8,11 +8,11 @@
 import wickdrift.transport.Timers;
 
 /**
- * Detects that this process was paused while its clocks kept running. Every event that the process
- * handles first, a timer, a request or a response, calls {@link #recordActivity}; a gap between two
- * calls that ordinary work can't explain is a process pause. The process received nothing during a
- * pause, so the elapsed time proves nothing about others: it makes no machine silent, no boot
- * overdue and no peer unreachable. Code that decides by silence uses {@link #uninterruptedSinceMs}.
+ * Detects that this process was paused while its clocks kept running. The process calls {@link
+ * #recordActivity} before it handles a timer, a request or a response; a gap between two calls that
+ * ordinary work can't explain is a process pause. The process received nothing during a pause, so
+ * the elapsed time proves nothing about others: it makes no machine silent, no boot overdue and no
+ * peer unreachable. Code that decides by silence uses {@link #uninterruptedSinceMs}.
  */
 public final class PauseDetector {
   private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
@@ -29,6 +29,8 @@
   private long totalPausedMs;
 
   /**
+   * Creates a detector that starts with {@link #start}.
+   *
    * @param pauseThresholdMs a gap longer than this is a pause; it must exceed the check interval
    *     and the delays of a slow processor
    */
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -29,7 +29,7 @@
   private long lastRequestId;
 
   /**
-   * Creates a relay between this node and its peers.
+   * Creates a relay with no pending reports.
    *
    * @param peers senders of frames to the other controllers, by name
    */
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -119,8 +119,8 @@
    * Waits for the confirmation of a job's withdrawal. The tables must hold the withdrawal, as they
    * do after a barrier.
    *
-   * @param callback called exactly once, after {@link #CONFIRMATION_TIMEOUT_MS} at the latest, with
-   *     whether the withdrawal is confirmed
+   * @param callback called exactly once: with true when the withdrawal is confirmed, or with false
+   *     at the first retry after {@link #CONFIRMATION_TIMEOUT_MS}
    */
   public void whenConfirmed(String jobId, Consumer<Boolean> callback) {
     TrackedJob tracked = trackedJobs.computeIfAbsent(jobId, k -> new TrackedJob());
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -24,7 +24,7 @@
     this.status = status;
   }
 
-  /** Withdraws a job and replies once the withdrawal is confirmed. */
+  /** Withdraws a job. The reply is 503 if the withdrawal is not durable and confirmed in time. */
   void withdraw(Exchange exchange, String jobId) {
     if (stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       UserRequests.replyTryAgain(exchange);
