--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -107,7 +107,7 @@
       return;
     }
     if (job == null) {
-      lookUpFinalRecord(exchange, jobId);
+      lookUpTerminalState(exchange, jobId);
       return;
     }
     if (job.dependencyState() == Job.DependencyState.UNRESOLVED && !job.withdrawn()) {
@@ -132,26 +132,26 @@
    * arrive during a read share the next one, because the result of the one in flight may be older
    * than the request.
    */
-  private void lookUpFinalRecord(Exchange exchange, String jobId) {
+  private void lookUpTerminalState(Exchange exchange, String jobId) {
     List<Exchange> waiters = lookupWaiters.get(jobId);
     if (waiters != null && waiters.size() < MAX_WAITERS_PER_LOOKUP) {
       waiters.add(exchange);
     } else if (waiters == null && readBudget.tryAcquire(1, 0, timers.nowMs())) {
-      readFinalRecord(jobId, List.of(exchange));
+      readTerminalState(jobId, List.of(exchange));
     } else {
       shedCount++;
       UserRequests.replyTryAgain(exchange);
     }
   }
 
-  private void readFinalRecord(String jobId, List<Exchange> requests) {
+  private void readTerminalState(String jobId, List<Exchange> requests) {
     lookupWaiters.put(jobId, new ArrayList<>());
     stateService.read(
         Job.terminalStateKey(jobId),
         result -> {
           List<Exchange> waiters = lookupWaiters.remove(jobId);
           if (!waiters.isEmpty()) {
-            readFinalRecord(jobId, waiters);
+            readTerminalState(jobId, waiters);
           }
           for (Exchange exchange : requests) {
             if (!result.ok()) {
