--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -32,7 +32,7 @@
   private final WithdrawalConfirmations confirmations;
   private final Tuning tuning;
 
-  /** Requests that wait for the next read of a final record, by job, while one is in flight. */
+  /** Requests that wait for the next read of a terminal state, by job, while one is in flight. */
   private final Map<String, List<Exchange>> lookupWaiters = new HashMap<>();
 
   private final TokenBucket readBudget;
@@ -63,8 +63,9 @@
   }
 
   /**
-   * Handles a user's poll. When this node is overloaded it sheds polls first, because reports,
-   * leases, submissions and withdrawals wait for the same event loop.
+   * Handles a user's poll. When this node is overloaded it sheds polls first, except for jobs whose
+   * terminal state is known, because reports, leases, submissions and withdrawals wait for the same
+   * event loop.
    */
   void poll(Exchange exchange, String jobId) {
     if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(jobId) == null) {
@@ -102,7 +103,7 @@
   void replyFromTables(Exchange exchange, String jobId) {
     Job job = tables.job(jobId);
     if (job == null && tables.terminalState(jobId) != null) {
-      // The job ended after the request; its final record may not be stored yet.
+      // The job ended after the request; its terminal state may not be stored yet.
       replyTerminalState(exchange, jobId, tables.terminalState(jobId));
       return;
     }
@@ -127,10 +128,10 @@
   }
 
   /**
-   * Reads the final record of a job that is not in the tables. The rate of these reads is limited,
-   * because users may request jobs that were never submitted, as often as they like. Requests that
-   * arrive during a read share the next one, because the result of the one in flight may be older
-   * than the request.
+   * Reads the terminal state of a job that is not in the tables. The rate of these reads is
+   * limited, because users may request jobs that were never submitted, as often as they like.
+   * Requests that arrive during a read share the next one, because the result of the one in flight
+   * may be older than the request.
    */
   private void lookUpTerminalState(Exchange exchange, String jobId) {
     List<Exchange> waiters = lookupWaiters.get(jobId);
@@ -172,14 +173,14 @@
         200, Map.of("ref", jobId, "phase", terminalState.phase(), "done", done, "running", 0));
   }
 
-  /** Replies with a job's terminal state from its final record, and keeps it in the tables. */
+  /** Replies with a job's stored terminal state, and keeps it in the tables. */
   void replyTerminalState(Exchange exchange, String jobId, Document value) {
     try {
       TerminalState terminalState = TerminalState.parse(value);
       tables.rememberTerminalState(jobId, terminalState);
       replyTerminalState(exchange, jobId, terminalState);
     } catch (BadMessage e) {
-      LOG.error("unreadable final record: job={}, error={}", jobId, e.getMessage());
+      LOG.error("unreadable terminal state: job={}, error={}", jobId, e.getMessage());
       UserRequests.replyTryAgain(exchange);
     }
   }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -115,7 +115,10 @@
   }
 
   private Stage stage = Stage.SERVING;
+
+  /** Whether the state service has listed this process as a live member. */
   private boolean joined;
+
   private String lastLoggedReason;
   private double lastSentWriteRate;
 
