--- a/src/main/java/wickdrift/coordination/EncodingMigration.java
+++ b/src/main/java/wickdrift/coordination/EncodingMigration.java
@@ -14,64 +14,71 @@
 import wickdrift.transport.Timers;
 
 /**
- * Brings records to the form of the level in force, one at a time, while there is nothing else to
- * write: a node the pages of its own log, the leader the chunks, and the parts of nodes that are
- * away, whose pages it folds. (The parts of members are rewritten with the view.) Nothing is
- * remembered but what is durable, so whoever leads next goes on where the last one was. When
- * nothing of an older form is left, that is made durable; should a transaction that was long under
- * way bring another such record, it is converted too, and the level's end of work told anew.
+ * Rewrites records in the encoding version of the level in force, one at a time, while there is
+ * nothing else to write. Each node rewrites the pages of its own log. The leader rewrites the
+ * chunks, and the partitions of absent nodes, whose pages it compacts; the partitions of members
+ * are rewritten with the view.
+ *
+ * <p>The progress is in durable state only, so a new leader continues where the last one stopped.
+ * When no record of an older encoding version is left, the completed level is stored. If a delayed
+ * transaction then adds such a record, the stored level is removed, the record is rewritten, and
+ * the level is stored again.
  */
 final class EncodingMigration {
-  /** Of the budget of writes, so much must be left. */
+  /** Fraction of the write budget that must be unused for the migration to write. */
   static final double MIN_WRITE_BUDGET_FRACTION = 0.5;
 
-  /** At most one record in so long. */
-  private static final long GAP_MS = 250;
+  /** Minimum interval between two rewritten records. */
+  private static final long MIN_INTERVAL_MS = 250;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Membership membership;
   private final Settings settings;
   private final String node;
-  private long nextMs;
+  private long nextRecordMs;
 
   EncodingMigration(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       Membership membership,
       Settings settings) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.membership = membership;
     this.settings = settings;
     this.node = settings.node();
   }
 
-  /** Puts the next record into a draft that is empty so far. */
-  void addNextRecord(TransactionBuilder draft) {
+  /**
+   * Adds the rewriting of one record to a transaction that is empty so far. If no record is to be
+   * rewritten, the leader adds the change of the completed level, if one is due.
+   */
+  void addNextRecord(TransactionBuilder builder) {
     long now = timers.nowMs();
-    if (tables.encoding() == Encoding.FIRST || now < nextMs) {
+    if (tables.encoding() == Encoding.FIRST || now < nextRecordMs) {
       return;
     }
-    nextMs = now + GAP_MS;
-    boolean leads = membership.isLeader();
+    nextRecordMs = now + MIN_INTERVAL_MS;
+    boolean isLeader = membership.isLeader();
     for (String key : tables.keysInOldEncoding()) {
-      if (page(draft, key) || leads && (chunk(draft, key) || part(draft, key))) {
+      if (migratePage(builder, key)
+          || isLeader && (migrateChunk(builder, key) || migratePartition(builder, key))) {
         return;
       }
     }
-    boolean left = !tables.keysInOldEncoding().isEmpty();
-    if (leads && left != tables.registry().convertedLevel() < tables.level()) {
-      draft.addCondition(View.KEY, tables.viewStamp());
-      if (left) {
-        draft.addCondition(
+    boolean remaining = !tables.keysInOldEncoding().isEmpty();
+    if (isLeader && remaining != tables.registry().convertedLevel() < tables.level()) {
+      builder.addCondition(View.KEY, tables.viewStamp());
+      if (remaining) {
+        builder.addCondition(
             NodeRegistry.CONVERTED_LEVEL_KEY, tables.registry().convertedLevelStamp());
-        draft.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
+        builder.delete(NodeRegistry.CONVERTED_LEVEL_KEY);
       } else {
-        draft.write(
+        builder.write(
             NodeRegistry.CONVERTED_LEVEL_KEY,
             NodeRegistry.encodeConvertedLevel(tables.level()),
             tables.registry().convertedLevelStamp());
@@ -79,44 +86,48 @@
     }
   }
 
-  private boolean page(TransactionBuilder draft, String key) {
-    for (LogPage p : tables.logPages(node).values()) {
-      if (p.key().equals(key)) {
-        draft.write(
-            key, LogPage.encode(p, tables.encoding(), List.of(), tables::isObsolete), p.stamp());
+  private boolean migratePage(TransactionBuilder builder, String key) {
+    for (LogPage page : tables.logPages(node).values()) {
+      if (page.key().equals(key)) {
+        builder.write(
+            key,
+            LogPage.encode(page, tables.encoding(), List.of(), tables::isObsolete),
+            page.stamp());
         return true;
       }
     }
     return false;
   }
 
-  private boolean part(TransactionBuilder draft, String key) {
-    for (Map.Entry<String, Partition> p : tables.partitions().entrySet()) {
-      if (Partition.key(p.getKey()).equals(key)) {
-        Partition told =
-            Quota.toNumberedEncoding(p.getValue(), p.getKey(), tables.registry(), settings);
-        draft.write(key, told.toStore(), told.stamp());
+  private boolean migratePartition(TransactionBuilder builder, String key) {
+    for (Map.Entry<String, Partition> partition : tables.partitions().entrySet()) {
+      if (Partition.key(partition.getKey()).equals(key)) {
+        Partition updated =
+            Quota.toNumberedEncoding(
+                partition.getValue(), partition.getKey(), tables.registry(), settings);
+        builder.write(key, updated.toStore(), updated.stamp());
         return true;
       }
     }
     return false;
   }
 
-  private boolean chunk(TransactionBuilder draft, String key) {
+  private boolean migrateChunk(TransactionBuilder builder, String key) {
     if (!Job.isChunkKey(key)) {
       return false;
     }
-    String name = key.substring(key.indexOf('/', 2) + 1);
-    int slash = name.lastIndexOf('/');
-    Job job = tables.job(name.substring(0, slash));
+    String path = key.substring(key.indexOf('/', 2) + 1);
+    int slash = path.lastIndexOf('/');
+    Job job = tables.job(path.substring(0, slash));
     if (job == null) {
       return false;
     }
-    int chunk = Integer.parseInt(name.substring(slash + 1));
-    int most = ledger.limits().targetValueBytes();
-    Object value = job.chunkToStore(chunk, ledger.rev(), job::task, tables.encoding(), most);
-    draft.addCondition(job.key(), job.stamp());
-    draft.write(key, value, job.chunkStamp(chunk));
+    int chunk = Integer.parseInt(path.substring(slash + 1));
+    int maxBytes = stateService.limits().targetValueBytes();
+    Object value =
+        job.chunkToStore(chunk, stateService.rev(), job::task, tables.encoding(), maxBytes);
+    builder.addCondition(job.key(), job.stamp());
+    builder.write(key, value, job.chunkStamp(chunk));
     return true;
   }
 }
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -12,18 +12,20 @@
 import wickdrift.transport.Timers;
 
 /**
- * Looks regularly for machines that are silent or deaf, for workers whose lease has surely ended,
- * and for commands that only a higher epoch can make void.
+ * Periodically checks for machines that are silent or unreachable for commands, for workers whose
+ * lease has certainly expired, and for commands that only a higher epoch can void.
  */
 final class MachineHealthMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
-  private static final long PERIOD_MS = 500;
+  private static final long CHECK_INTERVAL_MS = 500;
 
-  /** A run that is unanswered for so long, and unwanted, is made void by a higher epoch. */
-  private static final long UNCERTAIN_MS = 5000;
+  /**
+   * Time after which an unanswered run command for an unwanted attempt is voided by a higher epoch.
+   */
+  private static final long UNCERTAIN_RUN_TIMEOUT_MS = 5000;
 
-  /** A new epoch has time to reach the workers before a higher one is proposed. */
-  private static final long EPOCH_SETTLES_MS = 2000;
+  /** Time that a new epoch has to reach the workers before a higher one is proposed for them. */
+  private static final long MIN_EPOCH_INTERVAL_MS = 2000;
 
   private final Timers timers;
   private final Tables tables;
@@ -58,18 +60,19 @@
     this.node = node;
   }
 
+  /** Starts the periodic checks. */
   void start() {
-    watch();
+    checkMachines();
   }
 
-  /** An epoch has begun, as this node knows it. */
+  /** Called when this node starts to work under a new epoch. */
   void onEpochStarted(long newEpoch, long nowMs) {
     epoch = newEpoch;
     epochSinceMs = nowMs;
   }
 
-  private void watch() {
-    timers.after(PERIOD_MS, this::watch);
+  private void checkMachines() {
+    timers.after(CHECK_INTERVAL_MS, this::checkMachines);
     View view = tables.view();
     if (view == null || membership.status() != Membership.Status.MEMBER) {
       return;
@@ -83,64 +86,69 @@
         zones.recorded(machine.info().zone(), lost);
       }
       if (node.equals(machine.owner(view))) {
-        silence(machine, up, up || lost, now);
-        lapse(machine, view, now);
+        checkSilence(machine, up, up || lost, now);
+        checkLease(machine, view, now);
         needsHigherEpoch |= needsHigherEpoch(machine, view, now);
       }
     }
     zones.judge(pauseDetector.uninterruptedSinceMs(), now);
     if (needsHigherEpoch) {
-      // Only a higher epoch, shown by the worker, proves that a command can't arrive any more.
+      // Only a report with a higher epoch proves that a command can no longer reach the worker.
       membership.raiseEpoch();
     }
   }
 
-  private void silence(Machine machine, boolean up, boolean known, long now) {
-    // A change of view is no news of a machine that was ours before: with one every few seconds
-    // none would ever be found silent.
-    long silent = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
-    if (known && silent > tuning.quietMs()) {
+  private void checkSilence(Machine machine, boolean up, boolean known, long now) {
+    // A view change does not reset the silence of a machine that this node owned before: with a
+    // view change every few seconds no machine would ever be found silent.
+    long silentMs = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
+    if (known && silentMs > tuning.quietMs()) {
       machine.markReportsOverdue();
       zones.silent(machine.info().zone());
     }
-    boolean deaf =
+    boolean unreachable =
         machine.unreachableForCommandsSinceMs() > 0
             && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
-    if (up && (deaf || silent > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
-      LOG.info("{} is {}", machine.name(), deaf ? "deaf: nothing reaches it" : "silent");
+    if (up && (unreachable || silentMs > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
+      LOG.info(
+          "machine lost: name={}, reason={}",
+          machine.name(),
+          unreachable ? "unreachable for commands" : "silent: no reports");
       pipeline.enqueueRecord(
           machine, machine.info().withPhase(Machine.Phase.LOST, timers.wallMs()));
     }
   }
 
-  private void lapse(Machine machine, View view, long now) {
-    long base = machine.latestLeaseRenewalMs();
-    if (!machine.slots().isEmpty() && base > 0 && now - base > tuning.lapseMs()) {
-      // No one can have renewed its lease since: the worker has killed all it had.
+  private void checkLease(Machine machine, View view, long now) {
+    long lastRenewalMs = machine.latestLeaseRenewalMs();
+    if (!machine.slots().isEmpty() && lastRenewalMs > 0 && now - lastRenewalMs > tuning.lapseMs()) {
+      // No controller can have renewed the worker's lease since then, so the worker has killed all
+      // its tasks.
       links.recordEvent(
           CommandEvent.Kind.LEASE_EXPIRED,
           machine,
           machine.report(),
           view.epoch(),
-          "not renewed for " + (now - base) + " ms");
+          "not renewed for " + (now - lastRenewalMs) + " ms");
       pipeline.onWorkerLeaseExpired(machine);
       links.forgetRuns(machine);
     }
   }
 
   private boolean needsHigherEpoch(Machine machine, View view, long now) {
-    // One that has begun anew is trusted again with a higher token; no more often than that has
-    // time to reach the workers.
-    boolean anew =
-        machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > EPOCH_SETTLES_MS;
-    return anew || uncertainStop(machine, now);
+    // A restarted worker is trusted again once it reports a higher epoch. Epochs are not raised
+    // faster for this than they reach the workers.
+    boolean needsNewToken =
+        machine.trustedFromEpoch() > view.epoch() && now - epochSinceMs > MIN_EPOCH_INTERVAL_MS;
+    return needsNewToken || hasUncertainCommand(machine, now);
   }
 
   /**
-   * Whether an attempt is to be stopped while a run for it may still arrive; or has ended and can't
-   * be cleared for that, for longer than a lease: what is not cleared makes reports grow.
+   * Returns whether a run command that may still arrive blocks other work: its attempt is to be
+   * stopped, or has ended and can't be cleared because of it for longer than a worker's lease.
+   * Attempts that are not cleared make the reports grow.
    */
-  private boolean uncertainStop(Machine machine, long now) {
+  private boolean hasUncertainCommand(Machine machine, long now) {
     WorkerCommands commands = links.commandsIfKnown(machine);
     if (commands == null
         || commands.hasNoOutstandingRuns()
@@ -150,7 +158,7 @@
     for (Machine.Slot slot : machine.slots()) {
       TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
       if (slot.mustStop()
-          && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_MS, now)) {
+          && commands.isRunOutstandingLongerThan(attempt, epoch, UNCERTAIN_RUN_TIMEOUT_MS, now)) {
         return true;
       }
     }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -28,80 +28,110 @@
 import wickdrift.settings.Settings;
 import wickdrift.transport.Timers;
 
-/** This node's lease and membership, and the changes of view. */
+/**
+ * Maintains this controller's member lease and its record in the list of live members, and proposes
+ * changes of the view.
+ */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-  private static final long TICK_MS = 250;
-  private static final long PEER_FRESH_MS = 2000;
-  private static final double BUSIER = 1.25;
-  private static final double RAMP = 2;
+  private static final long TICK_INTERVAL_MS = 250;
+  private static final long MAX_PEER_STATUS_AGE_MS = 2000;
 
-  /** Conditions of a change of view besides the members': the view, and a few of a rise. */
-  private static final int BESIDE_MEMBERS = 4;
+  /** Factor by which a busy peer is assumed to exceed the write rate that it reported last. */
+  private static final double PEER_WRITE_RATE_MARGIN = 1.25;
 
-  private static final long BARRIER_MS = 1500;
+  /** Factor by which this node may exceed the write rate that it reported to its peers last. */
+  private static final double MAX_WRITE_RATE_GROWTH = 2;
 
-  /** How this node stands. */
+  /**
+   * Conditions of a view change other than those on member records: one on the view, and a few for
+   * a level upgrade.
+   */
+  private static final int NON_MEMBER_CONDITIONS = 4;
+
+  private static final long CATCH_UP_TIMEOUT_MS = 1500;
+
+  /** The authority that this node has under the current view. */
   public enum Status {
-    /** No lease, or the view does not hold this incarnation. */
+    /** The node has no lease, or the view does not contain its incarnation. */
     OUTSIDE,
-    /** In the view with a lease that surely holds. */
+    /** The view contains the node, and its lease is certainly valid. */
     MEMBER,
-    /** Was a member; the lease may have ended, but within the grace reports are answered. */
+    /**
+     * The view contains the node, but its lease may have expired. It still answers reports until
+     * the grace period ends.
+     */
     GRACE
   }
 
-  private record Heard(boolean stateOk, long atMs, int writes) {}
+  /** The last status message from a peer. */
+  private record PeerStatus(boolean stateReachable, long receivedMs, int writeRate) {}
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Tuning tuning;
   private final String node;
   private final Settings settings;
-  private final LevelRange levels;
-  private final String process;
+  private final LevelRange supportedLevels;
+  private final String processIncarnation;
   private final Map<String, Consumer<ByteBuffer>> peers;
-  private final Map<Integer, Heard> heard = new HashMap<>();
+  private final Map<Integer, PeerStatus> peerStatuses = new HashMap<>();
 
   /**
-   * A new one with each lease. If one process kept its incarnation, then between the grant of a new
-   * lease and the news of its expulsion under the old one it would take itself for a member.
+   * The incarnation under the current lease; each lease gets a new one. If the process kept its
+   * incarnation, it would consider itself a member between the grant of a new lease and the arrival
+   * of the view that removes it because the old lease expired.
    */
   private String incarnation;
 
-  private int leases;
-  private long tether;
-  private long leaseUntilMs = Long.MIN_VALUE / 2;
-  private boolean asking;
-  private boolean writing;
-  private long differsSinceMs = -1;
-  private boolean proposing;
-  private long peerEpoch;
+  private int leaseCount;
+  private long leaseId;
+  private long leaseDeadlineMs = Long.MIN_VALUE / 2;
+  private boolean leaseRequestInFlight;
+  private boolean writeInFlight;
+  private long viewDiffersSinceMs = -1;
+  private boolean proposalInFlight;
+  private long highestPeerEpoch;
 
-  /** False from waking until the tables hold all that was durable by then. */
+  /**
+   * False after a process pause until the tables hold everything that was durable when the process
+   * resumed.
+   */
   private boolean caughtUp = true;
 
   private boolean catchingUp;
 
-  /** Whether this process goes on, for whoever asks for the reasons. */
+  /** The stages of this process; it only moves forward. */
   private enum Stage {
     SERVING,
-    /** Told to end: it takes nothing new, and keeps its lease until what it has begun is done. */
+    /**
+     * Shutdown was requested: the node accepts no new work and keeps its lease until the work in
+     * progress is done.
+     */
     LEAVING,
-    /** Its lease is given back. */
-    GONE
+    /** The lease was revoked, or there was none. */
+    RELEASED
   }
 
   private Stage stage = Stage.SERVING;
+
+  /** Whether the state service has listed this process as a live member. */
   private boolean joined;
-  private String said;
-  private double toldWrites;
 
-  /** Asks for no lease before it is started. */
+  private String lastLoggedReason;
+  private double lastSentWriteRate;
+
+  /**
+   * Creates the membership of this node; it requests no lease before {@link #start}.
+   *
+   * @param levels the levels of stored state that this build supports
+   * @param incarnation the incarnation of this process
+   * @param peers senders of frames to the other controllers, by name
+   */
   public Membership(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       Tuning tuning,
       Settings settings,
@@ -109,49 +139,51 @@
       String incarnation,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.tuning = tuning;
     this.node = settings.node();
     this.settings = settings;
-    this.levels = levels;
-    this.process = incarnation;
+    this.supportedLevels = levels;
+    this.processIncarnation = incarnation;
     this.incarnation = incarnation;
     this.peers = peers;
   }
 
+  /** Starts the periodic work: lease, member record, view and peer status. */
   public void start() {
     tick();
   }
 
-  /** What this node may do now. */
+  /** Returns the authority that this node has now. */
   public Status status() {
-    View v = tables.view();
-    // What can't be read whole, or stands at a level that this build does not speak, proves
-    // nothing.
-    if (v == null
-        || stage == Stage.GONE
+    View view = tables.view();
+    // Stored state that can't be read completely, or is at a level that this build does not
+    // support, proves no membership.
+    if (view == null
+        || stage == Stage.RELEASED
         || tables.blockedReason() != null
-        || !incarnation.equals(v.members().get(node))) {
+        || !incarnation.equals(view.members().get(node))) {
       return Status.OUTSIDE;
     }
     long now = timers.nowMs();
-    if (now < leaseUntilMs && caughtUp) {
+    if (now < leaseDeadlineMs && caughtUp) {
       return Status.MEMBER;
     }
-    return now < leaseUntilMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
+    return now < leaseDeadlineMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
   }
 
   /**
-   * This process has stood still. Its lease may hold, but the view may have changed: it decides
-   * nothing, and answers no report with an epoch that may be superseded, until it has caught up.
+   * Called when the process resumes after a pause. The lease may still be valid, but the view may
+   * have changed: until the tables have caught up, the node decides nothing and answers no report
+   * with an epoch that may be superseded.
    */
   public void onProcessResumed() {
     caughtUp = false;
     catchUp();
   }
 
-  /** Whether what this node knows is no older than its last pause. */
+  /** Returns whether the tables are at least as recent as the end of the last process pause. */
   public boolean caughtUp() {
     return caughtUp;
   }
@@ -161,177 +193,202 @@
       return;
     }
     catchingUp = true;
-    ledger.barrier(
-        BARRIER_MS,
+    stateService.barrier(
+        CATCH_UP_TIMEOUT_MS,
         ok -> {
           catchingUp = false;
           caughtUp |= ok;
         });
   }
 
-  /** Whether this node is there with a lease that holds, and the view has no room for it. */
+  /**
+   * Returns whether this node is live with a valid lease. Such a node is a spare if the view does
+   * not contain it because the view is full.
+   */
   public boolean isSpare() {
-    return timers.nowMs() < leaseUntilMs
+    return timers.nowMs() < leaseDeadlineMs
         && caughtUp
         && stage == Stage.SERVING
         && tables.blockedReason() == null
         && incarnation.equals(tables.members().get(node));
   }
 
+  /** Returns whether this node is a member and the leader of the current view. */
   public boolean isLeader() {
     return status() == Status.MEMBER && node.equals(tables.view().leader());
   }
 
-  /** True when a peer has shown a view newer than ours: ours must not be acted on. */
+  /**
+   * Returns whether a peer has reported a higher epoch than that of the local view. The local view
+   * must not be acted on then.
+   */
   public boolean isViewOutdated() {
-    return tables.view() != null && peerEpoch > tables.view().epoch();
+    return tables.view() != null && highestPeerEpoch > tables.view().epoch();
   }
 
   /**
-   * True when we are not served by the state service, and a peer says that it is, or none is heard:
-   * who has lost both has only its workers, and users are better off anywhere else.
+   * Returns whether this controller is isolated: it can't reach the state service, and either a
+   * peer can or no peer has sent its status recently. It may still reach its workers, but any other
+   * controller serves users better. A controller without peers is never isolated.
    */
   public boolean isIsolated() {
-    if (ledger.reachable()) {
+    if (stateService.reachable()) {
       return false;
     }
     long now = timers.nowMs();
-    List<Heard> fresh = heard.values().stream().filter(h -> now - h.atMs < PEER_FRESH_MS).toList();
-    return fresh.isEmpty() ? !peers.isEmpty() : fresh.stream().anyMatch(Heard::stateOk);
+    List<PeerStatus> recentStatuses =
+        peerStatuses.values().stream()
+            .filter(status -> now - status.receivedMs < MAX_PEER_STATUS_AGE_MS)
+            .toList();
+    return recentStatuses.isEmpty()
+        ? !peers.isEmpty()
+        : recentStatuses.stream().anyMatch(PeerStatus::stateReachable);
   }
 
   private void tick() {
-    timers.after(TICK_MS, this::tick);
-    keepLease();
+    timers.after(TICK_INTERVAL_MS, this::tick);
+    maintainLease();
     catchUp();
-    if (ledger.phase() == StateServiceClient.Phase.FOLLOWING
+    if (stateService.phase() == StateServiceClient.Phase.FOLLOWING
         && tables.blockedReason() == null
         && stage == Stage.SERVING) {
-      keepMember();
-      keepRoster();
-      fenceParts();
-      considerView();
+      maintainMemberRecord();
+      correctNodeRecords();
+      fencePartitions();
+      evaluateView();
     }
-    tellPeers();
-    shareWrites();
+    broadcastStatus();
+    updateWriteBudget();
   }
 
-  // ---- the lease ----
+  // ---- lease and member record ----
 
-  private void keepLease() {
+  private void maintainLease() {
     long now = timers.nowMs();
-    if (asking || stage == Stage.GONE || tables.blockedReason() != null) {
-      // Who may not take part asks for no lease, and lets the one it has end.
+    if (leaseRequestInFlight || stage == Stage.RELEASED || tables.blockedReason() != null) {
+      // A node that may not take part requests no lease and lets the one that it has expire.
       return;
     }
-    if (tether == 0) {
-      asking = true;
-      ledger.grantLease(
+    if (leaseId == 0) {
+      leaseRequestInFlight = true;
+      stateService.grantLease(
           tuning.memberLeaseMs(),
-          t -> {
-            asking = false;
-            if (t > 0) {
-              tether = t;
-              incarnation = leases++ == 0 ? process : process + "-" + leases;
-              renewed(now);
+          grantedId -> {
+            leaseRequestInFlight = false;
+            if (grantedId > 0) {
+              leaseId = grantedId;
+              incarnation =
+                  leaseCount++ == 0 ? processIncarnation : processIncarnation + "-" + leaseCount;
+              extendLeaseDeadline(now);
             }
           });
-    } else if (leaseUntilMs - now < tuning.memberLeaseMs() * 3 / 4) {
-      asking = true;
-      long asked = tether;
-      ledger.extendLease(
-          asked,
+    } else if (leaseDeadlineMs - now < tuning.memberLeaseMs() * 3 / 4) {
+      leaseRequestInFlight = true;
+      long extendedId = leaseId;
+      stateService.extendLease(
+          extendedId,
           status -> {
-            asking = false;
+            leaseRequestInFlight = false;
             if (status == 200) {
-              renewed(now);
+              extendLeaseDeadline(now);
             } else if (status == 404) {
-              LOG.warn("our lease has ended");
-              tether = 0;
+              LOG.warn("member lease expired");
+              leaseId = 0;
             }
           });
     }
   }
 
-  /** Measured from when the renewal was sent, less drift: never later than the state service's. */
-  private void renewed(long sentMs) {
-    leaseUntilMs = sentMs + tuning.memberLeaseMs() - tuning.memberLeaseMs() / 1000 - 1;
+  /**
+   * Sets the local lease deadline. It counts from the time the request was sent, less clock drift,
+   * so it is never later than the expiry at the state service.
+   */
+  private void extendLeaseDeadline(long sentMs) {
+    leaseDeadlineMs = sentMs + tuning.memberLeaseMs() - tuning.memberLeaseMs() / 1000 - 1;
   }
 
-  private void keepMember() {
-    String stands = tables.members().get(node);
-    if (tether == 0 || writing || incarnation.equals(stands)) {
-      joined |= incarnation.equals(stands);
+  private void maintainMemberRecord() {
+    String recorded = tables.members().get(node);
+    if (leaseId == 0 || writeInFlight || incarnation.equals(recorded)) {
+      joined |= incarnation.equals(recorded);
       return;
     }
-    if (stands != null && joined && !stands.startsWith(process)) {
-      // We were in and were put out by a process that is not an earlier one of ours: were both to
-      // go on claiming the name, every claim would change the view for all.
-      say("another process serves under the name " + node + ": staying outside until it is gone");
+    if (recorded != null && joined && !recorded.startsWith(processIncarnation)) {
+      // This node was a member and was replaced by another process that uses the same name. If
+      // both kept claiming the name, every claim would change the view for all controllers.
+      logReasonOnce(
+          "another process serves under the name " + node + ": staying outside until it is gone");
       return;
     }
     NodeRegistry registry = tables.registry();
-    NodeRecord known = registry.nodeRecord(node);
+    NodeRecord nodeRecord = registry.nodeRecord(node);
     List<String> names = settings.nodeNames();
-    Transaction txn = new Transaction();
-    boolean may = mayJoin(names);
+    Transaction transaction = new Transaction();
+    boolean mayJoin = mayJoin(names);
     if (!registry.hasStoredInitialNames()) {
-      if (!may) {
+      if (!mayJoin) {
         return;
       }
-      // Before anyone has a number: else two might be given one of different lists.
-      txn.requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
+      // The list is stored before any number is assigned: otherwise the same number might be
+      // assigned to two controllers from different lists.
+      transaction
+          .requireStamp(NodeRegistry.INITIAL_NAMES_KEY, 0)
           .write(NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(names));
     }
-    if (known == null || !known.levels().equals(levels) || !known.peers().equals(names)) {
+    if (nodeRecord == null
+        || !nodeRecord.levels().equals(supportedLevels)
+        || !nodeRecord.peers().equals(names)) {
       int number = registry.numberOf(node) < 0 ? registry.nextNumber() : registry.numberOf(node);
-      NodeRecord next =
-          known == null
-              ? NodeRecord.create(number, node, levels, names)
-              : known.withLevels(levels, names);
-      txn.requireStamp(NodeRecord.key(number), next.stamp())
-          .write(NodeRecord.key(number), next.toStore());
-    }
-    if (may) {
+      NodeRecord updatedRecord =
+          nodeRecord == null
+              ? NodeRecord.create(number, node, supportedLevels, names)
+              : nodeRecord.withLevels(supportedLevels, names);
+      transaction
+          .requireStamp(NodeRecord.key(number), updatedRecord.stamp())
+          .write(NodeRecord.key(number), updatedRecord.toStore());
+    }
+    if (mayJoin) {
       Map<String, Object> member = new LinkedHashMap<>();
       member.put("inc", incarnation);
       member.put("zone", settings.zone());
-      levels.addTo(member);
-      txn.requireStamp("w/m/" + node, tables.memberStamp(node))
-          .write("w/m/" + node, member, tether);
+      supportedLevels.addTo(member);
+      transaction
+          .requireStamp("w/m/" + node, tables.memberStamp(node))
+          .write("w/m/" + node, member, leaseId);
     }
-    if (txn.changeCount() == 0) {
+    if (transaction.changeCount() == 0) {
       return;
     }
-    writing = true;
-    ledger.commit(
-        txn,
+    writeInFlight = true;
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.AUTHORITY,
-        r -> {
-          if (r.leaseNotFound()) {
-            tether = 0;
+        result -> {
+          if (result.leaseNotFound()) {
+            leaseId = 0;
           }
-          ledger.barrier(2000, ok -> writing = false);
+          stateService.barrier(2000, ok -> writeInFlight = false);
         });
   }
 
   /**
-   * Where numbers are places in the list of the settings still, only those may act whose list is
-   * the one that the others go by: to any other the same number would be another controller, and
-   * its attempts would count against the wrong share of a team's limit.
+   * Returns whether this node may become a member. While controller numbers are positions in the
+   * list of the settings, a node may join only with the same list as the others: with another list
+   * the same number would mean another controller, and its attempts would count against the wrong
+   * quota share.
    */
   private boolean mayJoin(List<String> names) {
     NodeRegistry registry = tables.registry();
-    View v = tables.view();
+    View view = tables.view();
     if (tables.isOpen(Gate.NUMBERS)) {
       return true;
     }
-    boolean same =
+    boolean listMatches =
         registry.hasStoredInitialNames()
             ? registry.initialNames().equals(names)
-            : v == null || names.containsAll(v.members().keySet());
-    if (!same) {
-      say(
+            : view == null || names.containsAll(view.members().keySet());
+    if (!listMatches) {
+      logReasonOnce(
           "staying outside until level "
               + Gate.NUMBERS.level()
               + " is in force: the settings name "
@@ -339,151 +396,164 @@
               + ", and the others go by "
               + (registry.hasStoredInitialNames()
                   ? registry.initialNames()
-                  : v.members().keySet()));
+                  : view.members().keySet()));
     }
-    return same;
+    return listMatches;
   }
 
-  /** A reason is told once, not at each try. */
-  private void say(String why) {
-    if (!why.equals(said)) {
-      said = why;
-      LOG.error("{}", why);
+  /** Logs a reason when it differs from the last one, not at each attempt. */
+  private void logReasonOnce(String reason) {
+    if (!reason.equals(lastLoggedReason)) {
+      lastLoggedReason = reason;
+      LOG.error("{}", reason);
     }
   }
 
   /**
-   * What the leader keeps of the roster: that nobody counts as speaking a level that the build
-   * which it runs now does not. One that was put back to an older build and is down when the level
-   * rises would stay outside for ever.
+   * As leader, corrects node records that differ from the levels in the live member records. A
+   * level upgrade must not rely on a level that a controller's present build does not support: a
+   * controller that was downgraded and is down during the upgrade could never rejoin.
    */
-  private void keepRoster() {
-    if (writing || !isLeader()) {
+  private void correctNodeRecords() {
+    if (writeInFlight || !isLeader()) {
       return;
     }
     NodeRegistry registry = tables.registry();
-    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (Map.Entry<String, LevelRange> m : tables.memberLevels().entrySet()) {
-      NodeRecord a = registry.nodeRecord(m.getKey());
-      if (a != null && !a.levels().equals(m.getValue()) && txn.changeCount() == 0) {
-        LOG.info("{} speaks levels {} now", a.name(), m.getValue());
-        txn.requireStamp(NodeRecord.key(a.number()), a.stamp())
-            .requireStamp("w/m/" + a.name(), tables.memberStamp(a.name()))
-            .write(NodeRecord.key(a.number()), a.withLevels(m.getValue(), a.peers()).toStore());
+    Transaction transaction = new Transaction().requireStamp(View.KEY, tables.viewStamp());
+    for (Map.Entry<String, LevelRange> live : tables.memberLevels().entrySet()) {
+      NodeRecord nodeRecord = registry.nodeRecord(live.getKey());
+      if (nodeRecord != null
+          && !nodeRecord.levels().equals(live.getValue())
+          && transaction.changeCount() == 0) {
+        LOG.info("{} speaks levels {} now", nodeRecord.name(), live.getValue());
+        transaction
+            .requireStamp(NodeRecord.key(nodeRecord.number()), nodeRecord.stamp())
+            .requireStamp("w/m/" + nodeRecord.name(), tables.memberStamp(nodeRecord.name()))
+            .write(
+                NodeRecord.key(nodeRecord.number()),
+                nodeRecord.withLevels(live.getValue(), nodeRecord.peers()).toStore());
       }
     }
-    if (txn.changeCount() > 0) {
-      writing = true;
-      ledger.commit(
-          txn,
+    if (transaction.changeCount() > 0) {
+      writeInFlight = true;
+      stateService.commit(
+          transaction,
           StateServiceClient.WritePriority.WORK,
-          r -> ledger.barrier(2000, ok -> writing = false));
+          r -> stateService.barrier(2000, ok -> writeInFlight = false));
     }
   }
 
   /**
-   * The parts that did not fit into the switch to a view that is a condition itself. Until they are
-   * rewritten nobody places anything: what was prepared before is conditional on them alone.
+   * As leader, rewrites the partitions that did not fit into the transaction that opened {@link
+   * Gate#VIEWS}. Transactions prepared before it are conditional on their partitions only, so no
+   * controller places anything until all partitions are rewritten.
    */
-  private void fenceParts() {
-    if (writing || !isLeader()) {
+  private void fencePartitions() {
+    if (writeInFlight || !isLeader()) {
       return;
     }
-    Transaction txn = new Transaction().requireStamp(View.KEY, tables.viewStamp());
-    for (String n : tables.unfencedPartitions()) {
-      Partition p = tables.partition(n);
-      if (txn.changeCount() < ledger.limits().maxTransactionChanges()) {
-        Partition told =
-            p.encoding() == Encoding.FIRST
-                ? Quota.toNumberedEncoding(p, n, tables.registry(), settings)
-                : p;
-        txn.requireStamp(Partition.key(n), p.stamp())
-            .write(Partition.key(n), told.inEpoch(tables.view().epoch()).toStore());
+    Transaction transaction = new Transaction().requireStamp(View.KEY, tables.viewStamp());
+    for (String name : tables.unfencedPartitions()) {
+      Partition partition = tables.partition(name);
+      if (transaction.changeCount() < stateService.limits().maxTransactionChanges()) {
+        Partition updated =
+            partition.encoding() == Encoding.FIRST
+                ? Quota.toNumberedEncoding(partition, name, tables.registry(), settings)
+                : partition;
+        transaction
+            .requireStamp(Partition.key(name), partition.stamp())
+            .write(Partition.key(name), updated.inEpoch(tables.view().epoch()).toStore());
       }
     }
-    if (txn.changeCount() > 0) {
-      LOG.info("writing {} parts anew for the view to count", txn.changeCount());
-      writing = true;
-      ledger.commit(
-          txn,
+    if (transaction.changeCount() > 0) {
+      LOG.info(
+          "rewriting partitions to fence transactions of earlier views: count={}",
+          transaction.changeCount());
+      writeInFlight = true;
+      stateService.commit(
+          transaction,
           StateServiceClient.WritePriority.AUTHORITY,
-          r -> ledger.barrier(2000, ok -> writing = false));
+          r -> stateService.barrier(2000, ok -> writeInFlight = false));
     }
   }
 
-  // ---- ending ----
+  // ---- shutdown ----
 
-  /** Told to end: from now on nothing new is taken. */
+  /** Starts the shutdown of this node: from now on it accepts no new work. */
   public void leave() {
     if (stage == Stage.SERVING) {
-      to(Stage.LEAVING, "told to end");
+      advanceTo(Stage.LEAVING, "shutdown requested");
     }
   }
 
-  /** Whether this process was told to end. */
+  /** Returns whether shutdown was requested. */
   public boolean isLeaving() {
     return stage != Stage.SERVING;
   }
 
   /**
-   * Gives the lease back, so that the others need not wait for its end.
+   * Revokes the lease, so that the other controllers need not wait for its expiry.
    *
-   * @param done called once the state service has answered, or has not in time
+   * @param done called when the state service has answered or the request has timed out
    */
   public void releaseLease(Runnable done) {
-    if (stage == Stage.GONE || tether == 0) {
-      to(Stage.GONE, "without a lease");
+    if (stage == Stage.RELEASED || leaseId == 0) {
+      advanceTo(Stage.RELEASED, "no lease to revoke");
       done.run();
       return;
     }
-    to(Stage.GONE, "giving the lease back");
-    ledger.revokeLease(tether, done);
+    advanceTo(Stage.RELEASED, "revoking the lease");
+    stateService.revokeLease(leaseId, done);
   }
 
-  private void to(Stage next, String why) {
+  private void advanceTo(Stage next, String reason) {
     if (next.ordinal() > stage.ordinal()) {
-      LOG.info("{} -> {}: {}", stage, next, why);
+      LOG.info("membership stage changed: {} -> {}, reason={}", stage, next, reason);
       stage = next;
     }
   }
 
-  // ---- the view ----
+  // ---- view changes ----
 
-  private void considerView() {
-    View now = tables.view();
-    View next = View.next(now, tables.members(), tables.memberZones());
-    View base = next != null ? next : now == null ? null : now.withNextEpoch();
+  private void evaluateView() {
+    View current = tables.view();
+    View next = View.next(current, tables.members(), tables.memberZones());
+    View base = next != null ? next : current == null ? null : current.withNextEpoch();
     long nowMs = timers.nowMs();
-    if (base == null || proposing || nowMs >= leaseUntilMs || !mayPropose()) {
-      differsSinceMs = -1;
+    if (base == null || proposalInFlight || nowMs >= leaseDeadlineMs || !mayPropose()) {
+      viewDiffersSinceMs = -1;
       return;
     }
-    LevelUpgrade rise =
+    LevelUpgrade upgrade =
         LevelUpgrade.evaluate(
-            base.level(), levels, tables.memberLevels(), settings.nodeNames(), tables.registry());
-    boolean rises = rise.level() > base.level() && tables.registry().hasStoredInitialNames();
-    View wanted = fitting(rises ? base.withLevel(rise.level()) : base);
-    boolean same = now != null && wanted.members().equals(now.members());
-    if (same && !rises) {
-      differsSinceMs = -1;
+            base.level(),
+            supportedLevels,
+            tables.memberLevels(),
+            settings.nodeNames(),
+            tables.registry());
+    boolean upgrades = upgrade.level() > base.level() && tables.registry().hasStoredInitialNames();
+    View wanted = fitToTransactionLimit(upgrades ? base.withLevel(upgrade.level()) : base);
+    boolean sameMembers = current != null && wanted.members().equals(current.members());
+    if (sameMembers && !upgrades) {
+      viewDiffersSinceMs = -1;
       return;
     }
-    if (differsSinceMs < 0) {
-      differsSinceMs = nowMs;
+    if (viewDiffersSinceMs < 0) {
+      viewDiffersSinceMs = nowMs;
     }
-    // The coming leader proposes first; the others only if it does not.
-    long turn = base.leader().equals(node) ? 0 : 600L * (1 + place());
-    if (nowMs - differsSinceMs < turn) {
+    // The leader of the next view proposes first. The others follow in turn if it does not.
+    long turnDelayMs = base.leader().equals(node) ? 0 : 600L * (1 + memberIndex());
+    if (nowMs - viewDiffersSinceMs < turnDelayMs) {
       return;
     }
-    if (rises) {
-      LOG.info("level {} may come into force: all speak it", rise.level());
-      Map<String, Long> conditions = new LinkedHashMap<>(rise.conditions());
+    if (upgrades) {
+      LOG.info("level {} may come into force: all speak it", upgrade.level());
+      Map<String, Long> conditions = new LinkedHashMap<>(upgrade.conditions());
       conditions.put(NodeRegistry.INITIAL_NAMES_KEY, tables.registry().initialNamesStamp());
       tables
           .memberLevels()
           .keySet()
-          .forEach(m -> conditions.put("w/m/" + m, tables.memberStamp(m)));
+          .forEach(member -> conditions.put("w/m/" + member, tables.memberStamp(member)));
       propose(wanted, conditions);
     } else {
       propose(wanted, Map.of());
@@ -491,206 +561,233 @@
   }
 
   /**
-   * Members do, and where there is none, those who wait outside for the level to rise: else nobody
-   * would ever raise it when the settings of all were changed at once.
+   * Returns whether this node may propose a view: a live member may, and where there is none, a
+   * controller that waits for a level upgrade. Otherwise no controller could upgrade the level
+   * after the settings of all of them were changed at once.
    */
   private boolean mayPropose() {
     return incarnation.equals(tables.members().get(node))
-        || tables.members().isEmpty() && tables.view() != null && tether > 0;
+        || tables.members().isEmpty() && tables.view() != null && leaseId > 0;
   }
 
-  /** This node's place among those that are there: it decides whose turn it is. */
-  private int place() {
+  /** Returns this node's position among the live members, which sets the order of proposals. */
+  private int memberIndex() {
     return new ArrayList<>(tables.members().keySet()).indexOf(node);
   }
 
   /**
-   * One transaction rewrites the parts of all that come, stay and go. Where that is more than it
-   * may hold, those that go come first, and of those that come as many as fit. The rest are spares:
-   * they serve users as all do, and take the place of the next member that goes.
+   * Restricts a view so that one transaction can rewrite the partitions of all members that join,
+   * stay or leave. If they are too many, all leaving members are removed, and as many joining
+   * members as fit are added. The remaining nodes are spares: they serve users too, and replace the
+   * next member that leaves.
    */
-  private View fitting(View next) {
-    View now = tables.view();
+  private View fitToTransactionLimit(View next) {
+    View current = tables.view();
     if (next.isOpen(Gate.VIEWS)) {
-      return named(next);
+      return fitToConditionLimit(next);
     }
-    int most = ledger.limits().maxTransactionChanges() - 1;
-    TreeSet<String> all = new TreeSet<>(next.members().keySet());
-    all.addAll(now == null ? Set.of() : now.members().keySet());
-    if (all.size() <= most) {
+    int maxMembers = stateService.limits().maxTransactionChanges() - 1;
+    TreeSet<String> oldAndNew = new TreeSet<>(next.members().keySet());
+    oldAndNew.addAll(current == null ? Set.of() : current.members().keySet());
+    if (oldAndNew.size() <= maxMembers) {
       return next;
     }
-    Set<String> before = now == null ? Set.of() : now.members().keySet();
-    Map<String, String> fewer = new TreeMap<>(next.members());
-    fewer.keySet().retainAll(before);
-    int room = most - before.size();
-    while (room-- > 0 && fewer.size() < next.members().size()) {
-      String comes = nextIn(next, fewer.keySet());
-      fewer.put(comes, next.members().get(comes));
+    Set<String> currentMembers = current == null ? Set.of() : current.members().keySet();
+    Map<String, String> selected = new TreeMap<>(next.members());
+    selected.keySet().retainAll(currentMembers);
+    int slots = maxMembers - currentMembers.size();
+    while (slots-- > 0 && selected.size() < next.members().size()) {
+      String added = nextMemberToAdd(next, selected.keySet());
+      selected.put(added, next.members().get(added));
     }
-    if (fewer.isEmpty()) {
-      // All members are gone at once: one of them makes room for the first that comes.
-      fewer.putAll(now.members());
-      fewer.remove(before.iterator().next());
+    if (selected.isEmpty()) {
+      // All members left at once: one of them is removed so that the first new one can join.
+      selected.putAll(current.members());
+      selected.remove(currentMembers.iterator().next());
     }
-    Map<String, String> zones = new TreeMap<>(now == null ? Map.of() : now.zones());
+    Map<String, String> zones = new TreeMap<>(current == null ? Map.of() : current.zones());
     zones.putAll(next.zones());
-    return among(next, fewer, zones);
+    return restrictTo(next, selected, zones);
   }
 
-  /** The view with fewer members; its leader stays, if it is one of them. */
-  private static View among(View next, Map<String, String> fewer, Map<String, String> zones) {
-    zones.keySet().retainAll(fewer.keySet());
+  /** Returns the view with the selected members; the leader stays if it is one of them. */
+  private static View restrictTo(
+      View next, Map<String, String> selected, Map<String, String> zones) {
+    zones.keySet().retainAll(selected.keySet());
     String leader =
-        fewer.containsKey(next.leader()) ? next.leader() : fewer.keySet().iterator().next();
-    return next.withMembers(fewer, leader, zones);
+        selected.containsKey(next.leader()) ? next.leader() : selected.keySet().iterator().next();
+    return next.withMembers(selected, leader, zones);
   }
 
   /**
-   * Where a change of view rewrites no parts, a view has as many members as the conditions of one
-   * transaction allow, which must all be there: of those that come, as many as fit beside those
-   * that stay.
+   * Restricts a view to as many members as the conditions of one transaction allow, as the record
+   * of each member is a condition. Members that stay have precedence; joining ones are added as far
+   * as they fit. This applies when view changes no longer rewrite partitions.
    */
-  private View named(View next) {
-    // The switch itself rewrites parts still, on condition of each.
-    int parts = tables.isOpen(Gate.VIEWS) ? 0 : ledger.limits().maxTransactionChanges() - 1;
-    int most = ledger.limits().maxTransactionConditions() - BESIDE_MEMBERS - parts;
-    if (next.members().size() <= most) {
+  private View fitToConditionLimit(View next) {
+    // The view change that opens the gate still rewrites partitions, each with its condition.
+    int partitionConditions =
+        tables.isOpen(Gate.VIEWS) ? 0 : stateService.limits().maxTransactionChanges() - 1;
+    int maxMembers =
+        stateService.limits().maxTransactionConditions()
+            - NON_MEMBER_CONDITIONS
+            - partitionConditions;
+    if (next.members().size() <= maxMembers) {
       return next;
     }
-    Map<String, String> fewer = new TreeMap<>(next.members());
+    Map<String, String> selected = new TreeMap<>(next.members());
     if (tables.view() != null) {
-      fewer.keySet().retainAll(tables.view().members().keySet());
+      selected.keySet().retainAll(tables.view().members().keySet());
     }
-    while (fewer.size() > most) {
-      String last = ((TreeMap<String, String>) fewer).lastKey();
-      String other =
-          fewer.keySet().stream().filter(m -> !m.equals(next.leader())).findFirst().get();
-      fewer.remove(last.equals(next.leader()) ? other : last);
+    while (selected.size() > maxMembers) {
+      String lastName = ((TreeMap<String, String>) selected).lastKey();
+      String lastOther =
+          selected.keySet().stream()
+              .filter(member -> !member.equals(next.leader()))
+              .findFirst()
+              .get();
+      selected.remove(lastName.equals(next.leader()) ? lastOther : lastName);
     }
-    while (fewer.size() < most) {
-      String comes = nextIn(next, fewer.keySet());
-      fewer.put(comes, next.members().get(comes));
+    while (selected.size() < maxMembers) {
+      String added = nextMemberToAdd(next, selected.keySet());
+      selected.put(added, next.members().get(added));
     }
     Map<String, String> zones = new TreeMap<>(next.zones());
-    return among(next, fewer, zones);
+    return restrictTo(next, selected, zones);
   }
 
-  /** Who comes next: of the zone that has the fewest members, or it would stand alone in a cut. */
-  private static String nextIn(View next, Set<String> in) {
-    Map<String, Integer> zones = new HashMap<>();
-    in.forEach(m -> zones.merge(next.zones().getOrDefault(m, ""), 1, Integer::sum));
+  /**
+   * Returns the next node to add: one from the zone with the fewest selected members, so that a
+   * zone that gets cut off is not left without a controller.
+   */
+  private static String nextMemberToAdd(View next, Set<String> selected) {
+    Map<String, Integer> membersPerZone = new HashMap<>();
+    selected.forEach(
+        member -> membersPerZone.merge(next.zones().getOrDefault(member, ""), 1, Integer::sum));
     String best = null;
-    for (String m : next.members().keySet()) {
-      int here = zones.getOrDefault(next.zones().getOrDefault(m, ""), 0);
-      if (!in.contains(m)
-          && (best == null || here < zones.getOrDefault(next.zones().getOrDefault(best, ""), 0))) {
-        best = m;
+    for (String member : next.members().keySet()) {
+      int inZone = membersPerZone.getOrDefault(next.zones().getOrDefault(member, ""), 0);
+      if (!selected.contains(member)
+          && (best == null
+              || inZone < membersPerZone.getOrDefault(next.zones().getOrDefault(best, ""), 0))) {
+        best = member;
       }
     }
     return best;
   }
 
-  /** The same view under a higher epoch, so that commands given under this one are void. */
+  /** Proposes the same view under a higher epoch, which voids the commands of the current one. */
   public void raiseEpoch() {
-    View v = tables.view();
-    // Spares are there too.
-    boolean whole = tables.members().entrySet().containsAll(v.members().entrySet());
-    if (!proposing && status() == Status.MEMBER && whole) {
-      propose(v.withNextEpoch(), Map.of());
+    View view = tables.view();
+    // The live members may include spares, so this is no test for equality.
+    boolean allPresent = tables.members().entrySet().containsAll(view.members().entrySet());
+    if (!proposalInFlight && status() == Status.MEMBER && allPresent) {
+      propose(view.withNextEpoch(), Map.of());
     }
   }
 
   private void propose(View next, Map<String, Long> conditions) {
-    proposing = true;
-    Transaction txn =
+    proposalInFlight = true;
+    Transaction transaction =
         new Transaction()
             .requireStamp(View.KEY, tables.viewStamp())
             .write(View.KEY, next.toStore());
-    next.members().keySet().forEach(m -> txn.requireStamp("w/m/" + m, tables.memberStamp(m)));
-    // Rewriting the parts makes whatever was prepared under the old view fail. Those of nodes in
-    // neither view were rewritten when they left: nothing of theirs can come any more. Since what
-    // is prepared is conditional on the view itself, they are rewritten no more; at the switch, as
-    // many as the transaction holds, and the rest before anything is placed.
-    Set<String> all = new LinkedHashSet<>();
+    next.members()
+        .keySet()
+        .forEach(member -> transaction.requireStamp("w/m/" + member, tables.memberStamp(member)));
+    // Rewriting a partition makes every transaction prepared under the old view fail. Partitions of
+    // nodes in neither view were rewritten when the nodes left, so no transaction of theirs can
+    // succeed. Once Gate.VIEWS is open, transactions are conditional on the view itself and
+    // partitions are not rewritten. The view change that opens it rewrites as many as fit; the rest
+    // follow before anything is placed (see fencePartitions).
+    Set<String> rewritten = new LinkedHashSet<>();
     if (!tables.isOpen(Gate.VIEWS)) {
-      all.addAll(
+      rewritten.addAll(
           tables.view() == null ? tables.partitions().keySet() : tables.view().members().keySet());
-      all.addAll(next.members().keySet());
-    }
-    int parts = next.isOpen(Gate.VIEWS) ? ledger.limits().maxTransactionChanges() - 1 : all.size();
-    for (String m : all) {
-      if (parts-- <= 0) {
+      rewritten.addAll(next.members().keySet());
+    }
+    int remaining =
+        next.isOpen(Gate.VIEWS)
+            ? stateService.limits().maxTransactionChanges() - 1
+            : rewritten.size();
+    for (String member : rewritten) {
+      if (remaining-- <= 0) {
         break;
       }
-      Partition p = tables.partition(m);
-      Partition told = p == null ? Partition.empty(0, Encoding.forLevel(next.level())) : p;
-      if (next.isOpen(Gate.NUMBERS) && told.encoding() == Encoding.FIRST) {
-        told = Quota.toNumberedEncoding(told, m, tables.registry(), settings);
+      Partition partition = tables.partition(member);
+      Partition updated =
+          partition == null ? Partition.empty(0, Encoding.forLevel(next.level())) : partition;
+      if (next.isOpen(Gate.NUMBERS) && updated.encoding() == Encoding.FIRST) {
+        updated = Quota.toNumberedEncoding(updated, member, tables.registry(), settings);
       }
-      txn.requireStamp(Partition.key(m), p == null ? 0 : p.stamp());
-      txn.write(Partition.key(m), told.inEpoch(next.epoch()).toStore());
+      transaction.requireStamp(Partition.key(member), partition == null ? 0 : partition.stamp());
+      transaction.write(Partition.key(member), updated.inEpoch(next.epoch()).toStore());
     }
-    // Nobody outside the view acts, so what is known of them is asked for as far as it fits.
-    int most = ledger.limits().maxTransactionConditions();
+    // Nodes outside the view don't act, so the conditions on their records are added only as far
+    // as they fit.
+    int maxConditions = stateService.limits().maxTransactionConditions();
     conditions.forEach(
         (key, stamp) -> {
-          if (txn.conditions().size() < most) {
-            txn.requireStamp(key, stamp);
+          if (transaction.conditions().size() < maxConditions) {
+            transaction.requireStamp(key, stamp);
           }
         });
     LOG.info(
-        "proposing epoch {}: level {}, members {}, leader {}",
+        "proposing view: epoch={}, level={}, members={}, leader={}",
         next.epoch(),
         next.level(),
         next.members().keySet(),
         next.leader());
-    ledger.commit(
-        txn,
+    stateService.commit(
+        transaction,
         StateServiceClient.WritePriority.AUTHORITY,
         r ->
-            ledger.barrier(
+            stateService.barrier(
                 2000,
                 ok -> {
-                  proposing = false;
-                  differsSinceMs = -1;
+                  proposalInFlight = false;
+                  viewDiffersSinceMs = -1;
                 }));
   }
 
   // ---- peers ----
 
   /**
-   * The writes that the others leave are ours; but beyond an even share no more than a few times
-   * what we told them last, or all who are idle and begin at once would each take what the others
-   * left.
+   * Updates this node's share of the write limit of the state service. The node may use what the
+   * other controllers leave, but beyond a fair share at most {@link #MAX_WRITE_RATE_GROWTH} times
+   * the rate that it reported last. Otherwise several idle controllers that start writing at once
+   * would each take the whole unused budget.
    *
-   * <p>One that is idle may begin at any time, one that is busy may become busier, and of one that
-   * is not heard half an even share is assumed.
+   * <p>A peer counts with its reported rate times {@link #PEER_WRITE_RATE_MARGIN}, as it may become
+   * busier, but at least with a quarter of an even share, as an idle one may start to write at any
+   * time. A peer without a recent status counts with half an even share.
    */
-  private void shareWrites() {
-    View v = tables.view();
-    if (v == null) {
+  private void updateWriteBudget() {
+    View view = tables.view();
+    if (view == null) {
       return;
     }
-    int there = Math.max(v.members().size(), tables.memberLevels().size());
-    ledger.divideLimits(there, node.equals(v.leader()));
-    double fair = ledger.fairWriteRate();
-    double even = ledger.evenWriteRate();
+    int controllers = Math.max(view.members().size(), tables.memberLevels().size());
+    stateService.divideLimits(controllers, node.equals(view.leader()));
+    double fairWriteRate = stateService.fairWriteRate();
+    double evenWriteRate = stateService.evenWriteRate();
     long now = timers.nowMs();
-    int known = 0;
-    double others = 0;
-    for (Heard h : heard.values()) {
-      if (now - h.atMs < PEER_FRESH_MS) {
-        known++;
-        others += Math.max(h.writes * BUSIER, even / 4);
+    int reporting = 0;
+    double othersWriteRate = 0;
+    for (PeerStatus status : peerStatuses.values()) {
+      if (now - status.receivedMs < MAX_PEER_STATUS_AGE_MS) {
+        reporting++;
+        othersWriteRate += Math.max(status.writeRate * PEER_WRITE_RATE_MARGIN, evenWriteRate / 4);
       }
     }
-    int unknown = Math.max(0, there - 1 - known);
-    ledger.setOtherMembersWriteRate(others + unknown * even / 2, Math.max(fair, toldWrites * RAMP));
-    toldWrites = ledger.recentWriteRate();
+    int silent = Math.max(0, controllers - 1 - reporting);
+    stateService.setOtherMembersWriteRate(
+        othersWriteRate + silent * evenWriteRate / 2,
+        Math.max(fairWriteRate, lastSentWriteRate * MAX_WRITE_RATE_GROWTH));
+    lastSentWriteRate = stateService.recentWriteRate();
   }
 
-  private void tellPeers() {
+  private void broadcastStatus() {
     long epoch = tables.view() == null ? 0 : tables.view().epoch();
     int number = tables.registry().numberOf(node);
     if (number < 0) {
@@ -698,13 +795,18 @@
     }
     ByteBuffer frame =
         new PeerFrame.Standing(
-                number, epoch, ledger.reachable(), (int) Math.ceil(ledger.recentWriteRate()))
+                number,
+                epoch,
+                stateService.reachable(),
+                (int) Math.ceil(stateService.recentWriteRate()))
             .encode();
-    peers.values().forEach(p -> p.accept(frame.duplicate()));
+    peers.values().forEach(peer -> peer.accept(frame.duplicate()));
   }
 
-  public void handlePeerStatus(PeerFrame.Standing s) {
-    heard.put(s.from(), new Heard(s.stateOk(), timers.nowMs(), s.writes()));
-    peerEpoch = Math.max(peerEpoch, s.epoch());
+  /** Handles the status message of a peer. */
+  public void handlePeerStatus(PeerFrame.Standing status) {
+    peerStatuses.put(
+        status.from(), new PeerStatus(status.stateOk(), timers.nowMs(), status.writes()));
+    highestPeerEpoch = Math.max(highestPeerEpoch, status.epoch());
   }
 }
--- a/src/main/java/wickdrift/coordination/PauseDetector.java
+++ b/src/main/java/wickdrift/coordination/PauseDetector.java
@@ -8,91 +8,102 @@
 import wickdrift.transport.Timers;
 
 /**
- * Notices, in one place, that this process stood still while its clocks ran on. Whatever wakes it
- * first, a timer, a request or an answer, comes through {@link #recordActivity}; a gap since the
- * last one that no ordinary work explains is a pause. Nothing was heard in it, so the clock proves
- * nothing about others: no machine silent, no boot overdue, no peer dead. Who judges by silence
- * asks {@link #uninterruptedSinceMs}.
+ * Detects that this process was paused while its clocks kept running. The process calls {@link
+ * #recordActivity} before it handles a timer, a request or a response; a gap between two calls that
+ * ordinary work can't explain is a process pause. The process received nothing during a pause, so
+ * the elapsed time proves nothing about others: it makes no machine silent, no boot overdue and no
+ * peer unreachable. Code that decides by silence uses {@link #uninterruptedSinceMs}.
  */
 public final class PauseDetector {
   private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
-  private static final long BEAT_MS = 200;
+  private static final long CHECK_INTERVAL_MS = 200;
 
   private final Timers timers;
-  private final long stillMs;
-  private final List<LongConsumer> wakers = new ArrayList<>();
-  private long lastMs;
+  private final long pauseThresholdMs;
+  private final List<LongConsumer> resumeListeners = new ArrayList<>();
+  private long lastActivityMs;
   private long uninterruptedSinceMs;
-  private long dueMs;
+  private long nextTickDueMs;
   private long timerDelayMs;
   private long pauseCount;
   private long totalPausedMs;
 
   /**
-   * @param stillMs a longer gap than this is a pause; the beat and a slow processor take some
+   * Creates a detector that starts with {@link #start}.
+   *
+   * @param pauseThresholdMs a gap longer than this is a pause; it must exceed the check interval
+   *     and the delays of a slow processor
    */
-  public PauseDetector(Timers timers, long stillMs) {
+  public PauseDetector(Timers timers, long pauseThresholdMs) {
     this.timers = timers;
-    this.stillMs = stillMs;
-    this.lastMs = timers.nowMs();
-    this.uninterruptedSinceMs = lastMs;
+    this.pauseThresholdMs = pauseThresholdMs;
+    this.lastActivityMs = timers.nowMs();
+    this.uninterruptedSinceMs = lastActivityMs;
   }
 
-  /** Begins to beat. */
+  /** Starts the periodic check. */
   public void start() {
-    // Whatever lies between making the process and its first turn is no pause.
-    lastMs = timers.nowMs();
-    uninterruptedSinceMs = lastMs;
-    dueMs = lastMs;
+    // The time between construction and the first turn of the event loop is no pause.
+    lastActivityMs = timers.nowMs();
+    uninterruptedSinceMs = lastActivityMs;
+    nextTickDueMs = lastActivityMs;
     tick();
   }
 
   private void tick() {
-    timerDelayMs = Math.max(0, timers.nowMs() - dueMs);
-    dueMs = timers.nowMs() + BEAT_MS;
-    timers.after(BEAT_MS, this::tick);
+    timerDelayMs = Math.max(0, timers.nowMs() - nextTickDueMs);
+    nextTickDueMs = timers.nowMs() + CHECK_INTERVAL_MS;
+    timers.after(CHECK_INTERVAL_MS, this::tick);
     recordActivity();
   }
 
-  /** By how much the last beat was late: how long what comes in waits for its turn. */
+  /** Returns the delay of the last periodic check, which is how long events wait for their turn. */
   public long timerDelayMs() {
     return timerDelayMs;
   }
 
-  /** Told, with how long the pause was, before anything else is done after it. */
-  public void onResume(LongConsumer waker) {
-    wakers.add(waker);
+  /**
+   * Adds a listener that is called with the length of a pause in milliseconds, before anything else
+   * is done after the pause.
+   */
+  public void onResume(LongConsumer listener) {
+    resumeListeners.add(listener);
   }
 
-  /** Something has come in. */
+  /** Records that the process handles an event, and detects a pause before it. */
   public void recordActivity() {
     long now = timers.nowMs();
-    long gap = now - lastMs;
-    lastMs = now;
-    if (gap <= stillMs) {
+    long gapMs = now - lastActivityMs;
+    lastActivityMs = now;
+    if (gapMs <= pauseThresholdMs) {
       return;
     }
     pauseCount++;
-    totalPausedMs += gap;
+    totalPausedMs += gapMs;
     uninterruptedSinceMs = now;
-    LOG.warn("stood still for {} ms: what is known is caught up before anything is decided", gap);
-    wakers.forEach(w -> w.accept(gap));
+    LOG.warn("process was paused for {} ms: catching up before any further decision", gapMs);
+    resumeListeners.forEach(listener -> listener.accept(gapMs));
   }
 
-  /** Since when this process has listened without a pause. */
+  /** Returns the time since which this process has run without a pause. */
   public long uninterruptedSinceMs() {
     return uninterruptedSinceMs;
   }
 
+  /** Returns the number of pauses so far. */
   public long pauseCount() {
     return pauseCount;
   }
 
+  /** Returns the total length of all pauses so far. */
   public long totalPausedMs() {
     return totalPausedMs;
   }
 
-  /** Timers whose actions beat first: after a pause all of them are due at once. */
+  /**
+   * Returns timers that call {@link #recordActivity} before each action. After a pause all timers
+   * are due at once, so any of them may be the first to run.
+   */
   public Timers monitoredTimers() {
     return new Timers() {
       @Override
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -13,20 +13,26 @@
 import wickdrift.transport.Timers;
 
 /**
- * Passes reports on to the owner of a machine that its worker can't reach. Without this, a
- * controller cut off from the workers alone keeps its lease, and its part's tasks all die.
+ * Forwards reports to the owner of a machine when the worker can't reach it. Without this, a
+ * controller that is cut off from the workers only would keep its member lease, while all tasks of
+ * its partition die.
  */
 public final class ReportRelay {
-  private static final long WAIT_MS = 1500;
-  private static final int MAX_PENDING = 200;
+  private static final long REPLY_TIMEOUT_MS = 1500;
+  private static final int MAX_PENDING_REPORTS = 200;
 
   private final Timers timers;
   private final String node;
   private final NodeRegistry registry;
   private final Map<String, Consumer<ByteBuffer>> peers;
-  private final Map<Long, Exchange> pending = new HashMap<>();
-  private long nextId;
+  private final Map<Long, Exchange> pendingExchanges = new HashMap<>();
+  private long lastRequestId;
 
+  /**
+   * Creates a relay with no pending reports.
+   *
+   * @param peers senders of frames to the other controllers, by name
+   */
   public ReportRelay(
       Timers timers, String node, NodeRegistry registry, Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
@@ -35,41 +41,46 @@
     this.peers = peers;
   }
 
-  /** Passes a report on; false if that can't be done. The answer, or 421, follows in time. */
-  public boolean forward(Exchange x, String owner) {
+  /**
+   * Forwards a report to the owner of its machine. The exchange gets the owner's reply, or 421
+   * after {@link #REPLY_TIMEOUT_MS}.
+   *
+   * @return false if the report can't be forwarded
+   */
+  public boolean forward(Exchange exchange, String owner) {
     Consumer<ByteBuffer> peer = peers.get(owner);
     int number = registry.numberOf(node);
-    if (peer == null || number < 0 || pending.size() >= MAX_PENDING) {
+    if (peer == null || number < 0 || pendingExchanges.size() >= MAX_PENDING_REPORTS) {
       return false;
     }
-    long id = ++nextId;
-    pending.put(id, x);
-    peer.accept(new PeerFrame.Relayed(number, id, x.body()).encode());
+    long requestId = ++lastRequestId;
+    pendingExchanges.put(requestId, exchange);
+    peer.accept(new PeerFrame.Relayed(number, requestId, exchange.body()).encode());
     timers.after(
-        WAIT_MS,
+        REPLY_TIMEOUT_MS,
         () -> {
-          if (pending.remove(id) != null) {
-            x.reply(421, Map.of());
+          if (pendingExchanges.remove(requestId) != null) {
+            exchange.reply(421, Map.of());
           }
         });
     return true;
   }
 
-  /** A peer's answer to a report that was passed on. */
-  public void handleReply(PeerFrame.Answered a) {
-    Exchange x = pending.remove(a.id());
-    if (x == null) {
+  /** Handles a peer's reply to a forwarded report. */
+  public void handleReply(PeerFrame.Answered answer) {
+    Exchange exchange = pendingExchanges.remove(answer.id());
+    if (exchange == null) {
       return;
     }
     try {
-      x.reply(a.status(), Document.parse(a.body()).rawMap());
+      exchange.reply(answer.status(), Document.parse(answer.body()).rawMap());
     } catch (BadMessage e) {
-      x.reply(421, Map.of());
+      exchange.reply(421, Map.of());
     }
   }
 
-  /** A report that a peer passed on to us, as a request whose answer goes back to that peer. */
-  public Exchange exchangeFor(PeerFrame.Relayed r) {
+  /** Returns an exchange for a report that a peer forwarded; its reply goes back to that peer. */
+  public Exchange exchangeFor(PeerFrame.Relayed relayed) {
     return new Exchange() {
       @Override
       public String method() {
@@ -83,17 +94,17 @@
 
       @Override
       public byte[] body() {
-        return r.body();
+        return relayed.body();
       }
 
       @Override
       public void reply(int status, Object value, int retryAfterS) {
-        String from = registry.name(r.from());
+        String from = registry.name(relayed.from());
         Consumer<ByteBuffer> peer = from == null ? null : peers.get(from);
         int number = registry.numberOf(node);
         if (peer != null && number >= 0) {
           byte[] body = MessageCodec.encode(value == null ? Map.of() : value);
-          peer.accept(new PeerFrame.Answered(number, r.id(), status, body).encode());
+          peer.accept(new PeerFrame.Answered(number, relayed.id(), status, body).encode());
         }
       }
     };
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -22,264 +22,292 @@
 import wickdrift.transport.Timers;
 
 /**
- * When a user may be told that a job is withdrawn. That it is durably so is not enough: the owner
- * of a machine may be refused by the state service, know nothing of it, and go on renewing its
- * worker's lease for longer than a cancelled task may stay. So the word is given once, for every
- * machine that may hold a task of the job, everyone who can still renew its worker's lease knows.
+ * Decides when a user may be told that a job is withdrawn. A durable withdrawal is not enough: the
+ * owner of a machine may be cut off from the state service, not know of the withdrawal, and renew
+ * its worker's lease for longer than a cancelled task may stay. A withdrawal is therefore confirmed
+ * once, for every machine that may hold a task of the job, every controller that can still renew
+ * the worker's lease knows of it.
  *
- * <p>The proof for a machine, from tables that hold the withdrawal: its owner under their view says
- * that it knows, and that the worker has shown that view's epoch. The worker drops whatever an
- * earlier owner says, and a later view's owner has read the withdrawal before the view. So it stays
- * proved, whoever fails next: if the owner does, the lease ends. What is over needs no proof.
+ * <p>A machine is confirmed, from tables that hold the withdrawal, when its owner under their view
+ * states that it knows the withdrawal and that the worker has reported the epoch of that view. The
+ * worker ignores earlier owners, and the owner under a later view has read the withdrawal before
+ * that view. The confirmation therefore stays valid whichever controller fails next; if the owner
+ * fails, the worker's lease expires. A job in a terminal state needs no confirmation.
  */
 public final class WithdrawalConfirmations {
   private static final Logger LOG = LoggerFactory.getLogger(WithdrawalConfirmations.class);
 
-  /** Who asks is answered within this time, kept or not. */
-  private static final long WAIT_MS = 700;
+  /** Time after which a waiting request is answered even if the withdrawal is not confirmed. */
+  private static final long CONFIRMATION_TIMEOUT_MS = 700;
 
-  /** An owner that can't say so yet is asked again after that. */
-  private static final long AGAIN_MS = 150;
+  /** Interval at which owners that have not confirmed are asked again. */
+  private static final long RETRY_INTERVAL_MS = 150;
 
-  /** An answer that comes later than this is of no use to whoever waits; the next one asks anew. */
-  private static final long QUESTION_MS = 2000;
+  /**
+   * Age at which a request to an owner is discarded. No user waits for its answer any more, and the
+   * next user's request sends a new one.
+   */
+  private static final long REQUEST_TIMEOUT_MS = 2000;
 
-  /** A frame is bounded: so many machines' names fit. */
-  static final int NAMES_MOST = 1000;
+  /** Number of machine names that fit into one frame, whose size is limited. */
+  static final int MAX_NAMES_PER_FRAME = 1000;
 
-  private static final long TIDY_MS = 5000;
+  private static final long CLEANUP_INTERVAL_MS = 5000;
 
-  /** A question that is out. */
-  private record Question(String job, String owner, List<String> machines, long sinceMs) {}
+  /** A request to an owner that is not answered yet. */
+  private record Request(String job, String owner, List<String> machines, long sentMs) {}
 
-  private record Waiter(Consumer<Boolean> done, long untilMs) {}
+  /** A user's request that waits for the confirmation of a job. */
+  private record Waiter(Consumer<Boolean> callback, long deadlineMs) {}
 
-  /** A withdrawn job that somebody has asked about. */
-  private static final class Open {
-    /** Machines of which it is proved; it stays so. */
-    final Set<String> proved = new HashSet<>();
+  /** A withdrawn job whose confirmation was requested. */
+  private static final class TrackedJob {
+    /** Names of the machines that are confirmed; a confirmation is never taken back. */
+    final Set<String> confirmedMachines = new HashSet<>();
 
     final List<Waiter> waiters = new ArrayList<>();
-    boolean kept;
-    boolean armed;
-    long askedMs = Long.MIN_VALUE / 2;
-    long askedEpoch;
+    boolean confirmed;
+    boolean retryScheduled;
+    long lastRequestMs = Long.MIN_VALUE / 2;
+    long lastRequestEpoch;
   }
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
-  private final ReportHandler reporting;
+  private final ReportHandler reportHandler;
   private final String node;
   private final Map<String, Consumer<ByteBuffer>> peers;
-  private final Map<String, Open> open = new HashMap<>();
-  private final Map<Long, Question> questions = new HashMap<>();
-  private long nextId;
-  private boolean tidying;
+  private final Map<String, TrackedJob> trackedJobs = new HashMap<>();
+  private final Map<Long, Request> requests = new HashMap<>();
+  private long lastRequestId;
+  private boolean cleanupScheduled;
   private long confirmedCount;
   private long unconfirmedCount;
 
-  /** Nothing is asked until somebody waits for an answer. */
+  /**
+   * Creates an instance that sends nothing until a confirmation is requested.
+   *
+   * @param peers senders of frames to the other controllers, by name
+   */
   public WithdrawalConfirmations(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
-      ReportHandler reporting,
+      ReportHandler reportHandler,
       String node,
       Map<String, Consumer<ByteBuffer>> peers) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
-    this.reporting = reporting;
+    this.reportHandler = reportHandler;
     this.node = node;
     this.peers = peers;
   }
 
-  /** Jobs of which this node found that their withdrawal will be kept. */
+  /** Returns the number of jobs whose withdrawal this node has confirmed. */
   public long confirmedCount() {
     return confirmedCount;
   }
 
-  /** Questions that were answered without the word, as it was not proved in time. */
+  /** Returns the number of requests that timed out before the withdrawal was confirmed. */
   public long unconfirmedCount() {
     return unconfirmedCount;
   }
 
   /**
-   * Asks whether a job's withdrawal will be kept. The tables must hold it, as after a barrier.
+   * Waits for the confirmation of a job's withdrawal. The tables must hold the withdrawal, as they
+   * do after a barrier.
    *
-   * @param done told soon, and once; false: not proved yet
+   * @param callback called exactly once: with true when the withdrawal is confirmed, or with false
+   *     at the first retry after {@link #CONFIRMATION_TIMEOUT_MS}
    */
-  public void whenKept(String job, Consumer<Boolean> done) {
-    Open o = open.computeIfAbsent(job, k -> new Open());
-    o.waiters.add(new Waiter(done, timers.nowMs() + WAIT_MS));
-    judge(job, o);
-    arm(job, o);
-    tidy();
+  public void whenConfirmed(String jobId, Consumer<Boolean> callback) {
+    TrackedJob tracked = trackedJobs.computeIfAbsent(jobId, k -> new TrackedJob());
+    tracked.waiters.add(new Waiter(callback, timers.nowMs() + CONFIRMATION_TIMEOUT_MS));
+    evaluate(jobId, tracked);
+    scheduleRetry(jobId, tracked);
+    scheduleCleanup();
   }
 
-  private void arm(String job, Open o) {
-    if (o.waiters.isEmpty() || o.armed) {
+  private void scheduleRetry(String jobId, TrackedJob tracked) {
+    if (tracked.waiters.isEmpty() || tracked.retryScheduled) {
       return;
     }
-    o.armed = true;
+    tracked.retryScheduled = true;
     timers.after(
-        AGAIN_MS,
+        RETRY_INTERVAL_MS,
         () -> {
-          o.armed = false;
-          judge(job, o);
+          tracked.retryScheduled = false;
+          evaluate(jobId, tracked);
           long now = timers.nowMs();
-          List<Waiter> late = new ArrayList<>();
-          o.waiters.removeIf(w -> w.untilMs <= now && late.add(w));
-          unconfirmedCount += late.size();
-          late.forEach(w -> w.done.accept(false));
-          arm(job, o);
+          List<Waiter> expired = new ArrayList<>();
+          tracked.waiters.removeIf(waiter -> waiter.deadlineMs <= now && expired.add(waiter));
+          unconfirmedCount += expired.size();
+          expired.forEach(waiter -> waiter.callback.accept(false));
+          scheduleRetry(jobId, tracked);
         });
   }
 
-  /** Looks at what is proved, asks for what is not, and tells those who wait. */
-  private void judge(String job, Open o) {
-    if (!o.kept) {
-      Map<String, List<String>> left = unproved(job, o);
-      if (left == null) {
+  /**
+   * Determines which machines are confirmed. Requests the missing confirmations, or notifies the
+   * waiters if there are none.
+   */
+  private void evaluate(String jobId, TrackedJob tracked) {
+    if (!tracked.confirmed) {
+      Map<String, List<String>> unconfirmed = unconfirmedMachines(jobId, tracked);
+      if (unconfirmed == null) {
         return;
       }
-      if (!left.isEmpty()) {
-        ask(job, o, left);
+      if (!unconfirmed.isEmpty()) {
+        requestConfirmations(jobId, tracked, unconfirmed);
         return;
       }
-      o.kept = true;
+      tracked.confirmed = true;
       confirmedCount++;
     }
-    List<Waiter> told = List.copyOf(o.waiters);
-    o.waiters.clear();
-    told.forEach(w -> w.done.accept(true));
+    List<Waiter> confirmedWaiters = List.copyOf(tracked.waiters);
+    tracked.waiters.clear();
+    confirmedWaiters.forEach(waiter -> waiter.callback.accept(true));
   }
 
-  /** By owner, the machines of which it is not proved; null: these tables can't tell. */
-  private Map<String, List<String>> unproved(String id, Open o) {
-    View v = tables.view();
-    Job job = tables.job(id);
-    if (job == null && tables.terminalState(id) != null) {
+  /**
+   * Returns the machines that are not confirmed, by owner, or null if the local tables can't tell.
+   */
+  private Map<String, List<String>> unconfirmedMachines(String jobId, TrackedJob tracked) {
+    View view = tables.view();
+    Job job = tables.job(jobId);
+    if (job == null && tables.terminalState(jobId) != null) {
       return Map.of();
     }
-    if (v == null
+    if (view == null
         || job == null
         || !job.withdrawn()
         || tables.blockedReason() != null
-        || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
+        || stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       return null;
     }
-    Map<String, List<String>> left = new TreeMap<>();
-    for (Machine m : job.machines()) {
-      if (o.proved.contains(m.name())) {
+    Map<String, List<String>> unconfirmed = new TreeMap<>();
+    for (Machine machine : job.machines()) {
+      if (tracked.confirmedMachines.contains(machine.name())) {
         continue;
       }
-      String owner = m.owner(v);
-      if (owner.equals(node) && reporting.canConfirmWithdrawal(m, id)) {
-        o.proved.add(m.name());
+      String owner = machine.owner(view);
+      if (owner.equals(node) && reportHandler.canConfirmWithdrawal(machine, jobId)) {
+        tracked.confirmedMachines.add(machine.name());
       } else {
-        left.computeIfAbsent(owner, k -> new ArrayList<>()).add(m.name());
+        unconfirmed.computeIfAbsent(owner, k -> new ArrayList<>()).add(machine.name());
       }
     }
-    return left;
+    return unconfirmed;
   }
 
-  private void ask(String job, Open o, Map<String, List<String>> left) {
+  private void requestConfirmations(
+      String jobId, TrackedJob tracked, Map<String, List<String>> unconfirmed) {
     long now = timers.nowMs();
     long epoch = tables.view().epoch();
     int number = tables.registry().numberOf(node);
-    if (number < 0 || now - o.askedMs < AGAIN_MS && o.askedEpoch == epoch) {
+    if (number < 0
+        || now - tracked.lastRequestMs < RETRY_INTERVAL_MS && tracked.lastRequestEpoch == epoch) {
       return;
     }
-    o.askedMs = now;
-    o.askedEpoch = epoch;
-    left.forEach(
+    tracked.lastRequestMs = now;
+    tracked.lastRequestEpoch = epoch;
+    unconfirmed.forEach(
         (owner, machines) -> {
           Consumer<ByteBuffer> peer = peers.get(owner);
-          for (int i = 0; peer != null && i < machines.size(); i += NAMES_MOST) {
-            List<String> some =
-                List.copyOf(machines.subList(i, Math.min(machines.size(), i + NAMES_MOST)));
-            long id = ++nextId;
-            questions.put(id, new Question(job, owner, some, now));
+          for (int i = 0; peer != null && i < machines.size(); i += MAX_NAMES_PER_FRAME) {
+            List<String> batch =
+                List.copyOf(
+                    machines.subList(i, Math.min(machines.size(), i + MAX_NAMES_PER_FRAME)));
+            long requestId = ++lastRequestId;
+            requests.put(requestId, new Request(jobId, owner, batch, now));
             peer.accept(
-                new PeerFrame.Withdrawn(number, id, epoch, tables.appliedRev(), job, some)
+                new PeerFrame.Withdrawn(number, requestId, epoch, tables.appliedRev(), jobId, batch)
                     .encode());
           }
         });
   }
 
-  /** An owner's answer. Whoever was not asked has nothing to say. */
-  public void handleConfirmation(PeerFrame.Obeyed a) {
-    Question q = questions.get(a.id());
-    if (q == null || !q.owner.equals(tables.registry().name(a.from()))) {
+  /** Handles an owner's answer. An answer from a controller that was not asked is ignored. */
+  public void handleConfirmation(PeerFrame.Obeyed answer) {
+    Request request = requests.get(answer.id());
+    if (request == null || !request.owner.equals(tables.registry().name(answer.from()))) {
       return;
     }
-    questions.remove(a.id());
-    Open o = open.get(q.job);
-    if (o == null) {
+    requests.remove(answer.id());
+    TrackedJob tracked = trackedJobs.get(request.job);
+    if (tracked == null) {
       return;
     }
-    BitSet places = BitSet.valueOf(a.places());
-    for (int i = places.nextSetBit(0);
-        i >= 0 && i < q.machines.size();
-        i = places.nextSetBit(i + 1)) {
-      o.proved.add(q.machines.get(i));
+    BitSet positions = BitSet.valueOf(answer.places());
+    for (int i = positions.nextSetBit(0);
+        i >= 0 && i < request.machines.size();
+        i = positions.nextSetBit(i + 1)) {
+      tracked.confirmedMachines.add(request.machines.get(i));
     }
-    judge(q.job, o);
+    evaluate(request.job, tracked);
   }
 
   /**
-   * A peer has told of a withdrawal and asks which of our machines obey us alone. From here on we
-   * know, whether the state service serves us or not; what can't be kept is not answered.
+   * Handles a peer's request: it announces a withdrawal and asks which of this node's machines
+   * accept the token of this node only. The node knows of the withdrawal from now on, even if it
+   * can't reach the state service. A request whose withdrawal can't be remembered is not answered.
    */
-  public void handleConfirmationRequest(PeerFrame.Withdrawn w) {
-    boolean knew = tables.isWithdrawalAnnounced(w.job()) || w.rev() <= tables.appliedRev();
-    if (!tables.announceWithdrawal(w.job(), w.rev())) {
-      LOG.error("too many withdrawals are known ahead of the tables: {} is not", w.job());
+  public void handleConfirmationRequest(PeerFrame.Withdrawn request) {
+    boolean alreadyKnown =
+        tables.isWithdrawalAnnounced(request.job()) || request.rev() <= tables.appliedRev();
+    if (!tables.announceWithdrawal(request.job(), request.rev())) {
+      LOG.error("too many announced withdrawals, announcement ignored: job={}", request.job());
       return;
     }
-    Job job = tables.job(w.job());
-    if (!knew && job != null) {
-      reporting.haltTasksOf(job);
+    Job job = tables.job(request.job());
+    if (!alreadyKnown && job != null) {
+      reportHandler.haltTasksOf(job);
     }
-    View v = tables.view();
-    Consumer<ByteBuffer> peer = peers.get(tables.registry().name(w.from()));
+    View view = tables.view();
+    Consumer<ByteBuffer> peer = peers.get(tables.registry().name(request.from()));
     int number = tables.registry().numberOf(node);
-    if (peer == null || number < 0 || v == null || v.epoch() != w.epoch()) {
+    if (peer == null || number < 0 || view == null || view.epoch() != request.epoch()) {
       return;
     }
-    if (tables.blockedReason() != null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
+    if (tables.blockedReason() != null
+        || stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       return;
     }
-    BitSet places = new BitSet();
-    for (int i = 0; i < w.machines().size(); i++) {
-      Machine m = tables.machine(w.machines().get(i));
-      places.set(i, m != null && reporting.canConfirmWithdrawal(m, w.job()));
+    BitSet positions = new BitSet();
+    for (int i = 0; i < request.machines().size(); i++) {
+      Machine machine = tables.machine(request.machines().get(i));
+      positions.set(
+          i, machine != null && reportHandler.canConfirmWithdrawal(machine, request.job()));
     }
-    peer.accept(new PeerFrame.Obeyed(number, w.id(), places.toByteArray()).encode());
+    peer.accept(new PeerFrame.Obeyed(number, request.id(), positions.toByteArray()).encode());
   }
 
-  /** What is known of a job is kept as long as it lives. */
-  private void tidy() {
-    if (tidying) {
+  /**
+   * Schedules the removal of expired requests, and of tracked jobs that nobody waits for and that
+   * are no longer in the tables. It repeats while anything is left.
+   */
+  private void scheduleCleanup() {
+    if (cleanupScheduled) {
       return;
     }
-    tidying = true;
+    cleanupScheduled = true;
     timers.after(
-        TIDY_MS,
+        CLEANUP_INTERVAL_MS,
         () -> {
-          tidying = false;
+          cleanupScheduled = false;
           long now = timers.nowMs();
-          questions.values().removeIf(q -> now - q.sinceMs > QUESTION_MS);
-          for (Iterator<Map.Entry<String, Open>> it = open.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<String, Open> e = it.next();
-            if (e.getValue().waiters.isEmpty() && tables.job(e.getKey()) == null) {
+          requests.values().removeIf(request -> now - request.sentMs > REQUEST_TIMEOUT_MS);
+          for (Iterator<Map.Entry<String, TrackedJob>> it = trackedJobs.entrySet().iterator();
+              it.hasNext(); ) {
+            Map.Entry<String, TrackedJob> entry = it.next();
+            if (entry.getValue().waiters.isEmpty() && tables.job(entry.getKey()) == null) {
               it.remove();
             }
           }
-          if (!open.isEmpty() || !questions.isEmpty()) {
-            tidy();
+          if (!trackedJobs.isEmpty() || !requests.isEmpty()) {
+            scheduleCleanup();
           }
         });
   }
