--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -43,7 +43,7 @@
     int tasksAtOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
     if (tasksAtOnce > spec.zoneLimit()
         && (spec.oneZone() || spec.zone() != null || countEligibleZones(spec) < 2)) {
-      return "its tasks must spread over several zones, but are allowed in only one";
+      return "its tasks must be in several zones, and may be in one only";
     }
     if (team.cpusMax() > 0 && tasksAtOnce * spec.cpus() > team.cpusMax() + FreeCapacity.EPS
         || team.gpusMax() > 0 && tasksAtOnce * spec.gpus() > team.gpusMax() + FreeCapacity.EPS) {
