--- a/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
+++ b/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
@@ -19,58 +19,60 @@
  * @param records how many there are
  */
 public record AwaitsOverflow(String job, String sum, int records) {
-  private static final String PREFIX = "w/a/";
+  private static final String KEY_PREFIX = "w/a/";
 
   /** A name with its quotes and comma. */
-  private static final int NAME_BYTES = 28;
+  private static final int BYTES_PER_NAME = 28;
 
-  private static final int RECORD_BYTES = 32;
+  private static final int RECORD_OVERHEAD_BYTES = 32;
 
   /** More than fit into a request of 64 KiB. */
-  private static final int MOST_RECORDS = 1000;
+  private static final int MAX_RECORDS = 1000;
 
   /** Whether a key is of such a record. */
-  static boolean is(String key) {
-    return key.startsWith(PREFIX);
+  static boolean isKey(String key) {
+    return key.startsWith(KEY_PREFIX);
   }
 
   /** The job of such a key. */
   static String jobOfKey(String key) throws BadMessage {
     int slash = key.lastIndexOf('/');
-    if (slash <= PREFIX.length()) {
+    if (slash <= KEY_PREFIX.length()) {
       throw new BadMessage("a record of names is of no job");
     }
-    return key.substring(PREFIX.length(), slash);
+    return key.substring(KEY_PREFIX.length(), slash);
   }
 
   /** How many names go into one record. */
-  private static int each(int valueBytes) {
-    return Math.max(1, (valueBytes - RECORD_BYTES) / NAME_BYTES);
+  private static int namesPerRecord(int maxValueBytes) {
+    return Math.max(1, (maxValueBytes - RECORD_OVERHEAD_BYTES) / BYTES_PER_NAME);
   }
 
   /** How a job's names are laid out in records of so many bytes. */
-  public static AwaitsOverflow of(String job, List<String> names, int valueBytes) {
+  public static AwaitsOverflow of(String job, List<String> names, int maxValueBytes) {
     CRC32 crc = new CRC32();
-    crc.update((names.size() + "," + each(valueBytes)).getBytes(StandardCharsets.UTF_8));
+    crc.update(
+        (names.size() + "," + namesPerRecord(maxValueBytes)).getBytes(StandardCharsets.UTF_8));
     names.forEach(n -> crc.update(n.getBytes(StandardCharsets.UTF_8)));
-    int per = each(valueBytes);
+    int perRecord = namesPerRecord(maxValueBytes);
     return new AwaitsOverflow(
-        job, Long.toHexString(crc.getValue()), (names.size() + per - 1) / per);
+        job, Long.toHexString(crc.getValue()), (names.size() + perRecord - 1) / perRecord);
   }
 
   /** The records of those names, by key. */
-  public Map<String, Object> values(List<String> names, int valueBytes) {
-    int per = each(valueBytes);
-    Map<String, Object> out = new TreeMap<>();
+  public Map<String, Object> values(List<String> names, int maxValueBytes) {
+    int perRecord = namesPerRecord(maxValueBytes);
+    Map<String, Object> values = new TreeMap<>();
     for (int i = 0; i < records; i++) {
-      List<String> some = names.subList(i * per, Math.min(names.size(), (i + 1) * per));
-      out.put(key(i), Map.of("names", new ArrayList<Object>(some)));
+      List<String> recordNames =
+          names.subList(i * perRecord, Math.min(names.size(), (i + 1) * perRecord));
+      values.put(key(i), Map.of("names", new ArrayList<Object>(recordNames)));
     }
-    return out;
+    return values;
   }
 
   public String key(int record) {
-    return PREFIX + job + "/" + sum + "-" + record;
+    return KEY_PREFIX + job + "/" + sum + "-" + record;
   }
 
   List<Object> toStore() {
@@ -78,19 +80,19 @@
   }
 
   static AwaitsOverflow parse(String job, Object stored) throws BadMessage {
-    if (stored instanceof List<?> l
-        && l.size() == 2
-        && l.get(0) instanceof String sum
-        && l.get(1) instanceof Long n
-        && n > 0
-        && n <= MOST_RECORDS) {
-      return new AwaitsOverflow(job, sum, n.intValue());
+    if (stored instanceof List<?> fields
+        && fields.size() == 2
+        && fields.get(0) instanceof String sum
+        && fields.get(1) instanceof Long recordCount
+        && recordCount > 0
+        && recordCount <= MAX_RECORDS) {
+      return new AwaitsOverflow(job, sum, recordCount.intValue());
     }
     throw new BadMessage("where more names are is not told");
   }
 
   /** The names of one record. */
-  static List<String> parseNames(Document d) throws BadMessage {
-    return List.copyOf(d.texts("names"));
+  static List<String> parseNames(Document document) throws BadMessage {
+    return List.copyOf(document.texts("names"));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -30,186 +30,192 @@
   private static final Logger LOG = LoggerFactory.getLogger(DependencyGraph.class);
 
   /** Far above any chain: who comes here has found a cycle, which can't be. */
-  private static final int MOST_STEPS = 1_000_000;
+  private static final int MAX_PROPAGATION_STEPS = 1_000_000;
 
-  private final Function<String, Job> unfinished;
-  private final Function<String, TerminalState> remembered;
+  private final Function<String, Job> unfinishedJobs;
+  private final Function<String, TerminalState> knownTerminalStates;
 
   /** By an awaited job, those that await it. */
-  private final Map<String, Set<Job>> after = new HashMap<>();
+  private final Map<String, Set<Job>> dependents = new HashMap<>();
 
   /** How those ended that an unfinished job awaits. */
-  private final Map<String, TerminalState> ends = new HashMap<>();
+  private final Map<String, TerminalState> terminalStates = new HashMap<>();
 
   /** Awaited jobs that are over, of which it is not known here how they ended. */
-  private final TreeSet<String> unknown = new TreeSet<>();
+  private final TreeSet<String> unresolved = new TreeSet<>();
 
   /**
-   * @param unfinished a job of the tables, or null
-   * @param remembered how a job ended, if that is known here, or null
+   * @param unfinishedJobs a job of the tables, or null
+   * @param knownTerminalStates how a job ended, if that is known here, or null
    */
-  DependencyGraph(Function<String, Job> unfinished, Function<String, TerminalState> remembered) {
-    this.unfinished = unfinished;
-    this.remembered = remembered;
+  DependencyGraph(
+      Function<String, Job> unfinishedJobs, Function<String, TerminalState> knownTerminalStates) {
+    this.unfinishedJobs = unfinishedJobs;
+    this.knownTerminalStates = knownTerminalStates;
   }
 
   void reset() {
-    after.clear();
-    ends.clear();
-    unknown.clear();
+    dependents.clear();
+    terminalStates.clear();
+    unresolved.clear();
   }
 
   /** The jobs of which it must be read how they ended. */
   public TreeSet<String> unresolved() {
-    return unknown;
+    return unresolved;
   }
 
   /** The jobs that await one. */
   public Set<Job> dependents(String id) {
-    return after.getOrDefault(id, Set.of());
+    return dependents.getOrDefault(id, Set.of());
   }
 
   // ---- changes ----
 
   /** A job appeared in the tables; its names may be there in part. */
-  void jobAdded(Job j) {
-    j.awaits().forEach(a -> after.computeIfAbsent(a, k -> new LinkedHashSet<>()).add(j));
-    unknown.remove(j.id());
+  void jobAdded(Job job) {
+    job.awaits().forEach(a -> dependents.computeIfAbsent(a, k -> new LinkedHashSet<>()).add(job));
+    unresolved.remove(job.id());
     // A load brings jobs in the order of their ids: those that await it may have come before.
-    j.pull(pulled(j));
-    lend(j);
-    settle(j);
-    dependents(j.id()).forEach(this::settle);
+    job.setInheritedUrgency(combinedUrgency(job));
+    raiseUrgency(job);
+    updateStates(job);
+    dependents(job.id()).forEach(this::updateStates);
   }
 
   /** A job was withdrawn by its user, or its names are all there. */
-  void jobChanged(Job j) {
-    settle(j);
-    dependents(j.id()).forEach(this::settle);
+  void jobChanged(Job job) {
+    updateStates(job);
+    dependents(job.id()).forEach(this::updateStates);
   }
 
   /** It is known how a job ended. */
-  void jobTerminated(String id, TerminalState how) {
-    unknown.remove(id);
-    if (after.containsKey(id) && ends.put(id, how) == null) {
-      List.copyOf(dependents(id)).forEach(this::settle);
+  void jobTerminated(String id, TerminalState terminalState) {
+    unresolved.remove(id);
+    if (dependents.containsKey(id) && terminalStates.put(id, terminalState) == null) {
+      List.copyOf(dependents(id)).forEach(this::updateStates);
     }
   }
 
   /** A job is out of the tables. */
-  void jobRemoved(Job j) {
-    for (String a : j.awaits()) {
-      Set<Job> others = after.get(a);
-      if (others != null && others.remove(j) && others.isEmpty()) {
-        after.remove(a);
-        ends.remove(a);
-        unknown.remove(a);
+  void jobRemoved(Job job) {
+    for (String awaitedId : job.awaits()) {
+      Set<Job> waitingJobs = dependents.get(awaitedId);
+      if (waitingJobs != null && waitingJobs.remove(job) && waitingJobs.isEmpty()) {
+        dependents.remove(awaitedId);
+        terminalStates.remove(awaitedId);
+        unresolved.remove(awaitedId);
       }
     }
-    List.copyOf(dependents(j.id())).forEach(this::settle);
-    takeBack(j);
+    List.copyOf(dependents(job.id())).forEach(this::updateStates);
+    recomputeUrgency(job);
   }
 
   // ---- who may start, and who is withdrawn ----
 
-  private void settle(Job first) {
-    ArrayDeque<Job> open = new ArrayDeque<>(List.of(first));
-    while (!open.isEmpty()) {
-      Job j = open.poll();
-      Job.DependencyState was = j.dependencyState();
-      boolean wasOff = j.withdrawn();
-      if (was == Job.DependencyState.READY || was == Job.DependencyState.WITHDRAWN) {
+  private void updateStates(Job first) {
+    ArrayDeque<Job> pending = new ArrayDeque<>(List.of(first));
+    while (!pending.isEmpty()) {
+      Job job = pending.poll();
+      Job.DependencyState oldState = job.dependencyState();
+      boolean wasWithdrawn = job.withdrawn();
+      if (oldState == Job.DependencyState.READY || oldState == Job.DependencyState.WITHDRAWN) {
         continue;
       }
-      long ready = 0;
-      Job.DependencyState now =
-          complete(j) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
-      for (String a : j.awaits()) {
-        TerminalState e = end(a);
-        Job x = e == null ? unfinished.apply(a) : null;
-        if (e != null ? !e.done() : x != null && x.withdrawn()) {
-          now = Job.DependencyState.WITHDRAWN;
+      long readyWallMs = 0;
+      Job.DependencyState newState =
+          hasAllAwaitedNames(job) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
+      for (String awaitedId : job.awaits()) {
+        TerminalState terminalState = terminalState(awaitedId);
+        Job awaitedJob = terminalState == null ? unfinishedJobs.apply(awaitedId) : null;
+        if (terminalState != null
+            ? !terminalState.done()
+            : awaitedJob != null && awaitedJob.withdrawn()) {
+          newState = Job.DependencyState.WITHDRAWN;
           break;
-        } else if (e != null) {
-          ready = Math.max(ready, e.atWallMs());
-        } else if (x == null) {
-          unknown.add(a);
-          now = Job.DependencyState.UNRESOLVED;
-        } else if (x.dependencyState() == Job.DependencyState.UNRESOLVED) {
-          now = Job.DependencyState.UNRESOLVED;
-        } else if (now == Job.DependencyState.READY) {
-          now = Job.DependencyState.WAITING;
+        } else if (terminalState != null) {
+          readyWallMs = Math.max(readyWallMs, terminalState.atWallMs());
+        } else if (awaitedJob == null) {
+          unresolved.add(awaitedId);
+          newState = Job.DependencyState.UNRESOLVED;
+        } else if (awaitedJob.dependencyState() == Job.DependencyState.UNRESOLVED) {
+          newState = Job.DependencyState.UNRESOLVED;
+        } else if (newState == Job.DependencyState.READY) {
+          newState = Job.DependencyState.WAITING;
         }
       }
-      if (now != was) {
-        j.to(now, ready);
+      if (newState != oldState) {
+        job.setDependencyState(newState, readyWallMs);
       }
       // Those after it draw from whether it is clear, and whether it is withdrawn.
-      boolean clear =
-          (was == Job.DependencyState.UNRESOLVED) != (now == Job.DependencyState.UNRESOLVED);
-      if (clear || wasOff != j.withdrawn()) {
-        open.addAll(dependents(j.id()));
+      boolean resolutionChanged =
+          (oldState == Job.DependencyState.UNRESOLVED)
+              != (newState == Job.DependencyState.UNRESOLVED);
+      if (resolutionChanged || wasWithdrawn != job.withdrawn()) {
+        pending.addAll(dependents(job.id()));
       }
     }
   }
 
   /** Whether all its names are there. */
-  private static boolean complete(Job j) {
-    return j.overflow() == null || !j.awaits().isEmpty();
+  private static boolean hasAllAwaitedNames(Job job) {
+    return job.overflow() == null || !job.awaits().isEmpty();
   }
 
-  private TerminalState end(String id) {
-    TerminalState e = ends.get(id);
-    if (e == null && (e = remembered.apply(id)) != null) {
-      ends.put(id, e);
-      unknown.remove(id);
+  private TerminalState terminalState(String id) {
+    TerminalState known = terminalStates.get(id);
+    if (known == null && (known = knownTerminalStates.apply(id)) != null) {
+      terminalStates.put(id, known);
+      unresolved.remove(id);
     }
-    return e;
+    return known;
   }
 
   // ---- what the last of a chain lends to the first ----
 
   /** What those that await a job lend to it. */
-  private Job.InheritedUrgency pulled(Job j) {
-    Job.InheritedUrgency p = Job.InheritedUrgency.NONE;
-    for (Job d : dependents(j.id())) {
-      p = p.and(lent(d, j));
+  private Job.InheritedUrgency combinedUrgency(Job job) {
+    Job.InheritedUrgency urgency = Job.InheritedUrgency.NONE;
+    for (Job dependent : dependents(job.id())) {
+      urgency = urgency.combine(urgencyFrom(dependent, job));
     }
-    return p;
+    return urgency;
   }
 
   /** What a job lends to one that it awaits. */
-  private static Job.InheritedUrgency lent(Job by, Job to) {
-    boolean same = by.spec().team().equals(to.spec().team());
-    JobSpec s = by.spec();
-    long mustEnd =
-        s.deadlineS() == null
+  private static Job.InheritedUrgency urgencyFrom(Job dependent, Job awaitedJob) {
+    boolean sameTeam = dependent.spec().team().equals(awaitedJob.spec().team());
+    JobSpec spec = dependent.spec();
+    long endByWallMs =
+        spec.deadlineS() == null
             ? Long.MAX_VALUE
-            : by.acceptedWallMs() + (long) (s.deadlineS() * 1000);
-    long mustStart = Math.min(less(mustEnd, s.estimateS()), by.startByWallMs());
+            : dependent.acceptedWallMs() + (long) (spec.deadlineS() * 1000);
+    long startByWallMs =
+        Math.min(minusSeconds(endByWallMs, spec.estimateS()), dependent.startByWallMs());
     return new Job.InheritedUrgency(
-        by.effectivePriority(),
-        same ? by.preemptionPriority() : JobSpec.Priority.LOW,
-        less(mustStart, to.spec().estimateS()));
+        dependent.effectivePriority(),
+        sameTeam ? dependent.preemptionPriority() : JobSpec.Priority.LOW,
+        minusSeconds(startByWallMs, awaitedJob.spec().estimateS()));
   }
 
-  private static long less(long wallMs, double seconds) {
+  private static long minusSeconds(long wallMs, double seconds) {
     return wallMs == Long.MAX_VALUE ? wallMs : wallMs - (long) (seconds * 1000);
   }
 
   /** A job lends to those that it awaits, and they to those before them. */
-  private void lend(Job first) {
-    ArrayDeque<Job> open = new ArrayDeque<>(List.of(first));
-    for (int steps = 0; !open.isEmpty(); steps++) {
-      Job j = open.poll();
-      for (Job x : awaited(j)) {
-        Job.InheritedUrgency now = x.pull().and(lent(j, x));
-        if (!now.equals(x.pull())) {
-          x.pull(now);
-          open.add(x);
+  private void raiseUrgency(Job first) {
+    ArrayDeque<Job> pending = new ArrayDeque<>(List.of(first));
+    for (int steps = 0; !pending.isEmpty(); steps++) {
+      Job job = pending.poll();
+      for (Job awaitedJob : unfinishedAwaitedJobs(job)) {
+        Job.InheritedUrgency urgency =
+            awaitedJob.inheritedUrgency().combine(urgencyFrom(job, awaitedJob));
+        if (!urgency.equals(awaitedJob.inheritedUrgency())) {
+          awaitedJob.setInheritedUrgency(urgency);
+          pending.add(awaitedJob);
         }
       }
-      if (steps > MOST_STEPS) {
+      if (steps > MAX_PROPAGATION_STEPS) {
         LOG.error("what {} awaits leads back to it", first.id());
         return;
       }
@@ -217,27 +223,27 @@
   }
 
   /** A job is over: those that it awaited and that are not, as when it was withdrawn, lose that. */
-  private void takeBack(Job gone) {
-    ArrayDeque<Job> open = new ArrayDeque<>(awaited(gone));
-    for (int steps = 0; !open.isEmpty() && steps <= MOST_STEPS; steps++) {
-      Job x = open.poll();
-      Job.InheritedUrgency now = pulled(x);
-      if (!now.equals(x.pull())) {
-        x.pull(now);
-        open.addAll(awaited(x));
+  private void recomputeUrgency(Job removed) {
+    ArrayDeque<Job> pending = new ArrayDeque<>(unfinishedAwaitedJobs(removed));
+    for (int steps = 0; !pending.isEmpty() && steps <= MAX_PROPAGATION_STEPS; steps++) {
+      Job job = pending.poll();
+      Job.InheritedUrgency urgency = combinedUrgency(job);
+      if (!urgency.equals(job.inheritedUrgency())) {
+        job.setInheritedUrgency(urgency);
+        pending.addAll(unfinishedAwaitedJobs(job));
       }
     }
   }
 
   /** Those that a job awaits and that are not over. */
-  private List<Job> awaited(Job j) {
-    List<Job> out = new ArrayList<>();
-    for (String a : j.awaits()) {
-      Job x = unfinished.apply(a);
-      if (x != null) {
-        out.add(x);
+  private List<Job> unfinishedAwaitedJobs(Job job) {
+    List<Job> unfinished = new ArrayList<>();
+    for (String awaitedId : job.awaits()) {
+      Job awaitedJob = unfinishedJobs.apply(awaitedId);
+      if (awaitedJob != null) {
+        unfinished.add(awaitedJob);
       }
     }
-    return out;
+    return unfinished;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -41,50 +41,50 @@
   /** The owner of a job that only the leader places. */
   public static final String LEADER_PARTITION = "*";
 
-  private static final String CHUNKS = "w/t/";
+  private static final String CHUNK_KEY_PREFIX = "w/t/";
 
-  private static final int SUSPECT_MACHINES = 2;
+  private static final int SUSPECTED_AFTER_MACHINES = 2;
 
   /** The pause between the tries of a suspect: from this, doubled up to so often. */
-  private static final long PROBE_MS = 4000;
+  private static final long MIN_PROBE_INTERVAL_MS = 4000;
 
-  private static final int PROBE_DOUBLINGS = 4;
+  private static final int MAX_PROBE_INTERVAL_DOUBLINGS = 4;
 
   private final String id;
   private final TeamUsage usage;
   private final Consumer<Job> onChange;
-  private boolean noted;
+  private boolean changeNotified;
   private JobSpec spec;
   private long stamp;
   private long acceptedWallMs;
-  private String part;
-  private Map<String, Object> extra = Map.of();
-  private Map<String, Object> specExtra = Map.of();
-  private Map<Integer, Map<String, Object>> chunkExtra = Map.of();
+  private String partition;
+  private Map<String, Object> unknownFields = Map.of();
+  private Map<String, Object> unknownSpecFields = Map.of();
+  private Map<Integer, Map<String, Object>> unknownChunkFields = Map.of();
   private boolean withdrawn;
   private long withdrawnWallMs;
   private TaskState[] tasks;
 
   /** The indices of those that wait: a round does not go over all of a large array. */
-  private BitSet waitingTasks;
+  private BitSet waitingIndices;
 
   private long[] chunkStamps;
-  private long[] chunkRevs;
-  private int waiting;
-  private int live;
-  private int done;
+  private long[] chunkRevisions;
+  private int waitingCount;
+  private int liveCount;
+  private int doneCount;
 
   // Known to this process only.
 
   /** A peer has told that it is withdrawn; its record as read here may not say so yet. */
-  private boolean foretold;
+  private boolean withdrawalAnnounced;
 
   private long retryAtMs;
   private int refusals;
   private int failures;
-  private int failuresSeen;
+  private int failuresHandled;
   private int probes;
-  private boolean worked;
+  private boolean hasSucceeded;
   private final Set<Machine> failedOn = new LinkedHashSet<>();
   private long waitingSinceMs;
 
@@ -93,10 +93,10 @@
   private AwaitsOverflow overflow;
   private DependencyState dependencyState = DependencyState.UNRESOLVED;
   private long readyWallMs;
-  private InheritedUrgency pull = InheritedUrgency.NONE;
-  private long blockedVersion = -1;
+  private InheritedUrgency inheritedUrgency = InheritedUrgency.NONE;
+  private long blockedIndexVersion = -1;
   private long blockedUntilMs;
-  private long preemptAtMs;
+  private long nextPreemptionAtMs;
 
   /**
    * @param usage told of each attempt that begins or ends
@@ -111,39 +111,39 @@
   /**
    * What those that await a job lend to it.
    *
-   * @param rank the highest of any that needs it, directly or through others
-   * @param teamRank the same of those that need it through its own team's jobs only: as that it may
-   *     stop others' work, for no team is to do so by way of another's job
+   * @param priority the highest of any that needs it, directly or through others
+   * @param preemptionPriority the same of those that need it through its own team's jobs only: as
+   *     that it may stop others' work, for no team is to do so by way of another's job
    * @param startByWallMs when it must start so that the last of them is done in time;
    *     Long.MAX_VALUE: no matter when
    */
   public record InheritedUrgency(
-      JobSpec.Priority rank, JobSpec.Priority teamRank, long startByWallMs) {
+      JobSpec.Priority priority, JobSpec.Priority preemptionPriority, long startByWallMs) {
     static final InheritedUrgency NONE =
         new InheritedUrgency(JobSpec.Priority.LOW, JobSpec.Priority.LOW, Long.MAX_VALUE);
 
-    InheritedUrgency and(InheritedUrgency o) {
+    InheritedUrgency combine(InheritedUrgency other) {
       return new InheritedUrgency(
-          higher(rank, o.rank),
-          higher(teamRank, o.teamRank),
-          Math.min(startByWallMs, o.startByWallMs));
+          higherOf(priority, other.priority),
+          higherOf(preemptionPriority, other.preemptionPriority),
+          Math.min(startByWallMs, other.startByWallMs));
     }
   }
 
-  static JobSpec.Priority higher(JobSpec.Priority a, JobSpec.Priority b) {
+  static JobSpec.Priority higherOf(JobSpec.Priority a, JobSpec.Priority b) {
     return a.ordinal() <= b.ordinal() ? a : b;
   }
 
-  private void note() {
-    if (!noted) {
-      noted = true;
+  private void notifyChange() {
+    if (!changeNotified) {
+      changeNotified = true;
       onChange.accept(this);
     }
   }
 
   /** The changes so far were taken note of. */
   void acknowledgeChanges() {
-    noted = false;
+    changeNotified = false;
   }
 
   public static String key(String id) {
@@ -160,103 +160,109 @@
 
   /** Whether a key is that of a chunk, of whatever job. */
   public static boolean isChunkKey(String key) {
-    return key.startsWith(CHUNKS);
+    return key.startsWith(CHUNK_KEY_PREFIX);
   }
 
   public String chunkKey(int chunk) {
-    return CHUNKS + id + "/" + chunk;
+    return CHUNK_KEY_PREFIX + id + "/" + chunk;
   }
 
   /**
    * @param withdrawnWallMs 0 if it is not withdrawn
    */
   public static Map<String, Object> toStore(
-      JobSpec spec, AwaitsOverflow more, long acceptedWallMs, String part, long withdrawnWallMs) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("spec", described(spec, more));
-    if (more != null) {
-      m.put("more", more.toStore());
-    }
-    m.put("at", acceptedWallMs);
-    m.put("part", part);
-    m.put("off", withdrawnWallMs > 0);
-    m.put("offAt", withdrawnWallMs);
-    return m;
+      JobSpec spec,
+      AwaitsOverflow overflow,
+      long acceptedWallMs,
+      String partition,
+      long withdrawnWallMs) {
+    Map<String, Object> record = new LinkedHashMap<>();
+    record.put("spec", specToStore(spec, overflow));
+    if (overflow != null) {
+      record.put("more", overflow.toStore());
+    }
+    record.put("at", acceptedWallMs);
+    record.put("part", partition);
+    record.put("off", withdrawnWallMs > 0);
+    record.put("offAt", withdrawnWallMs);
+    return record;
   }
 
   /** What was submitted, without names that are in records of their own. */
-  private static Map<String, Object> described(JobSpec spec, AwaitsOverflow more) {
-    return (more == null ? spec : spec.awaiting(List.of())).toStore();
+  private static Map<String, Object> specToStore(JobSpec spec, AwaitsOverflow overflow) {
+    return (overflow == null ? spec : spec.awaiting(List.of())).toStore();
   }
 
   /**
    * What is stored of it when its part or its withdrawal changes; what a newer writer added stays.
    *
-   * @param offWallMs 0 if it is not withdrawn
+   * @param withdrawnAtWallMs 0 if it is not withdrawn
    */
-  public Map<String, Object> toStore(String newPart, long offWallMs) {
-    Map<String, Object> m = toStore(spec, overflow, acceptedWallMs, newPart, offWallMs);
-    m.putAll(extra);
-    if (!specExtra.isEmpty()) {
-      Map<String, Object> s = described(spec, overflow);
-      s.putAll(specExtra);
-      m.put("spec", s);
+  public Map<String, Object> toStore(String newPartition, long withdrawnAtWallMs) {
+    Map<String, Object> record =
+        toStore(spec, overflow, acceptedWallMs, newPartition, withdrawnAtWallMs);
+    record.putAll(unknownFields);
+    if (!unknownSpecFields.isEmpty()) {
+      Map<String, Object> specFields = specToStore(spec, overflow);
+      specFields.putAll(unknownSpecFields);
+      record.put("spec", specFields);
     }
-    return m;
+    return record;
   }
 
   /**
    * What stands in a job's place when it is over, since {@link
    * wickdrift.bookkeeping.level.Gate#AWAITS}, until its end is moved to its lasting place.
    */
-  public static Map<String, Object> terminalToStore(TerminalState how) {
-    return new LinkedHashMap<>(Map.of("over", how.toStore(true)));
+  public static Map<String, Object> terminalToStore(TerminalState terminalState) {
+    return new LinkedHashMap<>(Map.of("over", terminalState.toStore(true)));
   }
 
-  void applyRecord(Document d, long newStamp) throws BadMessage {
-    Document s = Document.of(d.raw("spec"));
-    specExtra = JobSpec.unknownFields(s);
+  void applyRecord(Document document, long newStamp) throws BadMessage {
+    Document specDocument = Document.of(document.raw("spec"));
+    unknownSpecFields = JobSpec.unknownFields(specDocument);
     if (spec == null) {
-      spec = JobSpec.parse(s);
+      spec = JobSpec.parse(specDocument);
       tasks = new TaskState[spec.tasks()];
       Arrays.fill(tasks, TaskState.NEW);
       chunkStamps = new long[chunkCount()];
-      chunkRevs = new long[chunkCount()];
-      waiting = tasks.length;
-      waitingTasks = new BitSet(tasks.length);
-      waitingTasks.set(0, tasks.length);
+      chunkRevisions = new long[chunkCount()];
+      waitingCount = tasks.length;
+      waitingIndices = new BitSet(tasks.length);
+      waitingIndices.set(0, tasks.length);
       awaits = spec.awaits();
-      overflow = d.raw("more") == null ? null : AwaitsOverflow.parse(id, d.raw("more"));
-    }
-    acceptedWallMs = d.count("at");
-    part = d.text("part");
-    extra = d.without("spec", "more", "at", "part", "off", "offAt");
-    boolean off = d.flag("off");
-    if (off && !withdrawn) {
+      overflow =
+          document.raw("more") == null ? null : AwaitsOverflow.parse(id, document.raw("more"));
+    }
+    acceptedWallMs = document.count("at");
+    partition = document.text("part");
+    unknownFields = document.without("spec", "more", "at", "part", "off", "offAt");
+    boolean nowWithdrawn = document.flag("off");
+    if (nowWithdrawn && !withdrawn) {
       machines().forEach(Machine::markChanged);
     }
-    withdrawn = off;
-    withdrawnWallMs = d.count("offAt", 0);
+    withdrawn = nowWithdrawn;
+    withdrawnWallMs = document.count("offAt", 0);
     stamp = newStamp;
-    note();
+    notifyChange();
   }
 
   /** The machines that live attempts of it are booked on, each once, in the order of its tasks. */
   public Set<Machine> machines() {
-    Set<Machine> out = new LinkedHashSet<>();
-    int left = live;
-    for (int i = 0; i < tasks.length && left > 0; i++) {
+    Set<Machine> booked = new LinkedHashSet<>();
+    int remaining = liveCount;
+    for (int i = 0; i < tasks.length && remaining > 0; i++) {
       if (tasks[i].isLive()) {
-        out.add(tasks[i].machine());
-        left--;
+        booked.add(tasks[i].machine());
+        remaining--;
       }
     }
-    return out;
+    return booked;
   }
 
   /** Told by a peer to be withdrawn: nothing of it is started or kept from now on. */
   void announceWithdrawal() {
-    foretold = true;
+    withdrawalAnnounced = true;
     machines().forEach(Machine::markChanged);
   }
 
@@ -276,22 +282,22 @@
 
   /** Up to which revision the stored chunk holds what the logs say. */
   public long chunkRevision(int chunk) {
-    return chunkRevs[chunk];
+    return chunkRevisions[chunk];
   }
 
   /**
    * The chunk as of a revision: ranges of finished tasks, live attempts, and waiting tasks that
    * were tried before.
    */
-  public Map<String, Object> encodeChunk(int chunk, long rev, IntFunction<TaskState> states) {
+  public Map<String, Object> encodeChunk(int chunk, long revision, IntFunction<TaskState> states) {
     List<Object> doneRanges = new ArrayList<>();
-    List<Object> liveOnes = new ArrayList<>();
-    List<Object> tried = new ArrayList<>();
+    List<Object> liveTasks = new ArrayList<>();
+    List<Object> triedTasks = new ArrayList<>();
     int from = chunk * TASKS_PER_CHUNK;
     int runStart = -1;
     for (int i = from; i <= chunkEnd(chunk); i++) {
-      TaskState s = i < chunkEnd(chunk) ? states.apply(i) : null;
-      boolean isDone = s != null && s.phase() == TaskState.Phase.DONE;
+      TaskState state = i < chunkEnd(chunk) ? states.apply(i) : null;
+      boolean isDone = state != null && state.phase() == TaskState.Phase.DONE;
       if (isDone && runStart < 0) {
         runStart = i;
       } else if (!isDone && runStart >= 0) {
@@ -299,18 +305,25 @@
         doneRanges.add(i - runStart);
         runStart = -1;
       }
-      if (s != null && s.isLive()) {
-        liveOnes.add(List.of(i, s.attempt(), s.machine().name(), s.placer(), s.stop().ordinal()));
-      } else if (s != null && !isDone && s.attempt() > 0) {
-        tried.add(List.of(i, s.attempt()));
+      if (state != null && state.isLive()) {
+        liveTasks.add(
+            List.of(
+                i,
+                state.attempt(),
+                state.machine().name(),
+                state.placer(),
+                state.stop().ordinal()));
+      } else if (state != null && !isDone && state.attempt() > 0) {
+        triedTasks.add(List.of(i, state.attempt()));
       }
     }
-    Map<String, Object> m = new LinkedHashMap<>(chunkExtra.getOrDefault(chunk, Map.of()));
-    m.put("rev", rev);
-    m.put("done", doneRanges);
-    m.put("live", liveOnes);
-    m.put("tried", tried);
-    return m;
+    Map<String, Object> fields =
+        new LinkedHashMap<>(unknownChunkFields.getOrDefault(chunk, Map.of()));
+    fields.put("rev", revision);
+    fields.put("done", doneRanges);
+    fields.put("live", liveTasks);
+    fields.put("tried", triedTasks);
+    return fields;
   }
 
   /**
@@ -318,170 +331,187 @@
    * named once, and of the tasks the numbers alone are told, as one text.
    */
   public Object chunkToStore(
-      int chunk, long rev, IntFunction<TaskState> states, int form, int valueBytes) {
-    Map<String, Object> m = encodeChunk(chunk, rev, states);
-    Object value = Encoding.wrap(form, m);
-    if (form < Encoding.NUMBERED || MessageCodec.jsonSize(value) <= valueBytes) {
+      int chunk,
+      long revision,
+      IntFunction<TaskState> states,
+      int encodingVersion,
+      int maxValueBytes) {
+    Map<String, Object> fields = encodeChunk(chunk, revision, states);
+    Object value = Encoding.wrap(encodingVersion, fields);
+    if (encodingVersion < Encoding.NUMBERED || MessageCodec.jsonSize(value) <= maxValueBytes) {
       return value;
     }
     List<Object> machines = new ArrayList<>();
-    StringBuilder text = new StringBuilder();
-    for (Object o : (List<?>) m.get("live")) {
-      List<?> l = (List<?>) o;
-      int k = machines.indexOf(l.get(2));
-      if (k < 0) {
-        k = machines.size();
-        machines.add(l.get(2));
+    StringBuilder liveText = new StringBuilder();
+    for (Object o : (List<?>) fields.get("live")) {
+      List<?> fieldsOfTask = (List<?>) o;
+      int machineIndex = machines.indexOf(fieldsOfTask.get(2));
+      if (machineIndex < 0) {
+        machineIndex = machines.size();
+        machines.add(fieldsOfTask.get(2));
       }
-      text.append(l.get(0)).append(',').append(l.get(1)).append(',').append(k).append(',');
-      text.append(l.get(3)).append(',').append(l.get(4)).append(',');
+      liveText
+          .append(fieldsOfTask.get(0))
+          .append(',')
+          .append(fieldsOfTask.get(1))
+          .append(',')
+          .append(machineIndex)
+          .append(',');
+      liveText.append(fieldsOfTask.get(3)).append(',').append(fieldsOfTask.get(4)).append(',');
     }
-    m.put("live", List.of(machines, text.toString()));
-    StringBuilder tried = new StringBuilder();
-    for (Object o : (List<?>) m.get("tried")) {
-      List<?> l = (List<?>) o;
-      tried.append(l.get(0)).append(',').append(l.get(1)).append(',');
+    fields.put("live", List.of(machines, liveText.toString()));
+    StringBuilder triedText = new StringBuilder();
+    for (Object o : (List<?>) fields.get("tried")) {
+      List<?> fieldsOfTask = (List<?>) o;
+      triedText.append(fieldsOfTask.get(0)).append(',').append(fieldsOfTask.get(1)).append(',');
     }
-    m.put("tried", List.of(tried.toString()));
-    return Encoding.wrap(Encoding.DENSE, m);
+    fields.put("tried", List.of(triedText.toString()));
+    return Encoding.wrap(Encoding.DENSE, fields);
   }
 
   /** Lists of so many numbers, from a text of all of them. */
-  private static List<List<Object>> lists(String text, int width) throws BadMessage {
-    List<List<Object>> out = new ArrayList<>();
+  private static List<List<Object>> parseRows(String text, int width) throws BadMessage {
+    List<List<Object>> rows = new ArrayList<>();
     String[] numbers = text.isEmpty() ? new String[0] : text.split(",");
     if (numbers.length % width != 0) {
       throw new BadMessage("a chunk ends early");
     }
     try {
       for (int i = 0; i < numbers.length; i += width) {
-        List<Object> l = new ArrayList<>();
-        for (int k = 0; k < width; k++) {
-          l.add(Long.parseLong(numbers[i + k]));
+        List<Object> row = new ArrayList<>();
+        for (int column = 0; column < width; column++) {
+          row.add(Long.parseLong(numbers[i + column]));
         }
-        out.add(l);
+        rows.add(row);
       }
     } catch (NumberFormatException e) {
       throw new BadMessage("a chunk holds something that is not a number");
     }
-    return out;
+    return rows;
   }
 
-  private static List<?> liveOf(Document d) throws BadMessage {
-    List<?> l = d.list("live");
-    if (l.size() == 2 && l.get(0) instanceof List<?> machines && l.get(1) instanceof String text) {
-      List<List<Object>> out = lists(text, 5);
-      for (List<Object> e : out) {
-        int k = number(e.get(2));
-        if (k < 0 || k >= machines.size()) {
+  private static List<?> liveRows(Document document) throws BadMessage {
+    List<?> stored = document.list("live");
+    if (stored.size() == 2
+        && stored.get(0) instanceof List<?> machines
+        && stored.get(1) instanceof String text) {
+      List<List<Object>> rows = parseRows(text, 5);
+      for (List<Object> row : rows) {
+        int machineIndex = toInt(row.get(2));
+        if (machineIndex < 0 || machineIndex >= machines.size()) {
           throw new BadMessage("a chunk names no such machine");
         }
-        e.set(2, machines.get(k));
+        row.set(2, machines.get(machineIndex));
       }
-      return out;
+      return rows;
     }
-    return l;
+    return stored;
   }
 
-  private static List<?> triedOf(Document d) throws BadMessage {
-    List<?> l = d.list("tried");
-    return l.size() == 1 && l.get(0) instanceof String text ? lists(text, 2) : l;
+  private static List<?> triedRows(Document document) throws BadMessage {
+    List<?> stored = document.list("tried");
+    return stored.size() == 1 && stored.get(0) instanceof String text ? parseRows(text, 2) : stored;
   }
 
   /** A chunk was stored, or deleted: those who follow the logs know its content already. */
-  void onChunkStored(int chunk, Document d, long newStamp) throws BadMessage {
+  void onChunkStored(int chunk, Document document, long newStamp) throws BadMessage {
     if (chunk < 0 || chunk >= chunkStamps.length) {
       throw new BadMessage("no such chunk");
     }
     chunkStamps[chunk] = newStamp;
-    Map<String, Object> more = d == null ? Map.of() : d.without("rev", "done", "live", "tried");
-    if (!more.isEmpty()) {
-      chunkExtra = new HashMap<>(chunkExtra);
-      chunkExtra.put(chunk, more);
+    Map<String, Object> unknown =
+        document == null ? Map.of() : document.without("rev", "done", "live", "tried");
+    if (!unknown.isEmpty()) {
+      unknownChunkFields = new HashMap<>(unknownChunkFields);
+      unknownChunkFields.put(chunk, unknown);
     }
-    chunkRevs[chunk] = d == null ? 0 : Math.max(chunkRevs[chunk], d.count("rev"));
+    chunkRevisions[chunk] =
+        document == null ? 0 : Math.max(chunkRevisions[chunk], document.count("rev"));
   }
 
   /** Takes over a chunk's tasks as they are stored. */
   void restoreChunk(
-      int chunk, Document d, long newStamp, java.util.function.Function<String, Machine> find)
+      int chunk,
+      Document document,
+      long newStamp,
+      java.util.function.Function<String, Machine> findMachine)
       throws BadMessage {
-    onChunkStored(chunk, d, newStamp);
+    onChunkStored(chunk, document, newStamp);
     int from = chunk * TASKS_PER_CHUNK;
     int end = chunkEnd(chunk);
-    TaskState[] fresh = new TaskState[end - from];
-    Arrays.fill(fresh, TaskState.NEW);
-    if (d != null) {
-      List<?> ranges = d.list("done");
+    TaskState[] restored = new TaskState[end - from];
+    Arrays.fill(restored, TaskState.NEW);
+    if (document != null) {
+      List<?> ranges = document.list("done");
       for (int i = 0; i + 1 < ranges.size(); i += 2) {
-        int start = number(ranges.get(i));
-        int n = number(ranges.get(i + 1));
-        for (int k = start; k < start + n; k++) {
-          fresh[k - from] = TaskState.FINISHED;
+        int start = toInt(ranges.get(i));
+        int count = toInt(ranges.get(i + 1));
+        for (int k = start; k < start + count; k++) {
+          restored[k - from] = TaskState.FINISHED;
         }
       }
-      for (Object o : liveOf(d)) {
-        List<?> l = (List<?>) o;
-        fresh[number(l.get(0)) - from] =
+      for (Object o : liveRows(document)) {
+        List<?> row = (List<?>) o;
+        restored[toInt(row.get(0)) - from] =
             new TaskState(
                 TaskState.Phase.LIVE,
-                number(l.get(1)),
-                find.apply((String) l.get(2)),
-                number(l.get(3)),
-                TaskState.Stop.values()[number(l.get(4))]);
+                toInt(row.get(1)),
+                findMachine.apply((String) row.get(2)),
+                toInt(row.get(3)),
+                TaskState.Stop.values()[toInt(row.get(4))]);
       }
-      for (Object o : triedOf(d)) {
-        List<?> l = (List<?>) o;
-        fresh[number(l.get(0)) - from] = TaskState.waiting(number(l.get(1)));
+      for (Object o : triedRows(document)) {
+        List<?> row = (List<?>) o;
+        restored[toInt(row.get(0)) - from] = TaskState.waiting(toInt(row.get(1)));
       }
     }
     for (int i = from; i < end; i++) {
-      set(i, fresh[i - from]);
+      setTask(i, restored[i - from]);
     }
   }
 
   // ---- what the logs say; false: it does not follow on what is known, and is void ----
 
-  boolean applyPlacement(int index, int attempt, Machine on, int placer) {
-    TaskState s = tasks[index];
-    if (s.phase() != TaskState.Phase.WAITING || attempt <= s.attempt()) {
+  boolean applyPlacement(int index, int attempt, Machine machine, int placer) {
+    TaskState state = tasks[index];
+    if (state.phase() != TaskState.Phase.WAITING || attempt <= state.attempt()) {
       return false;
     }
-    set(index, s.placed(attempt, on, placer));
+    setTask(index, state.placed(attempt, machine, placer));
     return true;
   }
 
-  boolean applyExit(int index, int attempt, int how) {
-    TaskState s = tasks[index];
-    if (!s.isLive() || s.attempt() != attempt) {
+  boolean applyExit(int index, int attempt, int outcome) {
+    TaskState state = tasks[index];
+    if (!state.isLive() || state.attempt() != attempt) {
       return false;
     }
-    Machine on = s.machine();
-    set(index, s.exited(how == LogEntry.EXIT_DONE ? Report.DONE : null));
-    if (how == LogEntry.EXIT_DONE) {
-      on.worked();
-      blame(null);
-    } else if (how == LogEntry.EXIT_FAILED) {
+    Machine machine = state.machine();
+    setTask(index, state.exited(outcome == LogEntry.EXIT_DONE ? Report.DONE : null));
+    if (outcome == LogEntry.EXIT_DONE) {
+      machine.recordSuccess();
+      recordOutcome(null);
+    } else if (outcome == LogEntry.EXIT_FAILED) {
       failures++;
-      on.failed(this);
-      blame(on);
+      machine.recordFailure(this);
+      recordOutcome(machine);
     }
     completeGang();
     return true;
   }
 
   /** It failed on a machine, or (null) has shown that it can work. */
-  private void blame(Machine on) {
-    boolean was = isSuspected();
-    if (on == null) {
-      worked = true;
+  private void recordOutcome(Machine failedMachine) {
+    boolean wasSuspected = isSuspected();
+    if (failedMachine == null) {
+      hasSucceeded = true;
     } else {
-      failedOn.add(on);
+      failedOn.add(failedMachine);
     }
-    if (isSuspected() != was) {
-      failedOn.forEach(Machine::judgedAnew);
+    if (isSuspected() != wasSuspected) {
+      failedOn.forEach(Machine::jobSuspicionChanged);
     }
-    if (worked) {
+    if (hasSucceeded) {
       failedOn.clear();
     }
   }
@@ -492,34 +522,34 @@
    * that was submitted with a mistake gets no machine shunned.
    */
   public boolean isSuspected() {
-    return !worked && done == 0 && failedOn.size() >= SUSPECT_MACHINES;
+    return !hasSucceeded && doneCount == 0 && failedOn.size() >= SUSPECTED_AFTER_MACHINES;
   }
 
   boolean applyStop(int index, int attempt, TaskState.Stop how) {
-    TaskState s = tasks[index];
-    if (!s.isLive() || s.attempt() != attempt) {
+    TaskState state = tasks[index];
+    if (!state.isLive() || state.attempt() != attempt) {
       return false;
     }
-    set(index, s.stopping(how));
+    setTask(index, state.stopping(how));
     return true;
   }
 
   /** A gang completes together: when one task is done, those that have exited are done too. */
   void completeGang() {
-    if (spec.shape() == JobSpec.Shape.GANG && done > 0) {
+    if (spec.shape() == JobSpec.Shape.GANG && doneCount > 0) {
       for (int i = 0; i < tasks.length; i++) {
         if (tasks[i].phase() == TaskState.Phase.WAITING) {
-          set(i, tasks[i].doneWithGang());
+          setTask(i, tasks[i].doneWithGang());
         }
       }
     }
   }
 
-  private static int number(Object o) {
+  private static int toInt(Object o) {
     return ((Number) o).intValue();
   }
 
-  private void set(int index, TaskState next) {
+  private void setTask(int index, TaskState next) {
     TaskState old = tasks[index];
     if (old.isLive() && old.machine() != next.machine()) {
       old.machine().remove(this, index);
@@ -536,18 +566,18 @@
     if (next.isLive() && (!old.isLive() || next.placer() != old.placer())) {
       usage.add(spec, next.placer(), 1);
     }
-    note();
-    count(old.phase(), -1);
-    count(next.phase(), 1);
+    notifyChange();
+    adjustCount(old.phase(), -1);
+    adjustCount(next.phase(), 1);
     tasks[index] = next;
-    waitingTasks.set(index, next.phase() == TaskState.Phase.WAITING);
+    waitingIndices.set(index, next.phase() == TaskState.Phase.WAITING);
   }
 
-  private void count(TaskState.Phase phase, int by) {
+  private void adjustCount(TaskState.Phase phase, int delta) {
     switch (phase) {
-      case WAITING -> waiting += by;
-      case LIVE -> live += by;
-      case DONE -> done += by;
+      case WAITING -> waitingCount += delta;
+      case LIVE -> liveCount += delta;
+      case DONE -> doneCount += delta;
       default -> throw new AssertionError(phase);
     }
   }
@@ -557,10 +587,10 @@
     if (spec == null) {
       return;
     }
-    note();
-    for (int i = 0; i < tasks.length && live > 0; i++) {
+    notifyChange();
+    for (int i = 0; i < tasks.length && liveCount > 0; i++) {
       if (tasks[i].isLive()) {
-        set(i, TaskState.waiting(tasks[i].attempt()));
+        setTask(i, TaskState.waiting(tasks[i].attempt()));
       }
     }
   }
@@ -584,7 +614,7 @@
   }
 
   public String partition() {
-    return part;
+    return partition;
   }
 
   /** When its user asked for that, by the time of day; 0 if never. */
@@ -599,7 +629,7 @@
 
   /** Withdrawn, or known to be ahead of what the tables say: what is there of it is to end. */
   public boolean withdrawnOrAnnounced() {
-    return withdrawn() || foretold;
+    return withdrawn() || withdrawalAnnounced;
   }
 
   /** Whether its user has withdrawn it itself: what its record says. */
@@ -619,8 +649,8 @@
     return overflow;
   }
 
-  void setAwaits(List<String> all) {
-    awaits = all;
+  void setAwaits(List<String> awaitedJobs) {
+    awaits = awaitedJobs;
   }
 
   public DependencyState dependencyState() {
@@ -628,13 +658,14 @@
   }
 
   /** The one function by which its stage changes. */
-  void to(DependencyState next, long nowReadyWallMs) {
+  void setDependencyState(DependencyState newState, long newReadyWallMs) {
     if (dependencyState == DependencyState.READY || dependencyState == DependencyState.WITHDRAWN) {
-      throw new IllegalStateException(id + " is " + dependencyState + " and can't become " + next);
+      throw new IllegalStateException(
+          id + " is " + dependencyState + " and can't become " + newState);
     }
-    dependencyState = next;
-    readyWallMs = nowReadyWallMs;
-    note();
+    dependencyState = newState;
+    readyWallMs = newReadyWallMs;
+    notifyChange();
   }
 
   /** By the time of day, when it was accepted, or the last of those that it awaits was done. */
@@ -642,30 +673,30 @@
     return Math.max(acceptedWallMs, readyWallMs);
   }
 
-  void pull(InheritedUrgency now) {
-    if (!now.equals(pull)) {
-      pull = now;
-      note();
+  void setInheritedUrgency(InheritedUrgency newUrgency) {
+    if (!newUrgency.equals(inheritedUrgency)) {
+      inheritedUrgency = newUrgency;
+      notifyChange();
     }
   }
 
-  InheritedUrgency pull() {
-    return pull;
+  InheritedUrgency inheritedUrgency() {
+    return inheritedUrgency;
   }
 
   /** As what it is served and, while it runs, spared. */
   public JobSpec.Priority effectivePriority() {
-    return higher(spec.priority(), pull.rank);
+    return higherOf(spec.priority(), inheritedUrgency.priority);
   }
 
   /** As what it may stop the work of others. */
   public JobSpec.Priority preemptionPriority() {
-    return higher(spec.priority(), pull.teamRank);
+    return higherOf(spec.priority(), inheritedUrgency.preemptionPriority);
   }
 
   /** When it must start for the sake of those that await it, by the time of day. */
   public long startByWallMs() {
-    return pull.startByWallMs;
+    return inheritedUrgency.startByWallMs;
   }
 
   public TaskState task(int index) {
@@ -674,7 +705,7 @@
 
   /** The first task from an index on that waits, or -1. */
   public int nextWaiting(int from) {
-    return waitingTasks.nextSetBit(from);
+    return waitingIndices.nextSetBit(from);
   }
 
   public int taskCount() {
@@ -682,15 +713,15 @@
   }
 
   public int waitingCount() {
-    return waiting;
+    return waitingCount;
   }
 
   public int liveCount() {
-    return live;
+    return liveCount;
   }
 
   public int doneCount() {
-    return done;
+    return doneCount;
   }
 
   // ---- this process's own notes ----
@@ -712,8 +743,8 @@
    * true if there was one.
    */
   public boolean backOffAfterFailures(long nowMs) {
-    boolean failed = failuresSeen != failures;
-    failuresSeen = failures;
+    boolean failed = failuresHandled != failures;
+    failuresHandled = failures;
     if (failed && isSuspected()) {
       scheduleNextProbe(nowMs);
       probes++;
@@ -724,7 +755,10 @@
 
   /** One task of a suspect was placed, to see: the next one waits. */
   public void scheduleNextProbe(long nowMs) {
-    retryAtMs = Math.max(retryAtMs, nowMs + (PROBE_MS << Math.min(probes, PROBE_DOUBLINGS)));
+    retryAtMs =
+        Math.max(
+            retryAtMs,
+            nowMs + (MIN_PROBE_INTERVAL_MS << Math.min(probes, MAX_PROBE_INTERVAL_DOUBLINGS)));
   }
 
   public long waitingSinceMs(long nowMs) {
@@ -736,26 +770,26 @@
 
   /** When it may look again for what to stop in its favour. */
   public long nextPreemptionAtMs() {
-    return preemptAtMs;
+    return nextPreemptionAtMs;
   }
 
-  public void setNextPreemptionAtMs(long ms) {
-    preemptAtMs = ms;
+  public void setNextPreemptionAtMs(long atMs) {
+    nextPreemptionAtMs = atMs;
   }
 
   public void resetWaiting() {
     waitingSinceMs = 0;
-    blockedVersion = -1;
+    blockedIndexVersion = -1;
   }
 
   /** No room was found for it when the index of rooms had this version. */
   public void setBlocked(long version, long untilMs) {
-    blockedVersion = version;
+    blockedIndexVersion = version;
     blockedUntilMs = untilMs;
   }
 
   /** Whether nothing has changed since that would make another look worth while. */
   public boolean stillBlocked(long version, long nowMs) {
-    return blockedVersion == version && nowMs < blockedUntilMs;
+    return blockedIndexVersion == version && nowMs < blockedUntilMs;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -18,9 +18,9 @@
  */
 public final class JobHistory {
   private static final Logger LOG = LoggerFactory.getLogger(JobHistory.class);
-  private static final int PAGE = 100;
-  private static final long AGAIN_MS = 500;
-  private static final String PREFIX = Job.terminalStateKey("");
+  private static final int KEYS_PER_READ = 100;
+  private static final long RETRY_INTERVAL_MS = 500;
+  private static final String KEY_PREFIX = Job.terminalStateKey("");
 
   /** What the state service says of a job. */
   public enum LookupResult {
@@ -32,125 +32,126 @@
   }
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
-  private TreeMap<String, List<Consumer<LookupResult>>> next = new TreeMap<>();
+  private TreeMap<String, List<Consumer<LookupResult>>> queued = new TreeMap<>();
   private boolean reading;
-  private boolean armed;
-  private long reads;
+  private boolean retryScheduled;
+  private long readCount;
 
-  public JobHistory(Timers timers, StateServiceClient ledger, Tables tables) {
+  public JobHistory(Timers timers, StateServiceClient stateService, Tables tables) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
   }
 
   /** Reads sent so far. */
   public long readCount() {
-    return reads;
+    return readCount;
   }
 
   /** Asks how a job ended; if it did, it is remembered in the tables by the time of the answer. */
-  public void lookUp(String id, Consumer<LookupResult> done) {
-    next.computeIfAbsent(id, k -> new ArrayList<>()).add(done);
-    pump();
+  public void lookUp(String id, Consumer<LookupResult> callback) {
+    queued.computeIfAbsent(id, k -> new ArrayList<>()).add(callback);
+    startNextRead();
   }
 
   /** Reads what the chains lack, until nothing is. */
   public void resolveDependencies() {
-    if (ledger.phase() != StateServiceClient.Phase.FOLLOWING || armed) {
+    if (stateService.phase() != StateServiceClient.Phase.FOLLOWING || retryScheduled) {
       return;
     }
     for (String id : tables.dependencies().unresolved()) {
-      next.computeIfAbsent(id, k -> new ArrayList<>());
+      queued.computeIfAbsent(id, k -> new ArrayList<>());
     }
-    pump();
+    startNextRead();
   }
 
-  private void pump() {
+  private void startNextRead() {
     if (reading) {
       return;
     }
     // The chains' questions are put again with each change; some were answered meanwhile.
-    next.entrySet()
+    queued
+        .entrySet()
         .removeIf(
             e ->
                 e.getValue().isEmpty() && !tables.dependencies().unresolved().contains(e.getKey()));
-    if (!next.isEmpty()) {
-      TreeMap<String, List<Consumer<LookupResult>>> open = next;
-      next = new TreeMap<>();
+    if (!queued.isEmpty()) {
+      TreeMap<String, List<Consumer<LookupResult>>> requests = queued;
+      queued = new TreeMap<>();
       reading = true;
-      read(open);
+      read(requests);
     }
   }
 
   /** Reads from the first of those that are open on. */
-  private void read(TreeMap<String, List<Consumer<LookupResult>>> open) {
-    if (open.isEmpty()) {
+  private void read(TreeMap<String, List<Consumer<LookupResult>>> requests) {
+    if (requests.isEmpty()) {
       reading = false;
-      pump();
+      startNextRead();
       return;
     }
-    String first = open.firstKey();
-    reads++;
+    String first = requests.firstKey();
+    readCount++;
     // Keys after this one: the same without its last letter comes before it.
-    String after = PREFIX + first.substring(0, first.length() - 1);
-    ledger.list(
-        PREFIX,
-        after,
-        PAGE,
+    String afterKey = KEY_PREFIX + first.substring(0, first.length() - 1);
+    stateService.list(
+        KEY_PREFIX,
+        afterKey,
+        KEYS_PER_READ,
         l -> {
           if (l == null) {
-            open.values().forEach(v -> v.forEach(c -> c.accept(LookupResult.UNAVAILABLE)));
+            requests.values().forEach(v -> v.forEach(c -> c.accept(LookupResult.UNAVAILABLE)));
             reading = false;
-            again();
+            scheduleRetry();
             return;
           }
-          take(l, open);
-          read(open);
+          handlePage(l, requests);
+          read(requests);
         });
   }
 
-  private void take(
-      StateServiceClient.ListResult l, TreeMap<String, List<Consumer<LookupResult>>> open) {
-    String last = null;
-    for (StateServiceClient.Change c : l.entries()) {
-      last = c.key().substring(PREFIX.length());
-      List<Consumer<LookupResult>> asking = open.get(last);
-      if (asking == null) {
+  private void handlePage(
+      StateServiceClient.ListResult page, TreeMap<String, List<Consumer<LookupResult>>> requests) {
+    String lastId = null;
+    for (StateServiceClient.Change change : page.entries()) {
+      lastId = change.key().substring(KEY_PREFIX.length());
+      List<Consumer<LookupResult>> callbacks = requests.get(lastId);
+      if (callbacks == null) {
         continue;
       }
       try {
-        tables.rememberTerminalState(last, TerminalState.parse(Document.of(c.value())));
-        open.remove(last);
-        asking.forEach(a -> a.accept(LookupResult.TERMINAL));
+        tables.rememberTerminalState(lastId, TerminalState.parse(Document.of(change.value())));
+        requests.remove(lastId);
+        callbacks.forEach(a -> a.accept(LookupResult.TERMINAL));
       } catch (BadMessage e) {
-        LOG.error("unreadable final record of {}: {}", last, e.getMessage());
-        open.remove(last);
-        asking.forEach(a -> a.accept(LookupResult.UNAVAILABLE));
+        LOG.error("unreadable final record of {}: {}", lastId, e.getMessage());
+        requests.remove(lastId);
+        callbacks.forEach(a -> a.accept(LookupResult.UNAVAILABLE));
       }
     }
     // Up to the last key that came, whatever did not come is not there.
     Map<String, List<Consumer<LookupResult>>> absent =
-        l.truncated() && last != null ? open.headMap(last, true) : open;
+        page.truncated() && lastId != null ? requests.headMap(lastId, true) : requests;
     for (String id : List.copyOf(absent.keySet())) {
-      List<Consumer<LookupResult>> asking = open.remove(id);
-      if (asking.isEmpty() && tables.dependencies().unresolved().contains(id)) {
+      List<Consumer<LookupResult>> callbacks = requests.remove(id);
+      if (callbacks.isEmpty() && tables.dependencies().unresolved().contains(id)) {
         // Accepted, and neither unfinished nor over: only a table that lags, or lost state.
         LOG.debug("{} is awaited, and is neither unfinished nor over", id);
-        again();
+        scheduleRetry();
       }
-      asking.forEach(a -> a.accept(LookupResult.NOT_TERMINAL));
+      callbacks.forEach(a -> a.accept(LookupResult.NOT_TERMINAL));
     }
   }
 
-  private void again() {
-    if (!armed) {
-      armed = true;
+  private void scheduleRetry() {
+    if (!retryScheduled) {
+      retryScheduled = true;
       timers.after(
-          AGAIN_MS,
+          RETRY_INTERVAL_MS,
           () -> {
-            armed = false;
+            retryScheduled = false;
             resolveDependencies();
           });
     }
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -49,7 +49,7 @@
   public static final class Slot {
     private final Job job;
     private final int index;
-    private long sinceMs;
+    private long knownSinceMs;
 
     Slot(Job job, int index) {
       this.job = job;
@@ -79,52 +79,52 @@
     }
 
     public long ageMs(long nowMs) {
-      return sinceMs == 0 ? 0 : nowMs - sinceMs;
+      return knownSinceMs == 0 ? 0 : nowMs - knownSinceMs;
     }
 
     /**
      * How much longer it may run, by its owner's estimate; what outlives that, half as long again.
      */
     public double estimatedRemainingMs(long nowMs) {
-      double estimate = job.spec().estimateS() * 1000;
+      double estimateMs = job.spec().estimateS() * 1000;
       if (job.spec().shape() == JobSpec.Shape.SERVICE) {
         return Double.MAX_VALUE;
       }
-      return Math.max(estimate - ageMs(nowMs), ageMs(nowMs) / 2.0);
+      return Math.max(estimateMs - ageMs(nowMs), ageMs(nowMs) / 2.0);
     }
   }
 
   /** An image that the machine has, or fetches since that time. */
   private static final class Image {
-    final double gb;
-    final long sinceMs;
+    final double sizeGb;
+    final long fetchStartMs;
     boolean ready;
 
-    Image(double gb, long sinceMs) {
-      this.gb = gb;
-      this.sinceMs = sinceMs;
+    Image(double sizeGb, long fetchStartMs) {
+      this.sizeGb = sizeGb;
+      this.fetchStartMs = fetchStartMs;
     }
   }
 
-  private static final long SHUN_MS = 10_000;
-  private static final long SICK_MS = 60_000;
-  private static final int SHUN_DOUBLINGS = 2;
-  private static final int ACCUSERS_MOST = 8;
+  private static final long SINGLE_JOB_QUARANTINE_MS = 10_000;
+  private static final long SEVERAL_JOBS_QUARANTINE_MS = 60_000;
+  private static final int MAX_QUARANTINE_DOUBLINGS = 2;
+  private static final int MAX_FAILED_JOBS = 8;
 
   /** One answer may be lost; after two that were not heeded it is taken for deaf. */
-  private static final int UNHEEDED_MOST = 2;
+  private static final int MAX_UNACKNOWLEDGED_ANSWERS = 2;
 
   /** How much longer than its nominal time a fetch is taken to last before it is held for done. */
-  private static final double FETCH_SLACK = 1.4;
+  private static final double FETCH_TIME_FACTOR = 1.4;
 
   private final String name;
   private final int number;
   private final Consumer<Machine> onChange;
-  private boolean noted;
+  private boolean changeNotified;
   private String owner;
-  private long ownerEpoch;
+  private long ownerViewEpoch;
   private String ownerZone;
-  private final List<Slot> live = new ArrayList<>();
+  private final List<Slot> slots = new ArrayList<>();
   private final LinkedHashMap<String, Image> images = new LinkedHashMap<>(8, 0.75f, true);
   private Info info;
   private double cpus;
@@ -136,39 +136,39 @@
 
   // What only its owner knows, from reports; lost with the process.
   Report report;
-  private long heardMs;
-  private boolean quiet;
+  private long lastReportMs;
+  private boolean reportsOverdue;
   private long ownedSinceMs;
-  private long answeredMs;
-  private long lapseBaseMs;
-  private boolean synced;
+  private long lastAnswerMs;
+  private long latestLeaseRenewalMs;
+  private boolean epochAcknowledged;
 
   /** Of the last answer to a report of its own; 0: none since it is ours. */
-  private long answeredEpoch;
+  private long lastAnswerEpoch;
 
   /** Whether a report since it is ours was surely no copy: it shows what it was answered. */
-  private boolean proved;
+  private boolean provedAlive;
 
   /** Since when its worker shows that nothing reaches it; 0: no reason to think so. */
-  private long deafSinceMs;
+  private long unreachableForCommandsSinceMs;
 
   /** How many reports in a row showed an older token than the answer before had. */
-  private int unheeded;
+  private int unacknowledgedAnswers;
 
   /** The newest report that came by itself and was surely no copy. */
-  private Report own;
+  private Report lastUnsolicitedReport;
 
   /** The highest token that a report of its own has shown; -1: none has come. */
-  private long shownEpoch = -1;
+  private long highestReportedEpoch = -1;
 
   /** What shows an older token is from before its worker began anew. */
-  private long trustedFrom;
+  private long trustedFromEpoch;
 
   // From the logs, alike at all nodes: what failed here since a task last worked.
-  private final Set<Job> accusers = new LinkedHashSet<>();
-  private int faults;
-  private int faultsSeen;
-  private long faultAtMs;
+  private final Set<Job> failedJobs = new LinkedHashSet<>();
+  private int failures;
+  private int failuresHandled;
+  private long lastFailureMs;
 
   /**
    * @param number its dense number in this process
@@ -180,16 +180,16 @@
     this.onChange = onChange;
   }
 
-  private void note() {
-    if (!noted) {
-      noted = true;
+  private void notifyChange() {
+    if (!changeNotified) {
+      changeNotified = true;
       onChange.accept(this);
     }
   }
 
   /** The changes so far were taken note of. */
   void acknowledgeChanges() {
-    noted = false;
+    changeNotified = false;
   }
 
   public int number() {
@@ -202,11 +202,11 @@
   }
 
   /** The member whose part it is in; worked out once a view, for reports ask for it each time. */
-  public String owner(View v) {
+  public String owner(View view) {
     String zone = zone();
-    if (ownerEpoch != v.epoch() || !Objects.equals(zone, ownerZone)) {
-      owner = v.owner(name, zone);
-      ownerEpoch = v.epoch();
+    if (ownerViewEpoch != view.epoch() || !Objects.equals(zone, ownerZone)) {
+      owner = view.owner(name, zone);
+      ownerViewEpoch = view.epoch();
       ownerZone = zone;
     }
     return owner;
@@ -230,14 +230,14 @@
   }
 
   public List<Slot> slots() {
-    return live;
+    return slots;
   }
 
   /** For how long this process has known a task to be here; 0 if it is not. */
   public long ageMs(Job job, int index, long nowMs) {
-    for (Slot s : live) {
-      if (s.index == index && s.job == job) {
-        return s.ageMs(nowMs);
+    for (Slot slot : slots) {
+      if (slot.index == index && slot.job == job) {
+        return slot.ageMs(nowMs);
       }
     }
     return 0;
@@ -257,7 +257,7 @@
 
   void restore(Info known) {
     info = known;
-    note();
+    notifyChange();
   }
 
   /**
@@ -268,13 +268,13 @@
       return false;
     }
     info = next;
-    note();
+    notifyChange();
     return true;
   }
 
   /** Only one that is gone and empty. */
   public boolean mayBeForgotten() {
-    return phase() == Phase.GONE && live.isEmpty();
+    return phase() == Phase.GONE && slots.isEmpty();
   }
 
   boolean forget() {
@@ -282,13 +282,13 @@
       return false;
     }
     info = null;
-    note();
+    notifyChange();
     return true;
   }
 
   void markChanged() {
     changed = true;
-    note();
+    notifyChange();
   }
 
   /** Whether what should be there has changed since the last call. */
@@ -298,27 +298,27 @@
     return was;
   }
 
-  void add(Slot s) {
+  void add(Slot slot) {
     changed = true;
-    live.add(s);
-    recount();
+    slots.add(slot);
+    recomputeUsage();
   }
 
   void remove(Job job, int index) {
-    live.removeIf(s -> s.index() == index && s.job() == job);
-    recount();
+    slots.removeIf(s -> s.index() == index && s.job() == job);
+    recomputeUsage();
   }
 
   /** Summed anew each time: adding and taking away doubles would drift. */
-  private void recount() {
-    note();
+  private void recomputeUsage() {
+    notifyChange();
     cpus = 0;
     gpus = 0;
     memoryGb = 0;
-    for (Slot s : live) {
-      cpus += s.job().spec().cpus();
-      gpus += s.job().spec().gpus();
-      memoryGb += s.job().spec().memoryGb();
+    for (Slot slot : slots) {
+      cpus += slot.job().spec().cpus();
+      gpus += slot.job().spec().gpus();
+      memoryGb += slot.job().spec().memoryGb();
     }
   }
 
@@ -326,32 +326,32 @@
 
   /** Notes the images of what is booked here; call it before asking about images. */
   public void updateImages(long nowMs, double cacheGb) {
-    for (Slot s : live) {
-      if (s.sinceMs == 0) {
-        s.sinceMs = nowMs;
+    for (Slot slot : slots) {
+      if (slot.knownSinceMs == 0) {
+        slot.knownSinceMs = nowMs;
       }
-      String image = s.job().spec().image();
+      String image = slot.job().spec().image();
       if (images.get(image) == null) {
-        images.put(image, new Image(s.job().spec().imageGb(), nowMs));
+        images.put(image, new Image(slot.job().spec().imageGb(), nowMs));
       }
     }
-    double total = 0;
-    for (Image i : images.values()) {
-      total += i.gb;
+    double totalGb = 0;
+    for (Image image : images.values()) {
+      totalGb += image.sizeGb;
     }
     var oldest = images.entrySet().iterator();
-    while (total > cacheGb && images.size() > 1) {
-      total -= oldest.next().getValue().gb;
+    while (totalGb > cacheGb && images.size() > 1) {
+      totalGb -= oldest.next().getValue().sizeGb;
       oldest.remove();
     }
   }
 
   /** A report shows a task that needs it past its fetch. */
-  public void markImageReady(String image, double gb, long nowMs) {
-    Image i = images.computeIfAbsent(image, k -> new Image(gb, nowMs));
-    if (!i.ready) {
-      i.ready = true;
-      note();
+  public void markImageReady(String image, double sizeGb, long nowMs) {
+    Image entry = images.computeIfAbsent(image, k -> new Image(sizeGb, nowMs));
+    if (!entry.ready) {
+      entry.ready = true;
+      notifyChange();
     }
   }
 
@@ -365,14 +365,18 @@
   }
 
   /** Until when it is taken to fetch images, as far as this process can tell. */
-  public long estimatedFetchEndMs(double gbPerS) {
-    long until = 0;
-    for (Image i : images.values()) {
-      if (!i.ready && gbPerS > 0) {
-        until = Math.max(until, i.sinceMs + (long) (i.gb / gbPerS * 1000 * FETCH_SLACK));
+  public long estimatedFetchEndMs(double gbPerSecond) {
+    long endMs = 0;
+    for (Image image : images.values()) {
+      if (!image.ready && gbPerSecond > 0) {
+        endMs =
+            Math.max(
+                endMs,
+                image.fetchStartMs
+                    + (long) (image.sizeGb / gbPerSecond * 1000 * FETCH_TIME_FACTOR));
       }
     }
-    return until;
+    return endMs;
   }
 
   // ---- the owner's own view ----
@@ -384,58 +388,60 @@
   /**
    * Takes a report that is newer than what is known.
    *
-   * @param epochNow of the view
+   * @param viewEpoch of the view
    * @return whether it is surely no late copy: it shows the epoch, or what the last report was
    *     answered with. A copy may be the first that a new owner hears, and must not make a dead
    *     machine look alive; so until one is proved the machine takes no task, and silence goes on
    */
-  public boolean receiveReport(Report r, long epochNow, long nowMs) {
-    boolean proves = receiveReply(r, epochNow, nowMs);
-    if (proves) {
-      if (quiet) {
-        note();
+  public boolean receiveReport(Report newReport, long viewEpoch, long nowMs) {
+    boolean provesAlive = receiveReply(newReport, viewEpoch, nowMs);
+    if (provesAlive) {
+      if (reportsOverdue) {
+        notifyChange();
       }
-      quiet = false;
-      heardMs = nowMs;
+      reportsOverdue = false;
+      lastReportMs = nowMs;
     }
-    return proves;
+    return provesAlive;
   }
 
   /**
    * The same of what it answered to a command. That it answers does not end its silence: a worker
    * that reaches no controller does too, and loses all it has with its lease.
    */
-  public boolean receiveReply(Report r, long epochNow, long nowMs) {
-    boolean answered = answeredEpoch > 0 && r.epoch() >= answeredEpoch;
-    boolean proves = r.epoch() >= trustedFrom && (r.epoch() == epochNow || answered);
-    if (report == null || proves && !proved) {
-      note();
-    }
-    if (proves || !proved) {
-      if (report == null || r.tenure() > report.tenure()) {
+  public boolean receiveReply(Report newReport, long viewEpoch, long nowMs) {
+    boolean showsLastAnswer = lastAnswerEpoch > 0 && newReport.epoch() >= lastAnswerEpoch;
+    boolean provesAlive =
+        newReport.epoch() >= trustedFromEpoch
+            && (newReport.epoch() == viewEpoch || showsLastAnswer);
+    if (report == null || provesAlive && !provedAlive) {
+      notifyChange();
+    }
+    if (provesAlive || !provedAlive) {
+      if (report == null || newReport.tenure() > report.tenure()) {
         // Its session began by now, and with that a lease that nobody has renewed: a worker that
         // reaches no controller goes from session to session, and runs what it is told straight.
-        lapseBaseMs = Math.max(lapseBaseMs, nowMs);
+        latestLeaseRenewalMs = Math.max(latestLeaseRenewalMs, nowMs);
       }
-      report = r;
+      report = newReport;
     }
-    proved |= proves;
-    return proves;
+    provedAlive |= provesAlive;
+    return provesAlive;
   }
 
   /** From which token on its reports count; 0: any. */
   public long trustedFromEpoch() {
-    return trustedFrom;
+    return trustedFromEpoch;
   }
 
   /** Whether it has shown, since it is ours, that it is there now. */
   public boolean provedAlive() {
-    return proved;
+    return provedAlive;
   }
 
   /** Whether a report is older than one that came by itself: nobody waits for its answer. */
-  public boolean hasNewerUnsolicitedReport(Report r) {
-    return own != null && r.notNewerThan(own);
+  public boolean hasNewerUnsolicitedReport(Report other) {
+    return lastUnsolicitedReport != null && other.notNewerThan(lastUnsolicitedReport);
   }
 
   /**
@@ -443,154 +449,158 @@
    * the one before says nothing of this one. Late copies of what that one said may look newer than
    * what this one says, so nothing counts until it shows a token that the other never had.
    *
-   * @param epochNow the highest token that the one before may have seen
+   * @param maxSeenEpoch the highest token that the one before may have seen
    */
-  public void onWorkerRestart(long epochNow) {
-    trustedFrom = epochNow + 1;
-    synced = false;
-    shownEpoch = -1;
+  public void onWorkerRestart(long maxSeenEpoch) {
+    trustedFromEpoch = maxSeenEpoch + 1;
+    epochAcknowledged = false;
+    highestReportedEpoch = -1;
     report = null;
-    own = null;
-    proved = false;
-    answeredEpoch = 0;
+    lastUnsolicitedReport = null;
+    provedAlive = false;
+    lastAnswerEpoch = 0;
     markReachableForCommands();
-    note();
+    notifyChange();
   }
 
   /**
    * What a report that came by itself tells of whether its worker hears. Never judged by our having
    * answered alone: an answer may be lost with nobody deaf, and a worker may be slow.
    *
-   * @param proves as {@link #receiveReport} said of it
-   * @param ignored whether it lacks a task that it was long since told to run
+   * @param provesAlive as {@link #receiveReport} said of it
+   * @param lacksCommandedTask whether it lacks a task that it was long since told to run
    * @param leaseMs of the workers
    */
   public void updateCommandReachability(
-      Report r, boolean proves, boolean ignored, long leaseMs, long nowMs) {
+      Report newReport, boolean provesAlive, boolean lacksCommandedTask, long leaseMs, long nowMs) {
     // Had the last answer reached it, its lease could not have ended yet.
-    boolean lapsed =
-        own != null && r.tenure() > own.tenure() && nowMs - answeredMs < leaseMs * 3 / 4;
-    boolean rose = shownEpoch >= 0 && r.epoch() > shownEpoch;
-    shownEpoch = Math.max(shownEpoch, r.epoch());
-    unheeded = proves || answeredEpoch == 0 ? 0 : unheeded + 1;
-    if (proves) {
-      own = r;
-    }
-    if (rose) {
+    boolean leaseLapsed =
+        lastUnsolicitedReport != null
+            && newReport.tenure() > lastUnsolicitedReport.tenure()
+            && nowMs - lastAnswerMs < leaseMs * 3 / 4;
+    boolean epochRose = highestReportedEpoch >= 0 && newReport.epoch() > highestReportedEpoch;
+    highestReportedEpoch = Math.max(highestReportedEpoch, newReport.epoch());
+    unacknowledgedAnswers = provesAlive || lastAnswerEpoch == 0 ? 0 : unacknowledgedAnswers + 1;
+    if (provesAlive) {
+      lastUnsolicitedReport = newReport;
+    }
+    if (epochRose) {
       markReachableForCommands();
-    } else if (lapsed || ignored || unheeded >= UNHEEDED_MOST) {
-      if (deafSinceMs == 0) {
-        deafSinceMs = nowMs;
-        note();
+    } else if (leaseLapsed
+        || lacksCommandedTask
+        || unacknowledgedAnswers >= MAX_UNACKNOWLEDGED_ANSWERS) {
+      if (unreachableForCommandsSinceMs == 0) {
+        unreachableForCommandsSinceMs = nowMs;
+        notifyChange();
       }
     }
   }
 
   /** Something that it was told has surely reached it. */
   public void markReachableForCommands() {
-    unheeded = 0;
-    if (deafSinceMs > 0) {
-      deafSinceMs = 0;
-      note();
+    unacknowledgedAnswers = 0;
+    if (unreachableForCommandsSinceMs > 0) {
+      unreachableForCommandsSinceMs = 0;
+      notifyChange();
     }
   }
 
   /** Since when nothing reaches it, as its own reports show; 0: no reason to think so. */
   public long unreachableForCommandsSinceMs() {
-    return deafSinceMs;
+    return unreachableForCommandsSinceMs;
   }
 
   /** A new owner starts with no report: an old one proves nothing to it. */
-  public void resetReports(long lapseBase, long nowMs) {
+  public void resetReports(long leaseRenewalMs, long nowMs) {
     ownedSinceMs = nowMs;
-    note();
+    notifyChange();
     report = null;
-    quiet = false;
-    synced = false;
-    answeredEpoch = 0;
-    proved = false;
-    deafSinceMs = 0;
-    unheeded = 0;
-    shownEpoch = -1;
-    own = null;
-    lapseBaseMs = Math.max(lapseBaseMs, lapseBase);
+    reportsOverdue = false;
+    epochAcknowledged = false;
+    lastAnswerEpoch = 0;
+    provedAlive = false;
+    unreachableForCommandsSinceMs = 0;
+    unacknowledgedAnswers = 0;
+    highestReportedEpoch = -1;
+    lastUnsolicitedReport = null;
+    latestLeaseRenewalMs = Math.max(latestLeaseRenewalMs, leaseRenewalMs);
   }
 
   /** Since when nothing was heard, for whoever answers it; a new owner has not listened before. */
   public long silentSinceMs() {
-    return Math.max(heardMs, ownedSinceMs);
+    return Math.max(lastReportMs, ownedSinceMs);
   }
 
   /** Its worker has missed two reports: until the next one it takes no new task. */
   public void markReportsOverdue() {
-    if (!quiet && report != null) {
-      quiet = true;
-      note();
+    if (!reportsOverdue && report != null) {
+      reportsOverdue = true;
+      notifyChange();
     }
   }
 
   public boolean reportsOverdue() {
-    return quiet;
+    return reportsOverdue;
   }
 
   public long lastReportMs() {
-    return heardMs;
+    return lastReportMs;
   }
 
   /**
    * @param epoch of the answer
    */
   public void recordAnswer(long nowMs, long epoch) {
-    answeredEpoch = epoch;
-    answeredMs = nowMs;
-    lapseBaseMs = Math.max(lapseBaseMs, nowMs);
+    lastAnswerEpoch = epoch;
+    lastAnswerMs = nowMs;
+    latestLeaseRenewalMs = Math.max(latestLeaseRenewalMs, nowMs);
   }
 
-  public long answeredMs() {
-    return answeredMs;
+  public long lastAnswerMs() {
+    return lastAnswerMs;
   }
 
   /** The latest time at which anyone may have renewed the worker's lease. */
   public long latestLeaseRenewalMs() {
-    return lapseBaseMs;
+    return latestLeaseRenewalMs;
   }
 
   /** True once a report has shown our own epoch: then no older controller can command it. */
   public boolean epochAcknowledged() {
-    return synced;
+    return epochAcknowledged;
   }
 
   public void setEpochAcknowledged(boolean value) {
-    synced = value;
+    epochAcknowledged = value;
   }
 
-  void failed(Job job) {
-    if (accusers.size() < ACCUSERS_MOST) {
-      accusers.add(job);
+  void recordFailure(Job job) {
+    if (failedJobs.size() < MAX_FAILED_JOBS) {
+      failedJobs.add(job);
     }
-    faults++;
-    note();
+    failures++;
+    notifyChange();
   }
 
-  void worked() {
-    if (!accusers.isEmpty()) {
-      accusers.clear();
-      note();
+  void recordSuccess() {
+    if (!failedJobs.isEmpty()) {
+      failedJobs.clear();
+      notifyChange();
     }
   }
 
   /** A job that failed here has become suspect itself, or is no longer. */
-  void judgedAnew() {
-    note();
+  void jobSuspicionChanged() {
+    notifyChange();
   }
 
   /** How many jobs failed here, of those whose failures are not taken for their own. */
   public int failedJobCount() {
-    int n = 0;
-    for (Job j : accusers) {
-      n += j.isSuspected() ? 0 : 1;
+    int count = 0;
+    for (Job job : failedJobs) {
+      count += job.isSuspected() ? 0 : 1;
     }
-    return n;
+    return count;
   }
 
   /**
@@ -598,14 +608,16 @@
    * while; failures of several jobs, one after the other, are the machine's.
    */
   public long quarantinedUntilMs(long nowMs) {
-    if (faultsSeen != faults) {
-      faultsSeen = faults;
-      faultAtMs = nowMs;
+    if (failuresHandled != failures) {
+      failuresHandled = failures;
+      lastFailureMs = nowMs;
     }
-    int n = failedJobCount();
-    if (n == 0) {
+    int jobCount = failedJobCount();
+    if (jobCount == 0) {
       return 0;
     }
-    return faultAtMs + ((n > 1 ? SICK_MS : SHUN_MS) << Math.min(n - 1, SHUN_DOUBLINGS));
+    return lastFailureMs
+        + ((jobCount > 1 ? SEVERAL_JOBS_QUARANTINE_MS : SINGLE_JOB_QUARANTINE_MS)
+            << Math.min(jobCount - 1, MAX_QUARANTINE_DOUBLINGS));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/TaskState.java
+++ b/src/main/java/wickdrift/bookkeeping/TaskState.java
@@ -32,26 +32,28 @@
     return phase == Phase.LIVE;
   }
 
-  public TaskState placed(int newAttempt, Machine on, int by) {
+  public TaskState placed(int newAttempt, Machine newMachine, int newPlacer) {
     if (phase != Phase.WAITING || newAttempt <= attempt) {
       throw new IllegalStateException("cannot place from " + this);
     }
-    return new TaskState(Phase.LIVE, newAttempt, on, by, Stop.NONE);
+    return new TaskState(Phase.LIVE, newAttempt, newMachine, newPlacer, Stop.NONE);
   }
 
-  public TaskState stopping(Stop how) {
+  public TaskState stopping(Stop requested) {
     if (phase != Phase.LIVE) {
       throw new IllegalStateException("cannot stop from " + this);
     }
-    return how.compareTo(stop) <= 0 ? this : new TaskState(phase, attempt, machine, placer, how);
+    return requested.compareTo(stop) <= 0
+        ? this
+        : new TaskState(phase, attempt, machine, placer, requested);
   }
 
   /** The attempt is proved over; {@code why} as the worker said, or null when it was lost. */
-  public TaskState exited(String why) {
+  public TaskState exited(String exitReason) {
     if (phase != Phase.LIVE) {
       throw new IllegalStateException("cannot exit from " + this);
     }
-    return Report.DONE.equals(why) ? FINISHED : waiting(attempt);
+    return Report.DONE.equals(exitReason) ? FINISHED : waiting(attempt);
   }
 
   /** A gang completes together: its mate's end is this task's too. */
--- a/src/main/java/wickdrift/bookkeeping/TeamUsage.java
+++ b/src/main/java/wickdrift/bookkeeping/TeamUsage.java
@@ -10,49 +10,50 @@
  * rounded up: adding and taking away doubles would drift.
  */
 public final class TeamUsage {
-  private static final double UNIT = 1e6;
+  private static final double UNITS_PER_RESOURCE = 1e6;
 
-  private static final class Amount {
+  private static final class Units {
     long cpus;
     long gpus;
   }
 
   /** By team, then by the placer's number. */
-  private final Map<String, Int2ObjectHashMap<Amount>> teams = new HashMap<>();
+  private final Map<String, Int2ObjectHashMap<Units>> unitsByTeam = new HashMap<>();
 
-  void add(JobSpec spec, int placer, int tasks) {
-    Amount of =
-        teams
+  void add(JobSpec spec, int placer, int taskDelta) {
+    Units units =
+        unitsByTeam
             .computeIfAbsent(spec.team(), k -> new Int2ObjectHashMap<>())
-            .computeIfAbsent(placer, k -> new Amount());
-    of.cpus += tasks * units(spec.cpus());
-    of.gpus += tasks * units(spec.gpus());
+            .computeIfAbsent(placer, k -> new Units());
+    units.cpus += taskDelta * toUnits(spec.cpus());
+    units.gpus += taskDelta * toUnits(spec.gpus());
   }
 
-  private static long units(double amount) {
-    return (long) Math.ceil(amount * UNIT - 0.01);
+  private static long toUnits(double amount) {
+    return (long) Math.ceil(amount * UNITS_PER_RESOURCE - 0.01);
   }
 
   /** What all live attempts of a team take. */
   public Partition.QuotaShare of(String team) {
     long cpus = 0;
     long gpus = 0;
-    Int2ObjectHashMap<Amount> all = teams.get(team);
-    if (all != null) {
-      for (Amount a : all.values()) {
-        cpus += a.cpus;
-        gpus += a.gpus;
+    Int2ObjectHashMap<Units> byPlacer = unitsByTeam.get(team);
+    if (byPlacer != null) {
+      for (Units units : byPlacer.values()) {
+        cpus += units.cpus;
+        gpus += units.gpus;
       }
     }
-    return new Partition.QuotaShare(cpus / UNIT, gpus / UNIT);
+    return new Partition.QuotaShare(cpus / UNITS_PER_RESOURCE, gpus / UNITS_PER_RESOURCE);
   }
 
   /** What the live attempts of a team take that the controller of that number placed. */
-  public Partition.QuotaShare placedBy(String team, int number) {
-    Int2ObjectHashMap<Amount> all = teams.get(team);
-    Amount of = all == null ? null : all.get(number);
-    return of == null
+  public Partition.QuotaShare placedBy(String team, int controllerNumber) {
+    Int2ObjectHashMap<Units> byPlacer = unitsByTeam.get(team);
+    Units units = byPlacer == null ? null : byPlacer.get(controllerNumber);
+    return units == null
         ? Partition.QuotaShare.NONE
-        : new Partition.QuotaShare(of.cpus / UNIT, of.gpus / UNIT);
+        : new Partition.QuotaShare(
+            units.cpus / UNITS_PER_RESOURCE, units.gpus / UNITS_PER_RESOURCE);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/TerminalState.java
+++ b/src/main/java/wickdrift/bookkeeping/TerminalState.java
@@ -24,16 +24,17 @@
    * @param withTime whether the level in force has the time in it
    */
   public Map<String, Object> toStore(boolean withTime) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("phase", phase);
-    m.put("tasks", tasks);
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("phase", phase);
+    fields.put("tasks", tasks);
     if (withTime) {
-      m.put("at", atWallMs);
+      fields.put("at", atWallMs);
     }
-    return m;
+    return fields;
   }
 
-  public static TerminalState parse(Document d) throws BadMessage {
-    return new TerminalState(d.text("phase"), d.count("tasks", 0), d.count("at", 0));
+  public static TerminalState parse(Document document) throws BadMessage {
+    return new TerminalState(
+        document.text("phase"), document.count("tasks", 0), document.count("at", 0));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/TokenBucket.java
+++ b/src/main/java/wickdrift/bookkeeping/TokenBucket.java
@@ -2,16 +2,16 @@
 
 /** A token bucket holding one second's worth, or less. */
 public final class TokenBucket {
-  private double perSecond;
-  private double most;
+  private double tokensPerSecond;
+  private double capacity;
   private double tokens;
-  private long lastMs;
+  private long lastRefillMs;
 
-  public TokenBucket(double perSecond, long nowMs) {
-    this.perSecond = perSecond;
-    this.most = perSecond;
-    this.tokens = perSecond;
-    this.lastMs = nowMs;
+  public TokenBucket(double tokensPerSecond, long nowMs) {
+    this.tokensPerSecond = tokensPerSecond;
+    this.capacity = tokensPerSecond;
+    this.tokens = tokensPerSecond;
+    this.lastRefillMs = nowMs;
   }
 
   /** Takes {@code n} unless that leaves less than {@code reserve}. */
@@ -32,32 +32,32 @@
   /** Whether {@link #tryAcquire} would take that. */
   public boolean canAcquire(double n, double reserve, long nowMs) {
     refill(nowMs);
-    return tokens - n >= Math.min(reserve, most - n);
+    return tokens - n >= Math.min(reserve, capacity - n);
   }
 
   private void refill(long nowMs) {
-    tokens = Math.min(most, tokens + perSecond * (nowMs - lastMs) / 1000.0);
-    lastMs = nowMs;
+    tokens = Math.min(capacity, tokens + tokensPerSecond * (nowMs - lastRefillMs) / 1000.0);
+    lastRefillMs = nowMs;
   }
 
   /** Another rate from now on. */
-  public void setRate(double newPerSecond) {
-    setRate(newPerSecond, newPerSecond);
+  public void setRate(double newTokensPerSecond) {
+    setRate(newTokensPerSecond, newTokensPerSecond);
   }
 
   /** Another rate from now on, of which no more than that is saved up. */
-  public void setRate(double newPerSecond, double newMost) {
-    perSecond = newPerSecond;
-    most = newMost;
+  public void setRate(double newTokensPerSecond, double newCapacity) {
+    tokensPerSecond = newTokensPerSecond;
+    capacity = newCapacity;
   }
 
   /** How full it is, from 0 to 1. */
   public double fillRatio(long nowMs) {
-    return Math.min(1, (tokens + perSecond * (nowMs - lastMs) / 1000.0) / most);
+    return Math.min(1, (tokens + tokensPerSecond * (nowMs - lastRefillMs) / 1000.0) / capacity);
   }
 
   public void fill() {
-    tokens = most;
+    tokens = capacity;
   }
 
   /** The far side says that the limit is passed: what we thought we had is gone. */
