--- a/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
+++ b/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
@@ -10,45 +10,46 @@
 import wickdrift.protocol.Document;
 
 /**
- * The names of awaited jobs that a job's own record has no room for, in records {@code
- * w/a/ID/SUM-N} that were written before it. Their keys hold a sum of all names: whoever writes
- * them writes the same, however often the user tries, and another list is of other keys.
+ * Refers to the records {@code w/a/ID/SUM-N} that hold the ids of awaited jobs if the job's own
+ * record is too small for them. They are written before the job's record. Their keys contain a
+ * checksum of all ids, so a repeated submission writes the same records, and a different list has
+ * different keys.
  *
- * @param job whose they are
- * @param sum of all names
- * @param records how many there are
+ * @param job the id of the job that awaits them
+ * @param sum the checksum of all ids
+ * @param records the number of records
  */
 public record AwaitsOverflow(String job, String sum, int records) {
   private static final String KEY_PREFIX = "w/a/";
 
-  /** A name with its quotes and comma. */
+  /** The encoded size of an id with its quotes and comma. */
   private static final int BYTES_PER_NAME = 28;
 
   private static final int RECORD_OVERHEAD_BYTES = 32;
 
-  /** More than fit into a request of 64 KiB. */
+  /** More records than the ids in a request of 64 KiB need. */
   private static final int MAX_RECORDS = 1000;
 
-  /** Whether a key is of such a record. */
+  /** Whether a key is that of an overflow record. */
   static boolean isKey(String key) {
     return key.startsWith(KEY_PREFIX);
   }
 
-  /** The job of such a key. */
+  /** The id of the job that the key of an overflow record belongs to. */
   static String jobOfKey(String key) throws BadMessage {
     int slash = key.lastIndexOf('/');
     if (slash <= KEY_PREFIX.length()) {
-      throw new BadMessage("a record of names is of no job");
+      throw new BadMessage("key of an overflow record of awaited jobs contains no job id");
     }
     return key.substring(KEY_PREFIX.length(), slash);
   }
 
-  /** How many names go into one record. */
+  /** The number of ids that fit into one record. */
   private static int namesPerRecord(int maxValueBytes) {
     return Math.max(1, (maxValueBytes - RECORD_OVERHEAD_BYTES) / BYTES_PER_NAME);
   }
 
-  /** How a job's names are laid out in records of so many bytes. */
+  /** Lays out the ids that a job awaits in records of a maximum size. */
   public static AwaitsOverflow of(String job, List<String> names, int maxValueBytes) {
     CRC32 crc = new CRC32();
     crc.update(
@@ -59,7 +60,7 @@
         job, Long.toHexString(crc.getValue()), (names.size() + perRecord - 1) / perRecord);
   }
 
-  /** The records of those names, by key. */
+  /** The records to store for these ids, by key. */
   public Map<String, Object> values(List<String> names, int maxValueBytes) {
     int perRecord = namesPerRecord(maxValueBytes);
     Map<String, Object> values = new TreeMap<>();
@@ -71,6 +72,7 @@
     return values;
   }
 
+  /** The key of a record. */
   public String key(int record) {
     return KEY_PREFIX + job + "/" + sum + "-" + record;
   }
@@ -88,10 +90,10 @@
         && recordCount <= MAX_RECORDS) {
       return new AwaitsOverflow(job, sum, recordCount.intValue());
     }
-    throw new BadMessage("where more names are is not told");
+    throw new BadMessage("reference to overflow records of awaited jobs is malformed");
   }
 
-  /** The names of one record. */
+  /** The ids in one record. */
   static List<String> parseNames(Document document) throws BadMessage {
     return List.copyOf(document.texts("names"));
   }
--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -14,39 +14,42 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * Which unfinished jobs await which, and what follows from that alone: who may start, who is
- * withdrawn with another, and what rank and haste the last jobs of a chain lend to the first. Kept
- * up to date by the changes of the tables, at a cost that grows with the chain at hand.
+ * The dependencies between unfinished jobs, and what follows from them: which jobs may start, which
+ * are withdrawn together with an awaited job, and which priority and deadline a job inherits from
+ * its dependents. Changes of the tables update the graph, at a cost proportional to the affected
+ * jobs.
  *
- * <p>Nothing of it is stored. An end is final, and so is a withdrawal; all readers have the same of
- * them in the same order. So what is drawn from them is the same for all, can't be taken back, and
- * a table that lags may draw it late, never wrongly. A withdrawal takes with it, at the revision at
- * which it becomes durable, all that need the job, at every depth, with no further write.
+ * <p>The graph is not stored. Terminal states and withdrawals are final, and all nodes read them in
+ * the same order, so all nodes derive the same irrevocable results; a node whose tables lag derives
+ * them late but never wrongly. A withdrawal also withdraws all direct and transitive dependents, at
+ * the revision at which it becomes durable and without a further write.
  *
- * <p>A job can name only jobs that were accepted before it, so there is no cycle; the ends of what
- * propagates here rely on that.
+ * <p>A job can await only jobs that were accepted before it, so the graph has no cycles, and
+ * propagation terminates.
  */
 public final class DependencyGraph {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyGraph.class);
 
-  /** Far above any chain: who comes here has found a cycle, which can't be. */
+  /** More steps than any graph needs: exceeding this limit means that there is a cycle, a bug. */
   private static final int MAX_PROPAGATION_STEPS = 1_000_000;
 
   private final Function<String, Job> unfinishedJobs;
   private final Function<String, TerminalState> knownTerminalStates;
 
-  /** By an awaited job, those that await it. */
+  /** The direct dependents of each awaited job, by its id. */
   private final Map<String, Set<Job>> dependents = new HashMap<>();
 
-  /** How those ended that an unfinished job awaits. */
+  /** The known terminal states of jobs that an unfinished job awaits. */
   private final Map<String, TerminalState> terminalStates = new HashMap<>();
 
-  /** Awaited jobs that are over, of which it is not known here how they ended. */
+  /** Awaited jobs that are not in the tables and whose terminal state is not known here. */
   private final TreeSet<String> unresolved = new TreeSet<>();
 
   /**
-   * @param unfinishedJobs a job of the tables, or null
-   * @param knownTerminalStates how a job ended, if that is known here, or null
+   * Creates an empty graph.
+   *
+   * @param unfinishedJobs finds a job in the tables by its id, or null
+   * @param knownTerminalStates finds the terminal state of a job if it is known here, or null
    */
   DependencyGraph(
       Function<String, Job> unfinishedJobs, Function<String, TerminalState> knownTerminalStates) {
@@ -60,36 +63,36 @@
     unresolved.clear();
   }
 
-  /** The jobs of which it must be read how they ended. */
+  /** The awaited jobs whose terminal states must be looked up in the job history. */
   public TreeSet<String> unresolved() {
     return unresolved;
   }
 
-  /** The jobs that await one. */
+  /** The direct dependents of a job. */
   public Set<Job> dependents(String id) {
     return dependents.getOrDefault(id, Set.of());
   }
 
   // ---- changes ----
 
-  /** A job appeared in the tables; its names may be there in part. */
+  /** Handles a job that was added to the tables, or whose awaited ids are now all read. */
   void jobAdded(Job job) {
     job.awaits().forEach(a -> dependents.computeIfAbsent(a, k -> new LinkedHashSet<>()).add(job));
     unresolved.remove(job.id());
-    // A load brings jobs in the order of their ids: those that await it may have come before.
+    // A load adds jobs in the order of their ids, so dependents may have been added before.
     job.setInheritedUrgency(combinedUrgency(job));
     raiseUrgency(job);
     updateStates(job);
     dependents(job.id()).forEach(this::updateStates);
   }
 
-  /** A job was withdrawn by its user, or its names are all there. */
+  /** Handles a job that was withdrawn by its user. */
   void jobChanged(Job job) {
     updateStates(job);
     dependents(job.id()).forEach(this::updateStates);
   }
 
-  /** It is known how a job ended. */
+  /** Handles the terminal state of a job. */
   void jobTerminated(String id, TerminalState terminalState) {
     unresolved.remove(id);
     if (dependents.containsKey(id) && terminalStates.put(id, terminalState) == null) {
@@ -97,7 +100,7 @@
     }
   }
 
-  /** A job is out of the tables. */
+  /** Handles a job that was removed from the tables. */
   void jobRemoved(Job job) {
     for (String awaitedId : job.awaits()) {
       Set<Job> waitingJobs = dependents.get(awaitedId);
@@ -111,7 +114,7 @@
     recomputeUrgency(job);
   }
 
-  // ---- who may start, and who is withdrawn ----
+  // ---- dependency states ----
 
   private void updateStates(Job first) {
     ArrayDeque<Job> pending = new ArrayDeque<>(List.of(first));
@@ -147,7 +150,8 @@
       if (newState != oldState) {
         job.setDependencyState(newState, readyWallMs);
       }
-      // Those after it draw from whether it is clear, and whether it is withdrawn.
+      // The states of the dependents depend on whether this job is resolved and whether it is
+      // withdrawn.
       boolean resolutionChanged =
           (oldState == Job.DependencyState.UNRESOLVED)
               != (newState == Job.DependencyState.UNRESOLVED);
@@ -157,7 +161,7 @@
     }
   }
 
-  /** Whether all its names are there. */
+  /** Whether the ids of all awaited jobs have been read. */
   private static boolean hasAllAwaitedNames(Job job) {
     return job.overflow() == null || !job.awaits().isEmpty();
   }
@@ -171,9 +175,9 @@
     return known;
   }
 
-  // ---- what the last of a chain lends to the first ----
+  // ---- inherited priorities and deadlines ----
 
-  /** What those that await a job lend to it. */
+  /** The urgency that a job inherits from all its direct dependents. */
   private Job.InheritedUrgency combinedUrgency(Job job) {
     Job.InheritedUrgency urgency = Job.InheritedUrgency.NONE;
     for (Job dependent : dependents(job.id())) {
@@ -182,7 +186,7 @@
     return urgency;
   }
 
-  /** What a job lends to one that it awaits. */
+  /** The urgency that an awaited job inherits from one dependent. */
   private static Job.InheritedUrgency urgencyFrom(Job dependent, Job awaitedJob) {
     boolean sameTeam = dependent.spec().team().equals(awaitedJob.spec().team());
     JobSpec spec = dependent.spec();
@@ -202,7 +206,7 @@
     return wallMs == Long.MAX_VALUE ? wallMs : wallMs - (long) (seconds * 1000);
   }
 
-  /** A job lends to those that it awaits, and they to those before them. */
+  /** Raises the urgency of all jobs that a job awaits directly or transitively. */
   private void raiseUrgency(Job first) {
     ArrayDeque<Job> pending = new ArrayDeque<>(List.of(first));
     for (int steps = 0; !pending.isEmpty(); steps++) {
@@ -216,13 +220,16 @@
         }
       }
       if (steps > MAX_PROPAGATION_STEPS) {
-        LOG.error("what {} awaits leads back to it", first.id());
+        LOG.error("dependency cycle: job={}", first.id());
         return;
       }
     }
   }
 
-  /** A job is over: those that it awaited and that are not, as when it was withdrawn, lose that. */
+  /**
+   * Recomputes the urgency of the jobs that a removed job awaited. Some may be unfinished, if the
+   * job was withdrawn, and no longer inherit from it.
+   */
   private void recomputeUrgency(Job removed) {
     ArrayDeque<Job> pending = new ArrayDeque<>(unfinishedAwaitedJobs(removed));
     for (int steps = 0; !pending.isEmpty() && steps <= MAX_PROPAGATION_STEPS; steps++) {
@@ -235,7 +242,7 @@
     }
   }
 
-  /** Those that a job awaits and that are not over. */
+  /** The jobs that a job awaits and that are in the tables. */
   private List<Job> unfinishedAwaitedJobs(Job job) {
     List<Job> unfinished = new ArrayList<>();
     for (String awaitedId : job.awaits()) {
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -18,34 +18,34 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.protocol.Report;
 
-/** One unfinished job: what was submitted, and its tasks, in chunks that are stored together. */
+/** An unfinished job: its specification and the states of its tasks, which are stored in chunks. */
 public final class Job {
-  /** Tasks a chunk: all live, a chunk takes about 2 KB, below the smallest value limit known. */
+  /** With all its tasks live, a chunk takes about 2 KB, below the smallest known value limit. */
   public static final int TASKS_PER_CHUNK = 64;
 
   /**
-   * How a job stands to those that it awaits, as {@link DependencyGraph} draws it. It goes from the
-   * top down, and the last two are final.
+   * How far the dependencies of a job are resolved, as {@link DependencyGraph} derives it. {@link
+   * #READY} and {@link #WITHDRAWN} are final.
    */
   public enum DependencyState {
-    /** What became of one that it awaits is not known here yet. */
+    /** The state of at least one awaited job, or the list of awaited jobs, is not known yet. */
     UNRESOLVED,
-    /** One that it awaits is not done. */
+    /** At least one awaited job is not done. */
     WAITING,
-    /** All are done: it may start. */
+    /** All awaited jobs are done: the job may start. */
     READY,
-    /** One was withdrawn, so this one is. */
+    /** An awaited job was withdrawn, and this job is withdrawn with it. */
     WITHDRAWN
   }
 
-  /** The owner of a job that only the leader places. */
+  /** The partition of a job that only the leader places. */
   public static final String LEADER_PARTITION = "*";
 
   private static final String CHUNK_KEY_PREFIX = "w/t/";
 
   private static final int SUSPECTED_AFTER_MACHINES = 2;
 
-  /** The pause between the tries of a suspect: from this, doubled up to so often. */
+  /** The shortest interval between probes of a suspected job; it doubles with each failed round. */
   private static final long MIN_PROBE_INTERVAL_MS = 4000;
 
   private static final int MAX_PROBE_INTERVAL_DOUBLINGS = 4;
@@ -65,7 +65,7 @@
   private long withdrawnWallMs;
   private TaskState[] tasks;
 
-  /** The indices of those that wait: a round does not go over all of a large array. */
+  /** The indices of waiting tasks, so that a scheduling round need not scan a large array job. */
   private BitSet waitingIndices;
 
   private long[] chunkStamps;
@@ -74,9 +74,9 @@
   private int liveCount;
   private int doneCount;
 
-  // Known to this process only.
+  // The fields below are known to this process only and are not stored.
 
-  /** A peer has told that it is withdrawn; its record as read here may not say so yet. */
+  /** Whether a peer announced the withdrawal; the record as read here may not show it yet. */
   private boolean withdrawalAnnounced;
 
   private long retryAtMs;
@@ -88,7 +88,7 @@
   private final Set<Machine> failedOn = new LinkedHashSet<>();
   private long waitingSinceMs;
 
-  // Drawn by the chains.
+  // Derived by the dependency graph.
   private List<String> awaits = List.of();
   private AwaitsOverflow overflow;
   private DependencyState dependencyState = DependencyState.UNRESOLVED;
@@ -99,8 +99,10 @@
   private long nextPreemptionAtMs;
 
   /**
-   * @param usage told of each attempt that begins or ends
-   * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
+   * Creates a job without a record.
+   *
+   * @param usage is updated when an attempt is placed or ends
+   * @param onChange is called at the first change, and again only after {@link #acknowledgeChanges}
    */
   Job(String id, TeamUsage usage, Consumer<Job> onChange) {
     this.id = id;
@@ -109,13 +111,14 @@
   }
 
   /**
-   * What those that await a job lend to it.
+   * The priority and the deadline that a job inherits from its direct and transitive dependents.
    *
-   * @param priority the highest of any that needs it, directly or through others
-   * @param preemptionPriority the same of those that need it through its own team's jobs only: as
-   *     that it may stop others' work, for no team is to do so by way of another's job
-   * @param startByWallMs when it must start so that the last of them is done in time;
-   *     Long.MAX_VALUE: no matter when
+   * @param priority the highest priority among all dependents
+   * @param preemptionPriority the highest priority among the dependents that are reached through
+   *     jobs of the same team only; it limits preemption, so that no team preempts others by way of
+   *     another team's job
+   * @param startByWallMs the wall-clock time by which the job must start for all dependents to meet
+   *     their deadlines, or Long.MAX_VALUE without a deadline
    */
   public record InheritedUrgency(
       JobSpec.Priority priority, JobSpec.Priority preemptionPriority, long startByWallMs) {
@@ -141,34 +144,41 @@
     }
   }
 
-  /** The changes so far were taken note of. */
+  /** Acknowledges all changes so far: the next change calls {@code onChange} again. */
   void acknowledgeChanges() {
     changeNotified = false;
   }
 
+  /** The key of a job's record. */
   public static String key(String id) {
     return "w/j/" + id;
   }
 
+  /** The key of a job's entry in the job history. */
   public static String terminalStateKey(String id) {
     return "w/d/" + id;
   }
 
+  /** The key of this job's record. */
   public String key() {
     return key(id);
   }
 
-  /** Whether a key is that of a chunk, of whatever job. */
+  /** Whether a key is that of a chunk of any job. */
   public static boolean isChunkKey(String key) {
     return key.startsWith(CHUNK_KEY_PREFIX);
   }
 
+  /** The key of a chunk of this job. */
   public String chunkKey(int chunk) {
     return CHUNK_KEY_PREFIX + id + "/" + chunk;
   }
 
   /**
-   * @param withdrawnWallMs 0 if it is not withdrawn
+   * The record to store for a job.
+   *
+   * @param overflow where the ids of awaited jobs are stored, or null if the record has them
+   * @param withdrawnWallMs 0 if the job is not withdrawn
    */
   public static Map<String, Object> toStore(
       JobSpec spec,
@@ -188,15 +198,16 @@
     return record;
   }
 
-  /** What was submitted, without names that are in records of their own. */
+  /** The stored specification, without the ids of awaited jobs if they are in overflow records. */
   private static Map<String, Object> specToStore(JobSpec spec, AwaitsOverflow overflow) {
     return (overflow == null ? spec : spec.awaiting(List.of())).toStore();
   }
 
   /**
-   * What is stored of it when its part or its withdrawal changes; what a newer writer added stays.
+   * The record to store when the partition or the withdrawal changes. Fields that a newer build
+   * added are kept.
    *
-   * @param withdrawnAtWallMs 0 if it is not withdrawn
+   * @param withdrawnAtWallMs 0 if the job is not withdrawn
    */
   public Map<String, Object> toStore(String newPartition, long withdrawnAtWallMs) {
     Map<String, Object> record =
@@ -211,13 +222,15 @@
   }
 
   /**
-   * What stands in a job's place when it is over, since {@link
-   * wickdrift.bookkeeping.level.Gate#AWAITS}, until its end is moved to its lasting place.
+   * The record that replaces a job's record when the job reaches its terminal state, from {@link
+   * wickdrift.bookkeeping.level.Gate#AWAITS} on, until the terminal state is moved to the job
+   * history.
    */
   public static Map<String, Object> terminalToStore(TerminalState terminalState) {
     return new LinkedHashMap<>(Map.of("over", terminalState.toStore(true)));
   }
 
+  /** Takes over the job's record as read from the state service. */
   void applyRecord(Document document, long newStamp) throws BadMessage {
     Document specDocument = Document.of(document.raw("spec"));
     unknownSpecFields = JobSpec.unknownFields(specDocument);
@@ -247,7 +260,7 @@
     notifyChange();
   }
 
-  /** The machines that live attempts of it are booked on, each once, in the order of its tasks. */
+  /** The machines that run live attempts of this job, without duplicates, in task order. */
   public Set<Machine> machines() {
     Set<Machine> booked = new LinkedHashSet<>();
     int remaining = liveCount;
@@ -260,7 +273,7 @@
     return booked;
   }
 
-  /** Told by a peer to be withdrawn: nothing of it is started or kept from now on. */
+  /** Notes a withdrawal that a peer announced: tasks are no longer started, live ones are ended. */
   void announceWithdrawal() {
     withdrawalAnnounced = true;
     machines().forEach(Machine::markChanged);
@@ -268,26 +281,29 @@
 
   // ---- chunks ----
 
+  /** The number of chunks that hold the tasks. */
   public int chunkCount() {
     return (spec.tasks() + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK;
   }
 
+  /** The index after the last task of a chunk. */
   public int chunkEnd(int chunk) {
     return Math.min(spec.tasks(), (chunk + 1) * TASKS_PER_CHUNK);
   }
 
+  /** The stamp of a stored chunk, or 0 if it is not stored. */
   public long chunkStamp(int chunk) {
     return chunkStamps[chunk];
   }
 
-  /** Up to which revision the stored chunk holds what the logs say. */
+  /** The revision up to which the stored chunk contains the entries of the logs. */
   public long chunkRevision(int chunk) {
     return chunkRevisions[chunk];
   }
 
   /**
-   * The chunk as of a revision: ranges of finished tasks, live attempts, and waiting tasks that
-   * were tried before.
+   * Encodes a chunk as of a revision: ranges of finished tasks, live attempts, and waiting tasks
+   * that had an attempt before.
    */
   public Map<String, Object> encodeChunk(int chunk, long revision, IntFunction<TaskState> states) {
     List<Object> doneRanges = new ArrayList<>();
@@ -327,8 +343,8 @@
   }
 
   /**
-   * The chunk as it is to be stored. Where it would be larger than a value may be, each machine is
-   * named once, and of the tasks the numbers alone are told, as one text.
+   * The value to store for a chunk. A chunk that would exceed the value limit gets the dense
+   * encoding: each machine is named once, and the numbers of the tasks are joined into one string.
    */
   public Object chunkToStore(
       int chunk,
@@ -369,12 +385,12 @@
     return Encoding.wrap(Encoding.DENSE, fields);
   }
 
-  /** Lists of so many numbers, from a text of all of them. */
+  /** Splits a comma-separated text into rows of {@code width} numbers. */
   private static List<List<Object>> parseRows(String text, int width) throws BadMessage {
     List<List<Object>> rows = new ArrayList<>();
     String[] numbers = text.isEmpty() ? new String[0] : text.split(",");
     if (numbers.length % width != 0) {
-      throw new BadMessage("a chunk ends early");
+      throw new BadMessage("chunk is truncated: its last row is incomplete");
     }
     try {
       for (int i = 0; i < numbers.length; i += width) {
@@ -385,7 +401,7 @@
         rows.add(row);
       }
     } catch (NumberFormatException e) {
-      throw new BadMessage("a chunk holds something that is not a number");
+      throw new BadMessage("chunk contains a value that is not a number");
     }
     return rows;
   }
@@ -399,7 +415,7 @@
       for (List<Object> row : rows) {
         int machineIndex = toInt(row.get(2));
         if (machineIndex < 0 || machineIndex >= machines.size()) {
-          throw new BadMessage("a chunk names no such machine");
+          throw new BadMessage("chunk refers to a machine index that is out of range");
         }
         row.set(2, machines.get(machineIndex));
       }
@@ -413,10 +429,13 @@
     return stored.size() == 1 && stored.get(0) instanceof String text ? parseRows(text, 2) : stored;
   }
 
-  /** A chunk was stored, or deleted: those who follow the logs know its content already. */
+  /**
+   * Notes that a chunk was stored or deleted. Its tasks are unchanged, because the log entries in
+   * it were applied before.
+   */
   void onChunkStored(int chunk, Document document, long newStamp) throws BadMessage {
     if (chunk < 0 || chunk >= chunkStamps.length) {
-      throw new BadMessage("no such chunk");
+      throw new BadMessage("chunk index is out of range");
     }
     chunkStamps[chunk] = newStamp;
     Map<String, Object> unknown =
@@ -429,7 +448,7 @@
         document == null ? 0 : Math.max(chunkRevisions[chunk], document.count("rev"));
   }
 
-  /** Takes over a chunk's tasks as they are stored. */
+  /** Replaces the states of a chunk's tasks by the stored ones. */
   void restoreChunk(
       int chunk,
       Document document,
@@ -470,7 +489,7 @@
     }
   }
 
-  // ---- what the logs say; false: it does not follow on what is known, and is void ----
+  // ---- log entries; false: the entry does not apply to the current state and is ignored ----
 
   boolean applyPlacement(int index, int attempt, Machine machine, int placer) {
     TaskState state = tasks[index];
@@ -500,7 +519,7 @@
     return true;
   }
 
-  /** It failed on a machine, or (null) has shown that it can work. */
+  /** Records that an attempt failed on a machine, or (null) that an attempt succeeded. */
   private void recordOutcome(Machine failedMachine) {
     boolean wasSuspected = isSuspected();
     if (failedMachine == null) {
@@ -517,9 +536,10 @@
   }
 
   /**
-   * Whether its failures are taken for its own: it has failed on more than one machine, and nothing
-   * of it was ever done. All nodes draw this from the logs, so whoever places it knows, and a job
-   * that was submitted with a mistake gets no machine shunned.
+   * Whether the job itself is suspected as the cause of its failures: it failed on more than one
+   * machine, and no task of it ever succeeded. All nodes derive this from the logs, so that any
+   * node that places the job knows it, and a job submitted with a mistake causes no machine to be
+   * quarantined.
    */
   public boolean isSuspected() {
     return !hasSucceeded && doneCount == 0 && failedOn.size() >= SUSPECTED_AFTER_MACHINES;
@@ -534,7 +554,10 @@
     return true;
   }
 
-  /** A gang completes together: when one task is done, those that have exited are done too. */
+  /**
+   * Marks the waiting tasks of a gang as done once one of its tasks is done, since a gang completes
+   * together.
+   */
   void completeGang() {
     if (spec.shape() == JobSpec.Shape.GANG && doneCount > 0) {
       for (int i = 0; i < tasks.length; i++) {
@@ -582,7 +605,7 @@
     }
   }
 
-  /** The job is over: nothing of it is booked any more. */
+  /** Removes all live attempts from their machines when the job leaves the tables. */
   void releaseTasks() {
     if (spec == null) {
       return;
@@ -595,56 +618,66 @@
     }
   }
 
-  // ---- reading ----
+  // ---- accessors ----
 
+  /** The id that the job was accepted under. */
   public String id() {
     return id;
   }
 
+  /** What was submitted, or null before the record was read. */
   public JobSpec spec() {
     return spec;
   }
 
+  /** The stamp of the job's record. */
   public long stamp() {
     return stamp;
   }
 
+  /** The wall-clock time at which the job was accepted. */
   public long acceptedWallMs() {
     return acceptedWallMs;
   }
 
+  /** The partition that places the job, or {@link #LEADER_PARTITION}. */
   public String partition() {
     return partition;
   }
 
-  /** When its user asked for that, by the time of day; 0 if never. */
+  /** The wall-clock time at which its user withdrew the job; 0 if that did not happen. */
   public long withdrawnWallMs() {
     return withdrawnWallMs;
   }
 
-  /** Withdrawn by its user, or with one that it awaits. Final. */
+  /** Whether the job was withdrawn by its user or together with an awaited job. This is final. */
   public boolean withdrawn() {
     return withdrawn || dependencyState == DependencyState.WITHDRAWN;
   }
 
-  /** Withdrawn, or known to be ahead of what the tables say: what is there of it is to end. */
+  /**
+   * Whether the job is withdrawn, or its withdrawal was announced ahead of the tables: its live
+   * attempts must end.
+   */
   public boolean withdrawnOrAnnounced() {
     return withdrawn() || withdrawalAnnounced;
   }
 
-  /** Whether its user has withdrawn it itself: what its record says. */
+  /** Whether its user withdrew this job, as its record says. */
   public boolean withdrawnByUser() {
     return withdrawn;
   }
 
-  // ---- what it awaits, and who awaits it: drawn by the chains ----
+  // ---- dependencies, and what the dependency graph derives from them ----
 
-  /** The jobs that must be done before it starts. */
+  /** The ids of the jobs that must be done before this job starts. */
   public List<String> awaits() {
     return awaits;
   }
 
-  /** Where the names are that its own record has no room for, or null. */
+  /**
+   * The records that hold the ids of awaited jobs if the job's own record is too small, or null.
+   */
   public AwaitsOverflow overflow() {
     return overflow;
   }
@@ -653,22 +686,23 @@
     awaits = awaitedJobs;
   }
 
+  /** How far the awaited jobs are resolved. */
   public DependencyState dependencyState() {
     return dependencyState;
   }
 
-  /** The one function by which its stage changes. */
+  /** Changes the dependency state; no other method does. */
   void setDependencyState(DependencyState newState, long newReadyWallMs) {
     if (dependencyState == DependencyState.READY || dependencyState == DependencyState.WITHDRAWN) {
       throw new IllegalStateException(
-          id + " is " + dependencyState + " and can't become " + newState);
+          id + ": dependency state " + dependencyState + " cannot change to " + newState);
     }
     dependencyState = newState;
     readyWallMs = newReadyWallMs;
     notifyChange();
   }
 
-  /** By the time of day, when it was accepted, or the last of those that it awaits was done. */
+  /** The wall-clock time at which the job was accepted or its last awaited job was done. */
   public long readyWallMs() {
     return Math.max(acceptedWallMs, readyWallMs);
   }
@@ -684,53 +718,67 @@
     return inheritedUrgency;
   }
 
-  /** As what it is served and, while it runs, spared. */
+  /**
+   * The priority, own or inherited, that decides the service order and protects the running job
+   * from preemption.
+   */
   public JobSpec.Priority effectivePriority() {
     return higherOf(spec.priority(), inheritedUrgency.priority);
   }
 
-  /** As what it may stop the work of others. */
+  /** The priority, own or inherited within the team, with which the job may preempt others. */
   public JobSpec.Priority preemptionPriority() {
     return higherOf(spec.priority(), inheritedUrgency.preemptionPriority);
   }
 
-  /** When it must start for the sake of those that await it, by the time of day. */
+  /**
+   * The wall-clock time by which the job must start so that its dependents meet their deadlines.
+   */
   public long startByWallMs() {
     return inheritedUrgency.startByWallMs;
   }
 
+  /** The state of a task. */
   public TaskState task(int index) {
     return tasks[index];
   }
 
-  /** The first task from an index on that waits, or -1. */
+  /** The index of the first waiting task at or after an index, or -1. */
   public int nextWaiting(int from) {
     return waitingIndices.nextSetBit(from);
   }
 
+  /** The number of tasks. */
   public int taskCount() {
     return tasks.length;
   }
 
+  /** The number of waiting tasks. */
   public int waitingCount() {
     return waitingCount;
   }
 
+  /** The number of live attempts. */
   public int liveCount() {
     return liveCount;
   }
 
+  /** The number of tasks that are done. */
   public int doneCount() {
     return doneCount;
   }
 
-  // ---- this process's own notes ----
+  // ---- state of this process, not stored ----
 
+  /** The earliest time of the next placement. */
   public long retryAtMs() {
     return retryAtMs;
   }
 
-  /** A worker would not start it: later and later. */
+  /**
+   * Counts a refusal by a worker to start a task; from the fourth on, the retry delay doubles up to
+   * 30 s.
+   */
   public void backOffAfterRefusal(long nowMs) {
     refusals++;
     if (refusals > 3) {
@@ -739,8 +787,8 @@
   }
 
   /**
-   * Takes note of failures since the last call: a suspect waits longer after each round of them;
-   * true if there was one.
+   * Handles the failures since the last call: after each round of failures a suspected job waits
+   * longer. Returns whether the job is suspected and had failures.
    */
   public boolean backOffAfterFailures(long nowMs) {
     boolean failed = failuresHandled != failures;
@@ -753,7 +801,7 @@
     return false;
   }
 
-  /** One task of a suspect was placed, to see: the next one waits. */
+  /** Delays the next placement after one task of a suspected job was placed as a probe. */
   public void scheduleNextProbe(long nowMs) {
     retryAtMs =
         Math.max(
@@ -761,6 +809,7 @@
             nowMs + (MIN_PROBE_INTERVAL_MS << Math.min(probes, MAX_PROBE_INTERVAL_DOUBLINGS)));
   }
 
+  /** Since when the job has waited without interruption; the wait starts with the first call. */
   public long waitingSinceMs(long nowMs) {
     if (waitingSinceMs == 0) {
       waitingSinceMs = nowMs;
@@ -768,27 +817,32 @@
     return waitingSinceMs;
   }
 
-  /** When it may look again for what to stop in its favour. */
+  /** The earliest time of the next search for preemption victims. */
   public long nextPreemptionAtMs() {
     return nextPreemptionAtMs;
   }
 
+  /** Sets the earliest time of the next search for preemption victims. */
   public void setNextPreemptionAtMs(long atMs) {
     nextPreemptionAtMs = atMs;
   }
 
+  /** Ends the current wait, and forgets that the job was blocked. */
   public void resetWaiting() {
     waitingSinceMs = 0;
     blockedIndexVersion = -1;
   }
 
-  /** No room was found for it when the index of rooms had this version. */
+  /** Notes that no capacity was found for the job at this version of the capacity index. */
   public void setBlocked(long version, long untilMs) {
     blockedIndexVersion = version;
     blockedUntilMs = untilMs;
   }
 
-  /** Whether nothing has changed since that would make another look worth while. */
+  /**
+   * Whether the capacity index is unchanged since the job was blocked, and the block has not
+   * expired.
+   */
   public boolean stillBlocked(long version, long nowMs) {
     return blockedIndexVersion == version && nowMs < blockedUntilMs;
   }
--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -12,9 +12,10 @@
 import wickdrift.transport.Timers;
 
 /**
- * Reads how jobs ended that are in no table any more. Many at once take few reads, as far as their
- * ids are near each other: one read brings a run of keys. A question that comes while a read is out
- * waits for the next one, for the one that is out may be older than the question.
+ * Looks up the terminal states of jobs that are no longer in the tables. Lookups are batched: one
+ * read returns a range of keys, so jobs with neighbouring ids share a read. A lookup that arrives
+ * while a read is in progress waits for the next read, because the current one may have been
+ * answered before the lookup.
  */
 public final class JobHistory {
   private static final Logger LOG = LoggerFactory.getLogger(JobHistory.class);
@@ -22,12 +23,13 @@
   private static final long RETRY_INTERVAL_MS = 500;
   private static final String KEY_PREFIX = Job.terminalStateKey("");
 
-  /** What the state service says of a job. */
+  /** The result of a lookup in the state service. */
   public enum LookupResult {
+    /** The job is in a terminal state. */
     TERMINAL,
-    /** It is not over, or was never accepted: whoever asks knows whether it is unfinished. */
+    /** The job is unfinished or was never accepted; the caller knows whether it is unfinished. */
     NOT_TERMINAL,
-    /** The state service did not answer. */
+    /** The state service did not answer, or the record is unreadable. */
     UNAVAILABLE
   }
 
@@ -39,24 +41,30 @@
   private boolean retryScheduled;
   private long readCount;
 
+  /** Creates a reader without pending lookups. */
   public JobHistory(Timers timers, StateServiceClient stateService, Tables tables) {
     this.timers = timers;
     this.stateService = stateService;
     this.tables = tables;
   }
 
-  /** Reads sent so far. */
+  /** The number of reads sent so far. */
   public long readCount() {
     return readCount;
   }
 
-  /** Asks how a job ended; if it did, it is remembered in the tables by the time of the answer. */
+  /**
+   * Looks up the terminal state of a job. If there is one, the tables contain it before the
+   * callback is called.
+   */
   public void lookUp(String id, Consumer<LookupResult> callback) {
     queued.computeIfAbsent(id, k -> new ArrayList<>()).add(callback);
     startNextRead();
   }
 
-  /** Reads what the chains lack, until nothing is. */
+  /**
+   * Looks up the terminal states that the dependency graph lacks, and retries until it lacks none.
+   */
   public void resolveDependencies() {
     if (stateService.phase() != StateServiceClient.Phase.FOLLOWING || retryScheduled) {
       return;
@@ -71,7 +79,8 @@
     if (reading) {
       return;
     }
-    // The chains' questions are put again with each change; some were answered meanwhile.
+    // Lookups without a callback are for the dependency graph, which adds them again at each change
+    // and may have resolved some meanwhile.
     queued
         .entrySet()
         .removeIf(
@@ -85,7 +94,7 @@
     }
   }
 
-  /** Reads from the first of those that are open on. */
+  /** Reads a range of keys that starts with the first requested id. */
   private void read(TreeMap<String, List<Consumer<LookupResult>>> requests) {
     if (requests.isEmpty()) {
       reading = false;
@@ -94,7 +103,7 @@
     }
     String first = requests.firstKey();
     readCount++;
-    // Keys after this one: the same without its last letter comes before it.
+    // The read returns the keys after this one; the id without its last letter sorts before the id.
     String afterKey = KEY_PREFIX + first.substring(0, first.length() - 1);
     stateService.list(
         KEY_PREFIX,
@@ -126,19 +135,20 @@
         requests.remove(lastId);
         callbacks.forEach(a -> a.accept(LookupResult.TERMINAL));
       } catch (BadMessage e) {
-        LOG.error("unreadable final record of {}: {}", lastId, e.getMessage());
+        LOG.error("cannot read terminal state: job={}, error={}", lastId, e.getMessage());
         requests.remove(lastId);
         callbacks.forEach(a -> a.accept(LookupResult.UNAVAILABLE));
       }
     }
-    // Up to the last key that came, whatever did not come is not there.
+    // Ids up to the last returned key that were not returned do not exist.
     Map<String, List<Consumer<LookupResult>>> absent =
         page.truncated() && lastId != null ? requests.headMap(lastId, true) : requests;
     for (String id : List.copyOf(absent.keySet())) {
       List<Consumer<LookupResult>> callbacks = requests.remove(id);
       if (callbacks.isEmpty() && tables.dependencies().unresolved().contains(id)) {
-        // Accepted, and neither unfinished nor over: only a table that lags, or lost state.
-        LOG.debug("{} is awaited, and is neither unfinished nor over", id);
+        // An accepted job is unfinished or in the history, unless the tables lag behind or state
+        // was lost.
+        LOG.debug("awaited job is neither unfinished nor in the job history: job={}", id);
         scheduleRetry();
       }
       callbacks.forEach(a -> a.accept(LookupResult.NOT_TERMINAL));
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -10,22 +10,27 @@
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.Report;
 
-/** One machine: its durable record, what is booked on it, and what its owner last heard. */
+/**
+ * A machine: its durable record, the task attempts placed on it, and the last reports its owner
+ * received.
+ */
 public final class Machine {
-  /** The life of a machine as the durable record tells it. */
+  /** The lifecycle phase of a machine in its durable record. */
   public enum Phase {
-    /** Only named by a task's record; nothing else is known yet. */
+    /** Only referred to by the record of a task; no record of the machine is known yet. */
     UNKNOWN,
     BOOTING,
     UP,
-    /** Silent for too long: nothing new goes there. */
+    /** No reports for too long, or unreachable for commands: no new tasks are placed there. */
     LOST,
-    /** On its way out: nothing new goes there. */
+    /** About to be removed: no new tasks are placed there. */
     DRAINING,
-    /** The cloud answered its deletion: nothing runs there any more. */
+    /** The cloud confirmed the deletion: nothing runs there any more. */
     GONE;
 
-    /** Changes come from several nodes; one that does not follow on what is known is void. */
+    /**
+     * Whether a transition is valid. Several nodes record phases; an invalid transition is ignored.
+     */
     public boolean canTransitionTo(Phase next) {
       return switch (this) {
         case UNKNOWN -> next != UNKNOWN;
@@ -38,14 +43,19 @@
     }
   }
 
-  /** The durable part. */
+  /**
+   * The durable record of a machine.
+   *
+   * @param phaseSinceWallMs the wall-clock time at which the phase was recorded
+   */
   public record Info(String type, String zone, boolean spot, Phase phase, long phaseSinceWallMs) {
+    /** The same record with another phase. */
     public Info withPhase(Phase next, long nowWallMs) {
       return new Info(type, zone, spot, next, nowWallMs);
     }
   }
 
-  /** A live attempt's place in its job, and since when this process has known it. */
+  /** A live attempt on a machine: its task, and since when this process has known it. */
   public static final class Slot {
     private final Job job;
     private final int index;
@@ -56,34 +66,39 @@
       this.index = index;
     }
 
+    /** The job that the task belongs to. */
     public Job job() {
       return job;
     }
 
+    /** The index of the task in its job. */
     public int index() {
       return index;
     }
 
+    /** The current state of the task. */
     public TaskState state() {
       return job.task(index);
     }
 
-    /** The task's name, as workers know it. */
+    /** The name of the task in messages to and from workers. */
     public String taskName() {
       return job.id() + "/" + index;
     }
 
-    /** Whether the attempt is to end: its job was withdrawn, or it is being stopped. */
+    /** Whether the attempt must end: its job was withdrawn, or the attempt is being stopped. */
     public boolean mustStop() {
       return job.withdrawnOrAnnounced() || state().stop() != TaskState.Stop.NONE;
     }
 
+    /** For how long this process has known the attempt; 0 before the first image update. */
     public long ageMs(long nowMs) {
       return knownSinceMs == 0 ? 0 : nowMs - knownSinceMs;
     }
 
     /**
-     * How much longer it may run, by its owner's estimate; what outlives that, half as long again.
+     * The estimated remaining run time: the user's estimate less the age, but at least half the age
+     * for an attempt that outlives its estimate.
      */
     public double estimatedRemainingMs(long nowMs) {
       double estimateMs = job.spec().estimateS() * 1000;
@@ -94,7 +109,7 @@
     }
   }
 
-  /** An image that the machine has, or fetches since that time. */
+  /** An image that is on the machine or is being fetched. */
   private static final class Image {
     final double sizeGb;
     final long fetchStartMs;
@@ -111,10 +126,13 @@
   private static final int MAX_QUARANTINE_DOUBLINGS = 2;
   private static final int MAX_FAILED_JOBS = 8;
 
-  /** One answer may be lost; after two that were not heeded it is taken for deaf. */
+  /**
+   * One lost answer is tolerated; after two unacknowledged answers the worker counts as unreachable
+   * for commands.
+   */
   private static final int MAX_UNACKNOWLEDGED_ANSWERS = 2;
 
-  /** How much longer than its nominal time a fetch is taken to last before it is held for done. */
+  /** A fetch is assumed to be complete after this multiple of its nominal time. */
   private static final double FETCH_TIME_FACTOR = 1.4;
 
   private final String name;
@@ -131,10 +149,10 @@
   private double gpus;
   private double memoryGb;
 
-  /** What should be there has changed since the owner last looked. */
+  /** Whether the attempts that should run here changed since the last {@link #pollChanged}. */
   private boolean changed;
 
-  // What only its owner knows, from reports; lost with the process.
+  // Known to the owner only, from reports; not stored.
   Report report;
   private long lastReportMs;
   private boolean reportsOverdue;
@@ -143,36 +161,41 @@
   private long latestLeaseRenewalMs;
   private boolean epochAcknowledged;
 
-  /** Of the last answer to a report of its own; 0: none since it is ours. */
+  /** The epoch of the last answer to an unsolicited report; 0: none since this node owns it. */
   private long lastAnswerEpoch;
 
-  /** Whether a report since it is ours was surely no copy: it shows what it was answered. */
+  /**
+   * Whether a report received since this node owns the machine was certainly not a delayed
+   * duplicate.
+   */
   private boolean provedAlive;
 
-  /** Since when its worker shows that nothing reaches it; 0: no reason to think so. */
+  /** Since when the worker's reports show that no command reaches it; 0: reachable. */
   private long unreachableForCommandsSinceMs;
 
-  /** How many reports in a row showed an older token than the answer before had. */
+  /** The number of consecutive reports that showed an older epoch than the last answer. */
   private int unacknowledgedAnswers;
 
-  /** The newest report that came by itself and was surely no copy. */
+  /** The newest unsolicited report that was certainly not a delayed duplicate. */
   private Report lastUnsolicitedReport;
 
-  /** The highest token that a report of its own has shown; -1: none has come. */
+  /** The highest epoch that an unsolicited report has shown; -1: no such report was received. */
   private long highestReportedEpoch = -1;
 
-  /** What shows an older token is from before its worker began anew. */
+  /** Reports with a lower epoch are from before the last restart of the worker. */
   private long trustedFromEpoch;
 
-  // From the logs, alike at all nodes: what failed here since a task last worked.
+  // Derived from the logs and equal at all nodes: failures here since a task last succeeded.
   private final Set<Job> failedJobs = new LinkedHashSet<>();
   private int failures;
   private int failuresHandled;
   private long lastFailureMs;
 
   /**
+   * Creates a machine without a record.
+   *
    * @param number its dense number in this process
-   * @param onChange told once of each run of changes, until {@link #acknowledgeChanges} is called
+   * @param onChange is called at the first change, and again only after {@link #acknowledgeChanges}
    */
   Machine(String name, int number, Consumer<Machine> onChange) {
     this.name = name;
@@ -187,21 +210,25 @@
     }
   }
 
-  /** The changes so far were taken note of. */
+  /** Acknowledges all changes so far: the next change calls {@code onChange} again. */
   void acknowledgeChanges() {
     changeNotified = false;
   }
 
+  /** The dense number of the machine in this process. */
   public int number() {
     return number;
   }
 
-  /** Where it is, or null when neither its record nor a report has told that yet. */
+  /** The zone, or null if neither the record nor a report contains it yet. */
   public String zone() {
     return info != null ? info.zone() : report != null ? report.zone() : null;
   }
 
-  /** The member whose part it is in; worked out once a view, for reports ask for it each time. */
+  /**
+   * The member whose partition contains the machine. It is cached per view, because every report
+   * needs it.
+   */
   public String owner(View view) {
     String zone = zone();
     if (ownerViewEpoch != view.epoch() || !Objects.equals(zone, ownerZone)) {
@@ -212,28 +239,35 @@
     return owner;
   }
 
+  /** The name of the machine in records and messages. */
   public String name() {
     return name;
   }
 
-  /** Machines whose names differ in the last letter only are stored together. */
+  /**
+   * The archive bucket of a machine: machines whose names differ only in the last letter are stored
+   * together.
+   */
   public static String archiveBucketOf(String name) {
     return name.substring(0, Math.max(1, name.length() - 1));
   }
 
+  /** The durable record, or null if there is none. */
   public Info info() {
     return info;
   }
 
+  /** The recorded phase, or {@link Phase#UNKNOWN} without a record. */
   public Phase phase() {
     return info == null ? Phase.UNKNOWN : info.phase();
   }
 
+  /** The live attempts that are placed on the machine. */
   public List<Slot> slots() {
     return slots;
   }
 
-  /** For how long this process has known a task to be here; 0 if it is not. */
+  /** For how long this process has known a task to be placed here; 0 if it is not. */
   public long ageMs(Job job, int index, long nowMs) {
     for (Slot slot : slots) {
       if (slot.index == index && slot.job == job) {
@@ -243,14 +277,17 @@
     return 0;
   }
 
+  /** The CPUs that the live attempts use. */
   public double cpus() {
     return cpus;
   }
 
+  /** The GPUs that the live attempts use. */
   public double gpus() {
     return gpus;
   }
 
+  /** The memory that the live attempts use. */
   public double memoryGb() {
     return memoryGb;
   }
@@ -260,9 +297,7 @@
     notifyChange();
   }
 
-  /**
-   * The one function by which its phase changes: false if that does not follow on what is known.
-   */
+  /** Applies a recorded phase, unless the transition is invalid; returns whether it was applied. */
   boolean transitionTo(Info next) {
     if (!phase().canTransitionTo(next.phase())) {
       return false;
@@ -272,11 +307,12 @@
     return true;
   }
 
-  /** Only one that is gone and empty. */
+  /** Whether the record may be removed: the machine is gone and no live attempt refers to it. */
   public boolean mayBeForgotten() {
     return phase() == Phase.GONE && slots.isEmpty();
   }
 
+  /** Removes the record if that is allowed; returns whether it was removed. */
   boolean forget() {
     if (!mayBeForgotten()) {
       return false;
@@ -286,12 +322,15 @@
     return true;
   }
 
+  /** Notes that the attempts that should run here have changed. */
   void markChanged() {
     changed = true;
     notifyChange();
   }
 
-  /** Whether what should be there has changed since the last call. */
+  /**
+   * Whether the attempts that should run here have changed since the last call; resets the flag.
+   */
   public boolean pollChanged() {
     boolean was = changed;
     changed = false;
@@ -309,7 +348,10 @@
     recomputeUsage();
   }
 
-  /** Summed anew each time: adding and taking away doubles would drift. */
+  /**
+   * Sums up the usage from scratch: incremental updates of doubles would accumulate rounding
+   * errors.
+   */
   private void recomputeUsage() {
     notifyChange();
     cpus = 0;
@@ -322,9 +364,12 @@
     }
   }
 
-  // ---- images: what this process can tell; the cache keeps the most recently used ----
+  // ---- images, as far as this process knows; the cache evicts the least recently used ----
 
-  /** Notes the images of what is booked here; call it before asking about images. */
+  /**
+   * Adds the images of the live attempts and evicts the oldest beyond the cache size. Must be
+   * called before images are queried.
+   */
   public void updateImages(long nowMs, double cacheGb) {
     for (Slot slot : slots) {
       if (slot.knownSinceMs == 0) {
@@ -346,7 +391,7 @@
     }
   }
 
-  /** A report shows a task that needs it past its fetch. */
+  /** Notes that an image is present, since a report shows a task that uses it past its fetch. */
   public void markImageReady(String image, double sizeGb, long nowMs) {
     Image entry = images.computeIfAbsent(image, k -> new Image(sizeGb, nowMs));
     if (!entry.ready) {
@@ -355,16 +400,17 @@
     }
   }
 
-  /** It is there, or on its way. */
+  /** Whether an image is present or being fetched. */
   public boolean hasImage(String image) {
     return images.containsKey(image);
   }
 
+  /** The images that are present or being fetched. */
   public Set<String> images() {
     return images.keySet();
   }
 
-  /** Until when it is taken to fetch images, as far as this process can tell. */
+  /** The estimated time at which the image fetches in progress end; 0 if there are none. */
   public long estimatedFetchEndMs(double gbPerSecond) {
     long endMs = 0;
     for (Image image : images.values()) {
@@ -379,19 +425,21 @@
     return endMs;
   }
 
-  // ---- the owner's own view ----
+  // ---- reports and commands, known to the owner only ----
 
+  /** The newest report, or null. */
   public Report report() {
     return report;
   }
 
   /**
-   * Takes a report that is newer than what is known.
+   * Takes over an unsolicited report that is newer than the known one.
    *
-   * @param viewEpoch of the view
-   * @return whether it is surely no late copy: it shows the epoch, or what the last report was
-   *     answered with. A copy may be the first that a new owner hears, and must not make a dead
-   *     machine look alive; so until one is proved the machine takes no task, and silence goes on
+   * @param viewEpoch the epoch of the current view
+   * @return whether the report is certainly not a delayed duplicate: it shows the epoch of the view
+   *     or of the last answer. A duplicate may be the first report that a new owner receives, and
+   *     must not make a dead machine look alive; so until a report proves otherwise, the machine
+   *     gets no task and still counts as silent
    */
   public boolean receiveReport(Report newReport, long viewEpoch, long nowMs) {
     boolean provesAlive = receiveReply(newReport, viewEpoch, nowMs);
@@ -406,8 +454,8 @@
   }
 
   /**
-   * The same of what it answered to a command. That it answers does not end its silence: a worker
-   * that reaches no controller does too, and loses all it has with its lease.
+   * Takes over a report from the reply to a command. A reply does not end the silence: a worker
+   * that cannot reach any controller replies too, and loses all its tasks with its lease.
    */
   public boolean receiveReply(Report newReport, long viewEpoch, long nowMs) {
     boolean showsLastAnswer = lastAnswerEpoch > 0 && newReport.epoch() >= lastAnswerEpoch;
@@ -419,8 +467,9 @@
     }
     if (provesAlive || !provedAlive) {
       if (report == null || newReport.tenure() > report.tenure()) {
-        // Its session began by now, and with that a lease that nobody has renewed: a worker that
-        // reaches no controller goes from session to session, and runs what it is told straight.
+        // The new session began no later than now, and with it a lease that no controller has
+        // renewed yet. A worker that cannot reach any controller starts session after session, and
+        // still runs what it is sent directly.
         latestLeaseRenewalMs = Math.max(latestLeaseRenewalMs, nowMs);
       }
       report = newReport;
@@ -429,27 +478,30 @@
     return provesAlive;
   }
 
-  /** From which token on its reports count; 0: any. */
+  /** The lowest epoch whose reports are trusted; 0: all are. */
   public long trustedFromEpoch() {
     return trustedFromEpoch;
   }
 
-  /** Whether it has shown, since it is ours, that it is there now. */
+  /** Whether a report has proved, since this node owns the machine, that its worker is alive. */
   public boolean provedAlive() {
     return provedAlive;
   }
 
-  /** Whether a report is older than one that came by itself: nobody waits for its answer. */
+  /**
+   * Whether a report is not newer than the newest unsolicited one: no worker waits for its answer.
+   */
   public boolean hasNewerUnsolicitedReport(Report other) {
     return lastUnsolicitedReport != null && other.notNewerThan(lastUnsolicitedReport);
   }
 
   /**
-   * Its worker has begun anew, under the same name, and counts from one again: what was heard of
-   * the one before says nothing of this one. Late copies of what that one said may look newer than
-   * what this one says, so nothing counts until it shows a token that the other never had.
+   * Handles a restart of the worker under the same name, after which its counters start from one.
+   * What was received from the previous incarnation says nothing about this one, and delayed
+   * duplicates of its reports may look newer. So no report counts until it shows an epoch that the
+   * previous incarnation never had.
    *
-   * @param maxSeenEpoch the highest token that the one before may have seen
+   * @param maxSeenEpoch the highest epoch that the previous incarnation may have seen
    */
   public void onWorkerRestart(long maxSeenEpoch) {
     trustedFromEpoch = maxSeenEpoch + 1;
@@ -464,16 +516,18 @@
   }
 
   /**
-   * What a report that came by itself tells of whether its worker hears. Never judged by our having
-   * answered alone: an answer may be lost with nobody deaf, and a worker may be slow.
+   * Decides from an unsolicited report whether commands reach the worker. Having answered is not
+   * enough to decide on: an answer may be lost although the worker is reachable, and a worker may
+   * be slow.
    *
-   * @param provesAlive as {@link #receiveReport} said of it
-   * @param lacksCommandedTask whether it lacks a task that it was long since told to run
-   * @param leaseMs of the workers
+   * @param provesAlive the result of {@link #receiveReport} for this report
+   * @param lacksCommandedTask whether the report lacks a task that the worker was told to run long
+   *     ago
+   * @param leaseMs the duration of a worker's lease
    */
   public void updateCommandReachability(
       Report newReport, boolean provesAlive, boolean lacksCommandedTask, long leaseMs, long nowMs) {
-    // Had the last answer reached it, its lease could not have ended yet.
+    // If the last answer had reached the worker, its lease could not have expired yet.
     boolean leaseLapsed =
         lastUnsolicitedReport != null
             && newReport.tenure() > lastUnsolicitedReport.tenure()
@@ -496,7 +550,7 @@
     }
   }
 
-  /** Something that it was told has surely reached it. */
+  /** Notes that a command or an answer has certainly reached the worker. */
   public void markReachableForCommands() {
     unacknowledgedAnswers = 0;
     if (unreachableForCommandsSinceMs > 0) {
@@ -505,12 +559,16 @@
     }
   }
 
-  /** Since when nothing reaches it, as its own reports show; 0: no reason to think so. */
+  /** Since when no command reaches the worker, as its unsolicited reports show; 0: reachable. */
   public long unreachableForCommandsSinceMs() {
     return unreachableForCommandsSinceMs;
   }
 
-  /** A new owner starts with no report: an old one proves nothing to it. */
+  /**
+   * Drops all reports when the owner changes: an older report proves nothing to a new owner.
+   *
+   * @param leaseRenewalMs the latest time at which the previous owner may renew the worker's lease
+   */
   public void resetReports(long leaseRenewalMs, long nowMs) {
     ownedSinceMs = nowMs;
     notifyChange();
@@ -526,12 +584,15 @@
     latestLeaseRenewalMs = Math.max(latestLeaseRenewalMs, leaseRenewalMs);
   }
 
-  /** Since when nothing was heard, for whoever answers it; a new owner has not listened before. */
+  /**
+   * Since when no report proved that the worker is alive; for a new owner, at the earliest since it
+   * took over.
+   */
   public long silentSinceMs() {
     return Math.max(lastReportMs, ownedSinceMs);
   }
 
-  /** Its worker has missed two reports: until the next one it takes no new task. */
+  /** Notes that the worker missed two reports: until the next one the machine gets no new task. */
   public void markReportsOverdue() {
     if (!reportsOverdue && report != null) {
       reportsOverdue = true;
@@ -539,16 +600,20 @@
     }
   }
 
+  /** Whether the worker missed reports, so that the machine gets no new task. */
   public boolean reportsOverdue() {
     return reportsOverdue;
   }
 
+  /** When the last report was received that proved the worker alive. */
   public long lastReportMs() {
     return lastReportMs;
   }
 
   /**
-   * @param epoch of the answer
+   * Notes that an unsolicited report was answered, which renews the worker's lease.
+   *
+   * @param epoch the epoch in the answer
    */
   public void recordAnswer(long nowMs, long epoch) {
     lastAnswerEpoch = epoch;
@@ -556,20 +621,25 @@
     latestLeaseRenewalMs = Math.max(latestLeaseRenewalMs, nowMs);
   }
 
+  /** When an unsolicited report was last answered. */
   public long lastAnswerMs() {
     return lastAnswerMs;
   }
 
-  /** The latest time at which anyone may have renewed the worker's lease. */
+  /** The latest time at which any controller may have renewed the worker's lease. */
   public long latestLeaseRenewalMs() {
     return latestLeaseRenewalMs;
   }
 
-  /** True once a report has shown our own epoch: then no older controller can command it. */
+  /**
+   * Whether a report has shown the epoch of this node's view: from then on the worker accepts no
+   * commands from controllers with a lower epoch.
+   */
   public boolean epochAcknowledged() {
     return epochAcknowledged;
   }
 
+  /** Sets whether a report has shown the epoch of this node's view. */
   public void setEpochAcknowledged(boolean value) {
     epochAcknowledged = value;
   }
@@ -589,12 +659,12 @@
     }
   }
 
-  /** A job that failed here has become suspect itself, or is no longer. */
+  /** Notes that a job that failed here became suspected, or is no longer suspected. */
   void jobSuspicionChanged() {
     notifyChange();
   }
 
-  /** How many jobs failed here, of those whose failures are not taken for their own. */
+  /** The number of jobs that failed here and are not suspected as the cause themselves. */
   public int failedJobCount() {
     int count = 0;
     for (Job job : failedJobs) {
@@ -604,8 +674,9 @@
   }
 
   /**
-   * Until when nothing goes here; 0: no reason. One job's failure may be its own, so it is a short
-   * while; failures of several jobs, one after the other, are the machine's.
+   * Until when the machine is quarantined and gets no task; 0: it is not. The failure of a single
+   * job may be its own fault, so the quarantine is short; successive failures of several jobs are
+   * attributed to the machine.
    */
   public long quarantinedUntilMs(long nowMs) {
     if (failuresHandled != failures) {
--- a/src/main/java/wickdrift/bookkeeping/TeamUsage.java
+++ b/src/main/java/wickdrift/bookkeeping/TeamUsage.java
@@ -6,8 +6,9 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * What the live attempts of each team take, by the node that placed them. Kept in whole millionths,
- * rounded up: adding and taking away doubles would drift.
+ * The resources that the live attempts of each team use, by the controller that placed them. Sums
+ * are kept in millionths, rounded up: incremental updates of doubles would accumulate rounding
+ * errors.
  */
 public final class TeamUsage {
   private static final double UNITS_PER_RESOURCE = 1e6;
@@ -17,7 +18,7 @@
     long gpus;
   }
 
-  /** By team, then by the placer's number. */
+  /** By team, then by the number of the placing controller. */
   private final Map<String, Int2ObjectHashMap<Units>> unitsByTeam = new HashMap<>();
 
   void add(JobSpec spec, int placer, int taskDelta) {
@@ -33,7 +34,7 @@
     return (long) Math.ceil(amount * UNITS_PER_RESOURCE - 0.01);
   }
 
-  /** What all live attempts of a team take. */
+  /** The resources that all live attempts of a team use. */
   public Partition.QuotaShare of(String team) {
     long cpus = 0;
     long gpus = 0;
@@ -47,7 +48,7 @@
     return new Partition.QuotaShare(cpus / UNITS_PER_RESOURCE, gpus / UNITS_PER_RESOURCE);
   }
 
-  /** What the live attempts of a team take that the controller of that number placed. */
+  /** The resources that the live attempts of a team use that one controller placed. */
   public Partition.QuotaShare placedBy(String team, int controllerNumber) {
     Int2ObjectHashMap<Units> byPlacer = unitsByTeam.get(team);
     Units units = byPlacer == null ? null : byPlacer.get(controllerNumber);
--- a/src/main/java/wickdrift/bookkeeping/TerminalState.java
+++ b/src/main/java/wickdrift/bookkeeping/TerminalState.java
@@ -6,22 +6,28 @@
 import wickdrift.protocol.Document;
 
 /**
- * How a job ended, for ever: the value of {@code w/d/ID}.
+ * The terminal state of a job, which is kept forever as the value of {@code w/d/ID}.
  *
  * @param phase {@link #DONE} or {@link #WITHDRAWN}
- * @param tasks how many it had
- * @param atWallMs when, by the time of day of who wrote it; 0 where an older build did
+ * @param tasks the number of tasks
+ * @param atWallMs the wall-clock time of the node that recorded it; 0 in records of older builds
  */
 public record TerminalState(String phase, long tasks, long atWallMs) {
+  /** All tasks are done. */
   public static final String DONE = "done";
+
+  /** The job was withdrawn, by its user or with an awaited job. */
   public static final String WITHDRAWN = "withdrawn";
 
+  /** Whether the job is done, rather than withdrawn. */
   public boolean done() {
     return phase.equals(DONE);
   }
 
   /**
-   * @param withTime whether the level in force has the time in it
+   * The value to store.
+   *
+   * @param withTime whether the level in force stores the time
    */
   public Map<String, Object> toStore(boolean withTime) {
     Map<String, Object> fields = new LinkedHashMap<>();
@@ -33,6 +39,7 @@
     return fields;
   }
 
+  /** Reads a stored value. */
   public static TerminalState parse(Document document) throws BadMessage {
     return new TerminalState(
         document.text("phase"), document.count("tasks", 0), document.count("at", 0));
--- a/src/main/java/wickdrift/bookkeeping/TokenBucket.java
+++ b/src/main/java/wickdrift/bookkeeping/TokenBucket.java
@@ -1,12 +1,16 @@
 package wickdrift.bookkeeping;
 
-/** A token bucket holding one second's worth, or less. */
+/**
+ * A token bucket for rate limits. Unless set otherwise, its capacity is one second's worth of
+ * tokens.
+ */
 public final class TokenBucket {
   private double tokensPerSecond;
   private double capacity;
   private double tokens;
   private long lastRefillMs;
 
+  /** Creates a full bucket. */
   public TokenBucket(double tokensPerSecond, long nowMs) {
     this.tokensPerSecond = tokensPerSecond;
     this.capacity = tokensPerSecond;
@@ -14,7 +18,9 @@
     this.lastRefillMs = nowMs;
   }
 
-  /** Takes {@code n} unless that leaves less than {@code reserve}. */
+  /**
+   * Takes {@code n} tokens unless that leaves less than {@code reserve}; returns whether it did.
+   */
   public boolean tryAcquire(double n, double reserve, long nowMs) {
     if (!canAcquire(n, reserve, nowMs)) {
       return false;
@@ -23,13 +29,13 @@
     return true;
   }
 
-  /** Takes what is there of {@code n}: it was allowed elsewhere. */
+  /** Takes up to {@code n} tokens for an action that another bucket has already allowed. */
   public void acquireUpTo(double n, long nowMs) {
     refill(nowMs);
     tokens = Math.max(Math.min(tokens, 0), tokens - n);
   }
 
-  /** Whether {@link #tryAcquire} would take that. */
+  /** Whether {@link #tryAcquire} would succeed. */
   public boolean canAcquire(double n, double reserve, long nowMs) {
     refill(nowMs);
     return tokens - n >= Math.min(reserve, capacity - n);
@@ -40,27 +46,28 @@
     lastRefillMs = nowMs;
   }
 
-  /** Another rate from now on. */
+  /** Sets the rate, and a capacity of one second's worth of tokens. */
   public void setRate(double newTokensPerSecond) {
     setRate(newTokensPerSecond, newTokensPerSecond);
   }
 
-  /** Another rate from now on, of which no more than that is saved up. */
+  /** Sets the rate and the capacity. */
   public void setRate(double newTokensPerSecond, double newCapacity) {
     tokensPerSecond = newTokensPerSecond;
     capacity = newCapacity;
   }
 
-  /** How full it is, from 0 to 1. */
+  /** The fill level as a fraction of the capacity, at most 1. */
   public double fillRatio(long nowMs) {
     return Math.min(1, (tokens + tokensPerSecond * (nowMs - lastRefillMs) / 1000.0) / capacity);
   }
 
+  /** Fills the bucket to its capacity. */
   public void fill() {
     tokens = capacity;
   }
 
-  /** The far side says that the limit is passed: what we thought we had is gone. */
+  /** Empties the bucket after the server reported that the limit was exceeded. */
   public void drain() {
     tokens = 0;
   }
