--- a/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
+++ b/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
@@ -12,11 +12,11 @@
 /**
  * Refers to the records {@code w/a/ID/SUM-N} that hold the ids of awaited jobs if the job's own
  * record is too small for them. They are written before the job's record. Their keys contain a
- * checksum of all ids, so a repeated submission writes the same records, and a different list has
- * different keys.
+ * checksum of all ids, so that a repeated submission writes the same records, and a different list
+ * has different keys.
  *
  * @param job the id of the job that awaits them
- * @param sum the checksum of all ids
+ * @param sum the checksum of all ids and of their number per record
  * @param records the number of records
  */
 public record AwaitsOverflow(String job, String sum, int records) {
--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -127,7 +127,7 @@
       }
       long readyWallMs = 0;
       Job.DependencyState newState =
-          hasAllAwaitedNames(job) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
+          hasAllAwaitedIds(job) ? Job.DependencyState.READY : Job.DependencyState.UNRESOLVED;
       for (String awaitedId : job.awaits()) {
         TerminalState terminalState = terminalState(awaitedId);
         Job awaitedJob = terminalState == null ? unfinishedJobs.apply(awaitedId) : null;
@@ -162,7 +162,7 @@
   }
 
   /** Whether the ids of all awaited jobs have been read. */
-  private static boolean hasAllAwaitedNames(Job job) {
+  private static boolean hasAllAwaitedIds(Job job) {
     return job.overflow() == null || !job.awaits().isEmpty();
   }
 
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -262,15 +262,15 @@
 
   /** The machines that run live attempts of this job, without duplicates, in task order. */
   public Set<Machine> machines() {
-    Set<Machine> booked = new LinkedHashSet<>();
+    Set<Machine> occupied = new LinkedHashSet<>();
     int remaining = liveCount;
     for (int i = 0; i < tasks.length && remaining > 0; i++) {
       if (tasks[i].isLive()) {
-        booked.add(tasks[i].machine());
+        occupied.add(tasks[i].machine());
         remaining--;
       }
     }
-    return booked;
+    return occupied;
   }
 
   /** Notes a withdrawal that a peer announced: tasks are no longer started, live ones are ended. */
--- a/src/main/java/wickdrift/bookkeeping/JobHistory.java
+++ b/src/main/java/wickdrift/bookkeeping/JobHistory.java
@@ -109,14 +109,14 @@
         KEY_PREFIX,
         afterKey,
         KEYS_PER_READ,
-        l -> {
-          if (l == null) {
+        page -> {
+          if (page == null) {
             requests.values().forEach(v -> v.forEach(c -> c.accept(LookupResult.UNAVAILABLE)));
             reading = false;
             scheduleRetry();
             return;
           }
-          handlePage(l, requests);
+          handlePage(page, requests);
           read(requests);
         });
   }
@@ -140,7 +140,7 @@
         callbacks.forEach(a -> a.accept(LookupResult.UNAVAILABLE));
       }
     }
-    // Ids up to the last returned key that were not returned do not exist.
+    // Requested ids up to the last returned key that were not returned are not in the history.
     Map<String, List<Consumer<LookupResult>>> absent =
         page.truncated() && lastId != null ? requests.headMap(lastId, true) : requests;
     for (String id : List.copyOf(absent.keySet())) {
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -91,7 +91,10 @@
       return job.withdrawnOrAnnounced() || state().stop() != TaskState.Stop.NONE;
     }
 
-    /** For how long this process has known the attempt; 0 before the first image update. */
+    /**
+     * For how long this process has known the attempt, counted from the next {@link
+     * Machine#updateImages} after its placement; 0 before.
+     */
     public long ageMs(long nowMs) {
       return knownSinceMs == 0 ? 0 : nowMs - knownSinceMs;
     }
@@ -332,9 +335,9 @@
    * Whether the attempts that should run here have changed since the last call; resets the flag.
    */
   public boolean pollChanged() {
-    boolean was = changed;
+    boolean wasChanged = changed;
     changed = false;
-    return was;
+    return wasChanged;
   }
 
   void add(Slot slot) {
@@ -367,8 +370,8 @@
   // ---- images, as far as this process knows; the cache evicts the least recently used ----
 
   /**
-   * Adds the images of the live attempts and evicts the oldest beyond the cache size. Must be
-   * called before images are queried.
+   * Adds the images of the live attempts, and removes the least recently used ones beyond the cache
+   * size. Must be called before images are queried.
    */
   public void updateImages(long nowMs, double cacheGb) {
     for (Slot slot : slots) {
@@ -489,7 +492,8 @@
   }
 
   /**
-   * Whether a report is not newer than the newest unsolicited one: no worker waits for its answer.
+   * Whether a report is not newer than the newest unsolicited one: no worker waits for the answer
+   * to such a report.
    */
   public boolean hasNewerUnsolicitedReport(Report other) {
     return lastUnsolicitedReport != null && other.notNewerThan(lastUnsolicitedReport);
@@ -528,7 +532,7 @@
   public void updateCommandReachability(
       Report newReport, boolean provesAlive, boolean lacksCommandedTask, long leaseMs, long nowMs) {
     // If the last answer had reached the worker, its lease could not have expired yet.
-    boolean leaseLapsed =
+    boolean leaseExpired =
         lastUnsolicitedReport != null
             && newReport.tenure() > lastUnsolicitedReport.tenure()
             && nowMs - lastAnswerMs < leaseMs * 3 / 4;
@@ -540,7 +544,7 @@
     }
     if (epochRose) {
       markReachableForCommands();
-    } else if (leaseLapsed
+    } else if (leaseExpired
         || lacksCommandedTask
         || unacknowledgedAnswers >= MAX_UNACKNOWLEDGED_ANSWERS) {
       if (unreachableForCommandsSinceMs == 0) {
@@ -565,7 +569,8 @@
   }
 
   /**
-   * Drops all reports when the owner changes: an older report proves nothing to a new owner.
+   * Drops all reports when the owner changes or may have changed in between: an older report proves
+   * nothing to a new owner.
    *
    * @param leaseRenewalMs the latest time at which the previous owner may renew the worker's lease
    */
@@ -611,7 +616,7 @@
   }
 
   /**
-   * Notes that an unsolicited report was answered, which renews the worker's lease.
+   * * Notes that an unsolicited report was answered, which may renew the worker's lease.
    *
    * @param epoch the epoch in the answer
    */
