--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -92,7 +92,7 @@
     dependents(job.id()).forEach(this::updateStates);
   }
 
-  /** Handles the terminal state of a job. */
+  /** Handles a terminal state that became known, from the tables or from the job history. */
   void jobTerminated(String id, TerminalState terminalState) {
     unresolved.remove(id);
     if (dependents.containsKey(id) && terminalStates.put(id, terminalState) == null) {
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -155,7 +155,7 @@
   /** Whether the attempts that should run here changed since the last {@link #pollChanged}. */
   private boolean changed;
 
-  // Known to the owner only, from reports; not stored.
+  // Known to the owner only, from reports; lost when the process ends.
   Report report;
   private long lastReportMs;
   private boolean reportsOverdue;
@@ -300,7 +300,10 @@
     notifyChange();
   }
 
-  /** Applies a recorded phase, unless the transition is invalid; returns whether it was applied. */
+  /**
+   * Applies a phase change; returns false if the transition is invalid. Apart from {@link #restore}
+   * and {@link #forget}, no other method changes the phase.
+   */
   boolean transitionTo(Info next) {
     if (!phase().canTransitionTo(next.phase())) {
       return false;
