--- a/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
+++ b/src/main/java/wickdrift/bookkeeping/AwaitsOverflow.java
@@ -10,67 +10,71 @@
 import wickdrift.protocol.Document;
 
 /**
- * The names of awaited jobs that a job's own record has no room for, in records {@code
- * w/a/ID/SUM-N} that were written before it. Their keys hold a sum of all names: whoever writes
- * them writes the same, however often the user tries, and another list is of other keys.
+ * Refers to the records {@code w/a/ID/SUM-N} that hold the ids of awaited jobs if the job's own
+ * record is too small for them. They are written before the job's record. Their keys contain a
+ * checksum of all ids, so that a repeated submission writes the same records, and a different list
+ * has different keys.
  *
- * @param job whose they are
- * @param sum of all names
- * @param records how many there are
+ * @param job the id of the job that awaits them
+ * @param sum the checksum of all ids and of their number per record
+ * @param records the number of records
  */
 public record AwaitsOverflow(String job, String sum, int records) {
-  private static final String PREFIX = "w/a/";
+  private static final String KEY_PREFIX = "w/a/";
 
-  /** A name with its quotes and comma. */
-  private static final int NAME_BYTES = 28;
+  /** The encoded size of an id with its quotes and comma. */
+  private static final int BYTES_PER_NAME = 28;
 
-  private static final int RECORD_BYTES = 32;
+  private static final int RECORD_OVERHEAD_BYTES = 32;
 
-  /** More than fit into a request of 64 KiB. */
-  private static final int MOST_RECORDS = 1000;
+  /** More records than the ids in a request of 64 KiB need. */
+  private static final int MAX_RECORDS = 1000;
 
-  /** Whether a key is of such a record. */
-  static boolean is(String key) {
-    return key.startsWith(PREFIX);
+  /** Whether a key is that of an overflow record. */
+  static boolean isKey(String key) {
+    return key.startsWith(KEY_PREFIX);
   }
 
-  /** The job of such a key. */
+  /** The id of the job that the key of an overflow record belongs to. */
   static String jobOfKey(String key) throws BadMessage {
     int slash = key.lastIndexOf('/');
-    if (slash <= PREFIX.length()) {
-      throw new BadMessage("a record of names is of no job");
+    if (slash <= KEY_PREFIX.length()) {
+      throw new BadMessage("key of an overflow record of awaited jobs contains no job id");
     }
-    return key.substring(PREFIX.length(), slash);
+    return key.substring(KEY_PREFIX.length(), slash);
   }
 
-  /** How many names go into one record. */
-  private static int each(int valueBytes) {
-    return Math.max(1, (valueBytes - RECORD_BYTES) / NAME_BYTES);
+  /** The number of ids that fit into one record. */
+  private static int namesPerRecord(int maxValueBytes) {
+    return Math.max(1, (maxValueBytes - RECORD_OVERHEAD_BYTES) / BYTES_PER_NAME);
   }
 
-  /** How a job's names are laid out in records of so many bytes. */
-  public static AwaitsOverflow of(String job, List<String> names, int valueBytes) {
+  /** Lays out the ids that a job awaits in records of a maximum size. */
+  public static AwaitsOverflow of(String job, List<String> names, int maxValueBytes) {
     CRC32 crc = new CRC32();
-    crc.update((names.size() + "," + each(valueBytes)).getBytes(StandardCharsets.UTF_8));
+    crc.update(
+        (names.size() + "," + namesPerRecord(maxValueBytes)).getBytes(StandardCharsets.UTF_8));
     names.forEach(n -> crc.update(n.getBytes(StandardCharsets.UTF_8)));
-    int per = each(valueBytes);
+    int perRecord = namesPerRecord(maxValueBytes);
     return new AwaitsOverflow(
-        job, Long.toHexString(crc.getValue()), (names.size() + per - 1) / per);
+        job, Long.toHexString(crc.getValue()), (names.size() + perRecord - 1) / perRecord);
   }
 
-  /** The records of those names, by key. */
-  public Map<String, Object> values(List<String> names, int valueBytes) {
-    int per = each(valueBytes);
-    Map<String, Object> out = new TreeMap<>();
+  /** The records to store for these ids, by key. */
+  public Map<String, Object> values(List<String> names, int maxValueBytes) {
+    int perRecord = namesPerRecord(maxValueBytes);
+    Map<String, Object> values = new TreeMap<>();
     for (int i = 0; i < records; i++) {
-      List<String> some = names.subList(i * per, Math.min(names.size(), (i + 1) * per));
-      out.put(key(i), Map.of("names", new ArrayList<Object>(some)));
+      List<String> recordNames =
+          names.subList(i * perRecord, Math.min(names.size(), (i + 1) * perRecord));
+      values.put(key(i), Map.of("names", new ArrayList<Object>(recordNames)));
     }
-    return out;
+    return values;
   }
 
+  /** The key of a record. */
   public String key(int record) {
-    return PREFIX + job + "/" + sum + "-" + record;
+    return KEY_PREFIX + job + "/" + sum + "-" + record;
   }
 
   List<Object> toStore() {
@@ -78,19 +82,19 @@
   }
 
   static AwaitsOverflow parse(String job, Object stored) throws BadMessage {
-    if (stored instanceof List<?> l
-        && l.size() == 2
-        && l.get(0) instanceof String sum
-        && l.get(1) instanceof Long n
-        && n > 0
-        && n <= MOST_RECORDS) {
-      return new AwaitsOverflow(job, sum, n.intValue());
+    if (stored instanceof List<?> fields
+        && fields.size() == 2
+        && fields.get(0) instanceof String sum
+        && fields.get(1) instanceof Long recordCount
+        && recordCount > 0
+        && recordCount <= MAX_RECORDS) {
+      return new AwaitsOverflow(job, sum, recordCount.intValue());
     }
-    throw new BadMessage("where more names are is not told");
+    throw new BadMessage("reference to overflow records of awaited jobs is malformed");
   }
 
-  /** The names of one record. */
-  static List<String> parseNames(Document d) throws BadMessage {
-    return List.copyOf(d.texts("names"));
+  /** The ids in one record. */
+  static List<String> parseNames(Document document) throws BadMessage {
+    return List.copyOf(document.texts("names"));
   }
 }
