--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -31,17 +31,17 @@
   private static final Logger LOG = LoggerFactory.getLogger(CommandPlanner.class);
 
   /** So often at most a gang member is told to go on waiting for the others. */
-  private static final int WAITS_MOST = 12;
+  private static final int MAX_GANG_WAIT_RESTARTS = 12;
 
   /**
    * What a report allows.
    *
-   * @param authority this node surely holds authority; if not, nothing new is started and nothing
-   *     is drawn from the report
-   * @param own the report came by itself, so all answers to earlier ones have arrived or never
-   *     will; only then does absence prove anything
+   * @param hasAuthority this node surely holds authority; if not, nothing new is started and
+   *     nothing is drawn from the report
+   * @param workerInitiated the report came by itself, so all answers to earlier ones have arrived
+   *     or never will; only then does absence prove anything
    */
-  record Scope(boolean authority, boolean own) {}
+  record Scope(boolean hasAuthority, boolean workerInitiated) {}
 
   private final Timers timers;
   private final Tables tables;
@@ -70,21 +70,21 @@
     final Report report;
     final Scope scope;
     final WorkerCommands commands;
-    final Map<String, Report.Entry> shown = new HashMap<>();
+    final Map<String, Report.Entry> reportedTasks = new HashMap<>();
     final List<Order> orders = new ArrayList<>();
 
     Pass(Machine machine, Report report, Scope scope) {
       this.machine = machine;
       this.report = report;
       this.scope = scope;
-      this.commands = links.commands(machine);
+      this.commands = links.commandsTo(machine);
     }
 
-    CommandEvent event(CommandEvent.Kind kind, TaskAttempt attempt, String reason) {
-      return links.event(kind, machine, attempt, report, tables.view().epoch(), reason);
+    CommandEvent newEvent(CommandEvent.Kind kind, TaskAttempt attempt, String reason) {
+      return links.newEvent(kind, machine, attempt, report, tables.view().epoch(), reason);
     }
 
-    void note(CommandEvent.Kind kind, TaskAttempt attempt, String reason) {
+    void recordEvent(CommandEvent.Kind kind, TaskAttempt attempt, String reason) {
       links.recordEvent(kind, machine, attempt, report, tables.view().epoch(), reason);
     }
   }
@@ -93,11 +93,11 @@
   List<Order> plan(Machine machine, Report report, Scope scope) {
     Pass pass = new Pass(machine, report, scope);
     for (Report.Entry entry : report.tasks()) {
-      pass.shown.put(entry.task(), entry);
-      planShown(pass, entry);
+      pass.reportedTasks.put(entry.task(), entry);
+      planReported(pass, entry);
     }
-    if (scope.authority) {
-      planBooked(pass);
+    if (scope.hasAuthority) {
+      planAssigned(pass);
     }
     return pass.orders;
   }
@@ -107,7 +107,7 @@
    * which renews the worker's lease all the same. A renewal without them would let a cancelled task
    * go on for another lease.
    */
-  List<Order> haltsOfCancelled(Machine machine) {
+  List<Order> planHaltsOfCancelledJobs(Machine machine) {
     return plan(machine, machine.report(), new Scope(false, false)).stream()
         .filter(order -> order instanceof Order.Halt)
         .toList();
@@ -115,66 +115,68 @@
 
   // ---- what the report shows ----
 
-  private void planShown(Pass pass, Report.Entry entry) {
+  private void planReported(Pass pass, Report.Entry entry) {
     Job job = tables.job(entry.job());
     TaskState state =
         job == null || entry.index() >= job.taskCount() ? null : job.task(entry.index());
-    boolean booked =
+    boolean isAssigned =
         state != null
             && state.isLive()
             && state.machine() == pass.machine
             && state.attempt() == entry.attempt();
     boolean exited = entry.phase() == Report.Phase.EXITED;
-    if (!booked) {
-      planUnbooked(pass, entry);
+    if (!isAssigned) {
+      planUnassigned(pass, entry);
     } else if (exited) {
       planExited(pass, job, state, entry);
     } else {
       if (entry.phase() != Report.Phase.FETCHING) {
         pass.machine.markImageReady(job.spec().image(), job.spec().imageGb(), timers.nowMs());
       }
-      halt(pass, job, state, entry);
+      planHalt(pass, job, state, entry);
     }
   }
 
   /** Nothing durable stands for it: it is over, or was never to be. */
-  private void planUnbooked(Pass pass, Report.Entry entry) {
+  private void planUnassigned(Pass pass, Report.Entry entry) {
     if (entry.phase() != Report.Phase.EXITED) {
-      if (pass.scope.authority || tables.isWithdrawalAnnounced(entry.job())) {
+      if (pass.scope.hasAuthority || tables.isWithdrawalAnnounced(entry.job())) {
         addHalt(pass, entry, 0, "not booked");
       }
       return;
     }
-    TaskAttempt attempt = attempt(entry);
+    TaskAttempt attempt = attemptOf(entry);
     Verdict verdict =
-        pass.commands.mayClear(attempt, pass.scope.own, pass.machine.epochAcknowledged());
+        pass.commands.mayClear(
+            attempt, pass.scope.workerInitiated, pass.machine.epochAcknowledged());
     if (verdict.isAllowed()) {
       addClear(pass, entry, verdict);
     }
   }
 
   private void planExited(Pass pass, Job job, TaskState state, Report.Entry entry) {
-    boolean alone = Report.ALONE.equals(entry.why());
-    if (alone && pass.scope.authority && goesOnWaiting(pass, job, state, entry)) {
-      if (pass.scope.own) {
+    boolean gaveUpGangWait = Report.ALONE.equals(entry.why());
+    if (gaveUpGangWait && pass.scope.hasAuthority && mayRestartGangWait(pass, job, state, entry)) {
+      if (pass.scope.workerInitiated) {
         // Under the same attempt, on the same machine: its mates keep the images they fetch. It is
         // wanted, so a run that is still outstanding does no harm after the clear.
-        pass.commands.waited(attempt(entry));
+        pass.commands.gangWaitRestarted(attemptOf(entry));
         pass.orders.add(new Order.Clear(entry.job(), entry.index(), entry.attempt()));
         pass.orders.add(new Order.Run(entry.job(), entry.index(), entry.attempt()));
       }
       return;
     }
-    if (alone && !pass.machine.epochAcknowledged()) {
+    if (gaveUpGangWait && !pass.machine.epochAcknowledged()) {
       // Of all ends only this one may be followed by the same attempt running again, and whoever
       // shows an older epoch may be a copy from before that.
       return;
     }
     // Told to go on waiting, it may start once more until a report of its own comes: by then the
     // answer that tells it so has arrived, or never will.
-    boolean over = pass.scope.own || pass.commands.waits(attempt(entry)) == 0;
-    if (pass.scope.authority && over) {
-      exited(pass, job, entry);
+    boolean isOver =
+        pass.scope.workerInitiated || pass.commands.gangWaitRestarts(attemptOf(entry)) == 0;
+    if (pass.scope.hasAuthority && isOver) {
+      handleExit(pass, job, entry);
     }
   }
 
@@ -183,15 +185,15 @@
    * on one machine than a gang waits on another. Were the attempt over for that, the others would
    * give up their fetches and begin anew, again and again. It goes on waiting, so often at most.
    */
-  private boolean goesOnWaiting(Pass pass, Job job, TaskState state, Report.Entry entry) {
+  private boolean mayRestartGangWait(Pass pass, Job job, TaskState state, Report.Entry entry) {
     return !job.withdrawnOrAnnounced()
         && state.stop() == TaskState.Stop.NONE
         && job.liveCount() == job.taskCount()
-        && !pipeline.exiting(job, entry.index(), entry.attempt())
-        && pass.commands.waits(attempt(entry)) < WAITS_MOST;
+        && !pipeline.isExiting(job, entry.index(), entry.attempt())
+        && pass.commands.gangWaitRestarts(attemptOf(entry)) < MAX_GANG_WAIT_RESTARTS;
   }
 
-  private void halt(Pass pass, Job job, TaskState state, Report.Entry entry) {
+  private void planHalt(Pass pass, Job job, TaskState state, Report.Entry entry) {
     if (job.withdrawnOrAnnounced()) {
       addHalt(pass, entry, 0, "job called off");
     } else if (state.stop() == TaskState.Stop.KILL) {
@@ -201,12 +203,12 @@
     }
   }
 
-  private void exited(Pass pass, Job job, Report.Entry entry) {
-    if (!pipeline.exited(job, entry.index(), entry.attempt(), pass.machine, entry.why())) {
+  private void handleExit(Pass pass, Job job, Report.Entry entry) {
+    if (!pipeline.recordExit(job, entry.index(), entry.attempt(), pass.machine, entry.why())) {
       // Reported again until it is cleared: it failed once.
       return;
     }
-    pass.note(CommandEvent.Kind.ATTEMPT_ENDED, attempt(entry), "shown as " + entry.why());
+    pass.recordEvent(CommandEvent.Kind.ATTEMPT_ENDED, attemptOf(entry), "shown as " + entry.why());
     String machine = pass.machine.name();
     if (Report.ERROR.equals(entry.why())) {
       // Told once a round by all of a suspect's tasks together.
@@ -223,79 +225,80 @@
 
   // ---- what is booked on the machine ----
 
-  private void planBooked(Pass pass) {
-    if (pass.scope.own) {
-      Set<String> booked = new HashSet<>();
-      pass.machine.slots().forEach(slot -> booked.add(slot.taskName()));
-      pass.commands.retain(booked);
+  private void planAssigned(Pass pass) {
+    if (pass.scope.workerInitiated) {
+      Set<String> assignedTasks = new HashSet<>();
+      pass.machine.slots().forEach(slot -> assignedTasks.add(slot.taskName()));
+      pass.commands.retainTasks(assignedTasks);
     }
     for (Machine.Slot slot : pass.machine.slots()) {
-      Report.Entry entry = pass.shown.get(slot.taskName());
-      TaskAttempt attempt = attempt(slot);
+      Report.Entry entry = pass.reportedTasks.get(slot.taskName());
+      TaskAttempt attempt = attemptOf(slot);
       if (entry != null && entry.attempt() == attempt.attempt()) {
-        boolean first =
+        boolean firstReport =
             pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
-        if (first && pass.scope.own) {
+        if (firstReport && pass.scope.workerInitiated) {
           // It was told to run this, and does.
           pass.machine.markReachableForCommands();
         }
-      } else if (entry == null && !exiting(slot)) {
+      } else if (entry == null && !isExiting(slot)) {
         // Where another attempt is here still, ours starts when it is gone; and what is known to be
         // over must not start again while that is being written.
-        if (planAbsent(pass, slot, attempt) == Verdict.WORKER_RESTARTED) {
+        if (planUnreported(pass, slot, attempt) == Verdict.WORKER_RESTARTED) {
           pass.orders.clear();
-          links.restarted(pass.machine, pass.report, tables.view().epoch());
+          links.workerRestarted(pass.machine, pass.report, tables.view().epoch());
           return;
         }
       }
     }
   }
 
-  private boolean exiting(Machine.Slot slot) {
-    return pipeline.exiting(slot.job(), slot.index(), slot.state().attempt());
+  private boolean isExiting(Machine.Slot slot) {
+    return pipeline.isExiting(slot.job(), slot.index(), slot.state().attempt());
   }
 
   /** The report does not show an attempt that is booked here. */
-  private Verdict planAbsent(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
+  private Verdict planUnreported(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     Machine machine = pass.machine;
     Report report = pass.report;
-    boolean deaf = machine.unreachableForCommandsSinceMs() > 0;
+    boolean unreachable = machine.unreachableForCommandsSinceMs() > 0;
     Verdict verdict =
         pass.commands.mayEnd(
             attempt,
             new WorkerCommands.AbsenceEvidence(
-                pass.scope.own,
+                pass.scope.workerInitiated,
                 machine.epochAcknowledged(),
                 report.tenure(),
-                deaf,
+                unreachable,
                 slot.mustStop()));
     if (verdict == Verdict.PROVEN) {
-      lost(pass, slot, attempt, verdict);
+      handleLoss(pass, slot, attempt, verdict);
     } else if (pass.commands.wasReported(attempt) || slot.mustStop()) {
       if (verdict == Verdict.DIRECT_RUN_UNANSWERED) {
-        pass.note(CommandEvent.Kind.END_REFUSED, attempt, verdict.name());
+        pass.recordEvent(CommandEvent.Kind.END_REFUSED, attempt, verdict.name());
       }
-    } else if (deaf) {
+    } else if (unreachable) {
       // Nothing reaches it: what is told now could only come late. Its next session proves that it
       // has not got this.
-      if (!pass.commands.knows(attempt)) {
+      if (!pass.commands.hasLastRun(attempt)) {
         pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
       }
     } else if (machine.phase() != Machine.Phase.GONE
-        && (pass.scope.own || !pass.commands.sentAfter(attempt, report.tick()))) {
+        && (pass.scope.workerInitiated || !pass.commands.wasSentAfter(attempt, report.tick()))) {
       addRun(pass, slot, attempt);
     }
     return verdict;
   }
 
   /** The attempt is not on its machine any more, without a trace. */
-  private void lost(Pass pass, Machine.Slot slot, TaskAttempt attempt, Verdict verdict) {
-    CommandEvent event = pass.event(CommandEvent.Kind.ATTEMPT_ENDED, attempt, "absent: " + verdict);
-    boolean proved = pass.scope.own && !pass.commands.runOutstanding(attempt);
-    if (!monitor.check(Invariant.NO_END_WITHOUT_PROOF, proved, event)) {
+  private void handleLoss(Pass pass, Machine.Slot slot, TaskAttempt attempt, Verdict verdict) {
+    CommandEvent event =
+        pass.newEvent(CommandEvent.Kind.ATTEMPT_ENDED, attempt, "absent: " + verdict);
+    boolean isProven = pass.scope.workerInitiated && !pass.commands.isRunOutstanding(attempt);
+    if (!monitor.check(Invariant.NO_END_WITHOUT_PROOF, isProven, event)) {
       return;
     }
-    if (pipeline.exited(slot.job(), slot.index(), attempt.attempt(), pass.machine, null)) {
+    if (pipeline.recordExit(slot.job(), slot.index(), attempt.attempt(), pass.machine, null)) {
       links.record(event);
       if (pass.commands.wasReported(attempt)) {
         LOG.info(
@@ -308,13 +311,14 @@
 
   private void addRun(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     CommandEvent.Kind kind =
-        pass.scope.own ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
-    CommandEvent event = pass.event(kind, attempt, "booked, not shown");
-    boolean cancelled = slot.job().withdrawnOrAnnounced();
-    boolean booked = slot.state().isLive() && slot.state().machine() == pass.machine;
+        pass.scope.workerInitiated ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
+    CommandEvent event = pass.newEvent(kind, attempt, "booked, not shown");
+    boolean isCancelled = slot.job().withdrawnOrAnnounced();
+    boolean isAssigned = slot.state().isLive() && slot.state().machine() == pass.machine;
     boolean holdsLease = membership.status() == Membership.Status.MEMBER;
-    if (!monitor.check(Invariant.NO_START_OF_A_CANCELLED_JOB, !cancelled, event)
-        || !monitor.check(Invariant.NO_START_OF_AN_ENDED_ATTEMPT, booked && !exiting(slot), event)
+    if (!monitor.check(Invariant.NO_START_OF_A_CANCELLED_JOB, !isCancelled, event)
+        || !monitor.check(
+            Invariant.NO_START_OF_AN_ENDED_ATTEMPT, isAssigned && !isExiting(slot), event)
         || !monitor.check(Invariant.NO_START_WITHOUT_A_LEASE, holdsLease, event)) {
       return;
     }
@@ -326,24 +330,24 @@
 
   private void addHalt(Pass pass, Report.Entry entry, double graceS, String reason) {
     pass.orders.add(new Order.Halt(entry.job(), entry.index(), entry.attempt(), graceS));
-    pass.note(CommandEvent.Kind.HALT, attempt(entry), reason);
+    pass.recordEvent(CommandEvent.Kind.HALT, attemptOf(entry), reason);
   }
 
   private void addClear(Pass pass, Report.Entry entry, Verdict verdict) {
-    TaskAttempt attempt = attempt(entry);
-    CommandEvent event = pass.event(CommandEvent.Kind.CLEAR, attempt, verdict.name());
-    boolean nothingArrives = !pass.commands.runOutstanding(attempt);
+    TaskAttempt attempt = attemptOf(entry);
+    CommandEvent event = pass.newEvent(CommandEvent.Kind.CLEAR, attempt, verdict.name());
+    boolean nothingArrives = !pass.commands.isRunOutstanding(attempt);
     if (monitor.check(Invariant.NO_CLEAR_WHILE_A_RUN_MAY_ARRIVE, nothingArrives, event)) {
       pass.orders.add(new Order.Clear(entry.job(), entry.index(), entry.attempt()));
       links.record(event);
     }
   }
 
-  private static TaskAttempt attempt(Report.Entry entry) {
+  private static TaskAttempt attemptOf(Report.Entry entry) {
     return new TaskAttempt(entry.task(), entry.attempt());
   }
 
-  private static TaskAttempt attempt(Machine.Slot slot) {
+  private static TaskAttempt attemptOf(Machine.Slot slot) {
     return new TaskAttempt(slot.taskName(), slot.state().attempt());
   }
 }
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -25,16 +25,16 @@
  */
 final class DirectCommands {
   /** Most commands that one message holds, whichever way it goes. */
-  static final int MAX_ORDERS = 400;
+  static final int MAX_ORDERS_PER_MESSAGE = 400;
 
   /** An answer that has not come by then is not waited for any more. */
   static final long ANSWER_TIMEOUT_MS = 3000;
 
-  private static final int OK = 200;
-  private static final int REFUSED = 409;
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_CONFLICT = 409;
 
   /** Of a lease: so often at most a worker is asked for an answer. */
-  private static final int PROBES_A_LEASE = 8;
+  private static final int MAX_PROBES_PER_LEASE = 8;
 
   private final Timers timers;
   private final Tables tables;
@@ -67,11 +67,11 @@
   /**
    * Sends what is wanted at once.
    *
-   * @param authority as for {@link CommandPlanner.Scope}
+   * @param hasAuthority as for {@link CommandPlanner.Scope}
    */
-  void send(Machine machine, boolean authority) {
+  void sendPlannedCommands(Machine machine, boolean hasAuthority) {
     Report report = machine.report();
-    WorkerLink link = links.of(machine);
+    WorkerLink link = links.linkTo(machine);
     if (report == null
         || !machine.epochAcknowledged()
         || link.inFlight
@@ -80,10 +80,12 @@
     }
     List<Order> orders = new ArrayList<>();
     List<TaskAttempt> runs = new ArrayList<>();
-    for (Order order : planner.plan(machine, report, new CommandPlanner.Scope(authority, false))) {
+    for (Order order :
+        planner.plan(machine, report, new CommandPlanner.Scope(hasAuthority, false))) {
       TaskAttempt attempt = new TaskAttempt(order.job() + "/" + order.index(), order.attempt());
-      boolean again = order instanceof Order.Halt && !link.firstHalt(attempt, timers.nowMs());
-      if (orders.size() < MAX_ORDERS && !again) {
+      boolean isRepeatedHalt =
+          order instanceof Order.Halt && !link.tryRecordHalt(attempt, timers.nowMs());
+      if (orders.size() < MAX_ORDERS_PER_MESSAGE && !isRepeatedHalt) {
         orders.add(order);
         if (order instanceof Order.Run) {
           runs.add(attempt);
@@ -91,22 +93,22 @@
       }
     }
     if (!orders.isEmpty()) {
-      post(machine, link, report.tenure(), orders, runs);
+      sendCommand(machine, link, report.tenure(), orders, runs);
     }
   }
 
   /** Asks a worker that seems deaf, or new, for an answer; whoever answers hears. */
   void probe(Machine machine, long session) {
-    WorkerLink link = links.of(machine);
+    WorkerLink link = links.linkTo(machine);
     long now = timers.nowMs();
-    if (link.inFlight || now < link.probeAtMs || machine.report() == null) {
+    if (link.inFlight || now < link.nextProbeMs || machine.report() == null) {
       return;
     }
-    link.probeAtMs = now + leaseMs / PROBES_A_LEASE;
-    post(machine, link, session, List.of(), List.of());
+    link.nextProbeMs = now + leaseMs / MAX_PROBES_PER_LEASE;
+    sendCommand(machine, link, session, List.of(), List.of());
   }
 
-  private void post(
+  private void sendCommand(
       Machine machine, WorkerLink link, long session, List<Order> orders, List<TaskAttempt> runs) {
     long epoch = tables.view().epoch();
     WorkerCommands.DirectRuns command =
@@ -115,7 +117,7 @@
     body.put("epoch", epoch);
     body.put("tenure", session);
     body.put("orders", orders.stream().map(Order::toWire).toList());
-    link.sent(machine.report());
+    link.commandSent(machine.report());
     link.commands.directCommandSent(command);
     caller.call(
         machine.report().address(),
@@ -123,16 +125,16 @@
         "/orders",
         MessageCodec.encode(body),
         ANSWER_TIMEOUT_MS,
-        answer -> answered(machine, link, command, answer));
+        answer -> handleAnswer(machine, link, command, answer));
   }
 
-  private void answered(
+  private void handleAnswer(
       Machine machine, WorkerLink link, WorkerCommands.DirectRuns command, Caller.Answer answer) {
     link.inFlight = false;
-    if (answer.status() != OK && answer.status() != REFUSED) {
+    if (answer.status() != HTTP_OK && answer.status() != HTTP_CONFLICT) {
       // It may arrive yet. The answers to reports repeat it.
       if (!command.runs().isEmpty()) {
-        links.unanswered(machine, machine.report(), command.epoch());
+        links.commandUnanswered(machine, machine.report(), command.epoch());
       }
       return;
     }
@@ -144,30 +146,30 @@
       return;
     }
     try {
-      take(machine, link, Report.parse(Document.parse(answer.body())), view);
-    } catch (BadMessage e) {
-      malformed.note(MalformedMessages.Sender.WORKER, "answer to orders", e);
+      applyReport(machine, link, Report.parse(Document.parse(answer.body())), view);
+    } catch (BadMessage cause) {
+      malformed.note(MalformedMessages.Sender.WORKER, "answer to orders", cause);
     }
   }
 
   /** What the worker shows after a command is as it is now: no copy of an answer can come. */
-  private void take(Machine machine, WorkerLink link, Report report, View view) {
-    if (link.olderThanKnown(report)) {
-      links.restarted(machine, report, view.epoch());
+  private void applyReport(Machine machine, WorkerLink link, Report report, View view) {
+    if (link.isOlderThanCommand(report)) {
+      links.workerRestarted(machine, report, view.epoch());
       return;
     }
     links.recordEvent(CommandEvent.Kind.DIRECT_ANSWERED, machine, report, view.epoch(), "");
-    Report last = machine.report();
-    if (last == null || report.notNewerThan(last)) {
+    Report lastReport = machine.report();
+    if (lastReport == null || report.notNewerThan(lastReport)) {
       return;
     }
-    boolean proves = machine.receiveReply(report, view.epoch(), timers.nowMs());
-    machine.setEpochAcknowledged(proves && report.epoch() == view.epoch());
-    if (proves) {
+    boolean isProof = machine.receiveReply(report, view.epoch(), timers.nowMs());
+    machine.setEpochAcknowledged(isProof && report.epoch() == view.epoch());
+    if (isProof) {
       link.commands.epochReported(report.epoch(), report.tenure());
     }
     if (membership.status() == Membership.Status.MEMBER) {
-      send(machine, true);
+      sendPlannedCommands(machine, true);
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -18,117 +18,118 @@
 /** Decides what of the logs is stored elsewhere, so that their pages can go. */
 final class LogCompaction {
   private static final Logger LOG = LoggerFactory.getLogger(LogCompaction.class);
-  private static final long SHELVES_MS = 5000;
+  private static final long ARCHIVE_CLEANUP_INTERVAL_MS = 5000;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Membership membership;
   private final Tuning tuning;
   private final String node;
   private final StateServiceLimits limits;
-  private final Set<String> told = new HashSet<>();
-  private long nextShelvesMs;
+  private final Set<String> reportedKeys = new HashSet<>();
+  private long nextArchiveCleanupMs;
 
   LogCompaction(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       Membership membership,
       Tuning tuning,
       String node) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.membership = membership;
     this.tuning = tuning;
     this.node = node;
-    this.limits = ledger.limits();
+    this.limits = stateService.limits();
   }
 
   /**
    * Stores what the oldest page says in the jobs' chunks and the machines' shelves, then deletes
    * it. While there is other work this waits, until the log is twice as long as it should be.
    */
-  void draft(TransactionBuilder draft) {
+  void addCompaction(TransactionBuilder builder) {
     List<String> logs = new ArrayList<>(List.of(node));
     if (membership.isLeader()) {
       // A node outside the view can't write: the leader does it.
-      for (String n : tables.nodesWithLogPages()) {
-        if (!tables.view().members().containsKey(n)) {
-          logs.add(n);
+      for (String logNode : tables.nodesWithLogPages()) {
+        if (!tables.view().members().containsKey(logNode)) {
+          logs.add(logNode);
         }
       }
-      forgetShelves(draft);
+      deleteEmptyArchiveBuckets(builder);
     }
-    for (String n : logs) {
-      var pages = tables.logPages(n);
+    for (String logNode : logs) {
+      var pages = tables.logPages(logNode);
       // What has ended by the time its page is the oldest needs no folding.
-      int keep = n.equals(node) ? tuning.logPages() : 0;
-      if (pages.size() > (draft.empty() ? keep : 2 * keep)) {
-        fold(draft, pages.firstEntry().getValue());
+      int pagesToKeep = logNode.equals(node) ? tuning.logPages() : 0;
+      if (pages.size() > (builder.isEmpty() ? pagesToKeep : 2 * pagesToKeep)) {
+        compactPage(builder, pages.firstEntry().getValue());
       }
     }
   }
 
-  private void fold(TransactionBuilder draft, LogPage p) {
-    Tables.RequiredWrites needed = tables.requiredWrites(p);
-    long rev = ledger.rev();
-    for (Map.Entry<Job, Set<Integer>> e : needed.chunks().entrySet()) {
-      Job job = e.getKey();
-      for (int c : e.getValue()) {
-        if (!draft.canAddWrites() || !draft.canAddConditions()) {
+  private void compactPage(TransactionBuilder builder, LogPage page) {
+    Tables.RequiredWrites needed = tables.requiredWrites(page);
+    long revision = stateService.rev();
+    for (Map.Entry<Job, Set<Integer>> entry : needed.chunks().entrySet()) {
+      Job job = entry.getKey();
+      for (int chunk : entry.getValue()) {
+        if (!builder.canAddWrites() || !builder.canAddConditions()) {
           return;
         }
-        draft.addCondition(job.key(), job.stamp());
+        builder.addCondition(job.key(), job.stamp());
         Object value =
-            job.chunkToStore(c, rev, job::task, tables.encoding(), limits.targetValueBytes());
-        if (tooLarge(value, job.chunkKey(c))) {
+            job.chunkToStore(
+                chunk, revision, job::task, tables.encoding(), limits.targetValueBytes());
+        if (exceedsValueLimit(value, job.chunkKey(chunk))) {
           return;
         }
-        draft.write(job.chunkKey(c), value, job.chunkStamp(c));
+        builder.write(job.chunkKey(chunk), value, job.chunkStamp(chunk));
       }
     }
-    for (String shelf : needed.archiveBuckets()) {
-      if (!draft.canAddWrites() || !draft.canAddConditions()) {
+    for (String bucket : needed.archiveBuckets()) {
+      if (!builder.canAddWrites() || !builder.canAddConditions()) {
         return;
       }
-      Map<String, Object> value = tables.encodeArchiveBucket(shelf, rev);
-      if (tooLarge(value, Tables.archiveBucketKey(shelf))) {
+      Map<String, Object> value = tables.encodeArchiveBucket(bucket, revision);
+      if (exceedsValueLimit(value, Tables.archiveBucketKey(bucket))) {
         return;
       }
-      draft.write(Tables.archiveBucketKey(shelf), value, tables.archiveBucket(shelf).stamp());
+      builder.write(Tables.archiveBucketKey(bucket), value, tables.archiveBucket(bucket).stamp());
     }
     // In the same transaction: if a chunk can't be stored, the page stays.
-    if (draft.canAddWrites() && draft.canAddConditions()) {
-      draft.addCondition(p.key(), p.stamp());
-      draft.delete(p.key());
+    if (builder.canAddWrites() && builder.canAddConditions()) {
+      builder.addCondition(page.key(), page.stamp());
+      builder.delete(page.key());
     }
   }
 
   /** Then its page stays: what it says is nowhere else. Told once a record. */
-  private boolean tooLarge(Object value, String key) {
-    boolean over = MessageCodec.jsonSize(value) > limits.maxValueBytes();
-    if (over && told.add(key)) {
+  private boolean exceedsValueLimit(Object value, String key) {
+    boolean isTooLarge = MessageCodec.jsonSize(value) > limits.maxValueBytes();
+    if (isTooLarge && reportedKeys.add(key)) {
       LOG.error("{} would be larger than a value may be: the page that needs it stays", key);
     }
-    return over;
+    return isTooLarge;
   }
 
   /** A shelf whose machines are all forgotten goes when no page is left that names them. */
-  private void forgetShelves(TransactionBuilder draft) {
+  private void deleteEmptyArchiveBuckets(TransactionBuilder builder) {
     long now = timers.nowMs();
-    if (!draft.empty() || now < nextShelvesMs) {
+    if (!builder.isEmpty() || now < nextArchiveCleanupMs) {
       return;
     }
-    nextShelvesMs = now + SHELVES_MS;
-    long oldest = tables.oldestEntryRev();
-    for (Map.Entry<String, Tables.ArchiveBucket> e : tables.archiveBuckets().entrySet()) {
-      if (e.getValue().rev() < oldest
-          && tables.isArchiveBucketEmpty(e.getKey())
-          && draft.canAddWrites()) {
-        draft.addCondition(Tables.archiveBucketKey(e.getKey()), e.getValue().stamp());
-        draft.delete(Tables.archiveBucketKey(e.getKey()));
+    nextArchiveCleanupMs = now + ARCHIVE_CLEANUP_INTERVAL_MS;
+    long oldestEntryRevision = tables.oldestEntryRev();
+    for (Map.Entry<String, Tables.ArchiveBucket> entry : tables.archiveBuckets().entrySet()) {
+      if (entry.getValue().rev() < oldestEntryRevision
+          && tables.isArchiveBucketEmpty(entry.getKey())
+          && builder.canAddWrites()) {
+        builder.addCondition(Tables.archiveBucketKey(entry.getKey()), entry.getValue().stamp());
+        builder.delete(Tables.archiveBucketKey(entry.getKey()));
       }
     }
   }
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -33,50 +33,50 @@
   private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
   /** A command that was sent straight and in answers has come by then, or does not come. */
-  private static final long IGNORED_MS = 3500;
+  private static final long RUN_DELIVERY_TIMEOUT_MS = 3500;
 
-  private static final long CATCH_UP_MS = 1000;
+  private static final long CATCH_UP_TIMEOUT_MS = 1000;
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final Membership membership;
   private final TransactionPipeline pipeline;
   private final Tuning tuning;
   private final String node;
-  private final ReportRelay relay;
+  private final ReportRelay reportRelay;
   private final Zones zones;
   private final MalformedMessages malformed;
   private final WorkerLinks links;
   private final CommandPlanner planner;
   private final DirectCommands directCommands;
-  private final MachineHealthMonitor silenceWatch;
+  private final MachineHealthMonitor healthMonitor;
 
   /** Machines that were told of their owner in this view. */
-  private final Set<String> sentAway = new HashSet<>();
+  private final Set<String> redirectedMachines = new HashSet<>();
 
   /** Machines of our part that have not reported to us in this view. */
-  private final Set<String> unheard = new HashSet<>();
+  private final Set<String> unreportedMachines = new HashSet<>();
 
-  private View current;
-  private View before;
-  private String viewLeader;
+  private View currentView;
+  private View previousView;
+  private String lastLeader;
   private long viewEpoch;
-  private long viewSinceMs;
+  private long viewStartedMs;
 
   private final long leaseMs;
-  private Set<String> owned = new HashSet<>();
+  private Set<String> ownedMachines = new HashSet<>();
 
   /** Answers no report before the tables are loaded. */
   public ReportHandler(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       Membership membership,
       TransactionPipeline pipeline,
       Tuning tuning,
       Caller caller,
-      ReportRelay relay,
+      ReportRelay reportRelay,
       PauseDetector pauseDetector,
       Zones zones,
       WorkerLinks links,
@@ -84,12 +84,12 @@
       String node,
       MalformedMessages malformed) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.membership = membership;
     this.pipeline = pipeline;
     this.tuning = tuning;
-    this.relay = relay;
+    this.reportRelay = reportRelay;
     this.zones = zones;
     this.links = links;
     this.leaseMs = leaseMs;
@@ -98,81 +98,81 @@
     planner = new CommandPlanner(timers, tables, pipeline, membership, links);
     directCommands =
         new DirectCommands(timers, tables, membership, links, planner, caller, leaseMs, malformed);
-    silenceWatch =
+    healthMonitor =
         new MachineHealthMonitor(
             timers, tables, membership, pipeline, tuning, pauseDetector, zones, links, node);
   }
 
   public void start() {
-    silenceWatch.start();
+    healthMonitor.start();
   }
 
   // ---- a new view ----
 
   /** Called after the tables changed, with the machines that did. */
   public void tablesChanged(List<Machine> changed) {
-    View v = tables.view();
-    if (v != null && v.epoch() != viewEpoch) {
-      viewChanged(v);
+    View view = tables.view();
+    if (view != null && view.epoch() != viewEpoch) {
+      viewChanged(view);
     }
-    if (v != null && membership.status() == Membership.Status.MEMBER) {
-      for (Machine m : changed) {
-        if (owned.contains(m.name()) && m.pollChanged()) {
-          directCommands.send(m, true);
+    if (view != null && membership.status() == Membership.Status.MEMBER) {
+      for (Machine machine : changed) {
+        if (ownedMachines.contains(machine.name()) && machine.pollChanged()) {
+          directCommands.sendPlannedCommands(machine, true);
         }
       }
     }
   }
 
-  private void viewChanged(View v) {
+  private void viewChanged(View view) {
     // Of views in between nothing is known: someone else may have owned any of our machines, and
     // have answered its worker, as when we stood still meanwhile.
-    boolean skipped = v.epoch() > viewEpoch + 1;
-    before = current;
-    current = v;
-    viewEpoch = v.epoch();
-    sentAway.clear();
-    viewSinceMs = timers.nowMs();
-    silenceWatch.onEpochStarted(viewEpoch, viewSinceMs);
+    boolean skippedViews = view.epoch() > viewEpoch + 1;
+    previousView = currentView;
+    currentView = view;
+    viewEpoch = view.epoch();
+    redirectedMachines.clear();
+    viewStartedMs = timers.nowMs();
+    healthMonitor.onEpochStarted(viewEpoch, viewStartedMs);
     LOG.info(
         "epoch {}: members with incarnations {}, leader {}, read at revision {}",
-        v.epoch(),
-        v.members(),
-        v.leader(),
+        view.epoch(),
+        view.members(),
+        view.leader(),
         tables.appliedRev());
-    boolean leads = v.leader().equals(node);
-    boolean gainedLead = leads && !v.leader().equals(viewLeader);
-    boolean joined = owned.isEmpty();
-    viewLeader = v.leader();
-    Set<String> now = new HashSet<>();
-    unheard.clear();
-    for (Machine m : tables.machines()) {
-      m.setEpochAcknowledged(false);
-      if (node.equals(m.owner(v))) {
-        now.add(m.name());
-        if (skipped || !wasOurs(m)) {
+    boolean isLeader = view.leader().equals(node);
+    boolean becameLeader = isLeader && !view.leader().equals(lastLeader);
+    boolean ownedNothing = ownedMachines.isEmpty();
+    lastLeader = view.leader();
+    Set<String> ownedNow = new HashSet<>();
+    unreportedMachines.clear();
+    for (Machine machine : tables.machines()) {
+      machine.setEpochAcknowledged(false);
+      if (node.equals(machine.owner(view))) {
+        ownedNow.add(machine.name());
+        if (skippedViews || !ownedInPreviousView(machine)) {
           // Its owner until now may go on answering it for as long as the grace allows.
-          m.resetReports(viewSinceMs + tuning.graceMs(), viewSinceMs);
-          links.forgetRuns(m);
+          machine.resetReports(viewStartedMs + tuning.graceMs(), viewStartedMs);
+          links.forgetRuns(machine);
         }
-        if (m.report() == null && m.phase() == Machine.Phase.UP) {
-          unheard.add(m.name());
+        if (machine.report() == null && machine.phase() == Machine.Phase.UP) {
+          unreportedMachines.add(machine.name());
         }
       } else {
-        m.resetReports(0, viewSinceMs);
-        links.drop(m);
+        machine.resetReports(0, viewStartedMs);
+        links.removeLink(machine);
       }
     }
-    owned = now;
-    pipeline.newView();
+    ownedMachines = ownedNow;
+    pipeline.onNewView();
     // Whoever takes over places nothing on what it took over until reports had time to come in, or
     // all known machines have reported. A machine takes no task before it has reported, so a node
     // that had a part goes on with that; one that is new, and one that is new as leader, wait.
-    if (joined) {
-      pipeline.hold(viewSinceMs + tuning.settleMs());
+    if (ownedNothing) {
+      pipeline.holdPlacementsUntil(viewStartedMs + tuning.settleMs());
     }
-    if (gainedLead) {
-      pipeline.holdLead(viewSinceMs + tuning.settleMs());
+    if (becameLeader) {
+      pipeline.holdLeaderPlacementsUntil(viewStartedMs + tuning.settleMs());
     }
   }
 
@@ -181,150 +181,157 @@
    * change may have been counted as ours by its name alone, and its zone's controllers have
    * answered it since: to take its silence here for its own would end a lease that they renew.
    */
-  private boolean wasOurs(Machine m) {
-    return owned.contains(m.name())
-        && (before == null || node.equals(before.owner(m.name(), m.zone())));
+  private boolean ownedInPreviousView(Machine machine) {
+    return ownedMachines.contains(machine.name())
+        && (previousView == null
+            || node.equals(previousView.owner(machine.name(), machine.zone())));
   }
 
   // ---- reports ----
 
-  public void handleReport(Exchange x) {
-    hello(x, true);
+  public void handleReport(Exchange exchange) {
+    handleReport(exchange, true);
   }
 
   /** A report that a peer passed on: never passed on again. */
-  public void handleRelayedReport(Exchange x) {
-    hello(x, false);
+  public void handleRelayedReport(Exchange exchange) {
+    handleReport(exchange, false);
   }
 
-  private void hello(Exchange x, boolean mayRelay) {
+  private void handleReport(Exchange exchange, boolean mayRelay) {
     if (!membership.caughtUp()) {
       // After a pause: an answer under an epoch that was superseded meanwhile would hold the worker
       // here while its lease runs out. The state service being away, the grace decides.
-      ledger.barrier(CATCH_UP_MS, ok -> answer(x, mayRelay));
+      stateService.barrier(CATCH_UP_TIMEOUT_MS, ok -> answerReport(exchange, mayRelay));
       return;
     }
-    answer(x, mayRelay);
+    answerReport(exchange, mayRelay);
   }
 
-  private void answer(Exchange x, boolean mayRelay) {
-    Report r;
+  private void answerReport(Exchange exchange, boolean mayRelay) {
+    Report report;
     try {
-      r = Report.parse(Document.parse(x.body()));
-    } catch (BadMessage e) {
-      malformed.note(MalformedMessages.Sender.WORKER, "report", e);
-      x.reply(400, Map.of("error", e.getMessage()));
+      report = Report.parse(Document.parse(exchange.body()));
+    } catch (BadMessage cause) {
+      malformed.note(MalformedMessages.Sender.WORKER, "report", cause);
+      exchange.reply(400, Map.of("error", cause.getMessage()));
       return;
     }
-    zones.heard(r.zone(), timers.nowMs());
-    View v = tables.view();
-    if (v == null || ledger.phase() != StateServiceClient.Phase.FOLLOWING) {
-      x.reply(503, null, 1);
+    zones.heard(report.zone(), timers.nowMs());
+    View view = tables.view();
+    if (view == null || stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
+      exchange.reply(503, null, 1);
       return;
     }
-    if (r.epoch() > v.epoch() || membership.isViewOutdated()) {
+    if (report.epoch() > view.epoch() || membership.isViewOutdated()) {
       // Someone else commands by now: catch up, and let the worker find them.
-      ledger.barrier(2000, ok -> {});
-      x.reply(421, Map.of());
+      stateService.barrier(2000, ok -> {});
+      exchange.reply(421, Map.of());
       return;
     }
-    Membership.Status standing = membership.status();
-    String owner = v.owner(r.machine(), r.zone());
+    Membership.Status status = membership.status();
+    String owner = view.owner(report.machine(), report.zone());
     if (!owner.equals(node)) {
       // A worker that knows this epoch has been answered by its owner, and has left it: it can't
       // reach it. The owner may be well otherwise, so the report is passed on.
-      boolean left =
-          r.epoch() == v.epoch()
-              || sentAway.contains(r.machine())
+      boolean hasLeftOwner =
+          report.epoch() == view.epoch()
+              || redirectedMachines.contains(report.machine())
               // Answered by it under the view before, too.
-              || before != null
-                  && r.epoch() == before.epoch()
-                  && owner.equals(before.owner(r.machine(), r.zone()));
-      if (left && mayRelay && relay.forward(x, owner)) {
+              || previousView != null
+                  && report.epoch() == previousView.epoch()
+                  && owner.equals(previousView.owner(report.machine(), report.zone()));
+      if (hasLeftOwner && mayRelay && reportRelay.forward(exchange, owner)) {
         return;
       }
-      sentAway.add(r.machine());
+      redirectedMachines.add(report.machine());
       // A spare knows as much as a member; who is cut off from the store may not.
-      boolean knows = standing == Membership.Status.MEMBER || membership.isSpare();
-      x.reply(421, knows ? Map.of("upstream", owner) : Map.of());
+      boolean knowsOwner = status == Membership.Status.MEMBER || membership.isSpare();
+      exchange.reply(421, knowsOwner ? Map.of("upstream", owner) : Map.of());
       return;
     }
-    if (standing == Membership.Status.OUTSIDE) {
-      x.reply(503, null, 1);
+    if (status == Membership.Status.OUTSIDE) {
+      exchange.reply(503, null, 1);
       return;
     }
-    Machine m = tables.getOrCreateMachine(r.machine());
-    if (m.hasNewerUnsolicitedReport(r)) {
+    Machine machine = tables.getOrCreateMachine(report.machine());
+    if (machine.hasNewerUnsolicitedReport(report)) {
       // A copy: its worker has long had an answer, or has given up. It proves nothing, and an
       // answer that would renew a lease is not given. Or its machine was back so soon that nobody
       // missed it, and its worker counts from one again: only an answer of its own can tell.
-      directCommands.probe(m, r.tenure());
-      x.reply(503, null, 1);
+      directCommands.probe(machine, report.tenure());
+      exchange.reply(503, null, 1);
       return;
     }
-    Report last = m.report();
-    boolean late = last != null && m.provedAlive() && r.notNewerThan(last);
+    Report lastReport = machine.report();
+    boolean isOutdated =
+        lastReport != null && machine.provedAlive() && report.notNewerThan(lastReport);
     List<Order> orders;
-    if (!late) {
+    if (!isOutdated) {
       long now = timers.nowMs();
-      boolean proves = m.receiveReport(r, v.epoch(), now);
-      m.setEpochAcknowledged(proves && r.epoch() == v.epoch());
-      if (proves) {
-        links.commands(m).epochReported(r.epoch(), r.tenure());
+      boolean isProof = machine.receiveReport(report, view.epoch(), now);
+      machine.setEpochAcknowledged(isProof && report.epoch() == view.epoch());
+      if (isProof) {
+        links.commandsTo(machine).epochReported(report.epoch(), report.tenure());
       }
-      m.updateCommandReachability(r, proves, ignores(m, r, now), leaseMs, now);
-      if (unheard.remove(m.name()) && unheard.isEmpty()) {
-        pipeline.settle();
+      machine.updateCommandReachability(
+          report, isProof, hasIgnoredRun(machine, report, now), leaseMs, now);
+      if (unreportedMachines.remove(machine.name()) && unreportedMachines.isEmpty()) {
+        pipeline.settleNow();
       }
-      note(m, r, proves);
+      updateMachineRecord(machine, report, isProof);
       // What may be a copy proves nothing: it is answered, so that the next one shows our token.
-      boolean whole = standing == Membership.Status.MEMBER && proves;
-      orders = planner.plan(m, r, new CommandPlanner.Scope(whole, true));
+      boolean hasAuthority = status == Membership.Status.MEMBER && isProof;
+      orders = planner.plan(machine, report, new CommandPlanner.Scope(hasAuthority, true));
     } else {
       // Its answer renews the lease too, should the worker still wait for it.
-      orders = planner.haltsOfCancelled(m);
+      orders = planner.planHaltsOfCancelledJobs(machine);
     }
-    m.recordAnswer(timers.nowMs(), v.epoch());
+    machine.recordAnswer(timers.nowMs(), view.epoch());
     // One that is newly ours need not wait for its next report to prove itself.
-    boolean unproved = !late && !m.provedAlive() && m.phase() == Machine.Phase.UP;
-    if (m.unreachableForCommandsSinceMs() > 0 || unproved) {
-      directCommands.probe(m, r.tenure());
+    boolean unproved = !isOutdated && !machine.provedAlive() && machine.phase() == Machine.Phase.UP;
+    if (machine.unreachableForCommandsSinceMs() > 0 || unproved) {
+      directCommands.probe(machine, report.tenure());
     }
     Map<String, Object> body = new LinkedHashMap<>();
-    body.put("epoch", v.epoch());
+    body.put("epoch", view.epoch());
     body.put(
-        "orders", orders.stream().limit(DirectCommands.MAX_ORDERS).map(Order::toWire).toList());
-    x.reply(200, body);
+        "orders",
+        orders.stream().limit(DirectCommands.MAX_ORDERS_PER_MESSAGE).map(Order::toWire).toList());
+    exchange.reply(200, body);
   }
 
   /** Brings the machine's durable record up to what the report says. */
-  private void note(Machine m, Report r, boolean proves) {
-    owned.add(m.name());
-    if (!proves || m.unreachableForCommandsSinceMs() > 0) {
+  private void updateMachineRecord(Machine machine, Report report, boolean isProof) {
+    ownedMachines.add(machine.name());
+    if (!isProof || machine.unreachableForCommandsSinceMs() > 0) {
       // Perhaps a copy of what a machine said that is gone by now; or one that nothing reaches.
       return;
     }
-    Machine.Phase wanted = r.noticeS() != null ? Machine.Phase.DRAINING : Machine.Phase.UP;
-    Machine.Phase is = m.phase();
-    boolean change =
-        switch (is) {
+    Machine.Phase wantedPhase =
+        report.noticeS() != null ? Machine.Phase.DRAINING : Machine.Phase.UP;
+    Machine.Phase currentPhase = machine.phase();
+    boolean needsUpdate =
+        switch (currentPhase) {
           case UNKNOWN, BOOTING, LOST -> true;
-          case UP -> wanted == Machine.Phase.DRAINING;
+          case UP -> wantedPhase == Machine.Phase.DRAINING;
           case DRAINING, GONE -> false;
         };
-    if (change && !pipeline.hasPendingRecord(m)) {
+    if (needsUpdate && !pipeline.hasPendingRecord(machine)) {
       pipeline.enqueueRecord(
-          m, new Machine.Info(r.type(), r.zone(), r.spot(), wanted, timers.wallMs()));
+          machine,
+          new Machine.Info(
+              report.type(), report.zone(), report.spot(), wantedPhase, timers.wallMs()));
     }
   }
 
   /** Whether a report lacks a task that its worker was told to run longer ago than that takes. */
-  private boolean ignores(Machine m, Report r, long now) {
-    WorkerCommands commands = links.commands(m);
-    for (Machine.Slot slot : m.slots()) {
+  private boolean hasIgnoredRun(Machine machine, Report report, long now) {
+    WorkerCommands commands = links.commandsTo(machine);
+    for (Machine.Slot slot : machine.slots()) {
       TaskAttempt attempt = new TaskAttempt(slot.taskName(), slot.state().attempt());
-      if (commands.ignoredFor(attempt, IGNORED_MS, now)
-          && r.tasks().stream().noneMatch(e -> e.task().equals(slot.taskName()))) {
+      if (commands.isRunIgnoredLongerThan(attempt, RUN_DELIVERY_TIMEOUT_MS, now)
+          && report.tasks().stream().noneMatch(entry -> entry.task().equals(slot.taskName()))) {
         return true;
       }
     }
@@ -338,13 +345,13 @@
    * of it is over for good, whoever holds authority.
    */
   public void haltTasksOf(Job job) {
-    Membership.Status standing = membership.status();
-    if (standing == Membership.Status.OUTSIDE) {
+    Membership.Status status = membership.status();
+    if (status == Membership.Status.OUTSIDE) {
       return;
     }
-    for (Machine m : job.machines()) {
-      if (owned.contains(m.name())) {
-        directCommands.send(m, standing == Membership.Status.MEMBER);
+    for (Machine machine : job.machines()) {
+      if (ownedMachines.contains(machine.name())) {
+        directCommands.sendPlannedCommands(machine, status == Membership.Status.MEMBER);
       }
     }
   }
@@ -356,33 +363,35 @@
    * its fetch. Once so, it stays so: a later view's owner has read of the withdrawal. Where a lease
    * that nobody renews would outlast a cancellation, nothing of the job may be left at all.
    */
-  public boolean canConfirmWithdrawal(Machine m, String job) {
-    View v = tables.view();
-    Report r = m.report();
-    if (v == null || !node.equals(m.owner(v)) || v.epoch() != viewEpoch) {
+  public boolean canConfirmWithdrawal(Machine machine, String job) {
+    View view = tables.view();
+    Report report = machine.report();
+    if (view == null || !node.equals(machine.owner(view)) || view.epoch() != viewEpoch) {
       return false;
     }
-    if (r == null || !m.epochAcknowledged() || !m.provedAlive()) {
+    if (report == null || !machine.epochAcknowledged() || !machine.provedAlive()) {
       return false;
     }
-    WorkerCommands commands = links.commands(m);
+    WorkerCommands commands = links.commandsTo(machine);
     // One that was sent and shown is asked for too: it may be under way once more.
     Verdict verdict = commands.verifyNoRunPending(job);
     if (verdict.isAllowed()) {
-      verdict = shownHarmless(commands, r, job);
+      verdict = verifyReportedTasks(commands, report, job);
     }
-    links.recordEvent(CommandEvent.Kind.CONFIRMATION, m, r, viewEpoch, job + ": " + verdict);
+    links.recordEvent(
+        CommandEvent.Kind.CONFIRMATION, machine, report, viewEpoch, job + ": " + verdict);
     return verdict.isAllowed();
   }
 
-  private Verdict shownHarmless(WorkerCommands commands, Report r, String job) {
-    for (Report.Entry e : r.tasks()) {
-      TaskAttempt attempt = new TaskAttempt(e.task(), e.attempt());
-      boolean exited = e.phase() == Report.Phase.EXITED;
-      boolean again = exited && commands.waits(attempt) > 0;
-      boolean mayOutlast = !tuning.leaseEndsInTime() && !exited;
-      if (e.job().equals(job) && (e.phase() == Report.Phase.FETCHING || again || mayOutlast)) {
-        return Verdict.ANSWER_UNDER_WAY;
+  private Verdict verifyReportedTasks(WorkerCommands commands, Report report, String job) {
+    for (Report.Entry entry : report.tasks()) {
+      TaskAttempt attempt = new TaskAttempt(entry.task(), entry.attempt());
+      boolean exited = entry.phase() == Report.Phase.EXITED;
+      boolean mayStartAgain = exited && commands.gangWaitRestarts(attempt) > 0;
+      boolean mayOutlastCancellation = !tuning.leaseEndsInTime() && !exited;
+      if (entry.job().equals(job)
+          && (entry.phase() == Report.Phase.FETCHING || mayStartAgain || mayOutlastCancellation)) {
+        return Verdict.ANSWER_IN_FLIGHT;
       }
     }
     return Verdict.PROVEN;
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -29,62 +29,63 @@
  */
 final class TransactionBuilder {
   /** The lasting record of an end appears, and the job's goes. */
-  private static final int OPS_FOR_MOVE = 2;
+  private static final int WRITES_PER_MOVE = 2;
 
   /** The protocol allows four conditions for each write. */
-  private static final int CONDITIONS_AN_OP = 4;
+  private static final int CONDITIONS_PER_WRITE = 4;
 
   /** Bytes of an entry besides names, and of each task in it: no number is longer than this. */
-  private static final int ENTRY_BYTES = 40;
+  private static final int ENTRY_OVERHEAD_BYTES = 40;
 
-  private static final int TASK_BYTES = 24;
+  private static final int BYTES_PER_TASK = 24;
 
   /** So many tasks an entry: one must fit into a page. */
-  private static final int ENTRY_TASKS = 16;
+  private static final int MAX_TASKS_PER_ENTRY = 16;
 
-  private static final int PAGE_OVERHEAD = 64;
+  private static final int PAGE_OVERHEAD_BYTES = 64;
 
   private final Tables tables;
   private final String node;
-  private final int number;
-  private final int maxChanges;
+  private final int nodeNumber;
+  private final int affordableChanges;
   private final int pageBytes;
-  private final Transaction txn = new Transaction();
-  private final Map<Job, Map<Integer, TaskState>> tasks = new LinkedHashMap<>();
-  private final Map<Machine, Machine.Info> machines = new LinkedHashMap<>();
-  private final Map<Job, Integer> liveDelta = new HashMap<>();
-  private final Set<Job> ended = new LinkedHashSet<>();
+  private final Transaction transaction = new Transaction();
+  private final Map<Job, Map<Integer, TaskState>> changedTasks = new LinkedHashMap<>();
+  private final Map<Machine, Machine.Info> machineInfos = new LinkedHashMap<>();
+  private final Map<Job, Integer> liveCountChanges = new HashMap<>();
+  private final Set<Job> endedJobs = new LinkedHashSet<>();
 
   /** The tasks whose attempt ended with an error. */
-  private final Map<Job, Set<Integer>> failed = new HashMap<>();
+  private final Map<Job, Set<Integer>> failedTasks = new HashMap<>();
 
-  /** What a transaction may have at the most: {@link #maxChanges} may be less for now. */
-  private final int mostChanges;
+  /** What a transaction may have at the most: {@link #affordableChanges} may be less for now. */
+  private final int maxChanges;
 
   /** What this places, by machine. */
-  private final Map<Machine, List<JobSpec>> placed = new HashMap<>();
+  private final Map<Machine, List<JobSpec>> placements = new HashMap<>();
 
-  private boolean places;
-  private int others;
-  private int wanted;
-  private int bytes;
+  private boolean needsFencing;
+  private int otherWrites;
+  private int requestedWrites;
+  private int entryBytes;
 
   /**
-   * @param maxChanges how many changes can be paid now
-   * @param mostChanges how many a transaction may have
+   * @param affordableChanges how many changes can be paid now
+   * @param maxChanges how many a transaction may have
    */
-  TransactionBuilder(Tables tables, String node, int maxChanges, int mostChanges, int pageBytes) {
-    this.mostChanges = mostChanges;
+  TransactionBuilder(
+      Tables tables, String node, int affordableChanges, int maxChanges, int pageBytes) {
+    this.maxChanges = maxChanges;
     this.tables = tables;
     this.node = node;
-    this.number = tables.registry().numberOf(node);
-    this.maxChanges = maxChanges;
+    this.nodeNumber = tables.registry().numberOf(node);
+    this.affordableChanges = affordableChanges;
     this.pageBytes = pageBytes;
   }
 
   /** This node's durable number, which its placements carry. */
   int nodeNumber() {
-    return number;
+    return nodeNumber;
   }
 
   boolean canAddWrites() {
@@ -92,12 +93,12 @@
   }
 
   /** Room for so many more writes, besides that of the page. */
-  boolean canAddWrites(int n) {
-    if (n == 0 || 1 + others + n <= maxChanges) {
+  boolean canAddWrites(int count) {
+    if (count == 0 || 1 + otherWrites + count <= affordableChanges) {
       return true;
     }
-    if (1 + n > wanted && maxChanges < mostChanges) {
-      wanted = Math.min(1 + n, mostChanges);
+    if (1 + count > requestedWrites && affordableChanges < maxChanges) {
+      requestedWrites = Math.min(1 + count, maxChanges);
     }
     return false;
   }
@@ -107,15 +108,15 @@
    * for one wide one holds more of that than several narrow ones of as many changes.
    */
   void requestMaxWrites() {
-    wanted = mostChanges;
+    requestedWrites = maxChanges;
   }
 
   /**
    * How many changes a transaction must be able to have for something that was left out here,
    * because what can be paid now was too little for it; 0: nothing was.
    */
-  int wanted() {
-    return wanted;
+  int requestedWrites() {
+    return requestedWrites;
   }
 
   /** Room for the conditions that placing one more job brings. */
@@ -123,107 +124,113 @@
     return canAddConditions(4);
   }
 
-  boolean canAddConditions(int n) {
-    return txn.conditions().size() + others + n < CONDITIONS_AN_OP * mostChanges;
+  boolean canAddConditions(int count) {
+    return transaction.conditions().size() + otherWrites + count
+        < CONDITIONS_PER_WRITE * maxChanges;
   }
 
-  boolean empty() {
-    return tasks.isEmpty() && machines.isEmpty() && others == 0;
+  boolean isEmpty() {
+    return changedTasks.isEmpty() && machineInfos.isEmpty() && otherWrites == 0;
   }
 
   /** What is placed here on a machine, besides what the tables tell. */
-  List<JobSpec> placementsOn(Machine m) {
-    return placed.getOrDefault(m, List.of());
+  List<JobSpec> placementsOn(Machine machine) {
+    return placements.getOrDefault(machine, List.of());
   }
 
   /** Whether our part's record must change before we place again, should the outcome be unknown. */
-  boolean places() {
-    return places;
+  boolean needsFencing() {
+    return needsFencing;
   }
 
   /**
    * Gives away of our share of a limit. Should that be applied late, beside placements decided
    * without it, more than the limit would be used.
    */
-  void gives() {
-    places = true;
+  void requireFencing() {
+    needsFencing = true;
   }
 
   TaskState taskState(Job job, int index) {
-    Map<Integer, TaskState> m = tasks.get(job);
-    TaskState s = m == null ? null : m.get(index);
-    return s == null ? job.task(index) : s;
+    Map<Integer, TaskState> changes = changedTasks.get(job);
+    TaskState state = changes == null ? null : changes.get(index);
+    return state == null ? job.task(index) : state;
   }
 
   /** Whether so many more changes of the job's tasks fit into the page. */
-  boolean fitsInPage(Job job, int n) {
-    return bytesWith(job, n) <= pageBytes;
+  boolean fitsInPage(Job job, int count) {
+    return pageBytesWith(job, count) <= pageBytes;
   }
 
   /**
    * Whether all of a large gang fits, which starts in one transaction or not at all: it may take as
    * many pages as the transaction has room for, besides {@code others} writes.
    */
-  boolean fitsWholeGang(Job job, int n, int others) {
-    int pages = bytesWith(job, n) / (pageBytes - ENTRY_TASKS * TASK_BYTES * 2) + 1;
-    return fitsInPage(job, n) || canAddWrites(pages + others);
+  boolean fitsWholeGang(Job job, int count, int otherWrites) {
+    int pages =
+        pageBytesWith(job, count) / (pageBytes - MAX_TASKS_PER_ENTRY * BYTES_PER_TASK * 2) + 1;
+    return fitsInPage(job, count) || canAddWrites(pages + otherWrites);
   }
 
-  private int bytesWith(Job job, int n) {
-    int entries = (tasks.containsKey(job) ? 0 : 2) + n / ENTRY_TASKS;
-    return PAGE_OVERHEAD + bytes + entries * (ENTRY_BYTES + job.id().length()) + n * TASK_BYTES * 2;
+  private int pageBytesWith(Job job, int count) {
+    int entries = (changedTasks.containsKey(job) ? 0 : 2) + count / MAX_TASKS_PER_ENTRY;
+    return PAGE_OVERHEAD_BYTES
+        + entryBytes
+        + entries * (ENTRY_OVERHEAD_BYTES + job.id().length())
+        + count * BYTES_PER_TASK * 2;
   }
 
-  boolean takesMachine(Machine m) {
-    return PAGE_OVERHEAD + bytes + 4 * ENTRY_BYTES + m.name().length() <= pageBytes;
+  boolean fitsMachineInPage(Machine machine) {
+    return PAGE_OVERHEAD_BYTES + entryBytes + 4 * ENTRY_OVERHEAD_BYTES + machine.name().length()
+        <= pageBytes;
   }
 
-  void changeTask(Job job, int index, UnaryOperator<TaskState> how) {
+  void changeTask(Job job, int index, UnaryOperator<TaskState> change) {
     TaskState old = taskState(job, index);
-    TaskState next = how.apply(old);
+    TaskState next = change.apply(old);
     if (next == old) {
       return;
     }
     if (next.isLive() && !old.isLive()) {
-      places = true;
-      bytes += next.machine().name().length();
-      placed.computeIfAbsent(next.machine(), k -> new ArrayList<>()).add(job.spec());
+      needsFencing = true;
+      entryBytes += next.machine().name().length();
+      placements.computeIfAbsent(next.machine(), k -> new ArrayList<>()).add(job.spec());
     }
-    liveDelta.merge(job, (next.isLive() ? 1 : 0) - (old.isLive() ? 1 : 0), Integer::sum);
-    Map<Integer, TaskState> m = tasks.get(job);
-    if (m == null) {
-      m = new LinkedHashMap<>();
-      tasks.put(job, m);
-      bytes += 2 * (ENTRY_BYTES + job.id().length());
+    liveCountChanges.merge(job, (next.isLive() ? 1 : 0) - (old.isLive() ? 1 : 0), Integer::sum);
+    Map<Integer, TaskState> changes = changedTasks.get(job);
+    if (changes == null) {
+      changes = new LinkedHashMap<>();
+      changedTasks.put(job, changes);
+      entryBytes += 2 * (ENTRY_OVERHEAD_BYTES + job.id().length());
     }
-    m.put(index, next);
-    bytes += TASK_BYTES;
+    changes.put(index, next);
+    entryBytes += BYTES_PER_TASK;
   }
 
   /** An attempt is over; {@code why} as the worker said, or null when it was lost. */
-  void exit(Job job, int index, String why) {
-    changeTask(job, index, t -> t.exited(why));
-    if (Report.ERROR.equals(why)) {
-      failed.computeIfAbsent(job, k -> new HashSet<>()).add(index);
+  void endAttempt(Job job, int index, String exitReason) {
+    changeTask(job, index, task -> task.exited(exitReason));
+    if (Report.ERROR.equals(exitReason)) {
+      failedTasks.computeIfAbsent(job, k -> new HashSet<>()).add(index);
     }
   }
 
   int liveTaskCount(Job job) {
-    return job.liveCount() + liveDelta.getOrDefault(job, 0);
+    return job.liveCount() + liveCountChanges.getOrDefault(job, 0);
   }
 
   int doneTaskCount(Job job) {
-    int n = job.doneCount();
-    for (Map.Entry<Integer, TaskState> t : tasks.getOrDefault(job, Map.of()).entrySet()) {
-      boolean was = job.task(t.getKey()).phase() == TaskState.Phase.DONE;
-      boolean is = t.getValue().phase() == TaskState.Phase.DONE;
-      n += (is ? 1 : 0) - (was ? 1 : 0);
+    int count = job.doneCount();
+    for (Map.Entry<Integer, TaskState> task : changedTasks.getOrDefault(job, Map.of()).entrySet()) {
+      boolean wasDone = job.task(task.getKey()).phase() == TaskState.Phase.DONE;
+      boolean isDone = task.getValue().phase() == TaskState.Phase.DONE;
+      count += (isDone ? 1 : 0) - (wasDone ? 1 : 0);
     }
-    return n;
+    return count;
   }
 
-  List<Job> touched() {
-    return new ArrayList<>(tasks.keySet());
+  List<Job> changedJobs() {
+    return new ArrayList<>(changedTasks.keySet());
   }
 
   /**
@@ -232,46 +239,46 @@
    * job is either done or withdrawn, decided by one key; and no placement of it can follow, for
    * that is conditional on the same key.
    */
-  void end(Job job, String phase, long wallMs) {
-    ended.add(job);
-    txn.requireStamp(job.key(), job.stamp());
-    others += opsForEnd();
-    for (int c = 0; c < job.chunkCount(); c++) {
+  void endJob(Job job, String phase, long wallMs) {
+    endedJobs.add(job);
+    transaction.requireStamp(job.key(), job.stamp());
+    otherWrites += writesPerEnd();
+    for (int chunk = 0; chunk < job.chunkCount(); chunk++) {
       // What does not fit is left as an orphan and deleted later.
-      if (job.chunkStamp(c) > 0 && canAddWrites()) {
-        delete(job.chunkKey(c));
+      if (job.chunkStamp(chunk) > 0 && canAddWrites()) {
+        delete(job.chunkKey(chunk));
       }
     }
-    TerminalState how = new TerminalState(phase, job.taskCount(), wallMs);
+    TerminalState terminalState = new TerminalState(phase, job.taskCount(), wallMs);
     if (tables.isOpen(Gate.AWAITS)) {
       // One write where others wait for it; it is moved when there are writes to spare.
-      txn.write(job.key(), Job.terminalToStore(how));
+      transaction.write(job.key(), Job.terminalToStore(terminalState));
     } else {
-      txn.write(Job.terminalStateKey(job.id()), how.toStore(false));
-      txn.delete(job.key());
+      transaction.write(Job.terminalStateKey(job.id()), terminalState.toStore(false));
+      transaction.delete(job.key());
     }
   }
 
   /** Moves an end to its lasting place. */
-  void move(String id, Tables.PendingHistoryEntry o) {
-    txn.requireStamp(Job.key(id), o.stamp());
-    txn.write(Job.terminalStateKey(id), o.terminalState().toStore(true));
-    txn.delete(Job.key(id));
-    others += OPS_FOR_MOVE;
+  void moveToHistory(String id, Tables.PendingHistoryEntry end) {
+    transaction.requireStamp(Job.key(id), end.stamp());
+    transaction.write(Job.terminalStateKey(id), end.terminalState().toStore(true));
+    transaction.delete(Job.key(id));
+    otherWrites += WRITES_PER_MOVE;
   }
 
-  boolean roomToMove() {
-    return canAddWrites(OPS_FOR_MOVE) && canAddConditions();
+  boolean canMoveToHistory() {
+    return canAddWrites(WRITES_PER_MOVE) && canAddConditions();
   }
 
-  boolean roomToEnd() {
+  boolean canEndJob() {
     // Below the level as it was: with room for a chunk beside it.
-    int n = tables.isOpen(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
-    return canAddWrites(n) && canAddConditions();
+    int count = tables.isOpen(Gate.AWAITS) ? writesPerEnd() : writesPerEnd() + 1;
+    return canAddWrites(count) && canAddConditions();
   }
 
-  private int opsForEnd() {
-    return tables.isOpen(Gate.AWAITS) ? 1 : OPS_FOR_MOVE;
+  private int writesPerEnd() {
+    return tables.isOpen(Gate.AWAITS) ? 1 : WRITES_PER_MOVE;
   }
 
   /** Hands a job that is not withdrawn to another part. */
@@ -279,143 +286,146 @@
     write(job.key(), job.toStore(part, 0), job.stamp());
   }
 
-  void machine(Machine m, Machine.Info info) {
-    if (!machines.containsKey(m)) {
-      bytes += 4 * ENTRY_BYTES + m.name().length();
+  void setMachineInfo(Machine machine, Machine.Info info) {
+    if (!machineInfos.containsKey(machine)) {
+      entryBytes += 4 * ENTRY_OVERHEAD_BYTES + machine.name().length();
     }
-    machines.put(m, info);
+    machineInfos.put(machine, info);
   }
 
   void delete(String key) {
-    txn.delete(key);
-    others++;
+    transaction.delete(key);
+    otherWrites++;
   }
 
   boolean touches(String key) {
-    return txn.changesKey(key);
+    return transaction.changesKey(key);
   }
 
   void write(String key, Object value, long stamp) {
-    txn.requireStamp(key, stamp);
-    txn.write(key, value);
-    others++;
+    transaction.requireStamp(key, stamp);
+    transaction.write(key, value);
+    otherWrites++;
   }
 
   /** Takes back a write, and its condition. */
   void removeWrite(String key) {
-    txn.remove(key);
-    others--;
+    transaction.remove(key);
+    otherWrites--;
   }
 
   void addCondition(String key, long stamp) {
-    txn.requireStamp(key, stamp);
+    transaction.requireStamp(key, stamp);
   }
 
   /** On condition that the view is the one of the tables, since that is what a change rewrites. */
   void requireCurrentView() {
     if (tables.isOpen(Gate.VIEWS)) {
-      txn.requireStamp(View.KEY, tables.viewStamp());
+      transaction.requireStamp(View.KEY, tables.viewStamp());
     }
   }
 
   /** On condition that a node has written nothing to its log that we have not seen. */
-  void requireUnchangedLog(String of) {
-    var last = tables.logPages(of).lastEntry();
-    if (last != null) {
-      txn.requireStamp(last.getValue().key(), last.getValue().stamp());
+  void requireUnchangedLog(String owner) {
+    var lastPage = tables.logPages(owner).lastEntry();
+    if (lastPage != null) {
+      transaction.requireStamp(lastPage.getValue().key(), lastPage.getValue().stamp());
     }
-    txn.requireStamp(LogPage.key(of, last == null ? 1 : last.getKey() + 1), 0);
+    transaction.requireStamp(LogPage.key(owner, lastPage == null ? 1 : lastPage.getKey() + 1), 0);
   }
 
-  private List<Object> entries() {
+  private List<Object> buildEntries() {
     List<Object> out = new ArrayList<>();
-    machines.forEach((m, info) -> out.add(LogEntry.machine(m.name(), info)));
-    tasks.forEach(
+    machineInfos.forEach((machine, info) -> out.add(LogEntry.machine(machine.name(), info)));
+    changedTasks.forEach(
         (job, changes) -> {
           // What an ended job's tasks did is in its final record.
-          if (!ended.contains(job)) {
-            entries(job, changes, out);
+          if (!endedJobs.contains(job)) {
+            addJobEntries(job, changes, out);
           }
         });
     return out;
   }
 
-  private void entries(Job job, Map<Integer, TaskState> changes, List<Object> out) {
-    List<List<Object>> exited = new ArrayList<>();
-    List<List<Object>> placed = new ArrayList<>();
-    List<List<Object>> stopped = new ArrayList<>();
+  private void addJobEntries(Job job, Map<Integer, TaskState> changes, List<Object> out) {
+    List<List<Object>> exitEntries = new ArrayList<>();
+    List<List<Object>> placementEntries = new ArrayList<>();
+    List<List<Object>> stopEntries = new ArrayList<>();
     changes.forEach(
-        (i, next) -> {
-          TaskState old = job.task(i);
-          boolean same = old.isLive() && next.isLive() && old.attempt() == next.attempt();
-          if (old.isLive() && !same) {
-            boolean error = failed.getOrDefault(job, Set.of()).contains(i);
-            int how =
+        (index, next) -> {
+          TaskState old = job.task(index);
+          boolean sameAttempt = old.isLive() && next.isLive() && old.attempt() == next.attempt();
+          if (old.isLive() && !sameAttempt) {
+            boolean error = failedTasks.getOrDefault(job, Set.of()).contains(index);
+            int outcome =
                 next.phase() == TaskState.Phase.DONE
                     ? LogEntry.EXIT_DONE
                     : error ? LogEntry.EXIT_FAILED : LogEntry.EXIT_LOST;
-            to(exited, LogEntry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
+            entryFor(exitEntries, LogEntry.exited(job.id()), 3)
+                .addAll(List.of(index, old.attempt(), outcome));
           }
-          if (next.isLive() && !same) {
-            to(placed, LogEntry.placed(job.id(), number), 3)
-                .addAll(List.of(i, next.attempt(), next.machine().name()));
+          if (next.isLive() && !sameAttempt) {
+            entryFor(placementEntries, LogEntry.placed(job.id(), nodeNumber), 3)
+                .addAll(List.of(index, next.attempt(), next.machine().name()));
           }
-          if (next.isLive() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
-            to(stopped, LogEntry.stopped(job.id(), next.stop()), 2)
-                .addAll(List.of(i, next.attempt()));
+          if (next.isLive() && next.stop() != (sameAttempt ? old.stop() : TaskState.Stop.NONE)) {
+            entryFor(stopEntries, LogEntry.stopped(job.id(), next.stop()), 2)
+                .addAll(List.of(index, next.attempt()));
           }
         });
     // In this order: what is placed may follow on an exit, what is stopped on a placement.
-    out.addAll(exited);
-    out.addAll(placed);
-    out.addAll(stopped);
+    out.addAll(exitEntries);
+    out.addAll(placementEntries);
+    out.addAll(stopEntries);
   }
 
   /** The entry that takes the next task: the last with that head if it has room, or the new one. */
-  private static List<Object> to(List<List<Object>> entries, List<Object> fresh, int width) {
+  private static List<Object> entryFor(
+      List<List<Object>> entries, List<Object> newEntry, int width) {
     List<Object> last = entries.isEmpty() ? null : entries.get(entries.size() - 1);
     if (last == null
-        || !last.subList(0, fresh.size()).equals(fresh)
-        || last.size() >= fresh.size() + ENTRY_TASKS * width) {
-      entries.add(fresh);
-      return fresh;
+        || !last.subList(0, newEntry.size()).equals(newEntry)
+        || last.size() >= newEntry.size() + MAX_TASKS_PER_ENTRY * width) {
+      entries.add(newEntry);
+      return newEntry;
     }
     return last;
   }
 
   Transaction build() {
-    List<Object> entries = entries();
-    var last = tables.logPages(node).lastEntry();
-    LogPage page = last == null ? null : last.getValue();
-    long number = last == null ? 0 : last.getKey();
-    if (page != null && page.bytes() + PAGE_OVERHEAD + bytes > pageBytes) {
+    List<Object> entries = buildEntries();
+    var lastPage = tables.logPages(node).lastEntry();
+    LogPage page = lastPage == null ? null : lastPage.getValue();
+    long number = lastPage == null ? 0 : lastPage.getKey();
+    if (page != null && page.bytes() + PAGE_OVERHEAD_BYTES + entryBytes > pageBytes) {
       page = null;
     }
-    List<Object> run = new ArrayList<>();
-    int size = page == null ? PAGE_OVERHEAD : page.bytes() + PAGE_OVERHEAD;
-    for (Object e : entries) {
-      int n = MessageCodec.jsonSize(e) + 1;
-      if (!run.isEmpty() && size + n > pageBytes) {
-        number = write(page, number, run);
+    List<Object> pageEntries = new ArrayList<>();
+    int pageSize = page == null ? PAGE_OVERHEAD_BYTES : page.bytes() + PAGE_OVERHEAD_BYTES;
+    for (Object entry : entries) {
+      int entrySize = MessageCodec.jsonSize(entry) + 1;
+      if (!pageEntries.isEmpty() && pageSize + entrySize > pageBytes) {
+        number = write(page, number, pageEntries);
         page = null;
-        run = new ArrayList<>();
-        size = PAGE_OVERHEAD;
+        pageEntries = new ArrayList<>();
+        pageSize = PAGE_OVERHEAD_BYTES;
       }
-      run.add(e);
-      size += n;
+      pageEntries.add(entry);
+      pageSize += entrySize;
     }
-    if (!run.isEmpty()) {
-      write(page, number, run);
+    if (!pageEntries.isEmpty()) {
+      write(page, number, pageEntries);
     }
-    return txn;
+    return transaction;
   }
 
   /** Appends to a page, or begins the next; returns its number. */
-  private long write(LogPage page, long number, List<Object> run) {
-    long to = page == null ? number + 1 : number;
-    txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(
-        LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::isObsolete));
-    return to;
+  private long write(LogPage page, long number, List<Object> pageEntries) {
+    long target = page == null ? number + 1 : number;
+    transaction.requireStamp(LogPage.key(node, target), page == null ? 0 : page.stamp());
+    transaction.write(
+        LogPage.key(node, target),
+        LogPage.encode(page, tables.encoding(), pageEntries, tables::isObsolete));
+    return target;
   }
 }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -29,17 +29,17 @@
 public final class TransactionPipeline {
   private static final Logger LOG = LoggerFactory.getLogger(TransactionPipeline.class);
   private static final long IDLE_TICK_MS = 500;
-  private static final long REFUSED_MS = 150;
-  private static final long GAP_MS = 10;
+  private static final long RETRY_INTERVAL_MS = 150;
+  private static final long MIN_CYCLE_GAP_MS = 10;
 
   /** So many ends may wait in their jobs' records; a load reads them all. */
-  private static final int MOVES_LATE_MOST = 2000;
+  private static final int MAX_DEFERRED_MOVES = 2000;
 
   /** However much there is to write, so often a node looks whether another lacks share. */
-  private static final long GIFT_OVERDUE_MS = 2000;
+  private static final long MAX_QUOTA_CHECK_DELAY_MS = 2000;
 
   /** A page, and a record beside it. */
-  private static final int LEAST_CHANGES = 2;
+  private static final int MIN_CHANGES = 2;
 
   /** The pipeline's state. */
   private enum Phase {
@@ -55,14 +55,14 @@
    * cleared) or with it stays so. One that is gone without a trace does only as long as nobody runs
    * it again, and under another view its machine's owner may.
    *
-   * @param lostIn the epoch in which it was gone without a trace, else 0
+   * @param lostInEpoch the epoch in which it was gone without a trace, else 0
    */
-  private record Exit(Machine machine, int attempt, String why, long lostIn) {}
+  private record PendingExit(Machine machine, int attempt, String exitReason, long lostInEpoch) {}
 
   private record TaskKey(String job, int index) {}
 
   private final Timers timers;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final Types types;
@@ -70,32 +70,32 @@
   private final Tuning tuning;
   private final Settings settings;
   private final String node;
-  private final TaskPlacer placing;
+  private final TaskPlacer taskPlacer;
   private final LogCompaction compaction;
-  private final EncodingMigration conversion;
-  private final Map<TaskKey, Exit> exits = new LinkedHashMap<>();
-  private final Map<Machine, Machine.Info> records = new LinkedHashMap<>();
+  private final EncodingMigration encodingMigration;
+  private final Map<TaskKey, PendingExit> pendingExits = new LinkedHashMap<>();
+  private final Map<Machine, Machine.Info> pendingRecords = new LinkedHashMap<>();
 
   private Phase phase = Phase.READY;
-  private boolean armed;
+  private boolean cycleScheduled;
   private long settledAtMs;
-  private long leadSettledAtMs;
+  private long leaderSettledAtMs;
   private long lastCycleMs;
-  private long giftLookMs;
-  private long transactions;
-  private long drafted;
-  private long unpaid;
+  private long lastQuotaCheckMs;
+  private long transactionCount;
+  private long builtTransactionCount;
+  private long cyclesWithoutBudget;
 
   /** Changes that the next transaction must be able to have: the last left something out. */
-  private int owed;
+  private int requestedChanges;
 
   /** Whether a timer will wake us when the leader's jobs that were passed over may be placed. */
-  private boolean postponed;
+  private boolean postponedCycleScheduled;
 
   /** Writes nothing before it is started. */
   public TransactionPipeline(
       Timers timers,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       SchedulingState scheduling,
       Types types,
@@ -103,16 +103,16 @@
       Tuning tuning,
       Settings settings) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.scheduling = scheduling;
-    scheduling.setPendingFilter(records::containsKey);
+    scheduling.setPendingFilter(pendingRecords::containsKey);
     this.types = types;
     this.membership = membership;
     this.tuning = tuning;
     this.settings = settings;
     this.node = settings.node();
-    this.placing =
+    this.taskPlacer =
         new TaskPlacer(
             timers,
             tables,
@@ -120,10 +120,11 @@
             types,
             tuning,
             settings,
-            ledger.limits(),
+            stateService.limits(),
             this::isLeaderSettled);
-    this.compaction = new LogCompaction(timers, ledger, tables, membership, tuning, node);
-    this.conversion = new EncodingMigration(timers, ledger, tables, membership, settings);
+    this.compaction = new LogCompaction(timers, stateService, tables, membership, tuning, node);
+    this.encodingMigration =
+        new EncodingMigration(timers, stateService, tables, membership, settings);
   }
 
   public void start() {
@@ -132,12 +133,12 @@
 
   /** Tasks placed so far, those of transactions that failed too. */
   public long placedTasks() {
-    return placing.placedTasks();
+    return taskPlacer.placedTasks();
   }
 
   /** From a stage's last end to the next one's first placement, in milliseconds. */
   public double stageDelayMs(double percentile) {
-    return placing.stageDelayMs(percentile);
+    return taskPlacer.stageDelayMs(percentile);
   }
 
   /** Whether no transaction is out: what was begun is durable, or its failure is known. */
@@ -146,17 +147,17 @@
   }
 
   public long transactionCount() {
-    return transactions;
+    return transactionCount;
   }
 
   /** Drafts that were put together, those with nothing in them too. */
   public long builtTransactionCount() {
-    return drafted;
+    return builtTransactionCount;
   }
 
   /** Times that nothing was drafted, as too little could be paid yet. */
   public long cyclesWithoutBudget() {
-    return unpaid;
+    return cyclesWithoutBudget;
   }
 
   private void idleTick() {
@@ -167,54 +168,61 @@
 
   /** Something may be there to write. */
   public void scheduleCycle() {
-    if (phase != Phase.READY || armed) {
+    if (phase != Phase.READY || cycleScheduled) {
       return;
     }
-    armed = true;
+    cycleScheduled = true;
     // A few milliseconds let what comes together be written together; more when writes are short.
-    double ease = ledger.writeBudgetFraction();
-    long gap = ease > 0.6 ? GAP_MS : ease > 0.3 || owed > 0 ? 8 * GAP_MS : 25 * GAP_MS;
+    double writeHeadroom = stateService.writeBudgetFraction();
+    long gapMs =
+        writeHeadroom > 0.6
+            ? MIN_CYCLE_GAP_MS
+            : writeHeadroom > 0.3 || requestedChanges > 0
+                ? 8 * MIN_CYCLE_GAP_MS
+                : 25 * MIN_CYCLE_GAP_MS;
     timers.after(
-        Math.max(2, lastCycleMs + gap - timers.nowMs()),
+        Math.max(2, lastCycleMs + gapMs - timers.nowMs()),
         () -> {
-          armed = false;
-          cycle();
+          cycleScheduled = false;
+          runCycle();
         });
   }
 
   /** Marks are of one view: the part records were written anew. */
-  public void newView() {
-    placing.onNewView();
+  public void onNewView() {
+    taskPlacer.onNewView();
   }
 
-  /** Taken over: nothing is placed until reports had time to come in, or {@link #settle}. */
-  public void hold(long untilMs) {
+  /** Taken over: nothing is placed until reports had time to come in, or {@link #settleNow}. */
+  public void holdPlacementsUntil(long untilMs) {
     settledAtMs = untilMs;
   }
 
   /** All known machines have reported. */
-  public void settle() {
+  public void settleNow() {
     settledAtMs = Math.min(settledAtMs, timers.nowMs());
     scheduleCycle();
   }
 
   /** The lead was taken over: what the leader places waits too. */
-  public void holdLead(long untilMs) {
-    leadSettledAtMs = untilMs;
+  public void holdLeaderPlacementsUntil(long untilMs) {
+    leaderSettledAtMs = untilMs;
   }
 
-  public boolean settled() {
+  public boolean isSettled() {
     return timers.nowMs() >= settledAtMs;
   }
 
   public boolean isLeaderSettled() {
-    return settled() && timers.nowMs() >= leadSettledAtMs;
+    return isSettled() && timers.nowMs() >= leaderSettledAtMs;
   }
 
   /** True when this is the first that is heard of it. */
-  public boolean exited(Job job, int index, int attempt, Machine machine, String why) {
-    Exit exit = new Exit(machine, attempt, why, why == null ? tables.view().epoch() : 0);
-    if (exits.putIfAbsent(new TaskKey(job.id(), index), exit) != null) {
+  public boolean recordExit(Job job, int index, int attempt, Machine machine, String exitReason) {
+    PendingExit exit =
+        new PendingExit(
+            machine, attempt, exitReason, exitReason == null ? tables.view().epoch() : 0);
+    if (pendingExits.putIfAbsent(new TaskKey(job.id(), index), exit) != null) {
       return false;
     }
     scheduleCycle();
@@ -225,58 +233,60 @@
    * Whether the attempt is known to be over, though not durably yet: until it is, a command to run
    * it would start it once more, beside the next attempt.
    */
-  public boolean exiting(Job job, int index, int attempt) {
-    Exit x = exits.get(new TaskKey(job.id(), index));
-    return x != null && x.attempt == attempt;
+  public boolean isExiting(Job job, int index, int attempt) {
+    PendingExit exit = pendingExits.get(new TaskKey(job.id(), index));
+    return exit != null && exit.attempt == attempt;
   }
 
   /** No one can have renewed the worker's lease: it has killed all it had. */
-  public void onWorkerLeaseExpired(Machine m) {
-    int fresh = 0;
-    for (Machine.Slot s : m.slots()) {
-      fresh += exited(s.job(), s.index(), s.state().attempt(), m, null) ? 1 : 0;
+  public void onWorkerLeaseExpired(Machine machine) {
+    int newExits = 0;
+    for (Machine.Slot slot : machine.slots()) {
+      newExits +=
+          recordExit(slot.job(), slot.index(), slot.state().attempt(), machine, null) ? 1 : 0;
     }
-    if (fresh > 0) {
-      LOG.info("the lease of {}'s worker has ended with {} tasks", m.name(), fresh);
+    if (newExits > 0) {
+      LOG.info("the lease of {}'s worker has ended with {} tasks", machine.name(), newExits);
     }
   }
 
-  public void enqueueRecord(Machine m, Machine.Info info) {
-    records.put(m, info);
-    scheduling.updateMachine(m);
+  public void enqueueRecord(Machine machine, Machine.Info info) {
+    pendingRecords.put(machine, info);
+    scheduling.updateMachine(machine);
     scheduleCycle();
   }
 
   /** After a pause: silence that this process did not listen to proves nothing. */
   public void onProcessResumed() {
-    records
+    pendingRecords
         .entrySet()
         .removeIf(
-            e -> {
-              boolean silence = e.getValue() != null && e.getValue().phase() == Machine.Phase.LOST;
-              if (silence) {
-                scheduling.updateMachine(e.getKey());
+            entry -> {
+              boolean isLoss =
+                  entry.getValue() != null && entry.getValue().phase() == Machine.Phase.LOST;
+              if (isLoss) {
+                scheduling.updateMachine(entry.getKey());
               }
-              return silence;
+              return isLoss;
             });
     // So were losses; whoever owns the machine finds them again. What a worker has shown stands.
-    exits.values().removeIf(x -> x.lostIn > 0);
+    pendingExits.values().removeIf(exit -> exit.lostInEpoch > 0);
   }
 
   /** What is about to be recorded of a machine, or null. */
-  public Machine.Info pendingRecord(Machine m) {
-    return records.get(m);
+  public Machine.Info pendingRecord(Machine machine) {
+    return pendingRecords.get(machine);
   }
 
-  public boolean hasPendingRecord(Machine m) {
-    return records.containsKey(m);
+  public boolean hasPendingRecord(Machine machine) {
+    return pendingRecords.containsKey(machine);
   }
 
   // ---- the cycle ----
 
-  private void cycle() {
+  private void runCycle() {
     if (phase != Phase.READY
-        || ledger.phase() != StateServiceClient.Phase.FOLLOWING
+        || stateService.phase() != StateServiceClient.Phase.FOLLOWING
         || membership.status() != Membership.Status.MEMBER
         || membership.isViewOutdated()
         || membership.isLeaving()
@@ -287,104 +297,108 @@
     scheduling.update();
     // What is drafted can be paid: a draft that our own budget refuses is drawn anew again and
     // again, and all that it holds waits.
-    int most = ledger.limits().maxTransactionChanges();
-    int pageBytes = Math.min(tuning.logPageBytes(), ledger.limits().targetValueBytes());
-    int payable = ledger.affordableChanges(most);
-    if (payable < Math.min(most, Math.max(LEAST_CHANGES, owed))) {
-      unpaid++;
+    int maxChanges = stateService.limits().maxTransactionChanges();
+    int pageBytes = Math.min(tuning.logPageBytes(), stateService.limits().targetValueBytes());
+    int affordableChanges = stateService.affordableChanges(maxChanges);
+    if (affordableChanges < Math.min(maxChanges, Math.max(MIN_CHANGES, requestedChanges))) {
+      cyclesWithoutBudget++;
       scheduleCycle();
       return;
     }
-    drafted++;
-    TransactionBuilder draft = new TransactionBuilder(tables, node, payable, most, pageBytes);
-    if (giftOverdue()) {
+    builtTransactionCount++;
+    TransactionBuilder builder =
+        new TransactionBuilder(tables, node, affordableChanges, maxChanges, pageBytes);
+    if (isQuotaCheckOverdue()) {
       // By itself: what is placed beside it was decided by the share that is given away.
-      draftGift(draft);
-      if (!draft.empty()) {
-        commit(draft);
+      addQuotaTransfer(builder);
+      if (!builder.isEmpty()) {
+        commit(builder);
         return;
       }
     }
-    draftExits(draft);
-    draftEnds(draft);
-    draftRecords(draft);
-    draftStops(draft);
-    if (settled() && types.known() && ledger.reachable()) {
-      placing.placeWaitingTasks(draft);
-      if (placing.postponedForMs() > 0 && !postponed) {
-        postponed = true;
+    addExits(builder);
+    addJobEnds(builder);
+    addMachineRecords(builder);
+    addGangStops(builder);
+    if (isSettled() && types.known() && stateService.reachable()) {
+      taskPlacer.placeWaitingTasks(builder);
+      if (taskPlacer.postponedForMs() > 0 && !postponedCycleScheduled) {
+        postponedCycleScheduled = true;
         timers.after(
-            placing.postponedForMs(),
+            taskPlacer.postponedForMs(),
             () -> {
-              postponed = false;
+              postponedCycleScheduled = false;
               scheduleCycle();
             });
       }
     }
-    draftOrphans(draft);
-    if (draft.empty() && settled()) {
-      draftGift(draft);
+    addOrphanDeletions(builder);
+    if (builder.isEmpty() && isSettled()) {
+      addQuotaTransfer(builder);
     }
-    compaction.draft(draft);
-    if (draft.empty()
-        && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION) {
-      conversion.addNextRecord(draft);
+    compaction.addCompaction(builder);
+    if (builder.isEmpty()
+        && stateService.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION) {
+      encodingMigration.addNextRecord(builder);
     }
-    draftMoves(draft);
-    owed = draft.wanted();
-    if (draft.empty()) {
-      if (owed > 0) {
+    addHistoryMoves(builder);
+    requestedChanges = builder.requestedWrites();
+    if (builder.isEmpty()) {
+      if (requestedChanges > 0) {
         scheduleCycle();
       }
       return;
     }
-    commit(draft);
+    commit(builder);
   }
 
-  private void commit(TransactionBuilder draft) {
+  private void commit(TransactionBuilder builder) {
     phase = Phase.BUSY;
-    transactions++;
-    boolean places = draft.places();
-    Transaction txn = draft.build();
-    ledger.commit(txn, StateServiceClient.WritePriority.WORK, r -> committed(r, places));
+    transactionCount++;
+    boolean needsFencing = builder.needsFencing();
+    Transaction transaction = builder.build();
+    stateService.commit(
+        transaction,
+        StateServiceClient.WritePriority.WORK,
+        result -> handleResult(result, needsFencing));
   }
 
   /**
    * Whether other work has kept this node from giving share away for so long that somebody may wait
    * beside room for it.
    */
-  private boolean giftOverdue() {
-    return settled() && timers.nowMs() - giftLookMs > GIFT_OVERDUE_MS;
+  private boolean isQuotaCheckOverdue() {
+    return isSettled() && timers.nowMs() - lastQuotaCheckMs > MAX_QUOTA_CHECK_DELAY_MS;
   }
 
-  private void committed(StateServiceClient.CommitResult r, boolean places) {
-    switch (r.outcome()) {
-      case OK -> ledger.runAtRevision(r.rev(), this::ready);
+  private void handleResult(StateServiceClient.CommitResult result, boolean needsFencing) {
+    switch (result.outcome()) {
+      case OK -> stateService.runAtRevision(result.rev(), this::becomeReady);
       case CONDITION_FAILED -> {
-        LOG.debug("transaction failed on {}", r.failedKeys());
-        ledger.runAtRevision(r.rev(), this::ready);
+        LOG.debug("transaction failed on {}", result.failedKeys());
+        stateService.runAtRevision(result.rev(), this::becomeReady);
       }
-      case REFUSED -> timers.after(REFUSED_MS + spread(), this::ready);
+      case REFUSED -> timers.after(RETRY_INTERVAL_MS + retrySpreadMs(), this::becomeReady);
       case UNKNOWN -> {
-        if (r.settled()) {
-          ledger.runAtRevision(r.rev(), this::ready);
-        } else if (places) {
+        if (result.settled()) {
+          stateService.runAtRevision(result.rev(), this::becomeReady);
+        } else if (needsFencing) {
           phase = Phase.FENCING;
-          fence();
+          fencePlacement();
         } else {
-          afterBarrier(this::ready);
+          afterBarrier(this::becomeReady);
         }
       }
-      default -> throw new AssertionError(r.outcome());
+      default -> throw new AssertionError(result.outcome());
     }
   }
 
   /** Those that were refused together do not come back together. */
-  private long spread() {
+  private long retrySpreadMs() {
     return Math.floorMod(tables.registry().numberOf(node), 16) * 20L;
   }
 
-  private void ready() {
+  private void becomeReady() {
     phase = Phase.READY;
     scheduleCycle();
   }
@@ -393,83 +407,84 @@
    * A placement whose outcome is unknown may be applied late, beside others that are decided
    * without it. Rewriting our part's record settles it: after that it was applied or never will be.
    */
-  private void fence() {
+  private void fencePlacement() {
     afterBarrier(
         () -> {
-          Partition p = tables.currentPartition(node);
-          if (p == null || membership.status() != Membership.Status.MEMBER) {
+          Partition partition = tables.currentPartition(node);
+          if (partition == null || membership.status() != Membership.Status.MEMBER) {
             // Outside the view nothing is placed, and joining again rewrites the record.
-            timers.after(REFUSED_MS, this::fence);
+            timers.after(RETRY_INTERVAL_MS, this::fencePlacement);
             return;
           }
-          Transaction txn =
+          Transaction transaction =
               new Transaction()
-                  .requireStamp(Partition.key(node), p.stamp())
-                  .write(Partition.key(node), p.toStore());
-          ledger.commit(
-              txn,
+                  .requireStamp(Partition.key(node), partition.stamp())
+                  .write(Partition.key(node), partition.toStore());
+          stateService.commit(
+              transaction,
               StateServiceClient.WritePriority.AUTHORITY,
-              r -> {
+              result -> {
                 // Whoever has rewritten it, the placement can't follow any more.
-                if (r.outcome() == StateServiceClient.Outcome.OK || r.settled()) {
-                  ledger.runAtRevision(r.rev(), this::ready);
+                if (result.outcome() == StateServiceClient.Outcome.OK || result.settled()) {
+                  stateService.runAtRevision(result.rev(), this::becomeReady);
                 } else {
-                  timers.after(REFUSED_MS, this::fence);
+                  timers.after(RETRY_INTERVAL_MS, this::fencePlacement);
                 }
               });
         });
   }
 
   private void afterBarrier(Runnable next) {
-    ledger.barrier(
+    stateService.barrier(
         2000,
         ok -> {
           if (ok) {
             next.run();
           } else {
-            timers.after(REFUSED_MS, () -> afterBarrier(next));
+            timers.after(RETRY_INTERVAL_MS, () -> afterBarrier(next));
           }
         });
   }
 
   // ---- exits, ends, records ----
 
-  private void draftExits(TransactionBuilder draft) {
-    for (Machine m : scheduling.goneMachinesWithTasks()) {
-      if (node.equals(m.owner(tables.view()))) {
-        for (Machine.Slot s : m.slots()) {
-          exits.putIfAbsent(
-              new TaskKey(s.job().id(), s.index()), new Exit(m, s.state().attempt(), null, 0));
+  private void addExits(TransactionBuilder builder) {
+    for (Machine machine : scheduling.goneMachinesWithTasks()) {
+      if (node.equals(machine.owner(tables.view()))) {
+        for (Machine.Slot slot : machine.slots()) {
+          pendingExits.putIfAbsent(
+              new TaskKey(slot.job().id(), slot.index()),
+              new PendingExit(machine, slot.state().attempt(), null, 0));
         }
       }
     }
-    Iterator<Map.Entry<TaskKey, Exit>> it = exits.entrySet().iterator();
-    while (it.hasNext()) {
-      Map.Entry<TaskKey, Exit> e = it.next();
-      Job job = tables.job(e.getKey().job());
-      int index = e.getKey().index();
-      TaskState s = job == null ? null : job.task(index);
-      Exit x = e.getValue();
+    Iterator<Map.Entry<TaskKey, PendingExit>> iterator = pendingExits.entrySet().iterator();
+    while (iterator.hasNext()) {
+      Map.Entry<TaskKey, PendingExit> entry = iterator.next();
+      Job job = tables.job(entry.getKey().job());
+      int index = entry.getKey().index();
+      TaskState state = job == null ? null : job.task(index);
+      PendingExit exit = entry.getValue();
       // Under another view someone else may have owned the machine, and have answered its worker.
-      boolean stale = x.lostIn > 0 && x.lostIn != tables.view().epoch();
-      if (stale
-          || s == null
-          || !s.isLive()
-          || s.attempt() != x.attempt
-          || s.machine() != x.machine) {
-        it.remove();
+      boolean isStale = exit.lostInEpoch > 0 && exit.lostInEpoch != tables.view().epoch();
+      if (isStale
+          || state == null
+          || !state.isLive()
+          || state.attempt() != exit.attempt
+          || state.machine() != exit.machine) {
+        iterator.remove();
         continue;
       }
-      if (!draft.fitsInPage(job, 1)) {
+      if (!builder.fitsInPage(job, 1)) {
         break;
       }
-      if (x.lostIn > 0 && !underView(draft)) {
+      if (exit.lostInEpoch > 0 && !requireCurrentView(builder)) {
         continue;
       }
       if (job.spec().shape() == JobSpec.Shape.GANG) {
-        draftGangExit(draft, job, index, x.why);
+        addGangExit(builder, job, index, exit.exitReason);
       } else {
-        draft.exit(job, index, x.why);
+        builder.endAttempt(job, index, exit.exitReason);
       }
     }
   }
@@ -479,65 +494,65 @@
    * worker's lease since. The lease of our own that was looked at before may have ended by the time
    * that the transaction arrives; the part's record, which every change of view rewrites, has not.
    */
-  private boolean underView(TransactionBuilder draft) {
+  private boolean requireCurrentView(TransactionBuilder builder) {
     if (tables.isOpen(Gate.VIEWS)) {
-      draft.requireCurrentView();
+      builder.requireCurrentView();
       return true;
     }
-    Partition mine = tables.partition(node);
-    if (mine == null || mine.epoch() != tables.view().epoch()) {
+    Partition ownPartition = tables.partition(node);
+    if (ownPartition == null || ownPartition.epoch() != tables.view().epoch()) {
       return false;
     }
-    if (!draft.touches(Partition.key(node))) {
-      draft.addCondition(Partition.key(node), mine.stamp());
+    if (!builder.touches(Partition.key(node))) {
+      builder.addCondition(Partition.key(node), ownPartition.stamp());
     }
     return true;
   }
 
   /** A gang is done, or lost, together: when one task is done, every one is. */
-  private void draftGangExit(TransactionBuilder draft, Job job, int index, String why) {
-    boolean done = Report.DONE.equals(why) || draft.doneTaskCount(job) > 0;
-    TaskState was = draft.taskState(job, index);
-    if (!done && job.taskCount() > 1 && was.stop() == TaskState.Stop.NONE) {
+  private void addGangExit(TransactionBuilder builder, Job job, int index, String exitReason) {
+    boolean gangDone = Report.DONE.equals(exitReason) || builder.doneTaskCount(job) > 0;
+    TaskState before = builder.taskState(job, index);
+    if (!gangDone && job.taskCount() > 1 && before.stop() == TaskState.Stop.NONE) {
       LOG.info(
           "gang {} attempt {} has lost member {} on {} ({}), {} s after it was placed",
           job.id(),
-          was.attempt(),
+          before.attempt(),
           index,
-          was.machine().name(),
-          why,
-          was.machine().ageMs(job, index, timers.nowMs()) / 1000);
+          before.machine().name(),
+          exitReason,
+          before.machine().ageMs(job, index, timers.nowMs()) / 1000);
     }
-    draft.exit(job, index, done ? Report.DONE : why);
+    builder.endAttempt(job, index, gangDone ? Report.DONE : exitReason);
     for (int i = 0; i < job.taskCount(); i++) {
-      TaskState s = draft.taskState(job, i);
-      if (i == index || !draft.fitsInPage(job, 1)) {
+      TaskState state = builder.taskState(job, i);
+      if (i == index || !builder.fitsInPage(job, 1)) {
         continue;
       }
-      if (done && s.phase() == TaskState.Phase.WAITING) {
-        draft.changeTask(job, i, TaskState::doneWithGang);
-      } else if (s.isLive() && !done) {
+      if (gangDone && state.phase() == TaskState.Phase.WAITING) {
+        builder.changeTask(job, i, TaskState::doneWithGang);
+      } else if (state.isLive() && !gangDone) {
         // The others cannot go on without it; a new attempt needs all of this one to be over.
-        draft.changeTask(job, i, t -> t.stopping(TaskState.Stop.SAVE));
+        builder.changeTask(job, i, task -> task.stopping(TaskState.Stop.SAVE));
       }
     }
   }
 
-  private void draftEnds(TransactionBuilder draft) {
-    Set<Job> candidates = new LinkedHashSet<>(draft.touched());
+  private void addJobEnds(TransactionBuilder builder) {
+    Set<Job> candidates = new LinkedHashSet<>(builder.changedJobs());
     candidates.addAll(scheduling.finishableJobs());
     for (Job job : candidates) {
-      if (!draft.roomToEnd()) {
+      if (!builder.canEndJob()) {
         return;
       }
-      boolean mine = node.equals(tables.view().placer(job.partition(), job.id()));
-      if (draft.touched().contains(job) || mine) {
+      boolean isPlacer = node.equals(tables.view().placer(job.partition(), job.id()));
+      if (builder.changedJobs().contains(job) || isPlacer) {
         if (job.withdrawn()) {
-          if (draft.liveTaskCount(job) == 0) {
-            draft.end(job, TerminalState.WITHDRAWN, timers.wallMs());
+          if (builder.liveTaskCount(job) == 0) {
+            builder.endJob(job, TerminalState.WITHDRAWN, timers.wallMs());
           }
-        } else if (draft.doneTaskCount(job) == job.taskCount()) {
-          draft.end(job, TerminalState.DONE, timers.wallMs());
+        } else if (builder.doneTaskCount(job) == job.taskCount()) {
+          builder.endJob(job, TerminalState.DONE, timers.wallMs());
         }
       }
     }
@@ -547,84 +562,93 @@
    * Moves ends to their lasting place: while there are writes to spare, or when there are many.
    * Each is moved by the member that the hash names, so that nobody waits for another.
    */
-  private void draftMoves(TransactionBuilder draft) {
-    boolean many = tables.pendingHistory().size() > MOVES_LATE_MOST;
-    if (!many
-        && !(draft.empty()
-            && ledger.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION)) {
+  private void addHistoryMoves(TransactionBuilder builder) {
+    boolean backlogged = tables.pendingHistory().size() > MAX_DEFERRED_MOVES;
+    if (!backlogged
+        && !(builder.isEmpty()
+            && stateService.writeBudgetFraction() > EncodingMigration.MIN_WRITE_BUDGET_FRACTION)) {
       return;
     }
-    for (Map.Entry<String, Tables.PendingHistoryEntry> e : tables.pendingHistory().entrySet()) {
-      if (!draft.roomToMove()) {
+    for (Map.Entry<String, Tables.PendingHistoryEntry> entry : tables.pendingHistory().entrySet()) {
+      if (!builder.canMoveToHistory()) {
         return;
       }
-      if (node.equals(tables.view().owner(e.getKey()))) {
-        draft.move(e.getKey(), e.getValue());
+      if (node.equals(tables.view().owner(entry.getKey()))) {
+        builder.moveToHistory(entry.getKey(), entry.getValue());
       }
     }
   }
 
-  private void draftRecords(TransactionBuilder draft) {
-    Iterator<Map.Entry<Machine, Machine.Info>> it = records.entrySet().iterator();
-    while (it.hasNext()) {
-      Map.Entry<Machine, Machine.Info> e = it.next();
-      Machine m = e.getKey();
-      Machine.Info wanted = e.getValue();
+  private void addMachineRecords(TransactionBuilder builder) {
+    Iterator<Map.Entry<Machine, Machine.Info>> iterator = pendingRecords.entrySet().iterator();
+    while (iterator.hasNext()) {
+      Map.Entry<Machine, Machine.Info> entry = iterator.next();
+      Machine machine = entry.getKey();
+      Machine.Info wanted = entry.getValue();
       // One that no longer follows on what is known would be void, and be written for ever; so
       // would one of a machine that was forgotten meanwhile, as when two leaders returned it.
-      boolean is =
-          wanted == null ? !m.mayBeForgotten() : !m.phase().canTransitionTo(wanted.phase());
-      if (is || tables.machine(m.name()) != m) {
-        it.remove();
-        scheduling.updateMachine(m);
+      boolean isVoid =
+          wanted == null
+              ? !machine.mayBeForgotten()
+              : !machine.phase().canTransitionTo(wanted.phase());
+      if (isVoid || tables.machine(machine.name()) != machine) {
+        iterator.remove();
+        scheduling.updateMachine(machine);
         continue;
       }
-      if (!draft.takesMachine(m)) {
+      if (!builder.fitsMachineInPage(machine)) {
         return;
       }
-      draft.machine(m, wanted);
+      builder.setMachineInfo(machine, wanted);
     }
   }
 
-  private void draftOrphans(TransactionBuilder draft) {
+  private void addOrphanDeletions(TransactionBuilder builder) {
     if (!membership.isLeader()) {
       return;
     }
     for (String key : tables.orphanedKeys()) {
-      if (!draft.canAddWrites()) {
+      if (!builder.canAddWrites()) {
         return;
       }
-      draft.delete(key);
+      builder.delete(key);
     }
   }
 
   /** A gang with a member being stopped is stopped whole, within the time its mates wait. */
-  private void draftStops(TransactionBuilder draft) {
+  private void addGangStops(TransactionBuilder builder) {
     for (Job job : scheduling.partlyStoppingGangs()) {
       for (int i = 0; i < job.taskCount(); i++) {
-        if (draft.taskState(job, i).isLive() && draft.fitsInPage(job, 1)) {
-          draft.changeTask(job, i, t -> t.stopping(TaskState.Stop.SAVE));
+        if (builder.taskState(job, i).isLive() && builder.fitsInPage(job, 1)) {
+          builder.changeTask(job, i, task -> task.stopping(TaskState.Stop.SAVE));
         }
       }
     }
   }
 
   /** In a transaction of its own: nothing of ours is about to use the share. */
-  private void draftGift(TransactionBuilder draft) {
-    giftLookMs = timers.nowMs();
+  private void addQuotaTransfer(TransactionBuilder builder) {
+    lastQuotaCheckMs = timers.nowMs();
     Quota quota = new Quota(settings, tables);
     quota.holdQuotaForGangs(scheduling.queue().waiting(), timers.wallMs());
-    Quota.Transfer g = quota.proposeTransfer(membership.isLeader(), scheduling.queue().waiting());
-    if (g != null) {
-      LOG.info("giving quota of {} from {} to {}", g.team(), g.donor(), g.recipient());
-      draft.write(
-          Partition.key(g.donor()), g.donorPartition().toStore(), g.donorPartition().stamp());
-      draft.write(
-          Partition.key(g.recipient()),
-          g.recipientPartition().toStore(),
-          g.recipientPartition().stamp());
-      draft.gives();
-      draft.requireCurrentView();
+    Quota.Transfer transfer =
+        quota.proposeTransfer(membership.isLeader(), scheduling.queue().waiting());
+    if (transfer != null) {
+      LOG.info(
+          "giving quota of {} from {} to {}",
+          transfer.team(),
+          transfer.donor(),
+          transfer.recipient());
+      builder.write(
+          Partition.key(transfer.donor()),
+          transfer.donorPartition().toStore(),
+          transfer.donorPartition().stamp());
+      builder.write(
+          Partition.key(transfer.recipient()),
+          transfer.recipientPartition().toStore(),
+          transfer.recipientPartition().stamp());
+      builder.requireFencing();
+      builder.requireCurrentView();
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -16,17 +16,17 @@
 /** The links to the workers of this node's machines, and the record of what went over them. */
 public final class WorkerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerLinks.class);
-  private static final int EVENTS_KEPT = 2048;
+  private static final int MAX_KEPT_EVENTS = 2048;
 
   /** For events that concern no single attempt. */
   private static final TaskAttempt NO_ATTEMPT = new TaskAttempt("", 0);
 
   private final Timers timers;
   private final Map<Machine, WorkerLink> links = new HashMap<>();
-  private final RecentEvents events = new RecentEvents(EVENTS_KEPT);
+  private final RecentEvents events = new RecentEvents(MAX_KEPT_EVENTS);
   private final SafetyMonitor monitor = new SafetyMonitor(events);
   private long workerRestarts;
-  private long unanswered;
+  private long unansweredCommands;
 
   /** No links at first. */
   public WorkerLinks(Timers timers) {
@@ -45,22 +45,22 @@
 
   /** Commands sent straight to workers that were given up without an answer. */
   public long unansweredCommands() {
-    return unanswered;
+    return unansweredCommands;
   }
 
   /** Machines to which a run that was sent straight may still arrive. */
   public long machinesWithOutstandingRuns() {
-    return links.values().stream().filter(l -> !l.commands.hasNoOutstandingRuns()).count();
+    return links.values().stream().filter(link -> !link.commands.hasNoOutstandingRuns()).count();
   }
 
   /** The link to a machine's worker, a new one if there is none. */
-  WorkerLink of(Machine machine) {
+  WorkerLink linkTo(Machine machine) {
     return links.computeIfAbsent(machine, k -> new WorkerLink());
   }
 
   /** What was sent to a machine's worker. */
-  WorkerCommands commands(Machine machine) {
-    return of(machine).commands;
+  WorkerCommands commandsTo(Machine machine) {
+    return linkTo(machine).commands;
   }
 
   /** The same if anything ever was, else null. */
@@ -74,7 +74,7 @@
   }
 
   /** The machine is somebody else's: what was sent counts under an epoch that is over. */
-  void drop(Machine machine) {
+  void removeLink(Machine machine) {
     links.remove(machine);
   }
 
@@ -90,7 +90,7 @@
    * The worker has begun anew under the same name: nothing it shows counts until it has shown a
    * higher epoch than any that the one before may have been sent.
    */
-  void restarted(Machine machine, Report report, long epoch) {
+  void workerRestarted(Machine machine, Report report, long epoch) {
     LOG.info(
         "{} has begun anew: tenure {}, tick {}, epoch {}",
         machine.name(),
@@ -99,13 +99,13 @@
         epoch);
     workerRestarts++;
     machine.onWorkerRestart(epoch);
-    commands(machine).workerRestarted();
+    commandsTo(machine).workerRestarted();
     recordEvent(CommandEvent.Kind.WORKER_RESTARTED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
   /** A command was given up without an answer. */
-  void unanswered(Machine machine, Report report, long epoch) {
-    unanswered++;
+  void commandUnanswered(Machine machine, Report report, long epoch) {
+    unansweredCommands++;
     recordEvent(CommandEvent.Kind.DIRECT_UNANSWERED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
@@ -117,7 +117,7 @@
       Report report,
       long epoch,
       String reason) {
-    record(event(kind, machine, attempt, report, epoch, reason));
+    record(newEvent(kind, machine, attempt, report, epoch, reason));
   }
 
   void record(CommandEvent event) {
@@ -130,7 +130,7 @@
     recordEvent(kind, machine, NO_ATTEMPT, report, epoch, reason);
   }
 
-  CommandEvent event(
+  CommandEvent newEvent(
       CommandEvent.Kind kind,
       Machine machine,
       TaskAttempt attempt,
--- a/src/main/java/wickdrift/coordination/commands/RecentEvents.java
+++ b/src/main/java/wickdrift/coordination/commands/RecentEvents.java
@@ -13,7 +13,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(RecentEvents.class);
 
   private final CommandEvent[] ring;
-  private long added;
+  private long addedCount;
 
   /**
    * @param capacity events that are kept
@@ -24,7 +24,7 @@
 
   /** Adds an event; the oldest makes way for it. */
   public void add(CommandEvent event) {
-    ring[(int) (added++ % ring.length)] = event;
+    ring[(int) (addedCount++ % ring.length)] = event;
     if (LOG.isDebugEnabled()) {
       LOG.debug("{}", event);
     }
@@ -33,7 +33,7 @@
   /** The last events of a machine, the oldest first. */
   public List<CommandEvent> eventsOf(String machine) {
     List<CommandEvent> found = new ArrayList<>();
-    for (long i = Math.max(0, added - ring.length); i < added; i++) {
+    for (long i = Math.max(0, addedCount - ring.length); i < addedCount; i++) {
       CommandEvent event = ring[(int) (i % ring.length)];
       if (event.machine().equals(machine)) {
         found.add(event);
--- a/src/main/java/wickdrift/coordination/commands/SafetyMonitor.java
+++ b/src/main/java/wickdrift/coordination/commands/SafetyMonitor.java
@@ -40,10 +40,10 @@
   /**
    * Asserts an invariant.
    *
-   * @param what the command or end that depends on it, as evidence
+   * @param event the command or end that depends on it, as evidence
    * @return whether it holds; if not, what was about to be done must not be done
    */
-  public boolean check(Invariant invariant, boolean holds, CommandEvent what) {
+  public boolean check(Invariant invariant, boolean holds, CommandEvent event) {
     if (holds) {
       return true;
     }
@@ -51,8 +51,8 @@
     LOG.error(
         "invariant violated: {}: {}; last events: {}",
         invariant,
-        what,
-        events.eventsOf(what.machine()));
+        event,
+        events.eventsOf(event.machine()));
     return false;
   }
 
--- a/src/main/java/wickdrift/coordination/commands/TaskAttempt.java
+++ b/src/main/java/wickdrift/coordination/commands/TaskAttempt.java
@@ -7,7 +7,7 @@
  */
 public record TaskAttempt(String task, int attempt) {
   /** Whether it is an attempt of a task of that job. */
-  public boolean isOf(String job) {
+  public boolean belongsToJob(String job) {
     return task.length() > job.length() && task.charAt(job.length()) == '/' && task.startsWith(job);
   }
 }
--- a/src/main/java/wickdrift/coordination/commands/Verdict.java
+++ b/src/main/java/wickdrift/coordination/commands/Verdict.java
@@ -7,13 +7,13 @@
   /** A run that was sent straight to the worker is unanswered: it may arrive at any time. */
   DIRECT_RUN_UNANSWERED,
   /** The answer to a report carries a run, and no later report has come by itself. */
-  ANSWER_UNDER_WAY,
+  ANSWER_IN_FLIGHT,
   /** What is known did not come by itself: answers to earlier reports may be under way. */
   NOT_WORKER_INITIATED,
   /** The worker has not shown this epoch: a command of an earlier owner may arrive. */
   EPOCH_NOT_REPORTED,
   /** The session in which the run was sent goes on. */
-  SESSION_GOES_ON,
+  SESSION_CONTINUES,
   /** It was there in this session and is not, without an exit: the worker has begun anew. */
   WORKER_RESTARTED;
 
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -32,55 +32,69 @@
   /**
    * The last run of a task, however it was sent.
    *
-   * @param tick of the report that it followed
-   * @param seen a report has shown the attempt
+   * @param reportTick of the report that it followed
+   * @param reported a report has shown the attempt
    * @param session of the worker then
-   * @param life how often the worker had begun anew by then
-   * @param sinceMs when the first was sent
+   * @param incarnation how often the worker had begun anew by then
+   * @param firstSentMs when the first was sent
    */
   private record LastRun(
-      int attempt, long tick, boolean seen, long session, int life, long sinceMs) {}
+      int attempt,
+      long reportTick,
+      boolean reported,
+      long session,
+      int incarnation,
+      long firstSentMs) {}
 
   /**
    * What is known when a report does not show an attempt.
    *
-   * @param ownReport it came by itself: all answers to earlier ones have arrived or never will
-   * @param epochShown the worker has shown the epoch in force
+   * @param workerInitiated it came by itself: all answers to earlier ones have arrived or never
+   *     will
+   * @param epochReported the worker has shown the epoch in force
    * @param session of the report
-   * @param deaf nothing seems to reach the worker
-   * @param unwanted the attempt is to end
+   * @param unreachable nothing seems to reach the worker
+   * @param endRequested the attempt is to end
    */
   public record AbsenceEvidence(
-      boolean ownReport, boolean epochShown, long session, boolean deaf, boolean unwanted) {}
+      boolean workerInitiated,
+      boolean epochReported,
+      long session,
+      boolean unreachable,
+      boolean endRequested) {}
 
-  private final List<DirectRuns> outstanding = new ArrayList<>();
+  private final List<DirectRuns> outstandingCommands = new ArrayList<>();
   private final Map<String, LastRun> lastRuns = new HashMap<>();
-  private final Map<TaskAttempt, Integer> waits = new HashMap<>();
+  private final Map<TaskAttempt, Integer> gangWaitRestarts = new HashMap<>();
 
   /** Attempts that ended here and are not cleared, as a run of them is outstanding. */
-  private final Set<TaskAttempt> clearsRefused = new HashSet<>();
+  private final Set<TaskAttempt> refusedClears = new HashSet<>();
 
-  private int life;
+  private int incarnation;
 
   // ---- what was sent, and what became of it ----
 
   /** A command with runs is sent straight to the worker. */
   public void directCommandSent(DirectRuns command) {
     if (!command.runs().isEmpty()) {
-      outstanding.add(command);
+      outstandingCommands.add(command);
     }
   }
 
   /** It was executed, or refused for good: it, and no other, can't arrive any more. */
   public void directCommandAnswered(DirectRuns command) {
-    outstanding.removeIf(c -> c == command);
+    outstandingCommands.removeIf(outstanding -> outstanding == command);
   }
 
   /** The attempt is told to run, in whatever way. */
   public void runSent(TaskAttempt run, long tick, long session, long nowMs) {
-    LastRun before = last(run);
-    long since = before == null || before.life < life ? nowMs : before.sinceMs;
-    lastRuns.put(run.task(), new LastRun(run.attempt(), tick, false, session, life, since));
+    LastRun previousRun = lastRun(run);
+    long firstSentMs =
+        previousRun == null || previousRun.incarnation < incarnation
+            ? nowMs
+            : previousRun.firstSentMs;
+    lastRuns.put(
+        run.task(), new LastRun(run.attempt(), tick, false, session, incarnation, firstSentMs));
   }
 
   /**
@@ -89,20 +103,20 @@
    * @return whether it was told to run, and is seen for the first time since
    */
   public boolean attemptReported(TaskAttempt run, long tick, long session) {
-    LastRun before = lastRuns.get(run.task());
-    lastRuns.put(run.task(), new LastRun(run.attempt(), tick, true, session, life, 0));
-    return before != null && !before.seen;
+    LastRun previousRun = lastRuns.get(run.task());
+    lastRuns.put(run.task(), new LastRun(run.attempt(), tick, true, session, incarnation, 0));
+    return previousRun != null && !previousRun.reported;
   }
 
   /** A report that is surely no copy has shown this epoch and session. */
   public void epochReported(long epoch, long session) {
-    outstanding.removeIf(c -> epoch > c.epoch() || session > c.session());
-    clearsRefused.removeIf(a -> !runOutstanding(a));
+    outstandingCommands.removeIf(command -> epoch > command.epoch() || session > command.session());
+    refusedClears.removeIf(attempt -> !isRunOutstanding(attempt));
   }
 
   /** The worker has begun anew, and holds nothing of what the one before had. */
   public void workerRestarted() {
-    life++;
+    incarnation++;
   }
 
   /** Its lease has ended, or someone else may have commanded it meanwhile. */
@@ -111,29 +125,29 @@
   }
 
   /** Only these tasks are booked on the machine still. */
-  public void retain(Set<String> tasks) {
+  public void retainTasks(Set<String> tasks) {
     lastRuns.keySet().retainAll(tasks);
-    waits.keySet().removeIf(a -> !tasks.contains(a.task()));
+    gangWaitRestarts.keySet().removeIf(attempt -> !tasks.contains(attempt.task()));
   }
 
   // ---- gang members that are told to go on waiting ----
 
   /** How often the attempt was told to go on waiting for its gang. */
-  public int waits(TaskAttempt attempt) {
-    return waits.getOrDefault(attempt, 0);
+  public int gangWaitRestarts(TaskAttempt attempt) {
+    return gangWaitRestarts.getOrDefault(attempt, 0);
   }
 
   /** It is told so once more. */
-  public void waited(TaskAttempt attempt) {
-    waits.merge(attempt, 1, Integer::sum);
+  public void gangWaitRestarted(TaskAttempt attempt) {
+    gangWaitRestarts.merge(attempt, 1, Integer::sum);
   }
 
   // ---- what may still happen ----
 
   /** Whether a run that was sent straight to the worker may still start the attempt. */
-  public boolean runOutstanding(TaskAttempt attempt) {
-    for (DirectRuns c : outstanding) {
-      if (c.runs().contains(attempt)) {
+  public boolean isRunOutstanding(TaskAttempt attempt) {
+    for (DirectRuns command : outstandingCommands) {
+      if (command.runs().contains(attempt)) {
         return true;
       }
     }
@@ -143,8 +157,10 @@
   /** Whether a run of the attempt has been outstanding under this epoch for longer than that. */
   public boolean isRunOutstandingLongerThan(
       TaskAttempt attempt, long epoch, long longerThanMs, long nowMs) {
-    for (DirectRuns c : outstanding) {
-      if (c.epoch() == epoch && nowMs - c.sentMs() > longerThanMs && c.runs().contains(attempt)) {
+    for (DirectRuns command : outstandingCommands) {
+      if (command.epoch() == epoch
+          && nowMs - command.sentMs() > longerThanMs
+          && command.runs().contains(attempt)) {
         return true;
       }
     }
@@ -153,101 +169,105 @@
 
   /** Whether an ended attempt has been waiting for longer than that to be cleared. */
   public boolean isClearOverdue(long epoch, long longerThanMs, long nowMs) {
-    return clearsRefused.stream()
-        .anyMatch(a -> isRunOutstandingLongerThan(a, epoch, longerThanMs, nowMs));
+    return refusedClears.stream()
+        .anyMatch(attempt -> isRunOutstandingLongerThan(attempt, epoch, longerThanMs, nowMs));
   }
 
   /** Whether nothing is outstanding. */
   public boolean hasNoOutstandingRuns() {
-    return outstanding.isEmpty();
+    return outstandingCommands.isEmpty();
   }
 
   /** Commands that are outstanding, for the record of an invariant that is violated. */
-  public List<DirectRuns> outstanding() {
-    return List.copyOf(outstanding);
+  public List<DirectRuns> outstandingCommands() {
+    return List.copyOf(outstandingCommands);
   }
 
   /** Whether an ended attempt may be removed from the worker, after which a run starts it anew. */
-  public Verdict mayClear(TaskAttempt attempt, boolean ownReport, boolean epochShown) {
-    if (!ownReport) {
+  public Verdict mayClear(TaskAttempt attempt, boolean workerInitiated, boolean epochReported) {
+    if (!workerInitiated) {
       return Verdict.NOT_WORKER_INITIATED;
     }
-    if (!epochShown) {
+    if (!epochReported) {
       return Verdict.EPOCH_NOT_REPORTED;
     }
-    if (runOutstanding(attempt)) {
-      clearsRefused.add(attempt);
+    if (isRunOutstanding(attempt)) {
+      refusedClears.add(attempt);
       return Verdict.DIRECT_RUN_UNANSWERED;
     }
     return Verdict.PROVEN;
   }
 
   /** Whether an attempt that a report does not show is over. */
-  public Verdict mayEnd(TaskAttempt attempt, AbsenceEvidence is) {
-    if (!is.ownReport) {
+  public Verdict mayEnd(TaskAttempt attempt, AbsenceEvidence absence) {
+    if (!absence.workerInitiated) {
       return Verdict.NOT_WORKER_INITIATED;
     }
-    LastRun last = last(attempt);
-    if (last != null && last.seen && last.life == life && last.session == is.session) {
+    LastRun lastRun = lastRun(attempt);
+    if (lastRun != null
+        && lastRun.reported
+        && lastRun.incarnation == incarnation
+        && lastRun.session == absence.session) {
       return Verdict.WORKER_RESTARTED;
     }
-    if (runOutstanding(attempt)) {
+    if (isRunOutstanding(attempt)) {
       return Verdict.DIRECT_RUN_UNANSWERED;
     }
-    if (last != null && last.seen) {
+    if (lastRun != null && lastRun.reported) {
       return Verdict.PROVEN;
     }
-    if (is.unwanted && is.epochShown) {
+    if (absence.endRequested && absence.epochReported) {
       return Verdict.PROVEN;
     }
-    boolean sentEarlier = last != null && (last.life < life || last.session < is.session);
-    if ((is.unwanted || is.deaf) && sentEarlier) {
+    boolean sentEarlier =
+        lastRun != null && (lastRun.incarnation < incarnation || lastRun.session < absence.session);
+    if ((absence.endRequested || absence.unreachable) && sentEarlier) {
       return Verdict.PROVEN;
     }
-    return is.unwanted ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_GOES_ON;
+    return absence.endRequested ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_CONTINUES;
   }
 
   /** Whether no run of any task of the job may still arrive. */
   public Verdict verifyNoRunPending(String job) {
-    for (DirectRuns c : outstanding) {
-      if (c.runs().stream().anyMatch(a -> a.isOf(job))) {
+    for (DirectRuns command : outstandingCommands) {
+      if (command.runs().stream().anyMatch(attempt -> attempt.belongsToJob(job))) {
         return Verdict.DIRECT_RUN_UNANSWERED;
       }
     }
-    for (Map.Entry<String, LastRun> e : lastRuns.entrySet()) {
-      boolean ofJob = new TaskAttempt(e.getKey(), e.getValue().attempt).isOf(job);
-      if (ofJob && !e.getValue().seen) {
-        return Verdict.ANSWER_UNDER_WAY;
+    for (Map.Entry<String, LastRun> entry : lastRuns.entrySet()) {
+      boolean ofJob = new TaskAttempt(entry.getKey(), entry.getValue().attempt).belongsToJob(job);
+      if (ofJob && !entry.getValue().reported) {
+        return Verdict.ANSWER_IN_FLIGHT;
       }
     }
     return Verdict.PROVEN;
   }
 
   /** Whether the attempt was told to run, or seen, since it is known here. */
-  public boolean knows(TaskAttempt attempt) {
-    return last(attempt) != null;
+  public boolean hasLastRun(TaskAttempt attempt) {
+    return lastRun(attempt) != null;
   }
 
   /** Whether a report has shown the attempt. */
   public boolean wasReported(TaskAttempt attempt) {
-    LastRun last = last(attempt);
-    return last != null && last.seen;
+    LastRun lastRun = lastRun(attempt);
+    return lastRun != null && lastRun.reported;
   }
 
   /** Whether the attempt was told to run after this very report. */
-  public boolean sentAfter(TaskAttempt attempt, long tick) {
-    LastRun last = last(attempt);
-    return last != null && last.tick == tick;
+  public boolean wasSentAfter(TaskAttempt attempt, long tick) {
+    LastRun lastRun = lastRun(attempt);
+    return lastRun != null && lastRun.reportTick == tick;
   }
 
   /** Whether the attempt was told to run longer ago than that, and no report has shown it. */
-  public boolean ignoredFor(TaskAttempt attempt, long longerThanMs, long nowMs) {
-    LastRun last = last(attempt);
-    return last != null && !last.seen && nowMs - last.sinceMs > longerThanMs;
+  public boolean isRunIgnoredLongerThan(TaskAttempt attempt, long longerThanMs, long nowMs) {
+    LastRun lastRun = lastRun(attempt);
+    return lastRun != null && !lastRun.reported && nowMs - lastRun.firstSentMs > longerThanMs;
   }
 
-  private LastRun last(TaskAttempt attempt) {
-    LastRun last = lastRuns.get(attempt.task());
-    return last == null || last.attempt != attempt.attempt() ? null : last;
+  private LastRun lastRun(TaskAttempt attempt) {
+    LastRun lastRun = lastRuns.get(attempt.task());
+    return lastRun == null || lastRun.attempt != attempt.attempt() ? null : lastRun;
   }
 }
