--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -23,23 +23,27 @@
 import wickdrift.transport.Timers;
 
 /**
- * What a worker is told: the difference between what the tables want on its machine and what its
- * report shows, so any command may be lost or repeated. What the report proves to be over is handed
- * to the pipeline.
+ * Decides which commands a worker receives: the difference between what the tables assign to its
+ * machine and what its report shows. Because every report leads to a new comparison, any command
+ * may be lost or repeated. Attempts that the report proves to be over are passed to the transaction
+ * pipeline.
  */
 final class CommandPlanner {
   private static final Logger LOG = LoggerFactory.getLogger(CommandPlanner.class);
 
-  /** So often at most a gang member is told to go on waiting for the others. */
+  /**
+   * Limit on how often one attempt of a gang member is told to wait again for the other members.
+   */
   private static final int MAX_GANG_WAIT_RESTARTS = 12;
 
   /**
-   * What a report allows.
+   * What may be concluded from a report.
    *
-   * @param hasAuthority this node surely holds authority; if not, nothing new is started and
-   *     nothing is drawn from the report
-   * @param workerInitiated the report came by itself, so all answers to earlier ones have arrived
-   *     or never will; only then does absence prove anything
+   * @param hasAuthority whether this node certainly holds authority; if not, nothing new is started
+   *     and no conclusion is drawn from the report
+   * @param workerInitiated whether the worker sent the report on its own initiative, so that all
+   *     answers to earlier reports have arrived or never will; only then does the absence of an
+   *     attempt prove anything
    */
   record Scope(boolean hasAuthority, boolean workerInitiated) {}
 
@@ -64,7 +68,7 @@
     this.monitor = links.monitor();
   }
 
-  /** One pass over a machine's report. */
+  /** The state of planning the commands for one report. */
   private final class Pass {
     final Machine machine;
     final Report report;
@@ -89,7 +93,7 @@
     }
   }
 
-  /** What the worker is told after a report. */
+  /** Returns the commands that follow from a report. */
   List<Order> plan(Machine machine, Report report, Scope scope) {
     Pass pass = new Pass(machine, report, scope);
     for (Report.Entry entry : report.tasks()) {
@@ -103,9 +107,9 @@
   }
 
   /**
-   * Halts alone, of jobs that are called off: for an answer to a report that is not the newest,
-   * which renews the worker's lease all the same. A renewal without them would let a cancelled task
-   * go on for another lease.
+   * Returns only the halts of tasks whose job is cancelled. They go into the answer to a report
+   * that is not the newest one. That answer renews the worker's lease too, and a renewal without
+   * the halts would let a cancelled task run for another lease.
    */
   List<Order> planHaltsOfCancelledJobs(Machine machine) {
     return plan(machine, machine.report(), new Scope(false, false)).stream()
@@ -137,7 +141,10 @@
     }
   }
 
-  /** Nothing durable stands for it: it is over, or was never to be. */
+  /**
+   * Handles a reported attempt that the tables do not assign to this machine: it is over, or was
+   * never meant to run here.
+   */
   private void planUnassigned(Pass pass, Report.Entry entry) {
     if (entry.phase() != Report.Phase.EXITED) {
       if (pass.scope.hasAuthority || tables.isWithdrawalAnnounced(entry.job())) {
@@ -158,8 +165,9 @@
     boolean gaveUpGangWait = Report.ALONE.equals(entry.why());
     if (gaveUpGangWait && pass.scope.hasAuthority && mayRestartGangWait(pass, job, state, entry)) {
       if (pass.scope.workerInitiated) {
-        // Under the same attempt, on the same machine: its mates keep the images they fetch. It is
-        // wanted, so a run that is still outstanding does no harm after the clear.
+        // The wait restarts with the same attempt on the same machine, so the other members keep
+        // the images they are fetching. The attempt is wanted, so a run that is still outstanding
+        // does no harm after the clear.
         pass.commands.gangWaitRestarted(attemptOf(entry));
         pass.orders.add(new Order.Clear(entry.job(), entry.index(), entry.attempt()));
         pass.orders.add(new Order.Run(entry.job(), entry.index(), entry.attempt()));
@@ -167,12 +175,12 @@
       return;
     }
     if (gaveUpGangWait && !pass.machine.epochAcknowledged()) {
-      // Of all ends only this one may be followed by the same attempt running again, and whoever
-      // shows an older epoch may be a copy from before that.
+      // This is the only kind of exit after which the same attempt may run again. A report that
+      // shows an older epoch may be a copy from before such a restart, so it proves nothing.
       return;
     }
-    // Told to go on waiting, it may start once more until a report of its own comes: by then the
-    // answer that tells it so has arrived, or never will.
+    // An attempt that was told to wait again may start once more until a worker-initiated report
+    // arrives: by then the answer with that command has arrived or never will.
     boolean isOver =
         pass.scope.workerInitiated || pass.commands.gangWaitRestarts(attemptOf(entry)) == 0;
     if (pass.scope.hasAuthority && isOver) {
@@ -181,9 +189,10 @@
   }
 
   /**
-   * A member of a gang gave up waiting for the others, which still fetch: an image may take longer
-   * on one machine than a gang waits on another. Were the attempt over for that, the others would
-   * give up their fetches and begin anew, again and again. It goes on waiting, so often at most.
+   * Whether a gang member that gave up waiting for the others should wait again. An image may take
+   * longer to fetch on one machine than a gang member waits on another. If the attempt ended for
+   * that reason, the other members would abort their fetches and start over, again and again. The
+   * number of restarts is limited.
    */
   private boolean mayRestartGangWait(Pass pass, Job job, TaskState state, Report.Entry entry) {
     return !job.withdrawnOrAnnounced()
@@ -205,13 +214,13 @@
 
   private void handleExit(Pass pass, Job job, Report.Entry entry) {
     if (!pipeline.recordExit(job, entry.index(), entry.attempt(), pass.machine, entry.why())) {
-      // Reported again until it is cleared: it failed once.
+      // The worker reports the exit until it is cleared, but the failure counts only once.
       return;
     }
     pass.recordEvent(CommandEvent.Kind.ATTEMPT_ENDED, attemptOf(entry), "shown as " + entry.why());
     String machine = pass.machine.name();
     if (Report.ERROR.equals(entry.why())) {
-      // Told once a round by all of a suspect's tasks together.
+      // For a suspected job, the failures of all its tasks are logged together once per round.
       if (!job.isSuspected()) {
         LOG.info("{} failed on {}", entry.task(), machine);
       }
@@ -223,7 +232,7 @@
     }
   }
 
-  // ---- what is booked on the machine ----
+  // ---- what is assigned to the machine ----
 
   private void planAssigned(Pass pass) {
     if (pass.scope.workerInitiated) {
@@ -238,12 +247,13 @@
         boolean firstReport =
             pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
         if (firstReport && pass.scope.workerInitiated) {
-          // It was told to run this, and does.
+          // The worker was told to run this attempt and does, so commands reach it.
           pass.machine.markReachableForCommands();
         }
       } else if (entry == null && !isExiting(slot)) {
-        // Where another attempt is here still, ours starts when it is gone; and what is known to be
-        // over must not start again while that is being written.
+        // If the worker still has another attempt of the task, this one starts when the other is
+        // gone. An attempt that is known to be over must not start again while its end is being
+        // written.
         if (planUnreported(pass, slot, attempt) == Verdict.WORKER_RESTARTED) {
           pass.orders.clear();
           links.workerRestarted(pass.machine, pass.report, tables.view().epoch());
@@ -257,7 +267,7 @@
     return pipeline.isExiting(slot.job(), slot.index(), slot.state().attempt());
   }
 
-  /** The report does not show an attempt that is booked here. */
+  /** Handles an attempt that is assigned to the machine but missing from its report. */
   private Verdict planUnreported(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     Machine machine = pass.machine;
     Report report = pass.report;
@@ -278,8 +288,8 @@
         pass.recordEvent(CommandEvent.Kind.END_REFUSED, attempt, verdict.name());
       }
     } else if (unreachable) {
-      // Nothing reaches it: what is told now could only come late. Its next session proves that it
-      // has not got this.
+      // No command reaches the worker, so a run sent now could only arrive late. The attempt is
+      // recorded as sent, so that the worker's next session proves that it never started.
       if (!pass.commands.hasLastRun(attempt)) {
         pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
       }
@@ -290,7 +300,10 @@
     return verdict;
   }
 
-  /** The attempt is not on its machine any more, without a trace. */
+  /**
+   * Records the end of an attempt that is no longer on its machine and for which the worker
+   * reported no exit.
+   */
   private void handleLoss(Pass pass, Machine.Slot slot, TaskAttempt attempt, Verdict verdict) {
     CommandEvent event =
         pass.newEvent(CommandEvent.Kind.ATTEMPT_ENDED, attempt, "absent: " + verdict);
@@ -307,7 +320,7 @@
     }
   }
 
-  // ---- commands, checked once more before they are handed out ----
+  // ---- commands, checked against the invariants before they are sent ----
 
   private void addRun(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     CommandEvent.Kind kind =
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -20,20 +20,23 @@
 import wickdrift.transport.Timers;
 
 /**
- * Commands that are sent straight to a worker, instead of with the answer to its next report. One
- * at a time is waited for; one that is not answered may arrive whenever the network lets it.
+ * Sends commands to a worker immediately, instead of with the answer to its next report. At most
+ * one command per worker awaits its answer; a command without an answer may still arrive at any
+ * later time.
  */
 final class DirectCommands {
-  /** Most commands that one message holds, whichever way it goes. */
+  /**
+   * Maximum number of orders in one message, whether a direct command or the answer to a report.
+   */
   static final int MAX_ORDERS_PER_MESSAGE = 400;
 
-  /** An answer that has not come by then is not waited for any more. */
+  /** How long the answer to a direct command is awaited. */
   static final long ANSWER_TIMEOUT_MS = 3000;
 
   private static final int HTTP_OK = 200;
   private static final int HTTP_CONFLICT = 409;
 
-  /** Of a lease: so often at most a worker is asked for an answer. */
+  /** Maximum number of probes sent to one worker within the length of a lease. */
   private static final int MAX_PROBES_PER_LEASE = 8;
 
   private final Timers timers;
@@ -65,7 +68,7 @@
   }
 
   /**
-   * Sends what is wanted at once.
+   * Sends the commands that follow from the machine's last report immediately.
    *
    * @param hasAuthority as for {@link CommandPlanner.Scope}
    */
@@ -97,7 +100,10 @@
     }
   }
 
-  /** Asks a worker that seems deaf, or new, for an answer; whoever answers hears. */
+  /**
+   * Sends an empty command to a worker that seems unreachable for commands, is newly owned or may
+   * have restarted: its answer proves that commands reach it.
+   */
   void probe(Machine machine, long session) {
     WorkerLink link = links.linkTo(machine);
     long now = timers.nowMs();
@@ -132,13 +138,13 @@
       Machine machine, WorkerLink link, WorkerCommands.DirectRuns command, Caller.Answer answer) {
     link.inFlight = false;
     if (answer.status() != HTTP_OK && answer.status() != HTTP_CONFLICT) {
-      // It may arrive yet. The answers to reports repeat it.
+      // The command may still arrive. The answers to reports repeat its content.
       if (!command.runs().isEmpty()) {
         links.commandUnanswered(machine, machine.report(), command.epoch());
       }
       return;
     }
-    // Executed, or refused for good: either way this command can't come again.
+    // The worker has executed the command or refused it for good, so it cannot take effect again.
     link.commands.directCommandAnswered(command);
     machine.markReachableForCommands();
     View view = tables.view();
@@ -152,7 +158,10 @@
     }
   }
 
-  /** What the worker shows after a command is as it is now: no copy of an answer can come. */
+  /**
+   * Applies the report in the answer to a command. It shows the worker's current state because,
+   * unlike a report, an answer to a command cannot arrive as a late copy.
+   */
   private void applyReport(Machine machine, WorkerLink link, Report report, View view) {
     if (link.isOlderThanCommand(report)) {
       links.workerRestarted(machine, report, view.epoch());
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -15,7 +15,10 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Timers;
 
-/** Decides what of the logs is stored elsewhere, so that their pages can go. */
+/**
+ * Compacts the logs: stores the records of the oldest pages elsewhere, so that the pages can be
+ * deleted.
+ */
 final class LogCompaction {
   private static final Logger LOG = LoggerFactory.getLogger(LogCompaction.class);
   private static final long ARCHIVE_CLEANUP_INTERVAL_MS = 5000;
@@ -47,13 +50,14 @@
   }
 
   /**
-   * Stores what the oldest page says in the jobs' chunks and the machines' shelves, then deletes
-   * it. While there is other work this waits, until the log is twice as long as it should be.
+   * Stores what the oldest page records in the jobs' chunks and the machines' archive buckets, then
+   * deletes the page. While there is other work this waits until the log has twice its target
+   * length.
    */
   void addCompaction(TransactionBuilder builder) {
     List<String> logs = new ArrayList<>(List.of(node));
     if (membership.isLeader()) {
-      // A node outside the view can't write: the leader does it.
+      // A node outside the view cannot write, so the leader compacts its log.
       for (String logNode : tables.nodesWithLogPages()) {
         if (!tables.view().members().containsKey(logNode)) {
           logs.add(logNode);
@@ -63,7 +67,8 @@
     }
     for (String logNode : logs) {
       var pages = tables.logPages(logNode);
-      // What has ended by the time its page is the oldest needs no folding.
+      // This node's log keeps its newest pages: jobs that end before their page becomes the oldest
+      // need no compaction.
       int pagesToKeep = logNode.equals(node) ? tuning.logPages() : 0;
       if (pages.size() > (builder.isEmpty() ? pagesToKeep : 2 * pagesToKeep)) {
         compactPage(builder, pages.firstEntry().getValue());
@@ -100,14 +105,17 @@
       }
       builder.write(Tables.archiveBucketKey(bucket), value, tables.archiveBucket(bucket).stamp());
     }
-    // In the same transaction: if a chunk can't be stored, the page stays.
+    // The deletion is part of the same transaction: if a chunk cannot be stored, the page stays.
     if (builder.canAddWrites() && builder.canAddConditions()) {
       builder.addCondition(page.key(), page.stamp());
       builder.delete(page.key());
     }
   }
 
-  /** Then its page stays: what it says is nowhere else. Told once a record. */
+  /**
+   * Whether a record exceeds the maximum size of a value. Its log page must then stay, because no
+   * other place holds the data. Logged once per record.
+   */
   private boolean exceedsValueLimit(Object value, String key) {
     boolean isTooLarge = MessageCodec.jsonSize(value) > limits.maxValueBytes();
     if (isTooLarge && reportedKeys.add(key)) {
@@ -116,7 +124,10 @@
     return isTooLarge;
   }
 
-  /** A shelf whose machines are all forgotten goes when no page is left that names them. */
+  /**
+   * Deletes archive buckets whose machines have all been removed, once no log page names these
+   * machines any more.
+   */
   private void deleteEmptyArchiveBuckets(TransactionBuilder builder) {
     long now = timers.nowMs();
     if (!builder.isEmpty() || now < nextArchiveCleanupMs) {
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -26,13 +26,17 @@
 import wickdrift.transport.Timers;
 
 /**
- * Answers the reports of the workers of this node's part, and knows which of its machines obey it
- * alone. What a worker is told is decided by {@link CommandPlanner}.
+ * Answers the reports of the workers in this node's partition, and decides whether the withdrawal
+ * of a job can be confirmed for a machine. {@link CommandPlanner} decides which commands a worker
+ * receives.
  */
 public final class ReportHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
-  /** A command that was sent straight and in answers has come by then, or does not come. */
+  /**
+   * By then a run that was sent directly and in the answers to reports has arrived, or commands do
+   * not reach the worker.
+   */
   private static final long RUN_DELIVERY_TIMEOUT_MS = 3500;
 
   private static final long CATCH_UP_TIMEOUT_MS = 1000;
@@ -52,10 +56,10 @@
   private final DirectCommands directCommands;
   private final MachineHealthMonitor healthMonitor;
 
-  /** Machines that were told of their owner in this view. */
+  /** Machines whose workers were directed to their owner in this view. */
   private final Set<String> redirectedMachines = new HashSet<>();
 
-  /** Machines of our part that have not reported to us in this view. */
+  /** Machines of this node's partition that have not reported to this node in this view. */
   private final Set<String> unreportedMachines = new HashSet<>();
 
   private View currentView;
@@ -67,7 +71,7 @@
   private final long leaseMs;
   private Set<String> ownedMachines = new HashSet<>();
 
-  /** Answers no report before the tables are loaded. */
+  /** Creates a handler that answers no report before the tables are loaded. */
   public ReportHandler(
       Timers timers,
       StateServiceClient stateService,
@@ -109,7 +113,7 @@
 
   // ---- a new view ----
 
-  /** Called after the tables changed, with the machines that did. */
+  /** Called after the tables changed, with the machines that changed. */
   public void tablesChanged(List<Machine> changed) {
     View view = tables.view();
     if (view != null && view.epoch() != viewEpoch) {
@@ -125,8 +129,8 @@
   }
 
   private void viewChanged(View view) {
-    // Of views in between nothing is known: someone else may have owned any of our machines, and
-    // have answered its worker, as when we stood still meanwhile.
+    // If a view was skipped, for example during a process pause, another node may have owned any of
+    // these machines in between and may have answered its worker.
     boolean skippedViews = view.epoch() > viewEpoch + 1;
     previousView = currentView;
     currentView = view;
@@ -151,7 +155,8 @@
       if (node.equals(machine.owner(view))) {
         ownedNow.add(machine.name());
         if (skippedViews || !ownedInPreviousView(machine)) {
-          // Its owner until now may go on answering it for as long as the grace allows.
+          // The previous owner may go on answering the worker for as long as the grace period
+          // allows.
           machine.resetReports(viewStartedMs + tuning.graceMs(), viewStartedMs);
           links.forgetRuns(machine);
         }
@@ -165,9 +170,10 @@
     }
     ownedMachines = ownedNow;
     pipeline.onNewView();
-    // Whoever takes over places nothing on what it took over until reports had time to come in, or
-    // all known machines have reported. A machine takes no task before it has reported, so a node
-    // that had a part goes on with that; one that is new, and one that is new as leader, wait.
+    // After a takeover nothing is placed on the machines taken over until there was time for
+    // reports to arrive, or all known machines have reported. A machine takes no task before it has
+    // reported, so a node that already had a partition goes on placing on it. A node that had no
+    // partition waits, and so does a new leader with the leader's placements.
     if (ownedNothing) {
       pipeline.holdPlacementsUntil(viewStartedMs + tuning.settleMs());
     }
@@ -177,9 +183,10 @@
   }
 
   /**
-   * Whether a machine was ours until this change of view. One whose zone was not known at the last
-   * change may have been counted as ours by its name alone, and its zone's controllers have
-   * answered it since: to take its silence here for its own would end a lease that they renew.
+   * Whether this node owned a machine until this change of view. A machine whose zone was unknown
+   * at the last change may have been assigned to this node by its name alone, while the controllers
+   * of its zone have answered it since. Treating its silence towards this node as real silence
+   * would end a lease that they renew.
    */
   private boolean ownedInPreviousView(Machine machine) {
     return ownedMachines.contains(machine.name())
@@ -193,15 +200,16 @@
     handleReport(exchange, true);
   }
 
-  /** A report that a peer passed on: never passed on again. */
+  /** Handles a report that a peer passed on; it is never passed on again. */
   public void handleRelayedReport(Exchange exchange) {
     handleReport(exchange, false);
   }
 
   private void handleReport(Exchange exchange, boolean mayRelay) {
     if (!membership.caughtUp()) {
-      // After a pause: an answer under an epoch that was superseded meanwhile would hold the worker
-      // here while its lease runs out. The state service being away, the grace decides.
+      // After a process pause, an answer under an epoch that was superseded meanwhile would keep
+      // the worker at this node while its lease runs out. If the state service cannot be reached,
+      // the grace period decides.
       stateService.barrier(CATCH_UP_TIMEOUT_MS, ok -> answerReport(exchange, mayRelay));
       return;
     }
@@ -224,7 +232,7 @@
       return;
     }
     if (report.epoch() > view.epoch() || membership.isViewOutdated()) {
-      // Someone else commands by now: catch up, and let the worker find them.
+      // Another node has taken over: catch up with the state, and let the worker find its owner.
       stateService.barrier(2000, ok -> {});
       exchange.reply(421, Map.of());
       return;
@@ -232,12 +240,12 @@
     Membership.Status status = membership.status();
     String owner = view.owner(report.machine(), report.zone());
     if (!owner.equals(node)) {
-      // A worker that knows this epoch has been answered by its owner, and has left it: it can't
-      // reach it. The owner may be well otherwise, so the report is passed on.
+      // A worker that knows this epoch has been answered by its owner and has left it, so it cannot
+      // reach the owner. The owner may work otherwise, so the report is passed on to it.
       boolean hasLeftOwner =
           report.epoch() == view.epoch()
               || redirectedMachines.contains(report.machine())
-              // Answered by it under the view before, too.
+              // The same owner may have answered it under the previous view.
               || previousView != null
                   && report.epoch() == previousView.epoch()
                   && owner.equals(previousView.owner(report.machine(), report.zone()));
@@ -245,7 +253,8 @@
         return;
       }
       redirectedMachines.add(report.machine());
-      // A spare knows as much as a member; who is cut off from the store may not.
+      // A standby node knows the owner as well as a member does. A node that is cut off from the
+      // state service may not.
       boolean knowsOwner = status == Membership.Status.MEMBER || membership.isSpare();
       exchange.reply(421, knowsOwner ? Map.of("upstream", owner) : Map.of());
       return;
@@ -256,9 +265,10 @@
     }
     Machine machine = tables.getOrCreateMachine(report.machine());
     if (machine.hasNewerUnsolicitedReport(report)) {
-      // A copy: its worker has long had an answer, or has given up. It proves nothing, and an
-      // answer that would renew a lease is not given. Or its machine was back so soon that nobody
-      // missed it, and its worker counts from one again: only an answer of its own can tell.
+      // Either the report is a late copy: its worker has received an answer long ago or has given
+      // up, so the copy proves nothing and must not get an answer that would renew a lease. Or the
+      // machine came back before its absence was noticed, and its worker counts from one again:
+      // only the answer to a probe can tell.
       directCommands.probe(machine, report.tenure());
       exchange.reply(503, null, 1);
       return;
@@ -280,15 +290,17 @@
         pipeline.settleNow();
       }
       updateMachineRecord(machine, report, isProof);
-      // What may be a copy proves nothing: it is answered, so that the next one shows our token.
+      // A report that may be a copy proves nothing. It is answered, so that the worker's next
+      // report shows this node's epoch.
       boolean hasAuthority = status == Membership.Status.MEMBER && isProof;
       orders = planner.plan(machine, report, new CommandPlanner.Scope(hasAuthority, true));
     } else {
-      // Its answer renews the lease too, should the worker still wait for it.
+      // This answer renews the lease too, if the worker still waits for it.
       orders = planner.planHaltsOfCancelledJobs(machine);
     }
     machine.recordAnswer(timers.nowMs(), view.epoch());
-    // One that is newly ours need not wait for its next report to prove itself.
+    // The worker of a newly owned machine is probed, so that it can prove itself before its next
+    // report.
     boolean unproved = !isOutdated && !machine.provedAlive() && machine.phase() == Machine.Phase.UP;
     if (machine.unreachableForCommandsSinceMs() > 0 || unproved) {
       directCommands.probe(machine, report.tenure());
@@ -301,11 +313,12 @@
     exchange.reply(200, body);
   }
 
-  /** Brings the machine's durable record up to what the report says. */
+  /** Updates the machine's durable record to what the report says. */
   private void updateMachineRecord(Machine machine, Report report, boolean isProof) {
     ownedMachines.add(machine.name());
     if (!isProof || machine.unreachableForCommandsSinceMs() > 0) {
-      // Perhaps a copy of what a machine said that is gone by now; or one that nothing reaches.
+      // The report may be a late copy from a machine that is gone, or commands do not reach the
+      // machine.
       return;
     }
     Machine.Phase wantedPhase =
@@ -325,7 +338,10 @@
     }
   }
 
-  /** Whether a report lacks a task that its worker was told to run longer ago than that takes. */
+  /**
+   * Whether a report lacks a task that its worker was told to run more than {@link
+   * #RUN_DELIVERY_TIMEOUT_MS} ago.
+   */
   private boolean hasIgnoredRun(Machine machine, Report report, long now) {
     WorkerCommands commands = links.commandsTo(machine);
     for (Machine.Slot slot : machine.slots()) {
@@ -338,11 +354,11 @@
     return false;
   }
 
-  // ---- commands sent straight to a worker ----
+  // ---- direct commands and withdrawals ----
 
   /**
-   * Stops a job whose withdrawal a peer has told of. Without the state service too: what is there
-   * of it is over for good, whoever holds authority.
+   * Halts the tasks of a job whose withdrawal a peer has announced. This works without the state
+   * service too: the tasks of a withdrawn job are over for good, whichever node holds authority.
    */
   public void haltTasksOf(Job job) {
     Membership.Status status = membership.status();
@@ -357,11 +373,14 @@
   }
 
   /**
-   * Whether a worker takes orders from this node alone, and nothing of a job that this node knows
-   * to be withdrawn can begin there any more. It has shown this view's epoch, so it drops what any
-   * earlier owner says; no run of the job is under way to it, and what it has of the job is past
-   * its fetch. Once so, it stays so: a later view's owner has read of the withdrawal. Where a lease
-   * that nobody renews would outlast a cancellation, nothing of the job may be left at all.
+   * Whether the withdrawal of a job can be confirmed for a machine: its worker takes commands from
+   * this node alone, and no task of the job can start there any more.
+   *
+   * <p>The worker has shown this view's epoch, so it refuses commands of earlier owners. No run of
+   * the job is on the way to it, and every task of the job that it has is past its image fetch.
+   * This stays true: the owner in a later view has read the withdrawal from the state service. If a
+   * lease that nobody renews could outlast the time allowed for a cancellation, no task of the job
+   * may be left at all.
    */
   public boolean canConfirmWithdrawal(Machine machine, String job) {
     View view = tables.view();
@@ -373,7 +392,8 @@
       return false;
     }
     WorkerCommands commands = links.commandsTo(machine);
-    // One that was sent and shown is asked for too: it may be under way once more.
+    // This includes runs that were sent directly and have since been reported: a direct run may
+    // arrive once more.
     Verdict verdict = commands.verifyNoRunPending(job);
     if (verdict.isAllowed()) {
       verdict = verifyReportedTasks(commands, report, job);
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -24,22 +24,27 @@
 import wickdrift.protocol.Report;
 
 /**
- * One transaction being put together. All changes of tasks and machines are entries of one page of
- * this node's log, one write however many they are; the rest counts one by one.
+ * Builds one transaction. All changes of tasks and machines are entries of one page of this node's
+ * log, which is one write however many there are. Every other change is a write of its own.
  */
 final class TransactionBuilder {
-  /** The lasting record of an end appears, and the job's goes. */
+  /**
+   * Moving a job's end to the job history writes the history record and deletes the job's record.
+   */
   private static final int WRITES_PER_MOVE = 2;
 
-  /** The protocol allows four conditions for each write. */
+  /** The protocol allows four conditions per write. */
   private static final int CONDITIONS_PER_WRITE = 4;
 
-  /** Bytes of an entry besides names, and of each task in it: no number is longer than this. */
+  /**
+   * Upper bounds for the size of an entry without its names, and of each task in it: no number is
+   * longer than this.
+   */
   private static final int ENTRY_OVERHEAD_BYTES = 40;
 
   private static final int BYTES_PER_TASK = 24;
 
-  /** So many tasks an entry: one must fit into a page. */
+  /** Limits the size of one entry, which must fit into a page. */
   private static final int MAX_TASKS_PER_ENTRY = 16;
 
   private static final int PAGE_OVERHEAD_BYTES = 64;
@@ -55,13 +60,16 @@
   private final Map<Job, Integer> liveCountChanges = new HashMap<>();
   private final Set<Job> endedJobs = new LinkedHashSet<>();
 
-  /** The tasks whose attempt ended with an error. */
+  /** The tasks whose attempt ended with an error, by job. */
   private final Map<Job, Set<Integer>> failedTasks = new HashMap<>();
 
-  /** What a transaction may have at the most: {@link #affordableChanges} may be less for now. */
+  /**
+   * Maximum number of changes of any transaction; {@link #affordableChanges} may be lower at the
+   * moment.
+   */
   private final int maxChanges;
 
-  /** What this places, by machine. */
+  /** The jobs whose tasks this transaction places, by machine. */
   private final Map<Machine, List<JobSpec>> placements = new HashMap<>();
 
   private boolean needsFencing;
@@ -70,8 +78,11 @@
   private int entryBytes;
 
   /**
-   * @param affordableChanges how many changes can be paid now
-   * @param maxChanges how many a transaction may have
+   * Creates a builder without changes.
+   *
+   * @param affordableChanges how many changes the write budget allows now
+   * @param maxChanges how many changes a transaction may have
+   * @param pageBytes maximum size of a log page
    */
   TransactionBuilder(
       Tables tables, String node, int affordableChanges, int maxChanges, int pageBytes) {
@@ -83,7 +94,7 @@
     this.pageBytes = pageBytes;
   }
 
-  /** This node's durable number, which its placements carry. */
+  /** Returns this node's durable number, which is stored with its placements. */
   int nodeNumber() {
     return nodeNumber;
   }
@@ -92,7 +103,10 @@
     return canAddWrites(1);
   }
 
-  /** Room for so many more writes, besides that of the page. */
+  /**
+   * Whether the given number of writes can be added, besides the write of the log page. If only the
+   * current budget is too small for them, the number is kept as a request for the next transaction.
+   */
   boolean canAddWrites(int count) {
     if (count == 0 || 1 + otherWrites + count <= affordableChanges) {
       return true;
@@ -104,22 +118,23 @@
   }
 
   /**
-   * Something was left out that is dear to write: the next transaction is to be as wide as may be,
-   * for one wide one holds more of that than several narrow ones of as many changes.
+   * Requests the maximum size for the next transaction. Used when a change that is expensive to
+   * write was left out: one wide transaction holds more such changes than several narrow ones with
+   * the same total.
    */
   void requestMaxWrites() {
     requestedWrites = maxChanges;
   }
 
   /**
-   * How many changes a transaction must be able to have for something that was left out here,
-   * because what can be paid now was too little for it; 0: nothing was.
+   * Returns how many changes the next transaction must allow, because the current budget was too
+   * small for something that was left out; 0 if nothing was.
    */
   int requestedWrites() {
     return requestedWrites;
   }
 
-  /** Room for the conditions that placing one more job brings. */
+  /** Whether the conditions for placing one more job can be added. */
   boolean canAddConditions() {
     return canAddConditions(4);
   }
@@ -133,19 +148,25 @@
     return changedTasks.isEmpty() && machineInfos.isEmpty() && otherWrites == 0;
   }
 
-  /** What is placed here on a machine, besides what the tables tell. */
+  /**
+   * Returns the jobs that this transaction places on a machine, which the tables do not contain
+   * yet.
+   */
   List<JobSpec> placementsOn(Machine machine) {
     return placements.getOrDefault(machine, List.of());
   }
 
-  /** Whether our part's record must change before we place again, should the outcome be unknown. */
+  /**
+   * Whether this node's partition record must change before the next placement if the outcome of
+   * this transaction is unknown.
+   */
   boolean needsFencing() {
     return needsFencing;
   }
 
   /**
-   * Gives away of our share of a limit. Should that be applied late, beside placements decided
-   * without it, more than the limit would be used.
+   * Marks the transaction as a transfer of this node's quota share. If the transfer were applied
+   * late, beside placements that were decided without it, more than the limit would be used.
    */
   void requireFencing() {
     needsFencing = true;
@@ -157,14 +178,14 @@
     return state == null ? job.task(index) : state;
   }
 
-  /** Whether so many more changes of the job's tasks fit into the page. */
+  /** Whether the given number of further changes of the job's tasks fits into the page. */
   boolean fitsInPage(Job job, int count) {
     return pageBytesWith(job, count) <= pageBytes;
   }
 
   /**
-   * Whether all of a large gang fits, which starts in one transaction or not at all: it may take as
-   * many pages as the transaction has room for, besides {@code others} writes.
+   * Whether all of a large gang fits, which must start in one transaction or not at all. It may
+   * fill as many pages as the transaction has writes left, besides {@code otherWrites}.
    */
   boolean fitsWholeGang(Job job, int count, int otherWrites) {
     int pages =
@@ -207,7 +228,11 @@
     entryBytes += BYTES_PER_TASK;
   }
 
-  /** An attempt is over; {@code why} as the worker said, or null when it was lost. */
+  /**
+   * Ends an attempt.
+   *
+   * @param exitReason the reason that the worker reported, or null if the attempt was lost
+   */
   void endAttempt(Job job, int index, String exitReason) {
     changeTask(job, index, task -> task.exited(exitReason));
     if (Report.ERROR.equals(exitReason)) {
@@ -234,24 +259,26 @@
   }
 
   /**
-   * Ends a job in the same transaction: its record says so, or (below {@link Gate#AWAITS}) the
-   * final one appears and the job's goes, on condition that the job's record has not changed. So a
-   * job is either done or withdrawn, decided by one key; and no placement of it can follow, for
-   * that is conditional on the same key.
+   * Ends a job in this transaction. Either its record becomes an end marker, or (below {@link
+   * Gate#AWAITS}) the job history record is written and the job's record deleted. Both depend on
+   * the condition that the job's record has not changed. A job is therefore either done or
+   * withdrawn, decided by one key, and no placement of it can follow, because placements depend on
+   * the same key.
    */
   void endJob(Job job, String phase, long wallMs) {
     endedJobs.add(job);
     transaction.requireStamp(job.key(), job.stamp());
     otherWrites += writesPerEnd();
     for (int chunk = 0; chunk < job.chunkCount(); chunk++) {
-      // What does not fit is left as an orphan and deleted later.
+      // Chunks that do not fit remain as orphans and are deleted later.
       if (job.chunkStamp(chunk) > 0 && canAddWrites()) {
         delete(job.chunkKey(chunk));
       }
     }
     TerminalState terminalState = new TerminalState(phase, job.taskCount(), wallMs);
     if (tables.isOpen(Gate.AWAITS)) {
-      // One write where others wait for it; it is moved when there are writes to spare.
+      // Clients wait for this, so it takes one write. The end is moved to the job history when
+      // there are writes to spare.
       transaction.write(job.key(), Job.terminalToStore(terminalState));
     } else {
       transaction.write(Job.terminalStateKey(job.id()), terminalState.toStore(false));
@@ -259,7 +286,7 @@
     }
   }
 
-  /** Moves an end to its lasting place. */
+  /** Moves the end of a job from the job's record to the job history. */
   void moveToHistory(String id, Tables.PendingHistoryEntry end) {
     transaction.requireStamp(Job.key(id), end.stamp());
     transaction.write(Job.terminalStateKey(id), end.terminalState().toStore(true));
@@ -272,7 +299,7 @@
   }
 
   boolean canEndJob() {
-    // Below the level as it was: with room for a chunk beside it.
+    // Below this level, one more write is required, for a chunk to be deleted with the job.
     int count = tables.isOpen(Gate.AWAITS) ? writesPerEnd() : writesPerEnd() + 1;
     return canAddWrites(count) && canAddConditions();
   }
@@ -281,7 +308,7 @@
     return tables.isOpen(Gate.AWAITS) ? 1 : WRITES_PER_MOVE;
   }
 
-  /** Hands a job that is not withdrawn to another part. */
+  /** Hands a job that is not withdrawn over to another partition. */
   void moveToPartition(Job job, String part) {
     write(job.key(), job.toStore(part, 0), job.stamp());
   }
@@ -308,7 +335,7 @@
     otherWrites++;
   }
 
-  /** Takes back a write, and its condition. */
+  /** Removes a write and its condition. */
   void removeWrite(String key) {
     transaction.remove(key);
     otherWrites--;
@@ -318,14 +345,19 @@
     transaction.requireStamp(key, stamp);
   }
 
-  /** On condition that the view is the one of the tables, since that is what a change rewrites. */
+  /**
+   * Adds the condition that the view is still the one in the tables. Every change of view rewrites
+   * the view record.
+   */
   void requireCurrentView() {
     if (tables.isOpen(Gate.VIEWS)) {
       transaction.requireStamp(View.KEY, tables.viewStamp());
     }
   }
 
-  /** On condition that a node has written nothing to its log that we have not seen. */
+  /**
+   * Adds the condition that a node has written nothing to its log beyond what this node has read.
+   */
   void requireUnchangedLog(String owner) {
     var lastPage = tables.logPages(owner).lastEntry();
     if (lastPage != null) {
@@ -339,7 +371,7 @@
     machineInfos.forEach((machine, info) -> out.add(LogEntry.machine(machine.name(), info)));
     changedTasks.forEach(
         (job, changes) -> {
-          // What an ended job's tasks did is in its final record.
+          // The terminal state of an ended job covers what its tasks did.
           if (!endedJobs.contains(job)) {
             addJobEntries(job, changes, out);
           }
@@ -373,13 +405,16 @@
                 .addAll(List.of(index, next.attempt()));
           }
         });
-    // In this order: what is placed may follow on an exit, what is stopped on a placement.
+    // The order matters: a placement may follow an exit, and a stop may follow a placement.
     out.addAll(exitEntries);
     out.addAll(placementEntries);
     out.addAll(stopEntries);
   }
 
-  /** The entry that takes the next task: the last with that head if it has room, or the new one. */
+  /**
+   * Returns the entry that takes the next task: the last one if it has the same head and is not
+   * full, otherwise {@code newEntry}, which is added.
+   */
   private static List<Object> entryFor(
       List<List<Object>> entries, List<Object> newEntry, int width) {
     List<Object> last = entries.isEmpty() ? null : entries.get(entries.size() - 1);
@@ -419,7 +454,10 @@
     return transaction;
   }
 
-  /** Appends to a page, or begins the next; returns its number. */
+  /**
+   * Appends entries to a page, or to the next page if {@code page} is null, and returns the page's
+   * number.
+   */
   private long write(LogPage page, long number, List<Object> pageEntries) {
     long target = page == null ? number + 1 : number;
     transaction.requireStamp(LogPage.key(node, target), page == null ? 0 : page.stamp());
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -22,9 +22,9 @@
 import wickdrift.transport.Timers;
 
 /**
- * Writes this node's decisions: exits that reports proved, machines' records, ends of jobs, and
- * placements. One transaction is in flight at a time, decided from the tables as they are; after it
- * the tables are caught up before the next is decided.
+ * Writes this node's decisions: exits that reports proved, machine records, ends of jobs, and
+ * placements. At most one transaction is in flight. Each is decided from the current tables, and
+ * the tables catch up with it before the next one is decided.
  */
 public final class TransactionPipeline {
   private static final Logger LOG = LoggerFactory.getLogger(TransactionPipeline.class);
@@ -32,30 +32,40 @@
   private static final long RETRY_INTERVAL_MS = 150;
   private static final long MIN_CYCLE_GAP_MS = 10;
 
-  /** So many ends may wait in their jobs' records; a load reads them all. */
+  /**
+   * Maximum number of job ends that remain in the jobs' own records. Every load of the state reads
+   * all of them.
+   */
   private static final int MAX_DEFERRED_MOVES = 2000;
 
-  /** However much there is to write, so often a node looks whether another lacks share. */
+  /**
+   * After this time a node checks whether another one lacks quota share, however much other work
+   * there is.
+   */
   private static final long MAX_QUOTA_CHECK_DELAY_MS = 2000;
 
-  /** A page, and a record beside it. */
+  /** One write for a log page and one for another record. */
   private static final int MIN_CHANGES = 2;
 
   /** The pipeline's state. */
   private enum Phase {
     READY,
-    /** A transaction is out, or the tables are catching up with one. */
+    /** A transaction is in flight, or the tables are catching up with one. */
     BUSY,
-    /** A placement's outcome is unknown: our part's record must change before we place again. */
+    /**
+     * The outcome of a placement is unknown: this node's partition record must change before the
+     * next one.
+     */
     FENCING
   }
 
   /**
-   * An attempt that is over. One that ended on its machine (the worker shows it until it is
-   * cleared) or with it stays so. One that is gone without a trace does only as long as nobody runs
-   * it again, and under another view its machine's owner may.
+   * The end of an attempt that is not durable yet. An attempt that ended on its machine (the worker
+   * reports it until it is cleared), or that was lost with its machine, stays over. An attempt that
+   * disappeared without an exit stays over only as long as nobody runs it again, and under another
+   * view the machine's owner may do that.
    *
-   * @param lostInEpoch the epoch in which it was gone without a trace, else 0
+   * @param lostInEpoch the epoch in which the attempt disappeared without an exit, otherwise 0
    */
   private record PendingExit(Machine machine, int attempt, String exitReason, long lostInEpoch) {}
 
@@ -86,13 +96,19 @@
   private long builtTransactionCount;
   private long cyclesWithoutBudget;
 
-  /** Changes that the next transaction must be able to have: the last left something out. */
+  /**
+   * Number of changes that the next transaction must allow, because the last one left something
+   * out.
+   */
   private int requestedChanges;
 
-  /** Whether a timer will wake us when the leader's jobs that were passed over may be placed. */
+  /**
+   * Whether a timer is set to start a cycle when the leader's jobs that were passed over may be
+   * placed.
+   */
   private boolean postponedCycleScheduled;
 
-  /** Writes nothing before it is started. */
+  /** Creates a pipeline that writes nothing before it is started. */
   public TransactionPipeline(
       Timers timers,
       StateServiceClient stateService,
@@ -131,17 +147,20 @@
     idleTick();
   }
 
-  /** Tasks placed so far, those of transactions that failed too. */
+  /** Returns the number of tasks placed so far, including those of failed transactions. */
   public long placedTasks() {
     return taskPlacer.placedTasks();
   }
 
-  /** From a stage's last end to the next one's first placement, in milliseconds. */
+  /**
+   * Returns a percentile of the time from the last end in a stage to the first placement of the
+   * next stage, in milliseconds.
+   */
   public double stageDelayMs(double percentile) {
     return taskPlacer.stageDelayMs(percentile);
   }
 
-  /** Whether no transaction is out: what was begun is durable, or its failure is known. */
+  /** Whether no transaction is in flight: everything begun is durable, or its failure is known. */
   public boolean isIdle() {
     return phase == Phase.READY;
   }
@@ -150,12 +169,12 @@
     return transactionCount;
   }
 
-  /** Drafts that were put together, those with nothing in them too. */
+  /** Returns the number of transactions that were built, including those that remained empty. */
   public long builtTransactionCount() {
     return builtTransactionCount;
   }
 
-  /** Times that nothing was drafted, as too little could be paid yet. */
+  /** Returns how often no transaction was built because the write budget was still too small. */
   public long cyclesWithoutBudget() {
     return cyclesWithoutBudget;
   }
@@ -166,13 +185,14 @@
     scheduleCycle();
   }
 
-  /** Something may be there to write. */
+  /** Schedules a cycle, because there may be something to write. */
   public void scheduleCycle() {
     if (phase != Phase.READY || cycleScheduled) {
       return;
     }
     cycleScheduled = true;
-    // A few milliseconds let what comes together be written together; more when writes are short.
+    // A few milliseconds let changes that arrive together be written together. The gap is longer
+    // when few writes are available.
     double writeHeadroom = stateService.writeBudgetFraction();
     long gapMs =
         writeHeadroom > 0.6
@@ -188,23 +208,29 @@
         });
   }
 
-  /** Marks are of one view: the part records were written anew. */
+  /**
+   * Discards the reservations, which belong to one view: the partition records were rewritten with
+   * the new one.
+   */
   public void onNewView() {
     taskPlacer.onNewView();
   }
 
-  /** Taken over: nothing is placed until reports had time to come in, or {@link #settleNow}. */
+  /**
+   * Holds placements after a takeover, until there was time for reports to arrive or {@link
+   * #settleNow} is called.
+   */
   public void holdPlacementsUntil(long untilMs) {
     settledAtMs = untilMs;
   }
 
-  /** All known machines have reported. */
+  /** Ends the hold, because all known machines have reported. */
   public void settleNow() {
     settledAtMs = Math.min(settledAtMs, timers.nowMs());
     scheduleCycle();
   }
 
-  /** The lead was taken over: what the leader places waits too. */
+  /** Holds the leader's placements too, after this node became the leader. */
   public void holdLeaderPlacementsUntil(long untilMs) {
     leaderSettledAtMs = untilMs;
   }
@@ -217,7 +243,12 @@
     return isSettled() && timers.nowMs() >= leaderSettledAtMs;
   }
 
-  /** True when this is the first that is heard of it. */
+  /**
+   * Records the end of an attempt, to be written with the next transaction.
+   *
+   * @param exitReason the reason that the worker reported, or null if the attempt was lost
+   * @return whether the end was not recorded before
+   */
   public boolean recordExit(Job job, int index, int attempt, Machine machine, String exitReason) {
     PendingExit exit =
         new PendingExit(
@@ -230,15 +261,18 @@
   }
 
   /**
-   * Whether the attempt is known to be over, though not durably yet: until it is, a command to run
-   * it would start it once more, beside the next attempt.
+   * Whether the attempt is known to be over but its end is not durable yet. Until it is, a command
+   * to run the attempt would start it once more, beside the next attempt.
    */
   public boolean isExiting(Job job, int index, int attempt) {
     PendingExit exit = pendingExits.get(new TaskKey(job.id(), index));
     return exit != null && exit.attempt == attempt;
   }
 
-  /** No one can have renewed the worker's lease: it has killed all it had. */
+  /**
+   * Records the loss of all tasks on a machine whose worker's lease has expired: nobody can have
+   * renewed the lease, so the worker has killed all its tasks.
+   */
   public void onWorkerLeaseExpired(Machine machine) {
     int newExits = 0;
     for (Machine.Slot slot : machine.slots()) {
@@ -256,7 +290,10 @@
     scheduleCycle();
   }
 
-  /** After a pause: silence that this process did not listen to proves nothing. */
+  /**
+   * Discards conclusions that a process pause may have made wrong: silence proves nothing while
+   * this process was not receiving.
+   */
   public void onProcessResumed() {
     pendingRecords
         .entrySet()
@@ -269,11 +306,12 @@
               }
               return isLoss;
             });
-    // So were losses; whoever owns the machine finds them again. What a worker has shown stands.
+    // Attempts that disappeared without an exit are discarded too; the machine's owner detects them
+    // again. Exits that a worker has reported remain.
     pendingExits.values().removeIf(exit -> exit.lostInEpoch > 0);
   }
 
-  /** What is about to be recorded of a machine, or null. */
+  /** Returns the machine record that is about to be written, or null. */
   public Machine.Info pendingRecord(Machine machine) {
     return pendingRecords.get(machine);
   }
@@ -295,8 +333,8 @@
     }
     lastCycleMs = timers.nowMs();
     scheduling.update();
-    // What is drafted can be paid: a draft that our own budget refuses is drawn anew again and
-    // again, and all that it holds waits.
+    // The builder is limited to what the write budget allows. A transaction that the budget refuses
+    // would be built again and again, and everything in it would wait.
     int maxChanges = stateService.limits().maxTransactionChanges();
     int pageBytes = Math.min(tuning.logPageBytes(), stateService.limits().targetValueBytes());
     int affordableChanges = stateService.affordableChanges(maxChanges);
@@ -309,7 +347,8 @@
     TransactionBuilder builder =
         new TransactionBuilder(tables, node, affordableChanges, maxChanges, pageBytes);
     if (isQuotaCheckOverdue()) {
-      // By itself: what is placed beside it was decided by the share that is given away.
+      // The transfer is a transaction of its own: placements beside it would have been decided with
+      // the quota share that it transfers.
       addQuotaTransfer(builder);
       if (!builder.isEmpty()) {
         commit(builder);
@@ -364,8 +403,8 @@
   }
 
   /**
-   * Whether other work has kept this node from giving share away for so long that somebody may wait
-   * beside room for it.
+   * Whether other work has kept this node from transferring quota share for so long that jobs
+   * elsewhere may be waiting although capacity is free.
    */
   private boolean isQuotaCheckOverdue() {
     return isSettled() && timers.nowMs() - lastQuotaCheckMs > MAX_QUOTA_CHECK_DELAY_MS;
@@ -393,7 +432,10 @@
     }
   }
 
-  /** Those that were refused together do not come back together. */
+  /**
+   * Returns an additional delay that differs between nodes, so that nodes refused together do not
+   * retry together.
+   */
   private long retrySpreadMs() {
     return Math.floorMod(tables.registry().numberOf(node), 16) * 20L;
   }
@@ -404,8 +446,9 @@
   }
 
   /**
-   * A placement whose outcome is unknown may be applied late, beside others that are decided
-   * without it. Rewriting our part's record settles it: after that it was applied or never will be.
+   * Fences a placement whose outcome is unknown. It may still be applied late, beside others that
+   * are decided without it. After this node's partition record is rewritten, the placement either
+   * was applied or never will be.
    */
   private void fencePlacement() {
     afterBarrier(
@@ -424,7 +467,7 @@
               transaction,
               StateServiceClient.WritePriority.AUTHORITY,
               result -> {
-                // Whoever has rewritten it, the placement can't follow any more.
+                // Whoever rewrote the record, the placement can no longer be applied after that.
                 if (result.outcome() == StateServiceClient.Outcome.OK || result.settled()) {
                   stateService.runAtRevision(result.rev(), this::becomeReady);
                 } else {
@@ -465,7 +508,7 @@
       int index = entry.getKey().index();
       TaskState state = job == null ? null : job.task(index);
       PendingExit exit = entry.getValue();
-      // Under another view someone else may have owned the machine, and have answered its worker.
+      // Under another view another node may have owned the machine and answered its worker.
       boolean isStale = exit.lostInEpoch > 0 && exit.lostInEpoch != tables.view().epoch();
       if (isStale
           || state == null
@@ -490,9 +533,12 @@
   }
 
   /**
-   * Makes the draft fail if the view has changed: whoever owns the machine now may have renewed its
-   * worker's lease since. The lease of our own that was looked at before may have ended by the time
-   * that the transaction arrives; the part's record, which every change of view rewrites, has not.
+   * Makes the transaction fail if the view has changed, since the machine's new owner may have
+   * renewed its worker's lease. Checking this node's own lease beforehand is not enough: it may
+   * have ended by the time the transaction arrives. A change of view always rewrites the record on
+   * which the condition is set.
+   *
+   * @return false if no such condition can be set now
    */
   private boolean requireCurrentView(TransactionBuilder builder) {
     if (tables.isOpen(Gate.VIEWS)) {
@@ -509,7 +555,10 @@
     return true;
   }
 
-  /** A gang is done, or lost, together: when one task is done, every one is. */
+  /**
+   * Ends a gang attempt as a whole: if one task is done, all are, and if one is lost, the others
+   * are stopped.
+   */
   private void addGangExit(TransactionBuilder builder, Job job, int index, String exitReason) {
     boolean gangDone = Report.DONE.equals(exitReason) || builder.doneTaskCount(job) > 0;
     TaskState before = builder.taskState(job, index);
@@ -532,7 +581,8 @@
       if (gangDone && state.phase() == TaskState.Phase.WAITING) {
         builder.changeTask(job, i, TaskState::doneWithGang);
       } else if (state.isLive() && !gangDone) {
-        // The others cannot go on without it; a new attempt needs all of this one to be over.
+        // The other members cannot continue without it, and a new attempt requires that all of this
+        // one is over.
         builder.changeTask(job, i, task -> task.stopping(TaskState.Stop.SAVE));
       }
     }
@@ -559,8 +609,9 @@
   }
 
   /**
-   * Moves ends to their lasting place: while there are writes to spare, or when there are many.
-   * Each is moved by the member that the hash names, so that nobody waits for another.
+   * Moves job ends to the job history while there are writes to spare, or when there are many. The
+   * hash of its id determines the member that moves a job's end, so that no member waits for
+   * another.
    */
   private void addHistoryMoves(TransactionBuilder builder) {
     boolean backlogged = tables.pendingHistory().size() > MAX_DEFERRED_MOVES;
@@ -585,8 +636,9 @@
       Map.Entry<Machine, Machine.Info> entry = iterator.next();
       Machine machine = entry.getKey();
       Machine.Info wanted = entry.getValue();
-      // One that no longer follows on what is known would be void, and be written for ever; so
-      // would one of a machine that was forgotten meanwhile, as when two leaders returned it.
+      // A change of phase that is not allowed from the current one would have no effect and be
+      // written forever. So would the record of a machine that was removed meanwhile, as when two
+      // leaders returned it.
       boolean isVoid =
           wanted == null
               ? !machine.mayBeForgotten()
@@ -615,7 +667,10 @@
     }
   }
 
-  /** A gang with a member being stopped is stopped whole, within the time its mates wait. */
+  /**
+   * Stops all of a gang that has a member being stopped, within the time that its members wait for
+   * each other.
+   */
   private void addGangStops(TransactionBuilder builder) {
     for (Job job : scheduling.partlyStoppingGangs()) {
       for (int i = 0; i < job.taskCount(); i++) {
@@ -626,7 +681,10 @@
     }
   }
 
-  /** In a transaction of its own: nothing of ours is about to use the share. */
+  /**
+   * Adds a transfer of quota share. It is in a transaction of its own, so that no placement of this
+   * node is about to use that share.
+   */
   private void addQuotaTransfer(TransactionBuilder builder) {
     lastQuotaCheckMs = timers.nowMs();
     Quota quota = new Quota(settings, tables);
--- a/src/main/java/wickdrift/coordination/WorkerLink.java
+++ b/src/main/java/wickdrift/coordination/WorkerLink.java
@@ -6,17 +6,20 @@
 import wickdrift.coordination.commands.WorkerCommands;
 import wickdrift.protocol.Report;
 
-/** What a machine's owner keeps of its dealings with the machine's worker. */
+/** State that a machine's owner keeps about its communication with the machine's worker. */
 final class WorkerLink {
-  /** A stopping task may be reported as running for a while: it is not told again at once. */
+  /**
+   * A task that is stopping may be reported as running for a while, so its halt is not repeated at
+   * once.
+   */
   private static final long HALT_REPEAT_INTERVAL_MS = 3000;
 
   final WorkerCommands commands = new WorkerCommands();
 
-  /** Whether a command sent straight to the worker is unanswered and not given up. */
+  /** Whether a direct command to the worker awaits its answer. */
   boolean inFlight;
 
-  /** When the worker may be asked for an answer again. */
+  /** The earliest time of the next probe. */
   long nextProbeMs;
 
   /** The newest report that was known when the last command was sent. */
@@ -24,18 +27,25 @@
 
   private final Map<TaskAttempt, Long> haltedAtMs = new HashMap<>();
 
-  /** A command is sent; an answer to it can't be older than the newest report. */
+  /** Records that a command is sent. Its answer cannot be older than the newest report. */
   void commandSent(Report newest) {
     inFlight = true;
     newestReportAtSend = newest;
   }
 
-  /** Whether an answer counts from less than what was known when its command was sent. */
+  /**
+   * Whether an answer is older than what was known when its command was sent, which means that the
+   * worker restarted.
+   */
   boolean isOlderThanCommand(Report answer) {
     return newestReportAtSend != null && answer.notNewerThan(newestReportAtSend);
   }
 
-  /** Whether the attempt was not told to stop a moment ago. */
+  /**
+   * Records a halt of the attempt, unless one was recorded within {@link #HALT_REPEAT_INTERVAL_MS}.
+   *
+   * @return whether the halt was recorded and is to be sent
+   */
   boolean tryRecordHalt(TaskAttempt attempt, long nowMs) {
     haltedAtMs.values().removeIf(at -> nowMs - at > HALT_REPEAT_INTERVAL_MS);
     return haltedAtMs.putIfAbsent(attempt, nowMs) == null;
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -13,12 +13,15 @@
 import wickdrift.protocol.Report;
 import wickdrift.transport.Timers;
 
-/** The links to the workers of this node's machines, and the record of what went over them. */
+/**
+ * Keeps the link to the worker of each of this node's machines, and the record of the events on
+ * these links.
+ */
 public final class WorkerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerLinks.class);
   private static final int MAX_KEPT_EVENTS = 2048;
 
-  /** For events that concern no single attempt. */
+  /** Stands for the attempt in events that concern no single attempt. */
   private static final TaskAttempt NO_ATTEMPT = new TaskAttempt("", 0);
 
   private final Timers timers;
@@ -28,42 +31,47 @@
   private long workerRestarts;
   private long unansweredCommands;
 
-  /** No links at first. */
+  /** Creates an instance without links. */
   public WorkerLinks(Timers timers) {
     this.timers = timers;
   }
 
-  /** Checks what is about to be sent or recorded. */
+  /**
+   * Returns the monitor that checks commands before they are sent and ends of attempts before they
+   * are recorded.
+   */
   public SafetyMonitor monitor() {
     return monitor;
   }
 
-  /** Workers that were found to have begun anew under the same name. */
+  /** Returns how many restarts of workers under the same name were detected. */
   public long workerRestarts() {
     return workerRestarts;
   }
 
-  /** Commands sent straight to workers that were given up without an answer. */
+  /** Returns the number of direct commands that were given up without an answer. */
   public long unansweredCommands() {
     return unansweredCommands;
   }
 
-  /** Machines to which a run that was sent straight may still arrive. */
+  /** Returns the number of machines at which a direct run may still arrive. */
   public long machinesWithOutstandingRuns() {
     return links.values().stream().filter(link -> !link.commands.hasNoOutstandingRuns()).count();
   }
 
-  /** The link to a machine's worker, a new one if there is none. */
+  /** Returns the link to a machine's worker, which is created if there is none. */
   WorkerLink linkTo(Machine machine) {
     return links.computeIfAbsent(machine, k -> new WorkerLink());
   }
 
-  /** What was sent to a machine's worker. */
+  /** Returns the commands that were sent to a machine's worker, which are empty at first. */
   WorkerCommands commandsTo(Machine machine) {
     return linkTo(machine).commands;
   }
 
-  /** The same if anything ever was, else null. */
+  /**
+   * Returns the commands that were sent to a machine's worker, or null if there is no link to it.
+   */
   WorkerCommands commandsIfKnown(Machine machine) {
     WorkerLink link = links.get(machine);
     return link == null ? null : link.commands;
@@ -73,12 +81,18 @@
     return links.get(machine) == link;
   }
 
-  /** The machine is somebody else's: what was sent counts under an epoch that is over. */
+  /**
+   * Removes the link to a machine that another node owns now: what was sent counts under a past
+   * epoch only.
+   */
   void removeLink(Machine machine) {
     links.remove(machine);
   }
 
-  /** Somebody else may have commanded the worker, or its lease has ended. */
+  /**
+   * Forgets the runs sent to a worker, because another node may have commanded it or its lease has
+   * ended.
+   */
   void forgetRuns(Machine machine) {
     WorkerLink link = links.get(machine);
     if (link != null) {
@@ -87,8 +101,8 @@
   }
 
   /**
-   * The worker has begun anew under the same name: nothing it shows counts until it has shown a
-   * higher epoch than any that the one before may have been sent.
+   * Handles the restart of a worker under the same name. Its reports prove nothing until they show
+   * a higher epoch than any that was sent to its previous incarnation.
    */
   void workerRestarted(Machine machine, Report report, long epoch) {
     LOG.info(
@@ -103,13 +117,13 @@
     recordEvent(CommandEvent.Kind.WORKER_RESTARTED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
-  /** A command was given up without an answer. */
+  /** Records that a direct command was given up without an answer. */
   void commandUnanswered(Machine machine, Report report, long epoch) {
     unansweredCommands++;
     recordEvent(CommandEvent.Kind.DIRECT_UNANSWERED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
-  /** Records a step with the report on which it rests, which may be null. */
+  /** Records an event together with the report on which it is based, which may be null. */
   void recordEvent(
       CommandEvent.Kind kind,
       Machine machine,
@@ -124,7 +138,7 @@
     events.add(event);
   }
 
-  /** The same of a whole machine. */
+  /** Records an event that concerns a whole machine. */
   void recordEvent(
       CommandEvent.Kind kind, Machine machine, Report report, long epoch, String reason) {
     recordEvent(kind, machine, NO_ATTEMPT, report, epoch, reason);
--- a/src/main/java/wickdrift/coordination/commands/CommandEvent.java
+++ b/src/main/java/wickdrift/coordination/commands/CommandEvent.java
@@ -1,7 +1,7 @@
 package wickdrift.coordination.commands;
 
 /**
- * One step of a worker's commands: what was sent, answered, ended or refused, and on what ground.
+ * One event in the commands to a worker: what was sent, answered, ended or refused, and why.
  *
  * @param reason a verdict, an exit reason or a status; never null
  */
@@ -14,7 +14,7 @@
     long session,
     long tick,
     String reason) {
-  /** What happened. */
+  /** The kinds of events. */
   public enum Kind {
     RUN_IN_ANSWER,
     RUN_DIRECT,
--- a/src/main/java/wickdrift/coordination/commands/RecentEvents.java
+++ b/src/main/java/wickdrift/coordination/commands/RecentEvents.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A bounded record of the last command events of this process. Each costs one small object and is
- * logged at {@code debug}; the record is written out when an invariant is violated.
+ * A bounded record of this process's latest command events. Each event costs one small object and
+ * is logged at {@code debug}. The record is logged when an invariant is violated.
  */
 public final class RecentEvents {
   private static final Logger LOG = LoggerFactory.getLogger(RecentEvents.class);
@@ -16,13 +16,15 @@
   private long addedCount;
 
   /**
-   * @param capacity events that are kept
+   * Creates an empty record.
+   *
+   * @param capacity maximum number of events kept
    */
   public RecentEvents(int capacity) {
     ring = new CommandEvent[capacity];
   }
 
-  /** Adds an event; the oldest makes way for it. */
+  /** Adds an event, which replaces the oldest one if the record is full. */
   public void add(CommandEvent event) {
     ring[(int) (addedCount++ % ring.length)] = event;
     if (LOG.isDebugEnabled()) {
@@ -30,7 +32,7 @@
     }
   }
 
-  /** The last events of a machine, the oldest first. */
+  /** Returns the recorded events of a machine, oldest first. */
   public List<CommandEvent> eventsOf(String machine) {
     List<CommandEvent> found = new ArrayList<>();
     for (long i = Math.max(0, addedCount - ring.length); i < addedCount; i++) {
--- a/src/main/java/wickdrift/coordination/commands/Verdict.java
+++ b/src/main/java/wickdrift/coordination/commands/Verdict.java
@@ -1,23 +1,32 @@
 package wickdrift.coordination.commands;
 
-/** Whether an attempt may be cleared, ended or counted as harmless, and why. */
+/**
+ * The result of checking whether an attempt may be cleared, ended or counted as harmless, with the
+ * reason.
+ */
 public enum Verdict {
-  /** Nothing that was sent can arrive any more, and the worker has shown that it is not there. */
+  /** No command can arrive any more, and the worker has shown that it does not have the attempt. */
   PROVEN,
-  /** A run that was sent straight to the worker is unanswered: it may arrive at any time. */
+  /** A run that was sent directly has no answer: it may arrive at any time. */
   DIRECT_RUN_UNANSWERED,
-  /** The answer to a report carries a run, and no later report has come by itself. */
+  /** The answer to a report carries a run, and no later worker-initiated report has arrived. */
   ANSWER_IN_FLIGHT,
-  /** What is known did not come by itself: answers to earlier reports may be under way. */
+  /**
+   * The worker did not send the report on its own initiative: answers to earlier reports may still
+   * be in flight.
+   */
   NOT_WORKER_INITIATED,
-  /** The worker has not shown this epoch: a command of an earlier owner may arrive. */
+  /** The worker has not shown the current epoch: a command of an earlier owner may still arrive. */
   EPOCH_NOT_REPORTED,
-  /** The session in which the run was sent goes on. */
+  /** The session in which the run was sent continues. */
   SESSION_CONTINUES,
-  /** It was there in this session and is not, without an exit: the worker has begun anew. */
+  /**
+   * The attempt was reported in this session and is now missing without an exit: the worker
+   * restarted.
+   */
   WORKER_RESTARTED;
 
-  /** Whether what was asked for may be done. */
+  /** Whether the requested action may be carried out. */
   public boolean isAllowed() {
     return this == PROVEN;
   }
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -8,35 +8,37 @@
 import java.util.Set;
 
 /**
- * What was sent to one worker, and what of it may still take effect.
+ * The commands that were sent to one worker, and which of them may still take effect.
  *
- * <p>A command that is carried by the answer to a report has arrived, or never will, once a later
- * report comes by itself. One that is sent straight to the worker is <em>outstanding</em> until it
- * is answered itself, or the worker surely refuses it: it has shown a higher epoch, or a newer
- * session, in a report that is no copy. Each command counts by itself: that a later one for the
- * same attempt was answered tells nothing of an earlier one.
+ * <p>A command in the answer to a report has arrived, or never will, once a later worker-initiated
+ * report arrives. A direct command is <em>outstanding</em> until it is answered, or until the
+ * worker is certain to refuse it: the worker has shown a higher epoch or a newer session in a
+ * report that is no late copy. Each command counts separately: the answer to a later command for
+ * the same attempt proves nothing about an earlier one.
  *
- * <p>A worker that has begun anew, under the same name, counts its sessions from one and has seen
- * no epoch. What was sent to the one before stays outstanding until it shows a higher epoch than
- * that of the command.
+ * <p>A worker that restarts under the same name counts its sessions from one and has seen no epoch.
+ * Commands to its previous incarnation stay outstanding until the worker shows a higher epoch than
+ * theirs.
  */
 public final class WorkerCommands {
   /**
-   * Runs that were sent straight to the worker with one command.
+   * The runs of one direct command.
    *
-   * @param epoch under which it was sent; a worker that has seen a higher one refuses it
-   * @param session of the worker then; in another it is refused
+   * @param epoch under which the command was sent; a worker that has seen a higher one refuses it
+   * @param session the worker's session at that time; in another session the worker refuses the
+   *     command
+   * @param sentMs when the command was sent
    */
   public record DirectRuns(long epoch, long session, long sentMs, List<TaskAttempt> runs) {}
 
   /**
-   * The last run of a task, however it was sent.
+   * The last run of a task, whichever way it was sent.
    *
-   * @param reportTick of the report that it followed
-   * @param reported a report has shown the attempt
-   * @param session of the worker then
-   * @param incarnation how often the worker had begun anew by then
-   * @param firstSentMs when the first was sent
+   * @param reportTick the tick of the report after which the run was sent
+   * @param reported whether a report has shown the attempt
+   * @param session the worker's session at that time
+   * @param incarnation how often the worker had restarted by then
+   * @param firstSentMs when the attempt was first told to run
    */
   private record LastRun(
       int attempt,
@@ -49,12 +51,12 @@
   /**
    * What is known when a report does not show an attempt.
    *
-   * @param workerInitiated it came by itself: all answers to earlier ones have arrived or never
-   *     will
-   * @param epochReported the worker has shown the epoch in force
-   * @param session of the report
-   * @param unreachable nothing seems to reach the worker
-   * @param endRequested the attempt is to end
+   * @param workerInitiated whether the worker sent the report on its own initiative, so that all
+   *     answers to earlier reports have arrived or never will
+   * @param epochReported whether the worker has shown the current epoch
+   * @param session the session that the report shows
+   * @param unreachable whether commands seem not to reach the worker
+   * @param endRequested whether the attempt is to end
    */
   public record AbsenceEvidence(
       boolean workerInitiated,
@@ -67,26 +69,32 @@
   private final Map<String, LastRun> lastRuns = new HashMap<>();
   private final Map<TaskAttempt, Integer> gangWaitRestarts = new HashMap<>();
 
-  /** Attempts that ended here and are not cleared, as a run of them is outstanding. */
+  /**
+   * Attempts that ended on the worker and may not be cleared yet, because a run of them is
+   * outstanding.
+   */
   private final Set<TaskAttempt> refusedClears = new HashSet<>();
 
   private int incarnation;
 
-  // ---- what was sent, and what became of it ----
+  // ---- what was sent, and its outcome ----
 
-  /** A command with runs is sent straight to the worker. */
+  /** Records that a direct command is sent. */
   public void directCommandSent(DirectRuns command) {
     if (!command.runs().isEmpty()) {
       outstandingCommands.add(command);
     }
   }
 
-  /** It was executed, or refused for good: it, and no other, can't arrive any more. */
+  /**
+   * Records that a command was executed or refused for good: this command, and no other, can no
+   * longer arrive.
+   */
   public void directCommandAnswered(DirectRuns command) {
     outstandingCommands.removeIf(outstanding -> outstanding == command);
   }
 
-  /** The attempt is told to run, in whatever way. */
+  /** Records that the attempt is told to run, directly or in the answer to a report. */
   public void runSent(TaskAttempt run, long tick, long session, long nowMs) {
     LastRun previousRun = lastRun(run);
     long firstSentMs =
@@ -98,9 +106,9 @@
   }
 
   /**
-   * A report shows the attempt.
+   * Records that a report shows the attempt.
    *
-   * @return whether it was told to run, and is seen for the first time since
+   * @return whether the attempt was told to run and is reported for the first time since then
    */
   public boolean attemptReported(TaskAttempt run, long tick, long session) {
     LastRun previousRun = lastRuns.get(run.task());
@@ -108,43 +116,48 @@
     return previousRun != null && !previousRun.reported;
   }
 
-  /** A report that is surely no copy has shown this epoch and session. */
+  /** Records the epoch and session in a report that is certainly no late copy. */
   public void epochReported(long epoch, long session) {
     outstandingCommands.removeIf(command -> epoch > command.epoch() || session > command.session());
     refusedClears.removeIf(attempt -> !isRunOutstanding(attempt));
   }
 
-  /** The worker has begun anew, and holds nothing of what the one before had. */
+  /**
+   * Records that the worker restarted, so that it has nothing of what its previous incarnation had.
+   */
   public void workerRestarted() {
     incarnation++;
   }
 
-  /** Its lease has ended, or someone else may have commanded it meanwhile. */
+  /**
+   * Forgets the runs, because the worker's lease has ended or another node may have commanded it
+   * meanwhile.
+   */
   public void forgetRuns() {
     lastRuns.clear();
   }
 
-  /** Only these tasks are booked on the machine still. */
+  /** Removes the state of all tasks except those still assigned to the machine. */
   public void retainTasks(Set<String> tasks) {
     lastRuns.keySet().retainAll(tasks);
     gangWaitRestarts.keySet().removeIf(attempt -> !tasks.contains(attempt.task()));
   }
 
-  // ---- gang members that are told to go on waiting ----
+  // ---- gang members that are told to wait again ----
 
-  /** How often the attempt was told to go on waiting for its gang. */
+  /** Returns how often the attempt was told to wait again for its gang. */
   public int gangWaitRestarts(TaskAttempt attempt) {
     return gangWaitRestarts.getOrDefault(attempt, 0);
   }
 
-  /** It is told so once more. */
+  /** Records that the attempt is told once more to wait for its gang. */
   public void gangWaitRestarted(TaskAttempt attempt) {
     gangWaitRestarts.merge(attempt, 1, Integer::sum);
   }
 
   // ---- what may still happen ----
 
-  /** Whether a run that was sent straight to the worker may still start the attempt. */
+  /** Whether a direct run may still start the attempt. */
   public boolean isRunOutstanding(TaskAttempt attempt) {
     for (DirectRuns command : outstandingCommands) {
       if (command.runs().contains(attempt)) {
@@ -154,7 +167,10 @@
     return false;
   }
 
-  /** Whether a run of the attempt has been outstanding under this epoch for longer than that. */
+  /**
+   * Whether a run of the attempt, sent under the given epoch, has been outstanding for longer than
+   * {@code longerThanMs}.
+   */
   public boolean isRunOutstandingLongerThan(
       TaskAttempt attempt, long epoch, long longerThanMs, long nowMs) {
     for (DirectRuns command : outstandingCommands) {
@@ -167,23 +183,29 @@
     return false;
   }
 
-  /** Whether an ended attempt has been waiting for longer than that to be cleared. */
+  /**
+   * Whether an ended attempt cannot be cleared because a run of it has been outstanding for longer
+   * than {@code longerThanMs}.
+   */
   public boolean isClearOverdue(long epoch, long longerThanMs, long nowMs) {
     return refusedClears.stream()
         .anyMatch(attempt -> isRunOutstandingLongerThan(attempt, epoch, longerThanMs, nowMs));
   }
 
-  /** Whether nothing is outstanding. */
+  /** Whether no direct run is outstanding. */
   public boolean hasNoOutstandingRuns() {
     return outstandingCommands.isEmpty();
   }
 
-  /** Commands that are outstanding, for the record of an invariant that is violated. */
+  /** Returns the outstanding commands, as evidence for the violation of an invariant. */
   public List<DirectRuns> outstandingCommands() {
     return List.copyOf(outstandingCommands);
   }
 
-  /** Whether an ended attempt may be removed from the worker, after which a run starts it anew. */
+  /**
+   * Whether an ended attempt may be cleared from the worker, after which a run would start it
+   * again.
+   */
   public Verdict mayClear(TaskAttempt attempt, boolean workerInitiated, boolean epochReported) {
     if (!workerInitiated) {
       return Verdict.NOT_WORKER_INITIATED;
@@ -243,7 +265,7 @@
     return Verdict.PROVEN;
   }
 
-  /** Whether the attempt was told to run, or seen, since it is known here. */
+  /** Whether a run or a report of the attempt is recorded here. */
   public boolean hasLastRun(TaskAttempt attempt) {
     return lastRun(attempt) != null;
   }
@@ -254,13 +276,18 @@
     return lastRun != null && lastRun.reported;
   }
 
-  /** Whether the attempt was told to run after this very report. */
+  /**
+   * Whether the attempt's last recorded run or report belongs to the report with the given tick.
+   */
   public boolean wasSentAfter(TaskAttempt attempt, long tick) {
     LastRun lastRun = lastRun(attempt);
     return lastRun != null && lastRun.reportTick == tick;
   }
 
-  /** Whether the attempt was told to run longer ago than that, and no report has shown it. */
+  /**
+   * Whether the attempt was told to run more than {@code longerThanMs} ago and no report has shown
+   * it.
+   */
   public boolean isRunIgnoredLongerThan(TaskAttempt attempt, long longerThanMs, long nowMs) {
     LastRun lastRun = lastRun(attempt);
     return lastRun != null && !lastRun.reported && nowMs - lastRun.firstSentMs > longerThanMs;
--- a/src/main/java/wickdrift/coordination/commands/package-info.java
+++ b/src/main/java/wickdrift/coordination/commands/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What a worker may still do because of commands that were sent to it.
+ * Tracks what a worker may still do because of commands that were sent to it.
  *
- * <p>{@link wickdrift.coordination.commands.WorkerCommands} is the one place that decides whether a
- * command may still arrive, and with that whether an attempt may be cleared, ended or counted as
- * harmless. It is pure: time, reports and answers are handed to it. {@link
- * wickdrift.coordination.commands.SafetyMonitor} checks the same invariants once more, at run time,
- * on what is about to be sent or recorded.
+ * <p>{@link wickdrift.coordination.commands.WorkerCommands} alone decides whether a command may
+ * still arrive, and therefore whether an attempt may be cleared, ended or counted as harmless. It
+ * does no input or output: time, reports and answers are passed in. {@link
+ * wickdrift.coordination.commands.SafetyMonitor} checks the same invariants again at run time, on
+ * commands about to be sent and ends about to be recorded.
  */
 package wickdrift.coordination.commands;
