--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -148,7 +148,7 @@
   private void planUnassigned(Pass pass, Report.Entry entry) {
     if (entry.phase() != Report.Phase.EXITED) {
       if (pass.scope.hasAuthority || tables.isWithdrawalAnnounced(entry.job())) {
-        addHalt(pass, entry, 0, "not booked");
+        addHalt(pass, entry, 0, "not assigned");
       }
       return;
     }
@@ -204,11 +204,11 @@
 
   private void planHalt(Pass pass, Job job, TaskState state, Report.Entry entry) {
     if (job.withdrawnOrAnnounced()) {
-      addHalt(pass, entry, 0, "job called off");
+      addHalt(pass, entry, 0, "job cancelled");
     } else if (state.stop() == TaskState.Stop.KILL) {
-      addHalt(pass, entry, 0, "to be stopped");
+      addHalt(pass, entry, 0, "stop requested");
     } else if (state.stop() == TaskState.Stop.SAVE && entry.phase() != Report.Phase.SAVING) {
-      addHalt(pass, entry, job.spec().saveS() + 1, "to save and stop");
+      addHalt(pass, entry, job.spec().saveS() + 1, "save and stop requested");
     }
   }
 
@@ -217,17 +217,18 @@
       // The worker reports the exit until it is cleared, but the failure counts only once.
       return;
     }
-    pass.recordEvent(CommandEvent.Kind.ATTEMPT_ENDED, attemptOf(entry), "shown as " + entry.why());
+    pass.recordEvent(
+        CommandEvent.Kind.ATTEMPT_ENDED, attemptOf(entry), "reported as " + entry.why());
     String machine = pass.machine.name();
     if (Report.ERROR.equals(entry.why())) {
       // For a suspected job, the failures of all its tasks are logged together once per round.
       if (!job.isSuspected()) {
-        LOG.info("{} failed on {}", entry.task(), machine);
+        LOG.info("task failed: task={}, machine={}", entry.task(), machine);
       }
     } else if (Report.FULL.equals(entry.why())
         || Report.UNKNOWN.equals(entry.why())
         || Report.BUSY.equals(entry.why())) {
-      LOG.info("{} refused {}: {}", machine, entry.task(), entry.why());
+      LOG.info("task refused: machine={}, task={}, reason={}", machine, entry.task(), entry.why());
       job.backOffAfterRefusal(timers.nowMs());
     }
   }
@@ -306,7 +307,7 @@
    */
   private void handleLoss(Pass pass, Machine.Slot slot, TaskAttempt attempt, Verdict verdict) {
     CommandEvent event =
-        pass.newEvent(CommandEvent.Kind.ATTEMPT_ENDED, attempt, "absent: " + verdict);
+        pass.newEvent(CommandEvent.Kind.ATTEMPT_ENDED, attempt, "not reported: " + verdict);
     boolean isProven = pass.scope.workerInitiated && !pass.commands.isRunOutstanding(attempt);
     if (!monitor.check(Invariant.NO_END_WITHOUT_PROOF, isProven, event)) {
       return;
@@ -315,7 +316,10 @@
       links.record(event);
       if (pass.commands.wasReported(attempt)) {
         LOG.info(
-            "{} has lost {}, tenure {}", pass.machine.name(), attempt.task(), pass.report.tenure());
+            "task lost: machine={}, task={}, tenure={}",
+            pass.machine.name(),
+            attempt.task(),
+            pass.report.tenure());
       }
     }
   }
@@ -325,7 +329,7 @@
   private void addRun(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     CommandEvent.Kind kind =
         pass.scope.workerInitiated ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
-    CommandEvent event = pass.newEvent(kind, attempt, "booked, not shown");
+    CommandEvent event = pass.newEvent(kind, attempt, "assigned, not reported");
     boolean isCancelled = slot.job().withdrawnOrAnnounced();
     boolean isAssigned = slot.state().isLive() && slot.state().machine() == pass.machine;
     boolean holdsLease = membership.status() == Membership.Status.MEMBER;
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -119,7 +119,7 @@
   private boolean exceedsValueLimit(Object value, String key) {
     boolean isTooLarge = MessageCodec.jsonSize(value) > limits.maxValueBytes();
     if (isTooLarge && reportedKeys.add(key)) {
-      LOG.error("{} would be larger than a value may be: the page that needs it stays", key);
+      LOG.error("record exceeds the maximum size of a value, keeping its log page: key={}", key);
     }
     return isTooLarge;
   }
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -107,6 +107,7 @@
             timers, tables, membership, pipeline, tuning, pauseDetector, zones, links, node);
   }
 
+  /** Starts the detection of machines that stop reporting. */
   public void start() {
     healthMonitor.start();
   }
@@ -139,7 +140,7 @@
     viewStartedMs = timers.nowMs();
     healthMonitor.onEpochStarted(viewEpoch, viewStartedMs);
     LOG.info(
-        "epoch {}: members with incarnations {}, leader {}, read at revision {}",
+        "view changed: epoch={}, memberIncarnations={}, leader={}, revision={}",
         view.epoch(),
         view.members(),
         view.leader(),
@@ -196,6 +197,7 @@
 
   // ---- reports ----
 
+  /** Handles a report that a worker sent to this node. */
   public void handleReport(Exchange exchange) {
     handleReport(exchange, true);
   }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -69,6 +69,7 @@
    */
   private record PendingExit(Machine machine, int attempt, String exitReason, long lostInEpoch) {}
 
+  /** Identifies a task. */
   private record TaskKey(String job, int index) {}
 
   private final Timers timers;
@@ -143,6 +144,7 @@
         new EncodingMigration(timers, stateService, tables, membership, settings);
   }
 
+  /** Starts the cycles that write the decisions of this node. */
   public void start() {
     idleTick();
   }
@@ -165,6 +167,7 @@
     return phase == Phase.READY;
   }
 
+  /** Returns the number of transactions that were sent. */
   public long transactionCount() {
     return transactionCount;
   }
@@ -235,10 +238,12 @@
     leaderSettledAtMs = untilMs;
   }
 
+  /** Whether the hold on placements after a takeover has ended. */
   public boolean isSettled() {
     return timers.nowMs() >= settledAtMs;
   }
 
+  /** Whether the hold on the leader's placements has ended too. */
   public boolean isLeaderSettled() {
     return isSettled() && timers.nowMs() >= leaderSettledAtMs;
   }
@@ -280,10 +285,15 @@
           recordExit(slot.job(), slot.index(), slot.state().attempt(), machine, null) ? 1 : 0;
     }
     if (newExits > 0) {
-      LOG.info("the lease of {}'s worker has ended with {} tasks", machine.name(), newExits);
+      LOG.info("worker lease expired: machine={}, tasks={}", machine.name(), newExits);
     }
   }
 
+  /**
+   * Adds a machine record to those that are to be written.
+   *
+   * @param info the new record, or null if the machine's record is to be deleted
+   */
   public void enqueueRecord(Machine machine, Machine.Info info) {
     pendingRecords.put(machine, info);
     scheduling.updateMachine(machine);
@@ -316,6 +326,7 @@
     return pendingRecords.get(machine);
   }
 
+  /** Whether a record of the machine is about to be written. */
   public boolean hasPendingRecord(Machine machine) {
     return pendingRecords.containsKey(machine);
   }
@@ -414,7 +425,7 @@
     switch (result.outcome()) {
       case OK -> stateService.runAtRevision(result.rev(), this::becomeReady);
       case CONDITION_FAILED -> {
-        LOG.debug("transaction failed on {}", result.failedKeys());
+        LOG.debug("transaction failed: failedKeys={}", result.failedKeys());
         stateService.runAtRevision(result.rev(), this::becomeReady);
       }
       case REFUSED -> timers.after(RETRY_INTERVAL_MS + retrySpreadMs(), this::becomeReady);
@@ -564,7 +575,7 @@
     TaskState before = builder.taskState(job, index);
     if (!gangDone && job.taskCount() > 1 && before.stop() == TaskState.Stop.NONE) {
       LOG.info(
-          "gang {} attempt {} has lost member {} on {} ({}), {} s after it was placed",
+          "gang member lost: gang={}, attempt={}, member={}, machine={}, reason={}, placedAgoS={}",
           job.id(),
           before.attempt(),
           index,
@@ -693,7 +704,7 @@
         quota.proposeTransfer(membership.isLeader(), scheduling.queue().waiting());
     if (transfer != null) {
       LOG.info(
-          "giving quota of {} from {} to {}",
+          "transferring quota share: team={}, from={}, to={}",
           transfer.team(),
           transfer.donor(),
           transfer.recipient());
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -106,7 +106,7 @@
    */
   void workerRestarted(Machine machine, Report report, long epoch) {
     LOG.info(
-        "{} has begun anew: tenure {}, tick {}, epoch {}",
+        "worker restarted: machine={}, tenure={}, tick={}, epoch={}",
         machine.name(),
         report.tenure(),
         report.tick(),
