--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -172,9 +172,9 @@
     if (lastReport == null || report.notNewerThan(lastReport)) {
       return;
     }
-    boolean isProof = machine.receiveReply(report, view.epoch(), timers.nowMs());
-    machine.setEpochAcknowledged(isProof && report.epoch() == view.epoch());
-    if (isProof) {
+    boolean provesAlive = machine.receiveReply(report, view.epoch(), timers.nowMs());
+    machine.setEpochAcknowledged(provesAlive && report.epoch() == view.epoch());
+    if (provesAlive) {
       link.commands.epochReported(report.epoch(), report.tenure());
     }
     if (membership.status() == Membership.Status.MEMBER) {
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -255,7 +255,7 @@
         return;
       }
       redirectedMachines.add(report.machine());
-      // A standby node knows the owner as well as a member does. A node that is cut off from the
+      // A spare node knows the owner as well as a member does. A node that is cut off from the
       // state service may not.
       boolean knowsOwner = status == Membership.Status.MEMBER || membership.isSpare();
       exchange.reply(421, knowsOwner ? Map.of("upstream", owner) : Map.of());
@@ -281,20 +281,20 @@
     List<Order> orders;
     if (!isOutdated) {
       long now = timers.nowMs();
-      boolean isProof = machine.receiveReport(report, view.epoch(), now);
-      machine.setEpochAcknowledged(isProof && report.epoch() == view.epoch());
-      if (isProof) {
+      boolean provesAlive = machine.receiveReport(report, view.epoch(), now);
+      machine.setEpochAcknowledged(provesAlive && report.epoch() == view.epoch());
+      if (provesAlive) {
         links.commandsTo(machine).epochReported(report.epoch(), report.tenure());
       }
       machine.updateCommandReachability(
-          report, isProof, hasIgnoredRun(machine, report, now), leaseMs, now);
+          report, provesAlive, hasIgnoredRun(machine, report, now), leaseMs, now);
       if (unreportedMachines.remove(machine.name()) && unreportedMachines.isEmpty()) {
         pipeline.settleNow();
       }
-      updateMachineRecord(machine, report, isProof);
+      updateMachineRecord(machine, report, provesAlive);
       // A report that may be a copy proves nothing. It is answered, so that the worker's next
       // report shows this node's epoch.
-      boolean hasAuthority = status == Membership.Status.MEMBER && isProof;
+      boolean hasAuthority = status == Membership.Status.MEMBER && provesAlive;
       orders = planner.plan(machine, report, new CommandPlanner.Scope(hasAuthority, true));
     } else {
       // This answer renews the lease too, if the worker still waits for it.
@@ -303,8 +303,9 @@
     machine.recordAnswer(timers.nowMs(), view.epoch());
     // The worker of a newly owned machine is probed, so that it can prove itself before its next
     // report.
-    boolean unproved = !isOutdated && !machine.provedAlive() && machine.phase() == Machine.Phase.UP;
-    if (machine.unreachableForCommandsSinceMs() > 0 || unproved) {
+    boolean notYetProvedAlive =
+        !isOutdated && !machine.provedAlive() && machine.phase() == Machine.Phase.UP;
+    if (machine.unreachableForCommandsSinceMs() > 0 || notYetProvedAlive) {
       directCommands.probe(machine, report.tenure());
     }
     Map<String, Object> body = new LinkedHashMap<>();
@@ -316,9 +317,9 @@
   }
 
   /** Updates the machine's durable record to what the report says. */
-  private void updateMachineRecord(Machine machine, Report report, boolean isProof) {
+  private void updateMachineRecord(Machine machine, Report report, boolean provesAlive) {
     ownedMachines.add(machine.name());
-    if (!isProof || machine.unreachableForCommandsSinceMs() > 0) {
+    if (!provesAlive || machine.unreachableForCommandsSinceMs() > 0) {
       // The report may be a late copy from a machine that is gone, or commands do not reach the
       // machine.
       return;
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -277,8 +277,8 @@
     }
     TerminalState terminalState = new TerminalState(phase, job.taskCount(), wallMs);
     if (tables.isOpen(Gate.AWAITS)) {
-      // Clients wait for this, so it takes one write. The end is moved to the job history when
-      // there are writes to spare.
+      // Others wait for the job's end, so it takes only one write. The end is moved to the job
+      // history when there are writes to spare.
       transaction.write(job.key(), Job.terminalToStore(terminalState));
     } else {
       transaction.write(Job.terminalStateKey(job.id()), terminalState.toStore(false));
@@ -309,8 +309,8 @@
   }
 
   /** Hands a job that is not withdrawn over to another partition. */
-  void moveToPartition(Job job, String part) {
-    write(job.key(), job.toStore(part, 0), job.stamp());
+  void moveToPartition(Job job, String partition) {
+    write(job.key(), job.toStore(partition, 0), job.stamp());
   }
 
   void setMachineInfo(Machine machine, Machine.Info info) {
@@ -367,19 +367,19 @@
   }
 
   private List<Object> buildEntries() {
-    List<Object> out = new ArrayList<>();
-    machineInfos.forEach((machine, info) -> out.add(LogEntry.machine(machine.name(), info)));
+    List<Object> entries = new ArrayList<>();
+    machineInfos.forEach((machine, info) -> entries.add(LogEntry.machine(machine.name(), info)));
     changedTasks.forEach(
         (job, changes) -> {
           // The terminal state of an ended job covers what its tasks did.
           if (!endedJobs.contains(job)) {
-            addJobEntries(job, changes, out);
+            addJobEntries(job, changes, entries);
           }
         });
-    return out;
+    return entries;
   }
 
-  private void addJobEntries(Job job, Map<Integer, TaskState> changes, List<Object> out) {
+  private void addJobEntries(Job job, Map<Integer, TaskState> changes, List<Object> entries) {
     List<List<Object>> exitEntries = new ArrayList<>();
     List<List<Object>> placementEntries = new ArrayList<>();
     List<List<Object>> stopEntries = new ArrayList<>();
@@ -406,9 +406,9 @@
           }
         });
     // The order matters: a placement may follow an exit, and a stop may follow a placement.
-    out.addAll(exitEntries);
-    out.addAll(placementEntries);
-    out.addAll(stopEntries);
+    entries.addAll(exitEntries);
+    entries.addAll(placementEntries);
+    entries.addAll(stopEntries);
   }
 
   /**
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -196,11 +196,11 @@
     cycleScheduled = true;
     // A few milliseconds let changes that arrive together be written together. The gap is longer
     // when few writes are available.
-    double writeHeadroom = stateService.writeBudgetFraction();
+    double writeBudgetFraction = stateService.writeBudgetFraction();
     long gapMs =
-        writeHeadroom > 0.6
+        writeBudgetFraction > 0.6
             ? MIN_CYCLE_GAP_MS
-            : writeHeadroom > 0.3 || requestedChanges > 0
+            : writeBudgetFraction > 0.3 || requestedChanges > 0
                 ? 8 * MIN_CYCLE_GAP_MS
                 : 25 * MIN_CYCLE_GAP_MS;
     timers.after(
@@ -478,7 +478,7 @@
               transaction,
               StateServiceClient.WritePriority.AUTHORITY,
               result -> {
-                // Whoever rewrote the record, the placement can no longer be applied after that.
+                // Whichever node rewrote the record, the placement can no longer be applied.
                 if (result.outcome() == StateServiceClient.Outcome.OK || result.settled()) {
                   stateService.runAtRevision(result.rev(), this::becomeReady);
                 } else {
@@ -646,14 +646,14 @@
     while (iterator.hasNext()) {
       Map.Entry<Machine, Machine.Info> entry = iterator.next();
       Machine machine = entry.getKey();
-      Machine.Info wanted = entry.getValue();
+      Machine.Info newInfo = entry.getValue();
       // A change of phase that is not allowed from the current one would have no effect and be
       // written forever. So would the record of a machine that was removed meanwhile, as when two
       // leaders returned it.
       boolean isVoid =
-          wanted == null
+          newInfo == null
               ? !machine.mayBeForgotten()
-              : !machine.phase().canTransitionTo(wanted.phase());
+              : !machine.phase().canTransitionTo(newInfo.phase());
       if (isVoid || tables.machine(machine.name()) != machine) {
         iterator.remove();
         scheduling.updateMachine(machine);
@@ -662,7 +662,7 @@
       if (!builder.fitsMachineInPage(machine)) {
         return;
       }
-      builder.setMachineInfo(machine, wanted);
+      builder.setMachineInfo(machine, newInfo);
     }
   }
 
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -116,7 +116,10 @@
     return previousRun != null && !previousRun.reported;
   }
 
-  /** Records the epoch and session in a report that is certainly no late copy. */
+  /**
+   * Records the epoch and session in a report that is certainly no late copy. Commands with a lower
+   * epoch or session are no longer outstanding.
+   */
   public void epochReported(long epoch, long session) {
     outstandingCommands.removeIf(command -> epoch > command.epoch() || session > command.session());
     refusedClears.removeIf(attempt -> !isRunOutstanding(attempt));
