--- a/src/main/java/wickdrift/coordination/commands/Verdict.java
+++ b/src/main/java/wickdrift/coordination/commands/Verdict.java
@@ -10,7 +10,7 @@
   /** A run that was sent directly has no answer: it may arrive at any time. */
   DIRECT_RUN_UNANSWERED,
   /** The answer to a report carries a run, and no later worker-initiated report has arrived. */
-  ANSWER_IN_FLIGHT,
+  ANSWER_UNDER_WAY,
   /**
    * The worker did not send the report on its own initiative: answers to earlier reports may still
    * be in flight.
@@ -19,7 +19,7 @@
   /** The worker has not shown the current epoch: a command of an earlier owner may still arrive. */
   EPOCH_NOT_REPORTED,
   /** The session in which the run was sent continues. */
-  SESSION_CONTINUES,
+  SESSION_GOES_ON,
   /**
    * The attempt was reported in this session and is now missing without an exit: the worker
    * restarted.
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -249,7 +249,7 @@
     if ((absence.endRequested || absence.unreachable) && sentEarlier) {
       return Verdict.PROVEN;
     }
-    return absence.endRequested ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_CONTINUES;
+    return absence.endRequested ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_GOES_ON;
   }
 
   /** Whether no run of any task of the job may still arrive. */
@@ -262,7 +262,7 @@
     for (Map.Entry<String, LastRun> entry : lastRuns.entrySet()) {
       boolean ofJob = new TaskAttempt(entry.getKey(), entry.getValue().attempt).belongsToJob(job);
       if (ofJob && !entry.getValue().reported) {
-        return Verdict.ANSWER_IN_FLIGHT;
+        return Verdict.ANSWER_UNDER_WAY;
       }
     }
     return Verdict.PROVEN;
