--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -24,398 +24,446 @@
 import wickdrift.protocol.Report;
 
 /**
- * One transaction being put together. All changes of tasks and machines are entries of one page of
- * this node's log, one write however many they are; the rest counts one by one.
+ * Builds one transaction. All changes of tasks and machines are entries of one page of this node's
+ * log, which is one write however many there are. Every other change is a write of its own.
  */
 final class TransactionBuilder {
-  /** The lasting record of an end appears, and the job's goes. */
-  private static final int OPS_FOR_MOVE = 2;
+  /**
+   * Moving a job's end to the job history writes the history record and deletes the job's record.
+   */
+  private static final int WRITES_PER_MOVE = 2;
 
-  /** The protocol allows four conditions for each write. */
-  private static final int CONDITIONS_AN_OP = 4;
+  /** The protocol allows four conditions per write. */
+  private static final int CONDITIONS_PER_WRITE = 4;
 
-  /** Bytes of an entry besides names, and of each task in it: no number is longer than this. */
-  private static final int ENTRY_BYTES = 40;
+  /**
+   * Upper bounds for the size of an entry without its names, and of each task in it: no number is
+   * longer than this.
+   */
+  private static final int ENTRY_OVERHEAD_BYTES = 40;
 
-  private static final int TASK_BYTES = 24;
+  private static final int BYTES_PER_TASK = 24;
 
-  /** So many tasks an entry: one must fit into a page. */
-  private static final int ENTRY_TASKS = 16;
+  /** Limits the size of one entry, which must fit into a page. */
+  private static final int MAX_TASKS_PER_ENTRY = 16;
 
-  private static final int PAGE_OVERHEAD = 64;
+  private static final int PAGE_OVERHEAD_BYTES = 64;
 
   private final Tables tables;
   private final String node;
-  private final int number;
-  private final int maxChanges;
+  private final int nodeNumber;
+  private final int affordableChanges;
   private final int pageBytes;
-  private final Transaction txn = new Transaction();
-  private final Map<Job, Map<Integer, TaskState>> tasks = new LinkedHashMap<>();
-  private final Map<Machine, Machine.Info> machines = new LinkedHashMap<>();
-  private final Map<Job, Integer> liveDelta = new HashMap<>();
-  private final Set<Job> ended = new LinkedHashSet<>();
+  private final Transaction transaction = new Transaction();
+  private final Map<Job, Map<Integer, TaskState>> changedTasks = new LinkedHashMap<>();
+  private final Map<Machine, Machine.Info> machineInfos = new LinkedHashMap<>();
+  private final Map<Job, Integer> liveCountChanges = new HashMap<>();
+  private final Set<Job> endedJobs = new LinkedHashSet<>();
 
-  /** The tasks whose attempt ended with an error. */
-  private final Map<Job, Set<Integer>> failed = new HashMap<>();
+  /** The tasks whose attempt ended with an error, by job. */
+  private final Map<Job, Set<Integer>> failedTasks = new HashMap<>();
 
-  /** What a transaction may have at the most: {@link #maxChanges} may be less for now. */
-  private final int mostChanges;
+  /**
+   * Maximum number of changes of any transaction; {@link #affordableChanges} may be lower at the
+   * moment.
+   */
+  private final int maxChanges;
 
-  /** What this places, by machine. */
-  private final Map<Machine, List<JobSpec>> placed = new HashMap<>();
+  /** The jobs whose tasks this transaction places, by machine. */
+  private final Map<Machine, List<JobSpec>> placements = new HashMap<>();
 
-  private boolean places;
-  private int others;
-  private int wanted;
-  private int bytes;
+  private boolean needsFencing;
+  private int otherWrites;
+  private int requestedWrites;
+  private int entryBytes;
 
   /**
-   * @param maxChanges how many changes can be paid now
-   * @param mostChanges how many a transaction may have
+   * Creates a builder without changes.
+   *
+   * @param affordableChanges how many changes the write budget allows now
+   * @param maxChanges how many changes a transaction may have
+   * @param pageBytes maximum size of a log page
    */
-  TransactionBuilder(Tables tables, String node, int maxChanges, int mostChanges, int pageBytes) {
-    this.mostChanges = mostChanges;
+  TransactionBuilder(
+      Tables tables, String node, int affordableChanges, int maxChanges, int pageBytes) {
+    this.maxChanges = maxChanges;
     this.tables = tables;
     this.node = node;
-    this.number = tables.registry().numberOf(node);
-    this.maxChanges = maxChanges;
+    this.nodeNumber = tables.registry().numberOf(node);
+    this.affordableChanges = affordableChanges;
     this.pageBytes = pageBytes;
   }
 
-  /** This node's durable number, which its placements carry. */
+  /** Returns this node's durable number, which is stored with its placements. */
   int nodeNumber() {
-    return number;
+    return nodeNumber;
   }
 
   boolean canAddWrites() {
     return canAddWrites(1);
   }
 
-  /** Room for so many more writes, besides that of the page. */
-  boolean canAddWrites(int n) {
-    if (n == 0 || 1 + others + n <= maxChanges) {
+  /**
+   * Whether the given number of writes can be added, besides the write of the log page. If only the
+   * current budget is too small for them, the number is kept as a request for the next transaction.
+   */
+  boolean canAddWrites(int count) {
+    if (count == 0 || 1 + otherWrites + count <= affordableChanges) {
       return true;
     }
-    if (1 + n > wanted && maxChanges < mostChanges) {
-      wanted = Math.min(1 + n, mostChanges);
+    if (1 + count > requestedWrites && affordableChanges < maxChanges) {
+      requestedWrites = Math.min(1 + count, maxChanges);
     }
     return false;
   }
 
   /**
-   * Something was left out that is dear to write: the next transaction is to be as wide as may be,
-   * for one wide one holds more of that than several narrow ones of as many changes.
+   * Requests the maximum size for the next transaction. Used when a change that is expensive to
+   * write was left out: one wide transaction holds more such changes than several narrow ones with
+   * the same total.
    */
   void requestMaxWrites() {
-    wanted = mostChanges;
+    requestedWrites = maxChanges;
   }
 
   /**
-   * How many changes a transaction must be able to have for something that was left out here,
-   * because what can be paid now was too little for it; 0: nothing was.
+   * Returns how many changes the next transaction must allow, because the current budget was too
+   * small for something that was left out; 0 if nothing was.
    */
-  int wanted() {
-    return wanted;
+  int requestedWrites() {
+    return requestedWrites;
   }
 
-  /** Room for the conditions that placing one more job brings. */
+  /** Whether the conditions for placing one more job can be added. */
   boolean canAddConditions() {
     return canAddConditions(4);
   }
 
-  boolean canAddConditions(int n) {
-    return txn.conditions().size() + others + n < CONDITIONS_AN_OP * mostChanges;
+  boolean canAddConditions(int count) {
+    return transaction.conditions().size() + otherWrites + count
+        < CONDITIONS_PER_WRITE * maxChanges;
   }
 
-  boolean empty() {
-    return tasks.isEmpty() && machines.isEmpty() && others == 0;
+  boolean isEmpty() {
+    return changedTasks.isEmpty() && machineInfos.isEmpty() && otherWrites == 0;
   }
 
-  /** What is placed here on a machine, besides what the tables tell. */
-  List<JobSpec> placementsOn(Machine m) {
-    return placed.getOrDefault(m, List.of());
+  /**
+   * Returns the jobs that this transaction places on a machine, which the tables do not contain
+   * yet.
+   */
+  List<JobSpec> placementsOn(Machine machine) {
+    return placements.getOrDefault(machine, List.of());
   }
 
-  /** Whether our part's record must change before we place again, should the outcome be unknown. */
-  boolean places() {
-    return places;
+  /**
+   * Whether this node's partition record must change before the next placement if the outcome of
+   * this transaction is unknown.
+   */
+  boolean needsFencing() {
+    return needsFencing;
   }
 
   /**
-   * Gives away of our share of a limit. Should that be applied late, beside placements decided
-   * without it, more than the limit would be used.
+   * Marks the transaction as a transfer of this node's quota share. If the transfer were applied
+   * late, beside placements that were decided without it, more than the limit would be used.
    */
-  void gives() {
-    places = true;
+  void requireFencing() {
+    needsFencing = true;
   }
 
   TaskState taskState(Job job, int index) {
-    Map<Integer, TaskState> m = tasks.get(job);
-    TaskState s = m == null ? null : m.get(index);
-    return s == null ? job.task(index) : s;
+    Map<Integer, TaskState> changes = changedTasks.get(job);
+    TaskState state = changes == null ? null : changes.get(index);
+    return state == null ? job.task(index) : state;
   }
 
-  /** Whether so many more changes of the job's tasks fit into the page. */
-  boolean fitsInPage(Job job, int n) {
-    return bytesWith(job, n) <= pageBytes;
+  /** Whether the given number of further changes of the job's tasks fits into the page. */
+  boolean fitsInPage(Job job, int count) {
+    return pageBytesWith(job, count) <= pageBytes;
   }
 
   /**
-   * Whether all of a large gang fits, which starts in one transaction or not at all: it may take as
-   * many pages as the transaction has room for, besides {@code others} writes.
+   * Whether all of a large gang fits, which must start in one transaction or not at all. It may
+   * fill as many pages as the transaction has writes left, besides {@code otherWrites}.
    */
-  boolean fitsWholeGang(Job job, int n, int others) {
-    int pages = bytesWith(job, n) / (pageBytes - ENTRY_TASKS * TASK_BYTES * 2) + 1;
-    return fitsInPage(job, n) || canAddWrites(pages + others);
+  boolean fitsWholeGang(Job job, int count, int otherWrites) {
+    int pages =
+        pageBytesWith(job, count) / (pageBytes - MAX_TASKS_PER_ENTRY * BYTES_PER_TASK * 2) + 1;
+    return fitsInPage(job, count) || canAddWrites(pages + otherWrites);
   }
 
-  private int bytesWith(Job job, int n) {
-    int entries = (tasks.containsKey(job) ? 0 : 2) + n / ENTRY_TASKS;
-    return PAGE_OVERHEAD + bytes + entries * (ENTRY_BYTES + job.id().length()) + n * TASK_BYTES * 2;
+  private int pageBytesWith(Job job, int count) {
+    int entries = (changedTasks.containsKey(job) ? 0 : 2) + count / MAX_TASKS_PER_ENTRY;
+    return PAGE_OVERHEAD_BYTES
+        + entryBytes
+        + entries * (ENTRY_OVERHEAD_BYTES + job.id().length())
+        + count * BYTES_PER_TASK * 2;
   }
 
-  boolean takesMachine(Machine m) {
-    return PAGE_OVERHEAD + bytes + 4 * ENTRY_BYTES + m.name().length() <= pageBytes;
+  boolean fitsMachineInPage(Machine machine) {
+    return PAGE_OVERHEAD_BYTES + entryBytes + 4 * ENTRY_OVERHEAD_BYTES + machine.name().length()
+        <= pageBytes;
   }
 
-  void changeTask(Job job, int index, UnaryOperator<TaskState> how) {
+  void changeTask(Job job, int index, UnaryOperator<TaskState> change) {
     TaskState old = taskState(job, index);
-    TaskState next = how.apply(old);
+    TaskState next = change.apply(old);
     if (next == old) {
       return;
     }
     if (next.isLive() && !old.isLive()) {
-      places = true;
-      bytes += next.machine().name().length();
-      placed.computeIfAbsent(next.machine(), k -> new ArrayList<>()).add(job.spec());
+      needsFencing = true;
+      entryBytes += next.machine().name().length();
+      placements.computeIfAbsent(next.machine(), k -> new ArrayList<>()).add(job.spec());
     }
-    liveDelta.merge(job, (next.isLive() ? 1 : 0) - (old.isLive() ? 1 : 0), Integer::sum);
-    Map<Integer, TaskState> m = tasks.get(job);
-    if (m == null) {
-      m = new LinkedHashMap<>();
-      tasks.put(job, m);
-      bytes += 2 * (ENTRY_BYTES + job.id().length());
+    liveCountChanges.merge(job, (next.isLive() ? 1 : 0) - (old.isLive() ? 1 : 0), Integer::sum);
+    Map<Integer, TaskState> changes = changedTasks.get(job);
+    if (changes == null) {
+      changes = new LinkedHashMap<>();
+      changedTasks.put(job, changes);
+      entryBytes += 2 * (ENTRY_OVERHEAD_BYTES + job.id().length());
     }
-    m.put(index, next);
-    bytes += TASK_BYTES;
+    changes.put(index, next);
+    entryBytes += BYTES_PER_TASK;
   }
 
-  /** An attempt is over; {@code why} as the worker said, or null when it was lost. */
-  void exit(Job job, int index, String why) {
-    changeTask(job, index, t -> t.exited(why));
-    if (Report.ERROR.equals(why)) {
-      failed.computeIfAbsent(job, k -> new HashSet<>()).add(index);
+  /**
+   * Ends an attempt.
+   *
+   * @param exitReason the reason that the worker reported, or null if the attempt was lost
+   */
+  void endAttempt(Job job, int index, String exitReason) {
+    changeTask(job, index, task -> task.exited(exitReason));
+    if (Report.ERROR.equals(exitReason)) {
+      failedTasks.computeIfAbsent(job, k -> new HashSet<>()).add(index);
     }
   }
 
   int liveTaskCount(Job job) {
-    return job.liveCount() + liveDelta.getOrDefault(job, 0);
+    return job.liveCount() + liveCountChanges.getOrDefault(job, 0);
   }
 
   int doneTaskCount(Job job) {
-    int n = job.doneCount();
-    for (Map.Entry<Integer, TaskState> t : tasks.getOrDefault(job, Map.of()).entrySet()) {
-      boolean was = job.task(t.getKey()).phase() == TaskState.Phase.DONE;
-      boolean is = t.getValue().phase() == TaskState.Phase.DONE;
-      n += (is ? 1 : 0) - (was ? 1 : 0);
+    int count = job.doneCount();
+    for (Map.Entry<Integer, TaskState> task : changedTasks.getOrDefault(job, Map.of()).entrySet()) {
+      boolean wasDone = job.task(task.getKey()).phase() == TaskState.Phase.DONE;
+      boolean isDone = task.getValue().phase() == TaskState.Phase.DONE;
+      count += (isDone ? 1 : 0) - (wasDone ? 1 : 0);
     }
-    return n;
+    return count;
   }
 
-  List<Job> touched() {
-    return new ArrayList<>(tasks.keySet());
+  List<Job> changedJobs() {
+    return new ArrayList<>(changedTasks.keySet());
   }
 
   /**
-   * Ends a job in the same transaction: its record says so, or (below {@link Gate#AWAITS}) the
-   * final one appears and the job's goes, on condition that the job's record has not changed. So a
-   * job is either done or withdrawn, decided by one key; and no placement of it can follow, for
-   * that is conditional on the same key.
+   * Ends a job in this transaction. Either its record becomes an end marker, or (below {@link
+   * Gate#AWAITS}) the job history record is written and the job's record deleted. Both depend on
+   * the condition that the job's record has not changed. A job is therefore either done or
+   * withdrawn, decided by one key, and no placement of it can follow, because placements depend on
+   * the same key.
    */
-  void end(Job job, String phase, long wallMs) {
-    ended.add(job);
-    txn.requireStamp(job.key(), job.stamp());
-    others += opsForEnd();
-    for (int c = 0; c < job.chunkCount(); c++) {
-      // What does not fit is left as an orphan and deleted later.
-      if (job.chunkStamp(c) > 0 && canAddWrites()) {
-        delete(job.chunkKey(c));
+  void endJob(Job job, String phase, long wallMs) {
+    endedJobs.add(job);
+    transaction.requireStamp(job.key(), job.stamp());
+    otherWrites += writesPerEnd();
+    for (int chunk = 0; chunk < job.chunkCount(); chunk++) {
+      // Chunks that do not fit remain as orphans and are deleted later.
+      if (job.chunkStamp(chunk) > 0 && canAddWrites()) {
+        delete(job.chunkKey(chunk));
       }
     }
-    TerminalState how = new TerminalState(phase, job.taskCount(), wallMs);
+    TerminalState terminalState = new TerminalState(phase, job.taskCount(), wallMs);
     if (tables.isOpen(Gate.AWAITS)) {
-      // One write where others wait for it; it is moved when there are writes to spare.
-      txn.write(job.key(), Job.terminalToStore(how));
+      // Others wait for the job's end, so it takes only one write. The end is moved to the job
+      // history when there are writes to spare.
+      transaction.write(job.key(), Job.terminalToStore(terminalState));
     } else {
-      txn.write(Job.terminalStateKey(job.id()), how.toStore(false));
-      txn.delete(job.key());
+      transaction.write(Job.terminalStateKey(job.id()), terminalState.toStore(false));
+      transaction.delete(job.key());
     }
   }
 
-  /** Moves an end to its lasting place. */
-  void move(String id, Tables.PendingHistoryEntry o) {
-    txn.requireStamp(Job.key(id), o.stamp());
-    txn.write(Job.terminalStateKey(id), o.terminalState().toStore(true));
-    txn.delete(Job.key(id));
-    others += OPS_FOR_MOVE;
+  /** Moves the end of a job from the job's record to the job history. */
+  void moveToHistory(String id, Tables.PendingHistoryEntry end) {
+    transaction.requireStamp(Job.key(id), end.stamp());
+    transaction.write(Job.terminalStateKey(id), end.terminalState().toStore(true));
+    transaction.delete(Job.key(id));
+    otherWrites += WRITES_PER_MOVE;
   }
 
-  boolean roomToMove() {
-    return canAddWrites(OPS_FOR_MOVE) && canAddConditions();
+  boolean canMoveToHistory() {
+    return canAddWrites(WRITES_PER_MOVE) && canAddConditions();
   }
 
-  boolean roomToEnd() {
-    // Below the level as it was: with room for a chunk beside it.
-    int n = tables.isOpen(Gate.AWAITS) ? opsForEnd() : opsForEnd() + 1;
-    return canAddWrites(n) && canAddConditions();
+  boolean canEndJob() {
+    // Below this level, one more write is required, for a chunk to be deleted with the job.
+    int count = tables.isOpen(Gate.AWAITS) ? writesPerEnd() : writesPerEnd() + 1;
+    return canAddWrites(count) && canAddConditions();
   }
 
-  private int opsForEnd() {
-    return tables.isOpen(Gate.AWAITS) ? 1 : OPS_FOR_MOVE;
+  private int writesPerEnd() {
+    return tables.isOpen(Gate.AWAITS) ? 1 : WRITES_PER_MOVE;
   }
 
-  /** Hands a job that is not withdrawn to another part. */
-  void moveToPartition(Job job, String part) {
-    write(job.key(), job.toStore(part, 0), job.stamp());
+  /** Hands a job that is not withdrawn over to another partition. */
+  void moveToPartition(Job job, String partition) {
+    write(job.key(), job.toStore(partition, 0), job.stamp());
   }
 
-  void machine(Machine m, Machine.Info info) {
-    if (!machines.containsKey(m)) {
-      bytes += 4 * ENTRY_BYTES + m.name().length();
+  void setMachineInfo(Machine machine, Machine.Info info) {
+    if (!machineInfos.containsKey(machine)) {
+      entryBytes += 4 * ENTRY_OVERHEAD_BYTES + machine.name().length();
     }
-    machines.put(m, info);
+    machineInfos.put(machine, info);
   }
 
   void delete(String key) {
-    txn.delete(key);
-    others++;
+    transaction.delete(key);
+    otherWrites++;
   }
 
   boolean touches(String key) {
-    return txn.changesKey(key);
+    return transaction.changesKey(key);
   }
 
   void write(String key, Object value, long stamp) {
-    txn.requireStamp(key, stamp);
-    txn.write(key, value);
-    others++;
+    transaction.requireStamp(key, stamp);
+    transaction.write(key, value);
+    otherWrites++;
   }
 
-  /** Takes back a write, and its condition. */
+  /** Removes a write and its condition. */
   void removeWrite(String key) {
-    txn.remove(key);
-    others--;
+    transaction.remove(key);
+    otherWrites--;
   }
 
   void addCondition(String key, long stamp) {
-    txn.requireStamp(key, stamp);
+    transaction.requireStamp(key, stamp);
   }
 
-  /** On condition that the view is the one of the tables, since that is what a change rewrites. */
+  /**
+   * Adds the condition that the view is still the one in the tables. Every change of view rewrites
+   * the view record.
+   */
   void requireCurrentView() {
     if (tables.isOpen(Gate.VIEWS)) {
-      txn.requireStamp(View.KEY, tables.viewStamp());
+      transaction.requireStamp(View.KEY, tables.viewStamp());
     }
   }
 
-  /** On condition that a node has written nothing to its log that we have not seen. */
-  void requireUnchangedLog(String of) {
-    var last = tables.logPages(of).lastEntry();
-    if (last != null) {
-      txn.requireStamp(last.getValue().key(), last.getValue().stamp());
+  /**
+   * Adds the condition that a node has written nothing to its log beyond what this node has read.
+   */
+  void requireUnchangedLog(String owner) {
+    var lastPage = tables.logPages(owner).lastEntry();
+    if (lastPage != null) {
+      transaction.requireStamp(lastPage.getValue().key(), lastPage.getValue().stamp());
     }
-    txn.requireStamp(LogPage.key(of, last == null ? 1 : last.getKey() + 1), 0);
+    transaction.requireStamp(LogPage.key(owner, lastPage == null ? 1 : lastPage.getKey() + 1), 0);
   }
 
-  private List<Object> entries() {
-    List<Object> out = new ArrayList<>();
-    machines.forEach((m, info) -> out.add(LogEntry.machine(m.name(), info)));
-    tasks.forEach(
+  private List<Object> buildEntries() {
+    List<Object> entries = new ArrayList<>();
+    machineInfos.forEach((machine, info) -> entries.add(LogEntry.machine(machine.name(), info)));
+    changedTasks.forEach(
         (job, changes) -> {
-          // What an ended job's tasks did is in its final record.
-          if (!ended.contains(job)) {
-            entries(job, changes, out);
+          // The terminal state of an ended job covers what its tasks did.
+          if (!endedJobs.contains(job)) {
+            addJobEntries(job, changes, entries);
           }
         });
-    return out;
+    return entries;
   }
 
-  private void entries(Job job, Map<Integer, TaskState> changes, List<Object> out) {
-    List<List<Object>> exited = new ArrayList<>();
-    List<List<Object>> placed = new ArrayList<>();
-    List<List<Object>> stopped = new ArrayList<>();
+  private void addJobEntries(Job job, Map<Integer, TaskState> changes, List<Object> entries) {
+    List<List<Object>> exitEntries = new ArrayList<>();
+    List<List<Object>> placementEntries = new ArrayList<>();
+    List<List<Object>> stopEntries = new ArrayList<>();
     changes.forEach(
-        (i, next) -> {
-          TaskState old = job.task(i);
-          boolean same = old.isLive() && next.isLive() && old.attempt() == next.attempt();
-          if (old.isLive() && !same) {
-            boolean error = failed.getOrDefault(job, Set.of()).contains(i);
-            int how =
+        (index, next) -> {
+          TaskState old = job.task(index);
+          boolean sameAttempt = old.isLive() && next.isLive() && old.attempt() == next.attempt();
+          if (old.isLive() && !sameAttempt) {
+            boolean error = failedTasks.getOrDefault(job, Set.of()).contains(index);
+            int outcome =
                 next.phase() == TaskState.Phase.DONE
                     ? LogEntry.EXIT_DONE
                     : error ? LogEntry.EXIT_FAILED : LogEntry.EXIT_LOST;
-            to(exited, LogEntry.exited(job.id()), 3).addAll(List.of(i, old.attempt(), how));
+            entryFor(exitEntries, LogEntry.exited(job.id()), 3)
+                .addAll(List.of(index, old.attempt(), outcome));
           }
-          if (next.isLive() && !same) {
-            to(placed, LogEntry.placed(job.id(), number), 3)
-                .addAll(List.of(i, next.attempt(), next.machine().name()));
+          if (next.isLive() && !sameAttempt) {
+            entryFor(placementEntries, LogEntry.placed(job.id(), nodeNumber), 3)
+                .addAll(List.of(index, next.attempt(), next.machine().name()));
           }
-          if (next.isLive() && next.stop() != (same ? old.stop() : TaskState.Stop.NONE)) {
-            to(stopped, LogEntry.stopped(job.id(), next.stop()), 2)
-                .addAll(List.of(i, next.attempt()));
+          if (next.isLive() && next.stop() != (sameAttempt ? old.stop() : TaskState.Stop.NONE)) {
+            entryFor(stopEntries, LogEntry.stopped(job.id(), next.stop()), 2)
+                .addAll(List.of(index, next.attempt()));
           }
         });
-    // In this order: what is placed may follow on an exit, what is stopped on a placement.
-    out.addAll(exited);
-    out.addAll(placed);
-    out.addAll(stopped);
+    // The order matters: a placement may follow an exit, and a stop may follow a placement.
+    entries.addAll(exitEntries);
+    entries.addAll(placementEntries);
+    entries.addAll(stopEntries);
   }
 
-  /** The entry that takes the next task: the last with that head if it has room, or the new one. */
-  private static List<Object> to(List<List<Object>> entries, List<Object> fresh, int width) {
+  /**
+   * Returns the entry that takes the next task: the last one if it has the same head and is not
+   * full, otherwise {@code newEntry}, which is added.
+   */
+  private static List<Object> entryFor(
+      List<List<Object>> entries, List<Object> newEntry, int width) {
     List<Object> last = entries.isEmpty() ? null : entries.get(entries.size() - 1);
     if (last == null
-        || !last.subList(0, fresh.size()).equals(fresh)
-        || last.size() >= fresh.size() + ENTRY_TASKS * width) {
-      entries.add(fresh);
-      return fresh;
+        || !last.subList(0, newEntry.size()).equals(newEntry)
+        || last.size() >= newEntry.size() + MAX_TASKS_PER_ENTRY * width) {
+      entries.add(newEntry);
+      return newEntry;
     }
     return last;
   }
 
   Transaction build() {
-    List<Object> entries = entries();
-    var last = tables.logPages(node).lastEntry();
-    LogPage page = last == null ? null : last.getValue();
-    long number = last == null ? 0 : last.getKey();
-    if (page != null && page.bytes() + PAGE_OVERHEAD + bytes > pageBytes) {
+    List<Object> entries = buildEntries();
+    var lastPage = tables.logPages(node).lastEntry();
+    LogPage page = lastPage == null ? null : lastPage.getValue();
+    long number = lastPage == null ? 0 : lastPage.getKey();
+    if (page != null && page.bytes() + PAGE_OVERHEAD_BYTES + entryBytes > pageBytes) {
       page = null;
     }
-    List<Object> run = new ArrayList<>();
-    int size = page == null ? PAGE_OVERHEAD : page.bytes() + PAGE_OVERHEAD;
-    for (Object e : entries) {
-      int n = MessageCodec.jsonSize(e) + 1;
-      if (!run.isEmpty() && size + n > pageBytes) {
-        number = write(page, number, run);
+    List<Object> pageEntries = new ArrayList<>();
+    int pageSize = page == null ? PAGE_OVERHEAD_BYTES : page.bytes() + PAGE_OVERHEAD_BYTES;
+    for (Object entry : entries) {
+      int entrySize = MessageCodec.jsonSize(entry) + 1;
+      if (!pageEntries.isEmpty() && pageSize + entrySize > pageBytes) {
+        number = write(page, number, pageEntries);
         page = null;
-        run = new ArrayList<>();
-        size = PAGE_OVERHEAD;
+        pageEntries = new ArrayList<>();
+        pageSize = PAGE_OVERHEAD_BYTES;
       }
-      run.add(e);
-      size += n;
+      pageEntries.add(entry);
+      pageSize += entrySize;
     }
-    if (!run.isEmpty()) {
-      write(page, number, run);
+    if (!pageEntries.isEmpty()) {
+      write(page, number, pageEntries);
     }
-    return txn;
+    return transaction;
   }
 
-  /** Appends to a page, or begins the next; returns its number. */
-  private long write(LogPage page, long number, List<Object> run) {
-    long to = page == null ? number + 1 : number;
-    txn.requireStamp(LogPage.key(node, to), page == null ? 0 : page.stamp());
-    txn.write(
-        LogPage.key(node, to), LogPage.encode(page, tables.encoding(), run, tables::isObsolete));
-    return to;
+  /**
+   * Appends entries to a page, or to the next page if {@code page} is null, and returns the page's
+   * number.
+   */
+  private long write(LogPage page, long number, List<Object> pageEntries) {
+    long target = page == null ? number + 1 : number;
+    transaction.requireStamp(LogPage.key(node, target), page == null ? 0 : page.stamp());
+    transaction.write(
+        LogPage.key(node, target),
+        LogPage.encode(page, tables.encoding(), pageEntries, tables::isObsolete));
+    return target;
   }
 }
--- a/src/main/java/wickdrift/coordination/WorkerLinks.java
+++ b/src/main/java/wickdrift/coordination/WorkerLinks.java
@@ -13,57 +13,65 @@
 import wickdrift.protocol.Report;
 import wickdrift.transport.Timers;
 
-/** The links to the workers of this node's machines, and the record of what went over them. */
+/**
+ * Keeps the link to the worker of each of this node's machines, and the record of the events on
+ * these links.
+ */
 public final class WorkerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerLinks.class);
-  private static final int EVENTS_KEPT = 2048;
+  private static final int MAX_KEPT_EVENTS = 2048;
 
-  /** For events that concern no single attempt. */
+  /** Stands for the attempt in events that concern no single attempt. */
   private static final TaskAttempt NO_ATTEMPT = new TaskAttempt("", 0);
 
   private final Timers timers;
   private final Map<Machine, WorkerLink> links = new HashMap<>();
-  private final RecentEvents events = new RecentEvents(EVENTS_KEPT);
+  private final RecentEvents events = new RecentEvents(MAX_KEPT_EVENTS);
   private final SafetyMonitor monitor = new SafetyMonitor(events);
   private long workerRestarts;
-  private long unanswered;
+  private long unansweredCommands;
 
-  /** No links at first. */
+  /** Creates an instance without links. */
   public WorkerLinks(Timers timers) {
     this.timers = timers;
   }
 
-  /** Checks what is about to be sent or recorded. */
+  /**
+   * Returns the monitor that checks commands before they are sent and ends of attempts before they
+   * are recorded.
+   */
   public SafetyMonitor monitor() {
     return monitor;
   }
 
-  /** Workers that were found to have begun anew under the same name. */
+  /** Returns how many restarts of workers under the same name were detected. */
   public long workerRestarts() {
     return workerRestarts;
   }
 
-  /** Commands sent straight to workers that were given up without an answer. */
+  /** Returns the number of direct commands that were given up without an answer. */
   public long unansweredCommands() {
-    return unanswered;
+    return unansweredCommands;
   }
 
-  /** Machines to which a run that was sent straight may still arrive. */
+  /** Returns the number of machines at which a direct run may still arrive. */
   public long machinesWithOutstandingRuns() {
-    return links.values().stream().filter(l -> !l.commands.hasNoOutstandingRuns()).count();
+    return links.values().stream().filter(link -> !link.commands.hasNoOutstandingRuns()).count();
   }
 
-  /** The link to a machine's worker, a new one if there is none. */
-  WorkerLink of(Machine machine) {
+  /** Returns the link to a machine's worker, which is created if there is none. */
+  WorkerLink linkTo(Machine machine) {
     return links.computeIfAbsent(machine, k -> new WorkerLink());
   }
 
-  /** What was sent to a machine's worker. */
-  WorkerCommands commands(Machine machine) {
-    return of(machine).commands;
+  /** Returns the commands that were sent to a machine's worker, which are empty at first. */
+  WorkerCommands commandsTo(Machine machine) {
+    return linkTo(machine).commands;
   }
 
-  /** The same if anything ever was, else null. */
+  /**
+   * Returns the commands that were sent to a machine's worker, or null if there is no link to it.
+   */
   WorkerCommands commandsIfKnown(Machine machine) {
     WorkerLink link = links.get(machine);
     return link == null ? null : link.commands;
@@ -73,12 +81,18 @@
     return links.get(machine) == link;
   }
 
-  /** The machine is somebody else's: what was sent counts under an epoch that is over. */
-  void drop(Machine machine) {
+  /**
+   * Removes the link to a machine that another node owns now: what was sent counts under a past
+   * epoch only.
+   */
+  void removeLink(Machine machine) {
     links.remove(machine);
   }
 
-  /** Somebody else may have commanded the worker, or its lease has ended. */
+  /**
+   * Forgets the runs sent to a worker, because another node may have commanded it or its lease has
+   * ended.
+   */
   void forgetRuns(Machine machine) {
     WorkerLink link = links.get(machine);
     if (link != null) {
@@ -87,29 +101,29 @@
   }
 
   /**
-   * The worker has begun anew under the same name: nothing it shows counts until it has shown a
-   * higher epoch than any that the one before may have been sent.
+   * Handles the restart of a worker under the same name. Its reports prove nothing until they show
+   * a higher epoch than any that was sent to its previous incarnation.
    */
-  void restarted(Machine machine, Report report, long epoch) {
+  void workerRestarted(Machine machine, Report report, long epoch) {
     LOG.info(
-        "{} has begun anew: tenure {}, tick {}, epoch {}",
+        "worker restarted: machine={}, tenure={}, tick={}, epoch={}",
         machine.name(),
         report.tenure(),
         report.tick(),
         epoch);
     workerRestarts++;
     machine.onWorkerRestart(epoch);
-    commands(machine).workerRestarted();
+    commandsTo(machine).workerRestarted();
     recordEvent(CommandEvent.Kind.WORKER_RESTARTED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
-  /** A command was given up without an answer. */
-  void unanswered(Machine machine, Report report, long epoch) {
-    unanswered++;
+  /** Records that a direct command was given up without an answer. */
+  void commandUnanswered(Machine machine, Report report, long epoch) {
+    unansweredCommands++;
     recordEvent(CommandEvent.Kind.DIRECT_UNANSWERED, machine, NO_ATTEMPT, report, epoch, "");
   }
 
-  /** Records a step with the report on which it rests, which may be null. */
+  /** Records an event together with the report on which it is based, which may be null. */
   void recordEvent(
       CommandEvent.Kind kind,
       Machine machine,
@@ -117,20 +131,20 @@
       Report report,
       long epoch,
       String reason) {
-    record(event(kind, machine, attempt, report, epoch, reason));
+    record(newEvent(kind, machine, attempt, report, epoch, reason));
   }
 
   void record(CommandEvent event) {
     events.add(event);
   }
 
-  /** The same of a whole machine. */
+  /** Records an event that concerns a whole machine. */
   void recordEvent(
       CommandEvent.Kind kind, Machine machine, Report report, long epoch, String reason) {
     recordEvent(kind, machine, NO_ATTEMPT, report, epoch, reason);
   }
 
-  CommandEvent event(
+  CommandEvent newEvent(
       CommandEvent.Kind kind,
       Machine machine,
       TaskAttempt attempt,
--- a/src/main/java/wickdrift/coordination/commands/RecentEvents.java
+++ b/src/main/java/wickdrift/coordination/commands/RecentEvents.java
@@ -6,34 +6,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A bounded record of the last command events of this process. Each costs one small object and is
- * logged at {@code debug}; the record is written out when an invariant is violated.
+ * A bounded record of this process's latest command events. Each event costs one small object and
+ * is logged at {@code debug}. The record is logged when an invariant is violated.
  */
 public final class RecentEvents {
   private static final Logger LOG = LoggerFactory.getLogger(RecentEvents.class);
 
   private final CommandEvent[] ring;
-  private long added;
+  private long addedCount;
 
   /**
-   * @param capacity events that are kept
+   * Creates an empty record.
+   *
+   * @param capacity maximum number of events kept
    */
   public RecentEvents(int capacity) {
     ring = new CommandEvent[capacity];
   }
 
-  /** Adds an event; the oldest makes way for it. */
+  /** Adds an event, which replaces the oldest one if the record is full. */
   public void add(CommandEvent event) {
-    ring[(int) (added++ % ring.length)] = event;
+    ring[(int) (addedCount++ % ring.length)] = event;
     if (LOG.isDebugEnabled()) {
       LOG.debug("{}", event);
     }
   }
 
-  /** The last events of a machine, the oldest first. */
+  /** Returns the recorded events of a machine, oldest first. */
   public List<CommandEvent> eventsOf(String machine) {
     List<CommandEvent> found = new ArrayList<>();
-    for (long i = Math.max(0, added - ring.length); i < added; i++) {
+    for (long i = Math.max(0, addedCount - ring.length); i < addedCount; i++) {
       CommandEvent event = ring[(int) (i % ring.length)];
       if (event.machine().equals(machine)) {
         found.add(event);
