--- a/src/main/java/wickdrift/bookkeeping/LogEntry.java
+++ b/src/main/java/wickdrift/bookkeeping/LogEntry.java
@@ -35,27 +35,27 @@
   private LogEntry() {}
 
   public static List<Object> placed(String job, int placer) {
-    return start(PLACED, job, placer);
+    return newEntry(PLACED, job, placer);
   }
 
   public static List<Object> exited(String job) {
-    return start(EXITED, job);
+    return newEntry(EXITED, job);
   }
 
   public static List<Object> stopped(String job, TaskState.Stop how) {
-    return start(STOPPED, job, how.ordinal());
+    return newEntry(STOPPED, job, how.ordinal());
   }
 
-  private static List<Object> start(Object... of) {
-    return new ArrayList<>(List.of(of));
+  private static List<Object> newEntry(Object... values) {
+    return new ArrayList<>(List.of(values));
   }
 
   /** The log entry of a machine's phase. */
   public static List<Object> machine(String name, Machine.Info info) {
     if (info == null) {
-      return start(FORGOTTEN, name);
+      return newEntry(FORGOTTEN, name);
     }
-    return start(
+    return newEntry(
         MACHINE,
         name,
         info.type(),
@@ -65,58 +65,59 @@
         info.phaseSinceWallMs());
   }
 
-  static String kind(List<?> e) throws BadMessage {
-    return text(e, 0);
+  static String kind(List<?> entry) throws BadMessage {
+    return text(entry, 0);
   }
 
   /**
    * @throws BadMessage if no reader of this build knows entries of that kind
    */
-  static void known(String kind) throws BadMessage {
+  static void checkKnown(String kind) throws BadMessage {
     if (!Set.of(PLACED, EXITED, STOPPED, MACHINE, FORGOTTEN).contains(kind)) {
       throw new BadMessage("an entry of the unknown kind " + kind);
     }
   }
 
   /** The job or the machine that it is about. */
-  static String subject(List<?> e) throws BadMessage {
-    return text(e, 1);
+  static String subject(List<?> entry) throws BadMessage {
+    return text(entry, 1);
   }
 
-  static boolean aboutMachine(List<?> e) throws BadMessage {
-    return kind(e).equals(MACHINE) || kind(e).equals(FORGOTTEN);
+  static boolean aboutMachine(List<?> entry) throws BadMessage {
+    return kind(entry).equals(MACHINE) || kind(entry).equals(FORGOTTEN);
   }
 
   /** Where its tasks begin, and how many values each takes. */
-  static int first(List<?> e) throws BadMessage {
-    return kind(e).equals(EXITED) ? 2 : 3;
+  static int firstTaskIndex(List<?> entry) throws BadMessage {
+    return kind(entry).equals(EXITED) ? 2 : 3;
   }
 
-  static int width(List<?> e) throws BadMessage {
-    return kind(e).equals(STOPPED) ? 2 : 3;
+  static int valuesPerTask(List<?> entry) throws BadMessage {
+    return kind(entry).equals(STOPPED) ? 2 : 3;
   }
 
-  static String text(List<?> e, int i) throws BadMessage {
-    if (i < e.size() && e.get(i) instanceof String s) {
+  static String text(List<?> entry, int i) throws BadMessage {
+    if (i < entry.size() && entry.get(i) instanceof String s) {
       return s;
     }
     throw new BadMessage("an entry lacks a text");
   }
 
-  static int number(List<?> e, int i) throws BadMessage {
-    if (i < e.size() && e.get(i) instanceof Long l && l >= 0 && l <= Integer.MAX_VALUE) {
+  static int number(List<?> entry, int i) throws BadMessage {
+    if (i < entry.size() && entry.get(i) instanceof Long l && l >= 0 && l <= Integer.MAX_VALUE) {
       return l.intValue();
     }
     throw new BadMessage("an entry lacks a number");
   }
 
-  static Machine.Info info(List<?> e) throws BadMessage {
-    if (e.size() < 7
-        || !(e.get(4) instanceof Boolean spot)
-        || !(e.get(6) instanceof Long at)
-        || number(e, 5) >= Machine.Phase.values().length) {
+  static Machine.Info info(List<?> entry) throws BadMessage {
+    if (entry.size() < 7
+        || !(entry.get(4) instanceof Boolean spot)
+        || !(entry.get(6) instanceof Long at)
+        || number(entry, 5) >= Machine.Phase.values().length) {
       throw new BadMessage("an entry of a machine is incomplete");
     }
-    return new Machine.Info(text(e, 2), text(e, 3), spot, Machine.Phase.values()[number(e, 5)], at);
+    return new Machine.Info(
+        text(entry, 2), text(entry, 3), spot, Machine.Phase.values()[number(entry, 5)], at);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/LogPage.java
+++ b/src/main/java/wickdrift/bookkeeping/LogPage.java
@@ -18,7 +18,7 @@
  */
 public final class LogPage {
   private static final String PREFIX = "w/l/";
-  private static final String RUNS = "g";
+  private static final String RUNS_FIELD = "g";
 
   /** Entries that became durable together. */
   public record Run(long rev, List<?> entries) {}
@@ -28,7 +28,7 @@
   private final long stamp;
   private final List<Run> runs;
   private final int bytes;
-  private final int form;
+  private final int encoding;
   private final Map<String, Object> extra;
 
   private LogPage(
@@ -37,14 +37,14 @@
       long stamp,
       List<Run> runs,
       int bytes,
-      int form,
+      int encoding,
       Map<String, Object> extra) {
     this.node = node;
     this.number = number;
     this.stamp = stamp;
     this.runs = runs;
     this.bytes = bytes;
-    this.form = form;
+    this.encoding = encoding;
     this.extra = extra;
   }
 
@@ -70,9 +70,9 @@
 
   /** Reads a stored page, in whatever form. */
   public static LogPage parse(String key, Object value, long stamp) throws BadMessage {
-    Document d = Encoding.decode(value, Encoding.NUMBERED);
+    Document document = Encoding.decode(value, Encoding.NUMBERED);
     List<Run> runs = new ArrayList<>();
-    for (Object o : d.list(RUNS)) {
+    for (Object o : document.list(RUNS_FIELD)) {
       if (!(o instanceof List<?> l)
           || l.size() != 2
           || !(l.get(0) instanceof Long rev)
@@ -81,9 +81,10 @@
       }
       runs.add(new Run(rev == 0 ? stamp : rev, entries));
     }
-    int form = Encoding.versionOf(value);
+    int encoding = Encoding.versionOf(value);
     int bytes = MessageCodec.jsonSize(value);
-    return new LogPage(node(key), number(key), stamp, runs, bytes, form, d.without(RUNS));
+    return new LogPage(
+        node(key), number(key), stamp, runs, bytes, encoding, document.without(RUNS_FIELD));
   }
 
   public String key() {
@@ -102,8 +103,8 @@
     return runs;
   }
 
-  public int form() {
-    return form;
+  public int encoding() {
+    return encoding;
   }
 
   /** Its size as the state service counts it. */
@@ -117,13 +118,13 @@
    * @param entries of the new run; none if the page is only brought to another form
    */
   public static Object encode(
-      LogPage old, int form, List<Object> entries, BiPredicate<Long, List<?>> dead) {
+      LogPage old, int encoding, List<Object> entries, BiPredicate<Long, List<?>> obsolete) {
     List<Object> runs = new ArrayList<>();
     if (old != null) {
       for (Run r : old.runs) {
         List<Object> kept = new ArrayList<>();
         for (Object e : r.entries) {
-          if (!dead.test(r.rev, (List<?>) e)) {
+          if (!obsolete.test(r.rev, (List<?>) e)) {
             kept.add(e);
           }
         }
@@ -135,8 +136,8 @@
     if (!entries.isEmpty()) {
       runs.add(List.of(0L, entries));
     }
-    Map<String, Object> m = new LinkedHashMap<>(old == null ? Map.of() : old.extra);
-    m.put(RUNS, runs);
-    return Encoding.wrap(form, m);
+    Map<String, Object> record = new LinkedHashMap<>(old == null ? Map.of() : old.extra);
+    record.put(RUNS_FIELD, runs);
+    return Encoding.wrap(encoding, record);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Partition.java
+++ b/src/main/java/wickdrift/bookkeeping/Partition.java
@@ -32,29 +32,29 @@
   public record QuotaShare(double cpus, double gpus) {
     public static final QuotaShare NONE = new QuotaShare(0, 0);
 
-    public QuotaShare plus(QuotaShare o) {
-      return new QuotaShare(cpus + o.cpus, gpus + o.gpus);
+    public QuotaShare plus(QuotaShare other) {
+      return new QuotaShare(cpus + other.cpus, gpus + other.gpus);
     }
 
-    public QuotaShare minus(QuotaShare o) {
-      return new QuotaShare(cpus - o.cpus, gpus - o.gpus);
+    public QuotaShare minus(QuotaShare other) {
+      return new QuotaShare(cpus - other.cpus, gpus - other.gpus);
     }
 
-    public QuotaShare times(double n) {
-      return new QuotaShare(cpus * n, gpus * n);
+    public QuotaShare times(double factor) {
+      return new QuotaShare(cpus * factor, gpus * factor);
     }
   }
 
-  public static Partition empty(long epoch, int form) {
-    return new Partition(epoch, List.of(), Map.of(), 0, form, Map.of());
+  public static Partition empty(long epoch, int encoding) {
+    return new Partition(epoch, List.of(), Map.of(), 0, encoding, Map.of());
   }
 
   public static String key(String node) {
     return "w/p/" + node;
   }
 
-  public Partition withReserved(List<String> nowTaken) {
-    return new Partition(epoch, nowTaken, quotaShares, stamp, encoding, extra);
+  public Partition withReserved(List<String> newReserved) {
+    return new Partition(epoch, newReserved, quotaShares, stamp, encoding, extra);
   }
 
   /** In a new view nothing is taken; the shares stay, for attempts count against them. */
@@ -63,32 +63,32 @@
   }
 
   /** In another form, with the shares as that form tells them. */
-  public Partition inEncoding(int other, Map<String, QuotaShare> told) {
-    return new Partition(epoch, reserved, told, stamp, other, extra);
+  public Partition inEncoding(int newEncoding, Map<String, QuotaShare> newQuotaShares) {
+    return new Partition(epoch, reserved, newQuotaShares, stamp, newEncoding, extra);
   }
 
   public Partition withQuotaShare(String team, QuotaShare share) {
-    Map<String, QuotaShare> s = new LinkedHashMap<>(quotaShares);
-    s.put(team, share);
-    return new Partition(epoch, reserved, s, stamp, encoding, extra);
+    Map<String, QuotaShare> newQuotaShares = new LinkedHashMap<>(quotaShares);
+    newQuotaShares.put(team, share);
+    return new Partition(epoch, reserved, newQuotaShares, stamp, encoding, extra);
   }
 
   /** The record as it is stored, in its form. */
   public Object toStore() {
-    Map<String, Object> m = new LinkedHashMap<>(extra);
-    m.put("epoch", epoch);
-    m.put("taken", new ArrayList<>(reserved));
-    Map<String, Object> s = new LinkedHashMap<>();
-    quotaShares.forEach((t, v) -> s.put(t, List.of(v.cpus, v.gpus)));
-    m.put("shares", s);
-    return Encoding.wrap(encoding, m);
+    Map<String, Object> record = new LinkedHashMap<>(extra);
+    record.put("epoch", epoch);
+    record.put("taken", new ArrayList<>(reserved));
+    Map<String, Object> storedShares = new LinkedHashMap<>();
+    quotaShares.forEach((t, v) -> storedShares.put(t, List.of(v.cpus, v.gpus)));
+    record.put("shares", storedShares);
+    return Encoding.wrap(encoding, record);
   }
 
   /** Reads a stored record, in whatever form. */
   public static Partition parse(Object value, long stamp) throws BadMessage {
-    Document d = Encoding.decode(value, Encoding.NUMBERED);
-    Map<String, QuotaShare> shares = new LinkedHashMap<>();
-    if (d.raw("shares") instanceof Map<?, ?> m) {
+    Document document = Encoding.decode(value, Encoding.NUMBERED);
+    Map<String, QuotaShare> quotaShares = new LinkedHashMap<>();
+    if (document.raw("shares") instanceof Map<?, ?> m) {
       for (Map.Entry<?, ?> e : m.entrySet()) {
         if (!(e.getValue() instanceof List<?> l)
             || l.size() != 2
@@ -96,15 +96,16 @@
             || !(l.get(1) instanceof Number gpus)) {
           throw new BadMessage("a share is not two amounts");
         }
-        shares.put((String) e.getKey(), new QuotaShare(cpus.doubleValue(), gpus.doubleValue()));
+        quotaShares.put(
+            (String) e.getKey(), new QuotaShare(cpus.doubleValue(), gpus.doubleValue()));
       }
     }
     return new Partition(
-        d.count("epoch"),
-        List.copyOf(d.texts("taken")),
-        shares,
+        document.count("epoch"),
+        List.copyOf(document.texts("taken")),
+        quotaShares,
         stamp,
         Encoding.versionOf(value),
-        d.without("epoch", "taken", "shares"));
+        document.without("epoch", "taken", "shares"));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -26,39 +26,39 @@
   /** Where all our keys live. */
   public static final String PREFIX = "w/";
 
-  private static final long CALL_MS = 1500;
+  private static final long CALL_TIMEOUT_MS = 1500;
 
   /** After that a transaction counts as unanswered: one that is sent again can't do harm. */
-  private static final long COMMIT_MS = 700;
+  private static final long COMMIT_TIMEOUT_MS = 700;
 
   /** The answer of a transaction that shows in the tables comes within this time, or is lost. */
-  private static final long ANSWER_LOST_MS = 100;
+  private static final long COMMIT_ANSWER_GRACE_MS = 100;
 
-  private static final long HOLD_MS = 10_000;
-  private static final int PAGE = 400;
+  private static final long WATCH_HOLD_MS = 10_000;
+  private static final int RECORDS_PER_PAGE = 400;
 
   /** Of the writes that the state service takes a second. */
-  private static final double USED = 0.95;
+  private static final double USED_WRITE_FRACTION = 0.95;
 
-  private static final long WINDOW_MS = 500;
+  private static final long RATE_WINDOW_MS = 500;
 
   /** A submission that found no write left comes again within this time. */
-  private static final long USERS_WAIT_MS = 250;
+  private static final long USER_RETRY_WINDOW_MS = 250;
 
   /** Of our writes, what submissions may take: hundreds at once are not to stop all placements. */
-  private static final double USERS = 0.75;
+  private static final double USER_WRITE_FRACTION = 0.75;
 
   /** Left for authority and users. */
-  private static final double RESERVE = 3;
+  private static final double RESERVED_WRITES = 3;
 
   /** Of what is kept for work, the leader's part: gangs and what is spread over zones are its. */
-  private static final double LEADERS = 0.7;
+  private static final double LEADER_WORK_FRACTION = 0.7;
 
   /**
    * So many writes a node may save up for its work even where its share of a second is less: the
    * end of a job takes so many, and must come to be written however many controllers there are.
    */
-  private static final double WORK_SAVED = 4;
+  private static final double MIN_WORK_BURST = 4;
 
   /** Loading until a whole copy is there and has been caught up; then following. */
   public enum Phase {
@@ -88,24 +88,24 @@
   }
 
   /** A transaction that is out: who waits for its outcome is told once. */
-  private final class Outstanding {
-    private final Transaction txn;
-    private final Consumer<CommitResult> done;
-    private boolean over;
-    private boolean seen;
+  private final class InFlightTransaction {
+    private final Transaction transaction;
+    private final Consumer<CommitResult> callback;
+    private boolean finished;
+    private boolean changeSeen;
     private boolean settled;
 
-    Outstanding(Transaction txn, Consumer<CommitResult> done) {
-      this.txn = txn;
-      this.done = done;
-      txn.conditions().keySet().forEach(k -> outstanding.put(k, this));
+    InFlightTransaction(Transaction transaction, Consumer<CommitResult> callback) {
+      this.transaction = transaction;
+      this.callback = callback;
+      transaction.conditions().keySet().forEach(k -> inFlightByKey.put(k, this));
     }
 
-    void finish(CommitResult r) {
-      if (!over) {
-        over = true;
-        txn.conditions().keySet().forEach(k -> outstanding.remove(k, this));
-        done.accept(r);
+    void finish(CommitResult result) {
+      if (!finished) {
+        finished = true;
+        transaction.conditions().keySet().forEach(k -> inFlightByKey.remove(k, this));
+        callback.accept(result);
       }
     }
 
@@ -113,17 +113,17 @@
      * A key that it depends on has changed. By itself most likely: the answer is given a moment,
      * then it counts as lost.
      */
-    void changed(Change c) {
-      long expected = txn.conditions().get(c.key());
-      if (c.stamp() <= expected) {
+    void onKeyChanged(Change change) {
+      long expected = transaction.conditions().get(change.key());
+      if (change.stamp() <= expected) {
         return;
       }
       // One that must not be there may vanish again; a stamp never comes back.
       settled |= expected > 0;
-      if (!seen) {
-        seen = true;
+      if (!changeSeen) {
+        changeSeen = true;
         timers.after(
-            ANSWER_LOST_MS,
+            COMMIT_ANSWER_GRACE_MS,
             () -> finish(new CommitResult(Outcome.UNKNOWN, rev, Set.of(), false, settled)));
       }
     }
@@ -137,10 +137,10 @@
     void reset();
 
     /** A whole copy, its parts read at revisions from {@code rev} on. */
-    void load(List<Change> all, long rev);
+    void load(List<Change> records, long rev);
 
     /** Changes after the last, up to {@code rev}. */
-    void apply(List<Change> news, long rev);
+    void apply(List<Change> changes, long rev);
 
     /** Called after a run of changes that belong together. */
     void changesApplied();
@@ -153,13 +153,13 @@
    * The prefixes loaded at the start, the logs first (see Tables.load); finished jobs are read one
    * by one when asked for.
    */
-  private static final List<String> LOADED =
+  private static final List<String> LOADED_PREFIXES =
       List.of("w/l/", "w/h/", "w/a/", "w/j/", "w/m/", "w/p/", "w/t/", "w/c/", "w/x", "w/v");
 
   private final Timers timers;
   private final Caller caller;
   private final String address;
-  private final ChangeListener applier;
+  private final ChangeListener listener;
   private final MalformedMessages malformed;
   private final TokenBucket requests;
   private final TokenBucket writes;
@@ -168,42 +168,42 @@
   private final int nodes;
   private final StateServiceLimits limits;
   private double requestReserve;
-  private int sharing;
-  private boolean sharingFallen;
+  private int memberCount;
+  private boolean dividedNextLimits;
   private boolean leading;
   private double fairWriteRate;
   private double fairUserWrites;
-  private long usersWaitedMs = Long.MIN_VALUE / 2;
+  private long lastUserRefusalMs = Long.MIN_VALUE / 2;
   private long refusedByBudget;
   private long refusedByStore;
   private long failedByCondition;
-  private long tooLarge;
-  private final Set<String> tooLargeTold = new HashSet<>();
-  private long windowMs;
-  private int window;
-  private int lastWindow;
-  private long syncGapMs;
+  private long tooLargeCount;
+  private final Set<String> loggedTooLarge = new HashSet<>();
+  private long windowStartMs;
+  private int windowWrites;
+  private int lastWindowWrites;
+  private long syncIntervalMs;
 
   private Phase phase = Phase.LOADING;
   private long rev;
   private long lastOkMs;
   private boolean lastCallOk;
-  private int failures;
+  private int consecutiveFailures;
 
   private boolean syncing;
 
   /** Counts the loads: the answer to a watch from before the last one is of no use. */
-  private int loads;
+  private int loadCount;
 
   private long lastSyncMs;
-  private boolean syncArmed;
-  private List<Waiter> waiters = new ArrayList<>();
+  private boolean syncScheduled;
+  private List<BarrierWaiter> barrierWaiters = new ArrayList<>();
   private final List<RevWaiter> revWaiters = new ArrayList<>();
 
   /** Transactions that are out, by the keys that they depend on; of several the last. */
-  private final Map<String, Outstanding> outstanding = new HashMap<>();
+  private final Map<String, InFlightTransaction> inFlightByKey = new HashMap<>();
 
-  private record Waiter(Consumer<Boolean> done, long deadlineMs) {}
+  private record BarrierWaiter(Consumer<Boolean> done, long deadlineMs) {}
 
   private record RevWaiter(long rev, Runnable done) {}
 
@@ -219,7 +219,7 @@
     this.timers = timers;
     this.caller = caller;
     this.address = address;
-    this.applier = applier;
+    this.listener = applier;
     this.malformed = malformed;
     long now = timers.nowMs();
     this.limits = limits;
@@ -242,23 +242,30 @@
    * would have the leader place less.
    */
   public final void divideLimits(int members, boolean leads) {
-    if (members == sharing && leads == leading && limits.nextLimitsInEffect() == sharingFallen) {
+    if (members == memberCount
+        && leads == leading
+        && limits.nextLimitsInEffect() == dividedNextLimits) {
       return;
     }
-    sharing = members;
-    sharingFallen = limits.nextLimitsInEffect();
+    memberCount = members;
+    dividedNextLimits = limits.nextLimitsInEffect();
     leading = leads;
-    double share = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
-    requests.setRate(share);
-    requestReserve = share * 0.25;
-    syncGapMs = Math.max(5, (long) (1000 / (share * 0.45)));
-    int n = Math.max(1, members);
-    double all = limits.maxWritesPerSecond() * USED;
-    double work = all * (1 - USERS);
-    fairUserWrites = all * USERS / n;
+    double requestRate = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
+    requests.setRate(requestRate);
+    requestReserve = requestRate * 0.25;
+    syncIntervalMs = Math.max(5, (long) (1000 / (requestRate * 0.45)));
+    int memberCountOrOne = Math.max(1, members);
+    double writeRate = limits.maxWritesPerSecond() * USED_WRITE_FRACTION;
+    double workRate = writeRate * (1 - USER_WRITE_FRACTION);
+    fairUserWrites = writeRate * USER_WRITE_FRACTION / memberCountOrOne;
     fairWriteRate =
-        fairUserWrites + (n == 1 ? work : leads ? work * LEADERS : work * (1 - LEADERS) / (n - 1));
-    setOtherMembersWriteRate((all - fairWriteRate) / 2, fairWriteRate);
+        fairUserWrites
+            + (memberCountOrOne == 1
+                ? workRate
+                : leads
+                    ? workRate * LEADER_WORK_FRACTION
+                    : workRate * (1 - LEADER_WORK_FRACTION) / (memberCountOrOne - 1));
+    setOtherMembersWriteRate((writeRate - fairWriteRate) / 2, fairWriteRate);
   }
 
   /**
@@ -266,14 +273,16 @@
    * most}, but only an even share is saved up: were all to begin at once, the sum would still keep
    * to the limit.
    */
-  public void setOtherMembersWriteRate(double perSecond, double most) {
-    double ours =
-        Math.min(most, Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED - perSecond));
-    writes.setRate(ours, fairWriteRate);
+  public void setOtherMembersWriteRate(double perSecond, double max) {
+    double ownRate =
+        Math.min(
+            max,
+            Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED_WRITE_FRACTION - perSecond));
+    writes.setRate(ownRate, fairWriteRate);
     double users = fairUserWrites / fairWriteRate;
-    userWrites.setRate(ours * users, fairUserWrites);
-    double work = ours * (1 - users);
-    workWrites.setRate(work, Math.max(work, WORK_SAVED));
+    userWrites.setRate(ownRate * users, fairUserWrites);
+    double work = ownRate * (1 - users);
+    workWrites.setRate(work, Math.max(work, MIN_WORK_BURST));
   }
 
   /** This node's share of the writes that the state service takes, were all to write. */
@@ -288,14 +297,14 @@
 
   /** What another member may write at least, the leader apart. */
   public double evenWriteRate() {
-    return limits.maxWritesPerSecond() * USED / Math.max(1, sharing);
+    return limits.maxWritesPerSecond() * USED_WRITE_FRACTION / Math.max(1, memberCount);
   }
 
   /** How many changes a transaction of our work may have now, {@code most} at most. */
-  public int affordableChanges(int most) {
+  public int affordableChanges(int max) {
     long now = timers.nowMs();
-    int n = most;
-    while (n > 0 && !mayWork(n, now)) {
+    int n = max;
+    while (n > 0 && !canAffordWork(n, now)) {
       n--;
     }
     return n;
@@ -305,13 +314,14 @@
    * From what all may use, if enough stays there and no submission waits for it, or from what is
    * kept for work.
    */
-  private boolean mayWork(int n, long now) {
-    boolean usersWait = now - usersWaitedMs < USERS_WAIT_MS;
-    return !usersWait && writes.canAcquire(n, RESERVE, now) || workWrites.canAcquire(n, 0, now);
+  private boolean canAffordWork(int n, long now) {
+    boolean usersWait = now - lastUserRefusalMs < USER_RETRY_WINDOW_MS;
+    return !usersWait && writes.canAcquire(n, RESERVED_WRITES, now)
+        || workWrites.canAcquire(n, 0, now);
   }
 
-  private boolean takeForWork(int n, long now) {
-    if (!mayWork(n, now)) {
+  private boolean takeWorkWrites(int n, long now) {
+    if (!canAffordWork(n, now)) {
       return false;
     }
     writes.tryAcquire(n, -1e9, now);
@@ -331,7 +341,7 @@
 
   /** Transactions that were larger than may be, found here or by the state service. */
   public long tooLargeCount() {
-    return tooLarge;
+    return tooLargeCount;
   }
 
   /** What the state service takes. */
@@ -346,16 +356,16 @@
 
   /** How many writes a second we have sent lately. */
   public double recentWriteRate() {
-    nextWindow();
-    return Math.max(window, lastWindow) * 1000.0 / WINDOW_MS;
+    advanceWindow();
+    return Math.max(windowWrites, lastWindowWrites) * 1000.0 / RATE_WINDOW_MS;
   }
 
-  private void nextWindow() {
+  private void advanceWindow() {
     long now = timers.nowMs();
-    if (now - windowMs >= WINDOW_MS) {
-      lastWindow = now - windowMs < 2 * WINDOW_MS ? window : 0;
-      window = 0;
-      windowMs = now;
+    if (now - windowStartMs >= RATE_WINDOW_MS) {
+      lastWindowWrites = now - windowStartMs < 2 * RATE_WINDOW_MS ? windowWrites : 0;
+      windowWrites = 0;
+      windowStartMs = now;
     }
   }
 
@@ -384,20 +394,20 @@
   // ---- loading and following ----
 
   public void start() {
-    loads++;
+    loadCount++;
     load(0, null, new ArrayList<>(), Long.MAX_VALUE);
   }
 
-  private void load(int prefix, String from, List<Change> got, long minRev) {
-    if (prefix == LOADED.size()) {
+  private void load(int prefix, String from, List<Change> records, long minRev) {
+    if (prefix == LOADED_PREFIXES.size()) {
       phase = Phase.LOADING;
-      applier.reset();
-      applier.load(got, minRev);
+      listener.reset();
+      listener.load(records, minRev);
       rev = minRev;
       catchUp();
       return;
     }
-    String path = "/store?prefix=" + LOADED.get(prefix) + "&most=" + PAGE;
+    String path = "/store?prefix=" + LOADED_PREFIXES.get(prefix) + "&most=" + RECORDS_PER_PAGE;
     if (from != null) {
       path += "&from=" + from;
     }
@@ -405,25 +415,25 @@
         "GET",
         path,
         null,
-        CALL_MS,
-        a -> {
-          if (a.status() != 200) {
-            timers.after(backoff(), () -> load(prefix, from, got, minRev));
+        CALL_TIMEOUT_MS,
+        answer -> {
+          if (answer.status() != 200) {
+            timers.after(backoffMs(), () -> load(prefix, from, records, minRev));
             return;
           }
           try {
-            Document d = Document.parse(a.body());
-            long r = Math.min(minRev, d.count("ledgerRev"));
-            ListResult l = listed(d);
-            got.addAll(l.entries);
+            Document document = Document.parse(answer.body());
+            long r = Math.min(minRev, document.count("ledgerRev"));
+            ListResult l = parseListing(document);
+            records.addAll(l.entries);
             if (l.truncated && !l.entries.isEmpty()) {
-              load(prefix, got.get(got.size() - 1).key(), got, r);
+              load(prefix, records.get(records.size() - 1).key(), records, r);
             } else {
-              load(prefix + 1, null, got, r);
+              load(prefix + 1, null, records, r);
             }
           } catch (BadMessage e) {
-            malformed("list", e);
-            timers.after(backoff(), () -> load(prefix, from, got, minRev));
+            noteMalformed("list", e);
+            timers.after(backoffMs(), () -> load(prefix, from, records, minRev));
           }
         });
   }
@@ -434,89 +444,89 @@
         "GET",
         "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=0",
         null,
-        CALL_MS,
-        a -> {
-          if (a.status() == 410) {
+        CALL_TIMEOUT_MS,
+        answer -> {
+          if (answer.status() == 410) {
             start();
-          } else if (a.status() != 200 || !take(a.body())) {
-            timers.after(backoff(), this::catchUp);
+          } else if (answer.status() != 200 || !applyAnswer(answer.body())) {
+            timers.after(backoffMs(), this::catchUp);
           } else {
             phase = Phase.FOLLOWING;
             LOG.info("tables loaded at revision {}", rev);
-            applier.changesApplied();
+            listener.changesApplied();
             follow();
           }
         });
   }
 
   private void follow() {
-    int since = loads;
+    int loadCountBefore = loadCount;
     call(
         "GET",
-        "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=" + HOLD_MS,
+        "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=" + WATCH_HOLD_MS,
         null,
-        HOLD_MS + 60_000,
-        a -> {
-          if (since != loads) {
+        WATCH_HOLD_MS + 60_000,
+        answer -> {
+          if (loadCountBefore != loadCount) {
             return;
           }
-          if (a.status() == 410) {
+          if (answer.status() == 410) {
             phase = Phase.LOADING;
             start();
-          } else if (a.status() != 200) {
-            timers.after(backoff(), () -> followOn(since));
-          } else if (take(a.body())) {
+          } else if (answer.status() != 200) {
+            timers.after(backoffMs(), () -> followUnlessReloaded(loadCountBefore));
+          } else if (applyAnswer(answer.body())) {
             // A short pause lets changes gather: a watch per change would eat the request limit.
-            timers.after(syncGapMs, () -> followOn(since));
+            timers.after(syncIntervalMs, () -> followUnlessReloaded(loadCountBefore));
           } else {
-            timers.after(backoff(), () -> followOn(since));
+            timers.after(backoffMs(), () -> followUnlessReloaded(loadCountBefore));
           }
         });
   }
 
-  private void followOn(int since) {
-    if (since == loads) {
+  private void followUnlessReloaded(int loadCountBefore) {
+    if (loadCountBefore == loadCount) {
       follow();
     }
   }
 
-  private boolean take(byte[] body) {
-    List<Change> news = new ArrayList<>();
+  private boolean applyAnswer(byte[] body) {
+    List<Change> changes = new ArrayList<>();
     long newRev;
     try {
-      Document d = Document.parse(body);
-      newRev = d.count("ledgerRev");
-      for (Document e : d.docs("news")) {
+      Document document = Document.parse(body);
+      newRev = document.count("ledgerRev");
+      for (Document e : document.docs("news")) {
         long stamp = e.count("stamp");
         String written = e.textOrNull("write");
         if (stamp <= rev) {
           continue;
         }
-        news.add(
+        changes.add(
             written != null
                 ? new Change(written, e.raw("v"), stamp)
                 : new Change(e.text("delete"), null, stamp));
       }
     } catch (BadMessage e) {
-      malformed("watch", e);
+      noteMalformed("watch", e);
       return false;
     }
-    applier.apply(news, newRev);
+    listener.apply(changes, newRev);
     rev = Math.max(rev, newRev);
-    for (Change c : news) {
-      Outstanding out = outstanding.get(c.key());
-      if (out != null) {
-        out.changed(c);
+    for (Change c : changes) {
+      InFlightTransaction inFlight = inFlightByKey.get(c.key());
+      if (inFlight != null) {
+        inFlight.onKeyChanged(c);
       }
     }
     if (phase == Phase.FOLLOWING) {
-      if (!news.isEmpty()) {
-        applier.changesApplied();
+      if (!changes.isEmpty()) {
+        listener.changesApplied();
       }
-      if (applier.needsReload()) {
+      if (listener.needsReload()) {
         LOG.warn("what could not be read is gone: all is loaded anew");
         phase = Phase.LOADING;
-        loads++;
+        loadCount++;
         timers.after(1, this::start);
       }
       for (int i = 0; i < revWaiters.size(); ) {
@@ -537,9 +547,9 @@
   /** Calls back once the tables hold everything that was durable when this was called. */
   public void barrier(long waitMs, Consumer<Boolean> done) {
     long deadline = timers.nowMs() + waitMs;
-    waiters.add(new Waiter(done, deadline));
+    barrierWaiters.add(new BarrierWaiter(done, deadline));
     timers.after(waitMs, this::expireWaiters);
-    armSync();
+    scheduleSync();
   }
 
   /** Runs once the tables have reached a revision, which a commit of ours returned. */
@@ -549,37 +559,37 @@
       return;
     }
     revWaiters.add(new RevWaiter(wanted, done));
-    armSync();
+    scheduleSync();
   }
 
   private void expireWaiters() {
     long now = timers.nowMs();
-    List<Waiter> late = new ArrayList<>();
-    waiters.removeIf(
+    List<BarrierWaiter> expired = new ArrayList<>();
+    barrierWaiters.removeIf(
         w -> {
           if (w.deadlineMs <= now) {
-            late.add(w);
+            expired.add(w);
             return true;
           }
           return false;
         });
-    late.forEach(w -> w.done.accept(false));
+    expired.forEach(w -> w.done.accept(false));
   }
 
-  private void armSync() {
-    if (syncing || syncArmed) {
+  private void scheduleSync() {
+    if (syncing || syncScheduled) {
       return;
     }
-    long wait = lastSyncMs + syncGapMs - timers.nowMs();
+    long wait = lastSyncMs + syncIntervalMs - timers.nowMs();
     if (wait <= 0) {
       sync();
       return;
     }
-    syncArmed = true;
+    syncScheduled = true;
     timers.after(
         wait,
         () -> {
-          syncArmed = false;
+          syncScheduled = false;
           if (!syncing) {
             sync();
           }
@@ -587,7 +597,7 @@
   }
 
   private void sync() {
-    if (waiters.isEmpty() && revWaiters.isEmpty()) {
+    if (barrierWaiters.isEmpty() && revWaiters.isEmpty()) {
       return;
     }
     lastSyncMs = timers.nowMs();
@@ -596,36 +606,37 @@
       return;
     }
     syncing = true;
-    List<Waiter> mine = waiters;
-    waiters = new ArrayList<>();
-    int since = loads;
+    List<BarrierWaiter> served = barrierWaiters;
+    barrierWaiters = new ArrayList<>();
+    int loadCountBefore = loadCount;
     call(
         "GET",
         "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=0",
         null,
-        CALL_MS,
-        a -> {
+        CALL_TIMEOUT_MS,
+        answer -> {
           syncing = false;
-          boolean ok = since == loads && a.status() == 200 && take(a.body());
-          mine.forEach(w -> w.done.accept(ok));
-          if (!waiters.isEmpty() || !revWaiters.isEmpty()) {
-            armSync();
+          boolean ok =
+              loadCountBefore == loadCount && answer.status() == 200 && applyAnswer(answer.body());
+          served.forEach(w -> w.done.accept(ok));
+          if (!barrierWaiters.isEmpty() || !revWaiters.isEmpty()) {
+            scheduleSync();
           }
         });
   }
 
   private void failWaiters() {
-    List<Waiter> mine = waiters;
-    waiters = new ArrayList<>();
-    mine.forEach(w -> w.done.accept(false));
+    List<BarrierWaiter> failed = barrierWaiters;
+    barrierWaiters = new ArrayList<>();
+    failed.forEach(w -> w.done.accept(false));
     if (!revWaiters.isEmpty()) {
-      armSync();
+      scheduleSync();
     }
   }
 
   /** Ends a lease of ours at once, and what is tied to it. */
-  public void revokeLease(long tether, Runnable done) {
-    call("DELETE", "/grants/" + tether, null, CALL_MS, a -> done.run());
+  public void revokeLease(long leaseId, Runnable done) {
+    call("DELETE", "/grants/" + leaseId, null, CALL_TIMEOUT_MS, answer -> done.run());
   }
 
   /** Reads one key: an empty value with {@code ok} means it is not there. */
@@ -637,19 +648,20 @@
         "GET",
         "/store/" + key,
         null,
-        CALL_MS,
-        a -> {
+        CALL_TIMEOUT_MS,
+        answer -> {
           try {
-            if (a.status() == 404) {
+            if (answer.status() == 404) {
               done.accept(new ReadResult(true, null, 0));
-            } else if (a.status() == 200) {
-              Document d = Document.parse(a.body());
-              done.accept(new ReadResult(true, Document.of(d.raw("v")), d.count("stamp")));
+            } else if (answer.status() == 200) {
+              Document document = Document.parse(answer.body());
+              done.accept(
+                  new ReadResult(true, Document.of(document.raw("v")), document.count("stamp")));
             } else {
               done.accept(new ReadResult(false, null, 0));
             }
           } catch (BadMessage e) {
-            malformed("read", e);
+            noteMalformed("read", e);
             done.accept(new ReadResult(false, null, 0));
           }
         });
@@ -663,28 +675,29 @@
    *
    * @param done gets null when the state service does not answer
    */
-  public void list(String prefix, String after, int most, Consumer<ListResult> done) {
+  public void list(String prefix, String after, int max, Consumer<ListResult> done) {
     call(
         "GET",
-        "/store?prefix=" + prefix + "&from=" + after + "&most=" + most,
+        "/store?prefix=" + prefix + "&from=" + after + "&most=" + max,
         null,
-        CALL_MS,
-        a -> {
+        CALL_TIMEOUT_MS,
+        answer -> {
           try {
-            done.accept(a.status() == 200 ? listed(Document.parse(a.body())) : null);
+            done.accept(
+                answer.status() == 200 ? parseListing(Document.parse(answer.body())) : null);
           } catch (BadMessage e) {
-            malformed("list", e);
+            noteMalformed("list", e);
             done.accept(null);
           }
         });
   }
 
-  private static ListResult listed(Document d) throws BadMessage {
+  private static ListResult parseListing(Document document) throws BadMessage {
     List<Change> got = new ArrayList<>();
-    for (Document e : d.docs("entries")) {
+    for (Document e : document.docs("entries")) {
       got.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
     }
-    return new ListResult(got, d.flag("truncated", false));
+    return new ListResult(got, document.flag("truncated", false));
   }
 
   // ---- writing ----
@@ -700,79 +713,79 @@
   }
 
   /** Commits, or refuses at once where the budget of writes does not allow it. */
-  public void commit(Transaction txn, WritePriority rank, Consumer<CommitResult> done) {
+  public void commit(Transaction transaction, WritePriority rank, Consumer<CommitResult> done) {
     long now = timers.nowMs();
-    int n = txn.changeCount();
+    int changeCount = transaction.changeCount();
     boolean allowed =
         switch (rank) {
-          case AUTHORITY -> writes.tryAcquire(n, -1e9, now);
+          case AUTHORITY -> writes.tryAcquire(changeCount, -1e9, now);
           // Only one of them may be short: what was taken from the first is not to be lost.
           case USER ->
-              userWrites.canAcquire(n, 0, now)
-                  && writes.tryAcquire(n, 0, now)
-                  && userWrites.tryAcquire(n, 0, now);
-          case WORK -> takeForWork(n, now);
+              userWrites.canAcquire(changeCount, 0, now)
+                  && writes.tryAcquire(changeCount, 0, now)
+                  && userWrites.tryAcquire(changeCount, 0, now);
+          case WORK -> takeWorkWrites(changeCount, now);
         };
-    if (n > 0 && !allowed) {
+    if (changeCount > 0 && !allowed) {
       refusedByBudget += rank == WritePriority.WORK ? 1 : 0;
-      usersWaitedMs = rank == WritePriority.USER ? now : usersWaitedMs;
+      lastUserRefusalMs = rank == WritePriority.USER ? now : lastUserRefusalMs;
       timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
-    String over = txn.tooLarge(limits);
-    if (over != null) {
+    String oversized = transaction.sizeViolation(limits);
+    if (oversized != null) {
       // Never sent: it would be refused each time. Whoever drafts keeps to the limits; what does
       // not, by a mistake, is told once and is not to use up the rate.
-      tooLarge(over);
+      noteTooLarge(oversized);
       timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
-    nextWindow();
-    window += n;
-    Outstanding out = new Outstanding(txn, done);
+    advanceWindow();
+    windowWrites += changeCount;
+    InFlightTransaction inFlight = new InFlightTransaction(transaction, done);
     call(
         "POST",
         "/commit",
-        MessageCodec.encode(txn.toRequest()),
-        COMMIT_MS,
-        a -> out.finish(result(txn, a)));
+        MessageCodec.encode(transaction.toRequest()),
+        COMMIT_TIMEOUT_MS,
+        answer -> inFlight.finish(toCommitResult(transaction, answer)));
   }
 
   /** Counted each time, and told once a cause. */
-  private void tooLarge(String cause) {
-    tooLarge++;
-    if (tooLargeTold.size() < 100 && tooLargeTold.add(cause)) {
+  private void noteTooLarge(String cause) {
+    tooLargeCount++;
+    if (loggedTooLarge.size() < 100 && loggedTooLarge.add(cause)) {
       LOG.error("larger than the state service takes: {}", cause);
     }
   }
 
-  private CommitResult result(Transaction txn, Caller.Answer a) {
+  private CommitResult toCommitResult(Transaction transaction, Caller.Answer answer) {
     try {
-      switch (a.status()) {
+      switch (answer.status()) {
         case 200:
           return new CommitResult(
-              Outcome.OK, Document.parse(a.body()).count("ledgerRev"), Set.of(), false);
+              Outcome.OK, Document.parse(answer.body()).count("ledgerRev"), Set.of(), false);
         case 409:
           failedByCondition++;
-          Document d = Document.parse(a.body());
+          Document document = Document.parse(answer.body());
           return new CommitResult(
               Outcome.CONDITION_FAILED,
-              d.count("ledgerRev"),
-              new HashSet<>(d.texts("failed")),
+              document.count("ledgerRev"),
+              new HashSet<>(document.texts("failed")),
               false);
         case 429:
           refusedByStore++;
           writes.drain();
           workWrites.drain();
-          limits.refusedForRate();
+          limits.onRefusedForRate();
           return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
         case 400:
-          String why = String.valueOf(Document.parse(a.body()).raw("error"));
+          String why = String.valueOf(Document.parse(answer.body()).raw("error"));
           boolean lease = why.contains("lease");
           if (!lease) {
             // The next draft is smaller, if the limits have fallen; if not, it is told once.
-            limits.refusedForSize();
-            tooLarge(txn.largest() + ": " + why);
+            limits.onRefusedForSize();
+            noteTooLarge(transaction.largestRecord() + ": " + why);
           }
           return new CommitResult(Outcome.REFUSED, 0, Set.of(), lease);
         case 503:
@@ -782,7 +795,7 @@
           return new CommitResult(Outcome.UNKNOWN, 0, Set.of(), false);
       }
     } catch (BadMessage e) {
-      malformed("commit", e);
+      noteMalformed("commit", e);
       return new CommitResult(Outcome.UNKNOWN, 0, Set.of(), false);
     }
   }
@@ -790,30 +803,31 @@
   // ---- leases ----
 
   /** Asks for a lease; {@code done} gets its id, or 0 if there was no answer. */
-  public void grantLease(long lifeMs, Consumer<Long> done) {
+  public void grantLease(long lifetimeMs, Consumer<Long> done) {
     call(
         "POST",
         "/grants",
-        MessageCodec.encode(Map.of("lifeMs", lifeMs)),
-        CALL_MS,
-        a -> {
+        MessageCodec.encode(Map.of("lifeMs", lifetimeMs)),
+        CALL_TIMEOUT_MS,
+        answer -> {
           try {
-            done.accept(a.status() == 200 ? Document.parse(a.body()).count("tether") : 0L);
+            done.accept(
+                answer.status() == 200 ? Document.parse(answer.body()).count("tether") : 0L);
           } catch (BadMessage e) {
-            malformed("grant", e);
+            noteMalformed("grant", e);
             done.accept(0L);
           }
         });
   }
 
   /** Renews a lease; {@code done} gets the status of the answer. */
-  public void extendLease(long tether, Consumer<Integer> done) {
+  public void extendLease(long leaseId, Consumer<Integer> done) {
     call(
         "POST",
-        "/grants/" + tether + "/extend",
+        "/grants/" + leaseId + "/extend",
         MessageCodec.encode(Map.of()),
-        CALL_MS,
-        a -> done.accept(a.status()));
+        CALL_TIMEOUT_MS,
+        answer -> done.accept(answer.status()));
   }
 
   // ---- calls ----
@@ -831,27 +845,27 @@
         path,
         body,
         timeoutMs,
-        a -> {
-          boolean ok = a.status() != 0 && a.status() != 503;
-          if (a.status() == 429) {
+        answer -> {
+          boolean ok = answer.status() != 0 && answer.status() != 503;
+          if (answer.status() == 429) {
             requests.drain();
           }
           if (ok) {
             lastOkMs = timers.nowMs();
-            failures = 0;
+            consecutiveFailures = 0;
           } else {
-            failures++;
+            consecutiveFailures++;
           }
-          lastCallOk = ok || failures < 3 && timers.nowMs() - lastOkMs < 1000;
-          done.accept(a);
+          lastCallOk = ok || consecutiveFailures < 3 && timers.nowMs() - lastOkMs < 1000;
+          done.accept(answer);
         });
   }
 
-  private long backoff() {
-    return 100L + Math.floorMod(timers.nowMs() * 31, 100) + Math.min(failures, 5) * 50L;
+  private long backoffMs() {
+    return 100L + Math.floorMod(timers.nowMs() * 31, 100) + Math.min(consecutiveFailures, 5) * 50L;
   }
 
-  private void malformed(String request, BadMessage e) {
+  private void noteMalformed(String request, BadMessage e) {
     malformed.note(MalformedMessages.Sender.STATE_SERVICE, "answer to " + request, e);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/StateServiceLimits.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceLimits.java
@@ -14,13 +14,13 @@
  */
 public final class StateServiceLimits {
   private static final Logger LOG = LoggerFactory.getLogger(StateServiceLimits.class);
-  private static final double KB = 1024;
+  private static final double BYTES_PER_KB = 1024;
 
   /** Of a value, the part that is used: sizes are counted as JSON, which others may write wider. */
-  private static final double USED = 0.9;
+  private static final double USED_VALUE_FRACTION = 0.9;
 
   /** The protocol allows so many conditions for each change. */
-  private static final int CONDITIONS_AN_OP = 4;
+  private static final int CONDITIONS_PER_CHANGE = 4;
 
   /**
    * Source: {@code cluster.state} of the settings.
@@ -32,37 +32,37 @@
    */
   public record Bounds(double rps, double writeRps, double valueKb, int txnOps) {}
 
-  private final Bounds now;
+  private final Bounds current;
   private final Bounds next;
-  private final BooleanSupplier open;
+  private final BooleanSupplier smallerSizesRequired;
   private boolean nextLimitsInEffect;
 
   /**
    * @param next null if the limits stay as they are
-   * @param open whether the level in force asks for the smaller sizes
+   * @param smallerSizesRequired whether the level in force asks for the smaller sizes
    */
-  public StateServiceLimits(Bounds now, Bounds next, BooleanSupplier open) {
-    this.now = now;
-    this.next = next == null ? now : next;
-    this.open = open;
+  public StateServiceLimits(Bounds current, Bounds next, BooleanSupplier smallerSizesRequired) {
+    this.current = current;
+    this.next = next == null ? current : next;
+    this.smallerSizesRequired = smallerSizesRequired;
   }
 
   /** The state service has refused a value or a transaction for its size. */
-  void refusedForSize() {
-    fell("it refuses a size");
+  void onRefusedForSize() {
+    switchToNext("it refuses a size");
   }
 
   /** It has refused changes for their rate: below the level, that may be the rate of today. */
-  void refusedForRate() {
-    if (open.getAsBoolean()) {
-      fell("it refuses a rate");
+  void onRefusedForRate() {
+    if (smallerSizesRequired.getAsBoolean()) {
+      switchToNext("it refuses a rate");
     }
   }
 
-  private void fell(String why) {
-    if (!nextLimitsInEffect && !next.equals(now)) {
+  private void switchToNext(String reason) {
+    if (!nextLimitsInEffect && !next.equals(current)) {
       nextLimitsInEffect = true;
-      LOG.warn("the state service's limits have fallen to {}: {}", next, why);
+      LOG.warn("the state service's limits have fallen to {}: {}", next, reason);
     }
   }
 
@@ -71,37 +71,39 @@
     return nextLimitsInEffect;
   }
 
-  private boolean smaller() {
-    return nextLimitsInEffect || open.getAsBoolean();
+  private boolean useSmallerSizes() {
+    return nextLimitsInEffect || smallerSizesRequired.getAsBoolean();
   }
 
   /** Changes that a transaction may have. */
   public int maxTransactionChanges() {
-    return smaller() ? Math.min(now.txnOps, next.txnOps) : now.txnOps;
+    return useSmallerSizes() ? Math.min(current.txnOps, next.txnOps) : current.txnOps;
   }
 
   /** Conditions that a transaction may have. */
   public int maxTransactionConditions() {
-    return CONDITIONS_AN_OP * maxTransactionChanges();
+    return CONDITIONS_PER_CHANGE * maxTransactionChanges();
   }
 
   /** Bytes that a value may have, counted as JSON. */
   public int maxValueBytes() {
-    return (int) ((smaller() ? Math.min(now.valueKb, next.valueKb) : now.valueKb) * KB);
+    return (int)
+        ((useSmallerSizes() ? Math.min(current.valueKb, next.valueKb) : current.valueKb)
+            * BYTES_PER_KB);
   }
 
   /** Bytes that are used of a value that could be larger: a part is left for a margin. */
   public int targetValueBytes() {
-    return (int) (maxValueBytes() * USED);
+    return (int) (maxValueBytes() * USED_VALUE_FRACTION);
   }
 
   /** Changes a second. */
   public double maxWritesPerSecond() {
-    return nextLimitsInEffect ? Math.min(now.writeRps, next.writeRps) : now.writeRps;
+    return nextLimitsInEffect ? Math.min(current.writeRps, next.writeRps) : current.writeRps;
   }
 
   /** Requests a second. */
   public double maxRequestsPerSecond() {
-    return nextLimitsInEffect ? Math.min(now.rps, next.rps) : now.rps;
+    return nextLimitsInEffect ? Math.min(current.rps, next.rps) : current.rps;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -32,8 +32,8 @@
    */
   public static final String CLAIMS_KEY = "w/x";
 
-  private static final int FINISHED_KEPT = 4096;
-  private static final int FORETOLD_MOST = 20_000;
+  private static final int MAX_REMEMBERED_TERMINAL_STATES = 4096;
+  private static final int MAX_ANNOUNCED_WITHDRAWALS = 20_000;
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final TreeMap<String, Machine> machines = new TreeMap<>();
@@ -43,7 +43,7 @@
   private final Map<String, Long> memberStamps = new HashMap<>();
   private final Map<String, LevelRange> memberLevels = new HashMap<>();
   private final NodeRegistry registry;
-  private final LevelRange levels;
+  private final LevelRange supportedLevels;
 
   /** What can't be read, by key, and why. While there is any nothing is decided. */
   private final Map<String, String> unreadable = new LinkedHashMap<>();
@@ -56,18 +56,18 @@
   /** Pages, chunks and parts of a form older than the newest that is known here. */
   private final TreeSet<String> keysInOldEncoding = new TreeSet<>();
 
-  private static final TreeMap<Long, LogPage> EMPTY_LOG = new TreeMap<>();
-  private static final ArchiveBucket NO_SHELF = new ArchiveBucket(0, 0, Map.of());
+  private static final TreeMap<Long, LogPage> NO_PAGES = new TreeMap<>();
+  private static final ArchiveBucket EMPTY_BUCKET = new ArchiveBucket(0, 0, Map.of());
 
-  private final Map<String, TreeMap<Long, LogPage>> nodesWithLogPages = new HashMap<>();
+  private final Map<String, TreeMap<Long, LogPage>> pagesByNode = new HashMap<>();
   private final Map<String, ArchiveBucket> archiveBuckets = new HashMap<>();
   private long appliedRev;
   private final TreeSet<String> orphanedKeys = new TreeSet<>();
-  private final Map<String, TerminalState> finished =
+  private final Map<String, TerminalState> terminalStates =
       new LinkedHashMap<>(256, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, TerminalState> eldest) {
-          return size() > FINISHED_KEPT;
+          return size() > MAX_REMEMBERED_TERMINAL_STATES;
         }
       };
   private final DependencyGraph dependencies = new DependencyGraph(jobs::get, this::terminalState);
@@ -79,7 +79,7 @@
   public record PendingHistoryEntry(TerminalState terminalState, long stamp) {}
 
   /** Names of awaited jobs, by record, until their job has them all. */
-  private final TreeMap<String, List<String>> names = new TreeMap<>();
+  private final TreeMap<String, List<String>> awaitedNames = new TreeMap<>();
 
   /**
    * Jobs that a peer has told to be withdrawn, with a revision that says so and is not applied here
@@ -95,16 +95,16 @@
   private final List<Machine> changedMachines = new ArrayList<>();
   private final List<Job> changedJobs = new ArrayList<>();
   private final Set<String> marked = new HashSet<>();
-  private int machineNumbers;
+  private int nextMachineNumber;
 
   /**
    * @param names all controllers that the settings name, sorted
-   * @param levels what this build reads and writes
+   * @param supportedLevels what this build reads and writes
    * @param onApplied called after each run of changes
    */
-  public Tables(List<String> names, LevelRange levels, Runnable onApplied) {
+  public Tables(List<String> names, LevelRange supportedLevels, Runnable onApplied) {
     this.registry = new NodeRegistry(names);
-    this.levels = levels;
+    this.supportedLevels = supportedLevels;
     this.onApplied = onApplied;
   }
 
@@ -145,27 +145,27 @@
     return unreadable;
   }
 
-  private void bar() {
-    String now = null;
+  private void updateBlockedReason() {
+    String reason = null;
     if (!unreadable.isEmpty()) {
       Map.Entry<String, String> first = unreadable.entrySet().iterator().next();
-      now = "record " + first.getKey() + " can't be read: " + first.getValue();
-    } else if (view != null && !levels.includes(view.level())) {
-      now =
+      reason = "record " + first.getKey() + " can't be read: " + first.getValue();
+    } else if (view != null && !supportedLevels.includes(view.level())) {
+      reason =
           "level "
               + view.level()
               + " of the stored state is in force, and this build speaks "
-              + levels;
+              + supportedLevels;
     }
-    if (now != null && !now.equals(blockedReason)) {
-      LOG.error("stays outside and decides nothing: {}", now);
-    } else if (now == null && blockedReason != null) {
+    if (reason != null && !reason.equals(blockedReason)) {
+      LOG.error("stays outside and decides nothing: {}", reason);
+    } else if (reason == null && blockedReason != null) {
       LOG.warn("understands the stored state again");
     }
-    blockedReason = now;
+    blockedReason = reason;
   }
 
-  private void unreadable(String key, Exception why) {
+  private void noteUnreadable(String key, Exception why) {
     unreadable.putIfAbsent(key, why instanceof BadMessage ? why.getMessage() : "malformed: " + why);
   }
 
@@ -174,11 +174,11 @@
     return needsReload && unreadable.isEmpty();
   }
 
-  private void noteForm(StateServiceClient.Change c) throws BadMessage {
-    if (c.value() != null && Encoding.versionOf(c.value()) < Encoding.NUMBERED) {
-      keysInOldEncoding.add(c.key());
+  private void noteEncoding(StateServiceClient.Change change) throws BadMessage {
+    if (change.value() != null && Encoding.versionOf(change.value()) < Encoding.NUMBERED) {
+      keysInOldEncoding.add(change.key());
     } else {
-      keysInOldEncoding.remove(c.key());
+      keysInOldEncoding.remove(change.key());
     }
   }
 
@@ -186,18 +186,18 @@
 
   /** The machines changed since the last call, each once, those that are gone too. */
   public List<Machine> drainChangedMachines() {
-    List<Machine> out = new ArrayList<>(changedMachines);
+    List<Machine> changed = new ArrayList<>(changedMachines);
     changedMachines.clear();
-    out.forEach(Machine::acknowledgeChanges);
-    return out;
+    changed.forEach(Machine::acknowledgeChanges);
+    return changed;
   }
 
   /** The jobs changed since the last call, each once, those that are over too. */
   public List<Job> drainChangedJobs() {
-    List<Job> out = new ArrayList<>(changedJobs);
+    List<Job> changed = new ArrayList<>(changedJobs);
     changedJobs.clear();
-    out.forEach(Job::acknowledgeChanges);
-    return out;
+    changed.forEach(Job::acknowledgeChanges);
+    return changed;
   }
 
   public TeamUsage usage() {
@@ -205,26 +205,26 @@
   }
 
   /** Whether a gang that waits has marked the machine. */
-  public boolean isReserved(Machine m) {
-    return marked.contains(m.name());
+  public boolean isReserved(Machine machine) {
+    return marked.contains(machine.name());
   }
 
-  private void remark() {
-    Set<String> now = new HashSet<>();
+  private void updateReservations() {
+    Set<String> reserved = new HashSet<>();
     // Where a change of view leaves the parts alone, marks are of the epoch that they tell.
     boolean ofView = isOpen(Gate.VIEWS);
     partitions.values().stream()
         .filter(p -> !ofView || p.epoch() == view.epoch())
-        .forEach(p -> now.addAll(p.reserved()));
-    if (!now.equals(marked)) {
-      Set<String> differ = new HashSet<>(now);
-      differ.addAll(marked);
+        .forEach(p -> reserved.addAll(p.reserved()));
+    if (!reserved.equals(marked)) {
+      Set<String> changed = new HashSet<>(reserved);
+      changed.addAll(marked);
       marked.clear();
-      marked.addAll(now);
-      for (String name : differ) {
-        Machine m = machines.get(name);
-        if (m != null) {
-          m.markChanged();
+      marked.addAll(reserved);
+      for (String name : changed) {
+        Machine machine = machines.get(name);
+        if (machine != null) {
+          machine.markChanged();
         }
       }
     }
@@ -249,7 +249,7 @@
   /** The machine of that name; made up when a report or the cloud names it first. */
   public Machine getOrCreateMachine(String name) {
     return machines.computeIfAbsent(
-        name, k -> new Machine(k, machineNumbers++, changedMachines::add));
+        name, k -> new Machine(k, nextMachineNumber++, changedMachines::add));
   }
 
   public Partition partition(String node) {
@@ -266,12 +266,12 @@
    * before that level, if it is not there.
    */
   public Partition currentPartition(String node) {
-    Partition p = partitions.get(node);
+    Partition partition = partitions.get(node);
     if (!isOpen(Gate.VIEWS)) {
-      return p;
+      return partition;
     }
-    Partition is = p == null ? Partition.empty(view.epoch(), encoding()) : p;
-    return is.epoch() == view.epoch() ? is : is.inEpoch(view.epoch());
+    Partition current = partition == null ? Partition.empty(view.epoch(), encoding()) : partition;
+    return current.epoch() == view.epoch() ? current : current.inEpoch(view.epoch());
   }
 
   /**
@@ -279,16 +279,16 @@
    * was prepared by then is conditional on those records alone, and may come yet.
    */
   public List<String> unfencedPartitions() {
-    List<String> out = new ArrayList<>();
+    List<String> nodes = new ArrayList<>();
     if (isOpen(Gate.VIEWS)) {
       partitions.forEach(
           (n, p) -> {
             if (p.epoch() < view.viewsGateEpoch()) {
-              out.add(n);
+              nodes.add(n);
             }
           });
     }
-    return out;
+    return nodes;
   }
 
   public Map<String, String> members() {
@@ -324,8 +324,8 @@
 
   /** How a job ended, if it is remembered here. Final, so never out of date. */
   public TerminalState terminalState(String id) {
-    PendingHistoryEntry o = pendingHistory.get(id);
-    return o != null ? o.terminalState : finished.get(id);
+    PendingHistoryEntry pending = pendingHistory.get(id);
+    return pending != null ? pending.terminalState : terminalStates.get(id);
   }
 
   /** The ends that are to be moved to their lasting place, oldest first. */
@@ -344,13 +344,13 @@
     if (rev <= appliedRev || foretold.containsKey(id)) {
       return true;
     }
-    if (foretold.size() >= FORETOLD_MOST) {
+    if (foretold.size() >= MAX_ANNOUNCED_WITHDRAWALS) {
       return false;
     }
     foretold.put(id, rev);
-    Job j = jobs.get(id);
-    if (j != null) {
-      j.announceWithdrawal();
+    Job job = jobs.get(id);
+    if (job != null) {
+      job.announceWithdrawal();
     }
     return true;
   }
@@ -360,14 +360,14 @@
     return foretold.containsKey(id);
   }
 
-  private void appliedTo(long rev) {
+  private void advanceTo(long rev) {
     appliedRev = rev;
     foretold.values().removeIf(told -> told <= rev);
   }
 
-  public void rememberTerminalState(String id, TerminalState how) {
-    finished.put(id, how);
-    dependencies.jobTerminated(id, how);
+  public void rememberTerminalState(String id, TerminalState terminalState) {
+    terminalStates.put(id, terminalState);
+    dependencies.jobTerminated(id, terminalState);
   }
 
   /** Which jobs await which. */
@@ -380,14 +380,14 @@
     jobs.values().forEach(Job::releaseTasks);
     jobs.clear();
     dependencies.reset();
-    names.clear();
+    awaitedNames.clear();
     pendingHistory.clear();
     machines.values().forEach(m -> m.restore(null));
     archiveBuckets.clear();
-    nodesWithLogPages.clear();
+    pagesByNode.clear();
     appliedRev = 0;
     partitions.clear();
-    remark();
+    updateReservations();
     members.clear();
     memberZones.clear();
     memberStamps.clear();
@@ -406,12 +406,12 @@
 
   /** A node's pages, oldest first. */
   public TreeMap<Long, LogPage> logPages(String node) {
-    return nodesWithLogPages.getOrDefault(node, EMPTY_LOG);
+    return pagesByNode.getOrDefault(node, NO_PAGES);
   }
 
   /** The nodes that have pages. */
   public Set<String> nodesWithLogPages() {
-    return nodesWithLogPages.keySet();
+    return pagesByNode.keySet();
   }
 
   /** The revision up to which all is applied. */
@@ -423,42 +423,42 @@
   public record ArchiveBucket(long stamp, long rev, Map<String, Object> extra) {}
 
   public ArchiveBucket archiveBucket(String name) {
-    return archiveBuckets.getOrDefault(name, NO_SHELF);
+    return archiveBuckets.getOrDefault(name, EMPTY_BUCKET);
   }
 
   public Map<String, ArchiveBucket> archiveBuckets() {
     return archiveBuckets;
   }
 
-  public static String archiveBucketKey(String shelf) {
-    return "w/h/" + shelf;
+  public static String archiveBucketKey(String bucket) {
+    return "w/h/" + bucket;
   }
 
   /** The machines of a shelf as of a revision. */
-  public Map<String, Object> encodeArchiveBucket(String shelf, long rev) {
+  public Map<String, Object> encodeArchiveBucket(String bucket, long rev) {
     List<Object> list = new ArrayList<>();
-    for (Machine m : onShelf(shelf)) {
+    for (Machine m : machinesInBucket(bucket)) {
       if (m.info() != null) {
         list.add(LogEntry.machine(m.name(), m.info()));
       }
     }
-    Map<String, Object> out = new LinkedHashMap<>(archiveBucket(shelf).extra);
-    out.put("rev", rev);
-    out.put("m", list);
-    return out;
+    Map<String, Object> record = new LinkedHashMap<>(archiveBucket(bucket).extra);
+    record.put("rev", rev);
+    record.put("m", list);
+    return record;
   }
 
-  public boolean isArchiveBucketEmpty(String shelf) {
-    return onShelf(shelf).stream().allMatch(m -> m.info() == null && m.slots().isEmpty());
+  public boolean isArchiveBucketEmpty(String bucket) {
+    return machinesInBucket(bucket).stream().allMatch(m -> m.info() == null && m.slots().isEmpty());
   }
 
-  private List<Machine> onShelf(String shelf) {
+  private List<Machine> machinesInBucket(String bucket) {
     List<Machine> out = new ArrayList<>();
-    for (Machine m : machines.tailMap(shelf, true).values()) {
-      if (!m.name().startsWith(shelf)) {
+    for (Machine m : machines.tailMap(bucket, true).values()) {
+      if (!m.name().startsWith(bucket)) {
         break;
       }
-      if (Machine.archiveBucketOf(m.name()).equals(shelf)) {
+      if (Machine.archiveBucketOf(m.name()).equals(bucket)) {
         out.add(m);
       }
     }
@@ -472,13 +472,13 @@
       if (LogEntry.aboutMachine(entry)) {
         return rev <= archiveBucket(Machine.archiveBucketOf(subject)).rev;
       }
-      Job j = jobs.get(subject);
-      if (j == null) {
+      Job job = jobs.get(subject);
+      if (job == null) {
         return true;
       }
-      int width = LogEntry.width(entry);
-      for (int i = LogEntry.first(entry); i + width <= entry.size(); i += width) {
-        if (rev > j.chunkRevision(LogEntry.number(entry, i) / Job.TASKS_PER_CHUNK)) {
+      int width = LogEntry.valuesPerTask(entry);
+      for (int i = LogEntry.firstTaskIndex(entry); i + width <= entry.size(); i += width) {
+        if (rev > job.chunkRevision(LogEntry.number(entry, i) / Job.TASKS_PER_CHUNK)) {
           return false;
         }
       }
@@ -493,38 +493,39 @@
   public record RequiredWrites(Map<Job, Set<Integer>> chunks, Set<String> archiveBuckets) {}
 
   /** What a page still speaks of that no later record holds. */
-  public RequiredWrites requiredWrites(LogPage p) {
-    RequiredWrites n = new RequiredWrites(new LinkedHashMap<>(), new LinkedHashSet<>());
-    for (LogPage.Run r : p.runs()) {
+  public RequiredWrites requiredWrites(LogPage page) {
+    RequiredWrites required = new RequiredWrites(new LinkedHashMap<>(), new LinkedHashSet<>());
+    for (LogPage.Run r : page.runs()) {
       for (Object o : r.entries()) {
-        List<?> e = (List<?>) o;
-        if (isObsolete(r.rev(), e)) {
+        List<?> entry = (List<?>) o;
+        if (isObsolete(r.rev(), entry)) {
           continue;
         }
         try {
-          if (LogEntry.aboutMachine(e)) {
-            n.archiveBuckets.add(Machine.archiveBucketOf(LogEntry.subject(e)));
+          if (LogEntry.aboutMachine(entry)) {
+            required.archiveBuckets.add(Machine.archiveBucketOf(LogEntry.subject(entry)));
             continue;
           }
-          Job j = jobs.get(LogEntry.subject(e));
-          int width = LogEntry.width(e);
-          for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
-            n.chunks
-                .computeIfAbsent(j, k -> new LinkedHashSet<>())
-                .add(LogEntry.number(e, i) / Job.TASKS_PER_CHUNK);
+          Job job = jobs.get(LogEntry.subject(entry));
+          int width = LogEntry.valuesPerTask(entry);
+          for (int i = LogEntry.firstTaskIndex(entry); i + width <= entry.size(); i += width) {
+            required
+                .chunks
+                .computeIfAbsent(job, k -> new LinkedHashSet<>())
+                .add(LogEntry.number(entry, i) / Job.TASKS_PER_CHUNK);
           }
         } catch (BadMessage x) {
           LOG.error("unreadable entry: {}", x.getMessage());
         }
       }
     }
-    return n;
+    return required;
   }
 
   /** No page holds anything older than this. */
   public long oldestEntryRev() {
     long oldest = Long.MAX_VALUE;
-    for (TreeMap<Long, LogPage> pages : nodesWithLogPages.values()) {
+    for (TreeMap<Long, LogPage> pages : pagesByNode.values()) {
       for (LogPage p : pages.values()) {
         for (LogPage.Run r : p.runs()) {
           oldest = Math.min(oldest, r.rev());
@@ -535,66 +536,68 @@
   }
 
   /** Never passes over an entry in silence: others may have drawn something from it. */
-  private void run(String page, LogPage.Run run) {
+  private void applyRun(String page, LogPage.Run run) {
     for (Object o : run.entries()) {
       try {
         if (!(o instanceof List<?> e)) {
           throw new BadMessage("an entry is not a list");
         }
-        entry(run.rev(), e);
+        applyEntry(run.rev(), e);
       } catch (BadMessage | RuntimeException x) {
-        unreadable(page, x);
+        noteUnreadable(page, x);
         needsReload = true;
       }
     }
   }
 
-  private void entry(long rev, List<?> e) throws BadMessage {
-    String kind = LogEntry.kind(e);
-    String subject = LogEntry.subject(e);
-    if (LogEntry.aboutMachine(e)) {
+  private void applyEntry(long rev, List<?> entry) throws BadMessage {
+    String kind = LogEntry.kind(entry);
+    String subject = LogEntry.subject(entry);
+    if (LogEntry.aboutMachine(entry)) {
       if (rev > archiveBucket(Machine.archiveBucketOf(subject)).rev) {
-        Machine m = getOrCreateMachine(subject);
+        Machine machine = getOrCreateMachine(subject);
         boolean applies =
-            kind.equals(LogEntry.MACHINE) ? m.transitionTo(LogEntry.info(e)) : m.forget();
+            kind.equals(LogEntry.MACHINE)
+                ? machine.transitionTo(LogEntry.info(entry))
+                : machine.forget();
         if (!applies) {
-          LOG.debug("void: {} of {}", e, m.phase());
+          LOG.debug("void: {} of {}", entry, machine.phase());
         }
-        if (m.info() == null && m.slots().isEmpty()) {
+        if (machine.info() == null && machine.slots().isEmpty()) {
           machines.remove(subject);
         }
       }
       return;
     }
-    LogEntry.known(kind);
-    int width = LogEntry.width(e);
-    if ((e.size() - LogEntry.first(e)) % width != 0) {
+    LogEntry.checkKnown(kind);
+    int width = LogEntry.valuesPerTask(entry);
+    if ((entry.size() - LogEntry.firstTaskIndex(entry)) % width != 0) {
       throw new BadMessage("an entry that ends early");
     }
-    if (kind.equals(LogEntry.PLACED) && LogEntry.number(e, 2) > NodeRecord.MOST_NUMBER) {
-      throw new BadMessage("no controller has the number " + LogEntry.number(e, 2));
+    if (kind.equals(LogEntry.PLACED) && LogEntry.number(entry, 2) > NodeRecord.MAX_NUMBER) {
+      throw new BadMessage("no controller has the number " + LogEntry.number(entry, 2));
     }
-    Job j = jobs.get(subject);
-    if (j == null) {
+    Job job = jobs.get(subject);
+    if (job == null) {
       return;
     }
-    for (int i = LogEntry.first(e); i + width <= e.size(); i += width) {
-      int index = LogEntry.number(e, i);
-      int attempt = LogEntry.number(e, i + 1);
-      if (index >= j.taskCount() || rev <= j.chunkRevision(index / Job.TASKS_PER_CHUNK)) {
+    for (int i = LogEntry.firstTaskIndex(entry); i + width <= entry.size(); i += width) {
+      int index = LogEntry.number(entry, i);
+      int attempt = LogEntry.number(entry, i + 1);
+      if (index >= job.taskCount() || rev <= job.chunkRevision(index / Job.TASKS_PER_CHUNK)) {
         continue;
       }
       boolean applies =
           switch (kind) {
             case LogEntry.PLACED ->
-                j.applyPlacement(
+                job.applyPlacement(
                     index,
                     attempt,
-                    getOrCreateMachine(LogEntry.text(e, i + 2)),
-                    LogEntry.number(e, 2));
-            case LogEntry.EXITED -> j.applyExit(index, attempt, LogEntry.number(e, i + 2));
+                    getOrCreateMachine(LogEntry.text(entry, i + 2)),
+                    LogEntry.number(entry, 2));
+            case LogEntry.EXITED -> job.applyExit(index, attempt, LogEntry.number(entry, i + 2));
             case LogEntry.STOPPED ->
-                j.applyStop(index, attempt, TaskState.Stop.values()[LogEntry.number(e, 2)]);
+                job.applyStop(index, attempt, TaskState.Stop.values()[LogEntry.number(entry, 2)]);
             default -> throw new BadMessage("unknown kind " + kind);
           };
       if (!applies) {
@@ -611,35 +614,35 @@
    * is newer than {@code rev} in the logs comes again, in its order, as changes.
    */
   @Override
-  public void load(List<StateServiceClient.Change> all, long rev) {
+  public void load(List<StateServiceClient.Change> records, long rev) {
     record Of(String page, LogPage.Run run) {}
     List<Of> runs = new ArrayList<>();
-    for (StateServiceClient.Change c : all) {
-      if (!LogPage.isPage(c.key()) && !Job.isChunkKey(c.key())) {
-        apply(c, true);
+    for (StateServiceClient.Change change : records) {
+      if (!LogPage.isPage(change.key()) && !Job.isChunkKey(change.key())) {
+        apply(change, true);
       }
     }
-    for (StateServiceClient.Change c : all) {
-      if (Job.isChunkKey(c.key())) {
-        apply(c, true);
-      } else if (LogPage.isPage(c.key())) {
-        LogPage p = page(c);
+    for (StateServiceClient.Change change : records) {
+      if (Job.isChunkKey(change.key())) {
+        apply(change, true);
+      } else if (LogPage.isPage(change.key())) {
+        LogPage p = updatePage(change);
         if (p != null) {
-          p.runs().forEach(r -> runs.add(new Of(c.key(), r)));
+          p.runs().forEach(r -> runs.add(new Of(change.key(), r)));
         }
       }
     }
     runs.sort(Comparator.comparingLong(o -> o.run.rev()));
     for (Of o : runs) {
       if (o.run.rev() <= rev) {
-        run(o.page, o.run);
+        applyRun(o.page, o.run);
       }
     }
     jobs.values().forEach(Job::completeGang);
     // Named by what a log still says of tasks that are over; itself it was forgotten long ago.
     machines.values().removeIf(m -> m.info() == null && m.slots().isEmpty() && m.report() == null);
-    appliedTo(rev);
-    bar();
+    advanceTo(rev);
+    updateBlockedReason();
   }
 
   /** Something to apply at a revision; of one revision in this order. */
@@ -651,42 +654,42 @@
 
   /** Takes changes in the order of their revisions, whatever the order in which they come. */
   @Override
-  public void apply(List<StateServiceClient.Change> news, long rev) {
+  public void apply(List<StateServiceClient.Change> changes, long rev) {
     List<Step> steps = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (StateServiceClient.Change c : news) {
-      if (LogPage.isPage(c.key())) {
-        LogPage p = page(c);
-        for (LogPage.Run r : p == null ? List.<LogPage.Run>of() : p.runs()) {
+    for (StateServiceClient.Change change : changes) {
+      if (LogPage.isPage(change.key())) {
+        LogPage page = updatePage(change);
+        for (LogPage.Run r : page == null ? List.<LogPage.Run>of() : page.runs()) {
           // A page that changed twice comes twice, and each time whole; and a large transaction
           // writes several pages under one revision.
-          if (r.rev() > appliedRev && seen.add(r.rev() + c.key())) {
-            steps.add(new Step(r.rev(), Step.RUN, c.key(), () -> run(c.key(), r)));
+          if (r.rev() > appliedRev && seen.add(r.rev() + change.key())) {
+            steps.add(new Step(r.rev(), Step.RUN, change.key(), () -> applyRun(change.key(), r)));
           }
         }
         continue;
       }
-      steps.add(new Step(c.stamp(), Step.RECORD, c.key(), () -> apply(c, false)));
-      long holds = holds(c);
+      steps.add(new Step(change.stamp(), Step.RECORD, change.key(), () -> apply(change, false)));
+      long holds = archivedUpTo(change);
       if (holds > appliedRev) {
         // Newer than what we have: what it replaces may have gone from the pages we see.
-        steps.add(new Step(holds, Step.STORED, c.key(), () -> apply(c, true)));
+        steps.add(new Step(holds, Step.STORED, change.key(), () -> apply(change, true)));
       }
     }
     // The pages of one transaction in their order: what is placed may follow on an exit.
     steps.sort(
         Comparator.comparingLong(Step::rev).thenComparingInt(Step::order).thenComparing(Step::key));
     steps.forEach(s -> s.action.run());
-    appliedTo(Math.max(appliedRev, rev));
-    bar();
+    advanceTo(Math.max(appliedRev, rev));
+    updateBlockedReason();
   }
 
   /** Up to which revision a chunk or a shelf holds what the logs say; 0 for other records. */
-  private static long holds(StateServiceClient.Change c) {
-    boolean stored = Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
+  private static long archivedUpTo(StateServiceClient.Change change) {
+    boolean stored = Job.isChunkKey(change.key()) || change.key().startsWith("w/h/");
     try {
-      return stored && c.value() != null
-          ? Encoding.decode(c.value(), newestReadableEncoding(c.key())).count("rev")
+      return stored && change.value() != null
+          ? Encoding.decode(change.value(), newestReadableEncoding(change.key())).count("rev")
           : 0;
     } catch (BadMessage e) {
       return 0;
@@ -694,40 +697,40 @@
   }
 
   /** Notes a page as it is now; null when it is gone or can't be read. */
-  private LogPage page(StateServiceClient.Change c) {
-    String node = LogPage.node(c.key());
+  private LogPage updatePage(StateServiceClient.Change change) {
+    String node = LogPage.node(change.key());
     try {
-      if (c.value() == null) {
-        TreeMap<Long, LogPage> pages = nodesWithLogPages.get(node);
+      if (change.value() == null) {
+        TreeMap<Long, LogPage> pages = pagesByNode.get(node);
         if (pages != null) {
-          pages.remove(LogPage.number(c.key()));
+          pages.remove(LogPage.number(change.key()));
           if (pages.isEmpty()) {
-            nodesWithLogPages.remove(node);
+            pagesByNode.remove(node);
           }
         }
-        unreadable.remove(c.key());
-        noteForm(c);
+        unreadable.remove(change.key());
+        noteEncoding(change);
         return null;
       }
-      LogPage p = LogPage.parse(c.key(), c.value(), c.stamp());
-      nodesWithLogPages.computeIfAbsent(node, k -> new TreeMap<>()).put(p.number(), p);
-      noteForm(c);
-      return p;
+      LogPage page = LogPage.parse(change.key(), change.value(), change.stamp());
+      pagesByNode.computeIfAbsent(node, k -> new TreeMap<>()).put(page.number(), page);
+      noteEncoding(change);
+      return page;
     } catch (BadMessage | RuntimeException e) {
-      unreadable(c.key(), e);
+      noteUnreadable(change.key(), e);
       needsReload = true;
       return null;
     }
   }
 
-  private void apply(StateServiceClient.Change c, boolean whole) {
+  private void apply(StateServiceClient.Change change, boolean whole) {
     try {
-      applyChecked(c, whole);
-      unreadable.remove(c.key());
+      applyRecord(change, whole);
+      unreadable.remove(change.key());
     } catch (BadMessage | RuntimeException e) {
       // A record we cannot read is left alone: acting on half of it would be worse.
-      unreadable(c.key(), e);
-      needsReload |= Job.isChunkKey(c.key()) || c.key().startsWith("w/h/");
+      noteUnreadable(change.key(), e);
+      needsReload |= Job.isChunkKey(change.key()) || change.key().startsWith("w/h/");
     }
   }
 
@@ -738,143 +741,149 @@
   }
 
   /** A job is over: what is left of it is to be deleted in time. */
-  private void drop(Job j) {
-    if (j == null) {
+  private void discard(Job job) {
+    if (job == null) {
       return;
     }
-    for (int k = 0; k < j.chunkCount(); k++) {
-      if (j.chunkStamp(k) > 0) {
-        orphanedKeys.add(j.chunkKey(k));
+    for (int k = 0; k < job.chunkCount(); k++) {
+      if (job.chunkStamp(k) > 0) {
+        orphanedKeys.add(job.chunkKey(k));
       }
     }
-    for (int k = 0; j.overflow() != null && k < j.overflow().records(); k++) {
-      orphanedKeys.add(j.overflow().key(k));
+    for (int k = 0; job.overflow() != null && k < job.overflow().records(); k++) {
+      orphanedKeys.add(job.overflow().key(k));
     }
-    j.releaseTasks();
-    dependencies.jobRemoved(j);
+    job.releaseTasks();
+    dependencies.jobRemoved(job);
   }
 
   /** Gives a job the names that its own record has no room for, once all are there. */
-  private boolean gather(Job j) {
-    AwaitsOverflow o = j.overflow();
-    List<String> all = new ArrayList<>();
-    for (int k = 0; o != null && k < o.records(); k++) {
-      List<String> some = names.get(o.key(k));
-      if (some == null) {
+  private boolean gatherAwaitedNames(Job job) {
+    AwaitsOverflow overflow = job.overflow();
+    List<String> names = new ArrayList<>();
+    for (int k = 0; overflow != null && k < overflow.records(); k++) {
+      List<String> part = awaitedNames.get(overflow.key(k));
+      if (part == null) {
         return false;
       }
-      all.addAll(some);
+      names.addAll(part);
     }
-    if (o != null) {
-      j.setAwaits(List.copyOf(all));
-      for (int k = 0; k < o.records(); k++) {
-        names.remove(o.key(k));
+    if (overflow != null) {
+      job.setAwaits(List.copyOf(names));
+      for (int k = 0; k < overflow.records(); k++) {
+        awaitedNames.remove(overflow.key(k));
       }
     }
-    return o != null;
+    return overflow != null;
   }
 
-  private static void unknown(StateServiceClient.Change c) throws BadMessage {
-    if (c.value() != null) {
+  private static void rejectUnknown(StateServiceClient.Change change) throws BadMessage {
+    if (change.value() != null) {
       throw new BadMessage("nobody here knows such a record");
     }
   }
 
-  private void applyChecked(StateServiceClient.Change c, boolean whole) throws BadMessage {
-    String key = c.key();
+  private void applyRecord(StateServiceClient.Change change, boolean whole) throws BadMessage {
+    String key = change.key();
     if (key.equals(View.KEY)) {
-      View read = c.value() == null ? null : View.parse(c.value());
+      View read = change.value() == null ? null : View.parse(change.value());
       view = read;
-      viewStamp = c.value() == null ? 0 : c.stamp();
-      remark();
+      viewStamp = change.value() == null ? 0 : change.stamp();
+      updateReservations();
       return;
     }
     if (key.equals(CLAIMS_KEY)) {
-      claimsStamp = c.value() == null ? 0 : c.stamp();
+      claimsStamp = change.value() == null ? 0 : change.stamp();
       return;
     }
     if (key.length() < 5 || key.charAt(3) != '/') {
-      unknown(c);
+      rejectUnknown(change);
       return;
     }
     String name = key.substring(4);
-    Document d = c.value() == null ? null : Encoding.decode(c.value(), newestReadableEncoding(key));
+    Document document =
+        change.value() == null
+            ? null
+            : Encoding.decode(change.value(), newestReadableEncoding(key));
     switch (key.charAt(2)) {
-      case 'c' -> registry.apply(name, d, c.stamp());
+      case 'c' -> registry.apply(name, document, change.stamp());
       case 'j' -> {
         pendingHistory.remove(name);
-        if (d != null && d.raw("over") != null) {
-          TerminalState how = TerminalState.parse(Document.of(d.raw("over")));
-          pendingHistory.put(name, new PendingHistoryEntry(how, c.stamp()));
-          rememberTerminalState(name, how);
-          drop(jobs.remove(name));
-        } else if (c.value() == null) {
-          drop(jobs.remove(name));
+        if (document != null && document.raw("over") != null) {
+          TerminalState terminalState = TerminalState.parse(Document.of(document.raw("over")));
+          pendingHistory.put(name, new PendingHistoryEntry(terminalState, change.stamp()));
+          rememberTerminalState(name, terminalState);
+          discard(jobs.remove(name));
+        } else if (change.value() == null) {
+          discard(jobs.remove(name));
         } else {
-          Job j = jobs.get(name);
-          if (j == null) {
-            j = new Job(name, usage, changedJobs::add);
-            j.applyRecord(d, c.stamp());
-            jobs.put(name, j);
+          Job job = jobs.get(name);
+          if (job == null) {
+            job = new Job(name, usage, changedJobs::add);
+            job.applyRecord(document, change.stamp());
+            jobs.put(name, job);
             if (foretold.containsKey(name)) {
-              j.announceWithdrawal();
+              job.announceWithdrawal();
             }
-            gather(j);
-            dependencies.jobAdded(j);
+            gatherAwaitedNames(job);
+            dependencies.jobAdded(job);
           } else {
-            boolean was = j.withdrawnByUser();
-            j.applyRecord(d, c.stamp());
-            if (was != j.withdrawnByUser()) {
-              dependencies.jobChanged(j);
+            boolean wasWithdrawn = job.withdrawnByUser();
+            job.applyRecord(document, change.stamp());
+            if (wasWithdrawn != job.withdrawnByUser()) {
+              dependencies.jobChanged(job);
             }
           }
         }
       }
       case 'a' -> {
-        if (d == null) {
-          names.remove(key);
+        if (document == null) {
+          awaitedNames.remove(key);
           orphanedKeys.remove(key);
           return;
         }
-        names.put(key, AwaitsOverflow.parseNames(d));
-        Job j = jobs.get(AwaitsOverflow.jobOfKey(key));
-        if (j != null && j.overflow() != null && j.awaits().isEmpty() && gather(j)) {
-          dependencies.jobAdded(j);
+        awaitedNames.put(key, AwaitsOverflow.parseNames(document));
+        Job job = jobs.get(AwaitsOverflow.jobOfKey(key));
+        if (job != null
+            && job.overflow() != null
+            && job.awaits().isEmpty()
+            && gatherAwaitedNames(job)) {
+          dependencies.jobAdded(job);
         }
       }
       case 't' -> {
         int slash = name.lastIndexOf('/');
-        Job j = jobs.get(name.substring(0, slash));
+        Job job = jobs.get(name.substring(0, slash));
         int chunk = Integer.parseInt(name.substring(slash + 1));
-        long stamp = c.value() == null ? 0 : c.stamp();
-        if (j != null && whole) {
-          j.restoreChunk(chunk, d, stamp, this::getOrCreateMachine);
-        } else if (j != null) {
-          j.onChunkStored(chunk, d, stamp);
-        } else if (c.value() != null) {
+        long stamp = change.value() == null ? 0 : change.stamp();
+        if (job != null && whole) {
+          job.restoreChunk(chunk, document, stamp, this::getOrCreateMachine);
+        } else if (job != null) {
+          job.onChunkStored(chunk, document, stamp);
+        } else if (change.value() != null) {
           orphanedKeys.add(key);
         } else {
           orphanedKeys.remove(key);
         }
-        noteForm(c);
+        noteEncoding(change);
       }
-      case 'h' -> shelve(name, d, c.stamp(), whole);
+      case 'h' -> applyArchiveBucket(name, document, change.stamp(), whole);
       case 'p' -> {
-        if (c.value() == null) {
+        if (change.value() == null) {
           partitions.remove(name);
         } else {
-          partitions.put(name, Partition.parse(c.value(), c.stamp()));
+          partitions.put(name, Partition.parse(change.value(), change.stamp()));
         }
-        noteForm(c);
-        remark();
+        noteEncoding(change);
+        updateReservations();
       }
-      case 'm' -> member(name, c.value(), c.stamp());
+      case 'm' -> applyMember(name, change.value(), change.stamp());
       case 'd' -> {
-        if (d != null) {
-          rememberTerminalState(name, TerminalState.parse(d));
+        if (document != null) {
+          rememberTerminalState(name, TerminalState.parse(document));
         }
       }
-      default -> unknown(c);
+      default -> rejectUnknown(change);
     }
   }
 
@@ -882,7 +891,7 @@
    * A member that can't be read is none, and holds up every rise of the level; it is tied to a
    * lease, so it is no reason for the others to stop.
    */
-  private void member(String name, Object value, long stamp) {
+  private void applyMember(String name, Object value, long stamp) {
     members.remove(name);
     memberZones.remove(name);
     memberStamps.remove(name);
@@ -893,10 +902,10 @@
     memberStamps.put(name, stamp);
     memberLevels.put(name, LevelRange.FIRST);
     try {
-      Document d = Encoding.decode(value, Encoding.FIRST);
-      String incarnation = d.text("inc");
-      String zone = d.textOrNull("zone");
-      memberLevels.put(name, LevelRange.parse(d));
+      Document document = Encoding.decode(value, Encoding.FIRST);
+      String incarnation = document.text("inc");
+      String zone = document.textOrNull("zone");
+      memberLevels.put(name, LevelRange.parse(document));
       members.put(name, incarnation);
       if (zone != null && !zone.isEmpty()) {
         memberZones.put(name, zone);
@@ -911,15 +920,17 @@
     return memberLevels;
   }
 
-  private void shelve(String shelf, Document d, long stamp, boolean whole) throws BadMessage {
-    if (d == null) {
-      archiveBuckets.remove(shelf);
+  private void applyArchiveBucket(String bucket, Document document, long stamp, boolean whole)
+      throws BadMessage {
+    if (document == null) {
+      archiveBuckets.remove(bucket);
       return;
     }
-    archiveBuckets.put(shelf, new ArchiveBucket(stamp, d.count("rev"), d.without("rev", "m")));
+    archiveBuckets.put(
+        bucket, new ArchiveBucket(stamp, document.count("rev"), document.without("rev", "m")));
     if (whole) {
-      onShelf(shelf).forEach(m -> m.restore(null));
-      for (Object o : d.list("m")) {
+      machinesInBucket(bucket).forEach(m -> m.restore(null));
+      for (Object o : document.list("m")) {
         List<?> e = (List<?>) o;
         getOrCreateMachine(LogEntry.subject(e)).restore(LogEntry.info(e));
       }
--- a/src/main/java/wickdrift/bookkeeping/Transaction.java
+++ b/src/main/java/wickdrift/bookkeeping/Transaction.java
@@ -8,12 +8,12 @@
 
 /** A transaction being put together: conditions on stamps, then writes and deletions. */
 public final class Transaction {
-  private final Map<String, Long> requireStamp = new LinkedHashMap<>();
-  private final Map<String, Map<String, Object>> then = new LinkedHashMap<>();
+  private final Map<String, Long> conditionStamps = new LinkedHashMap<>();
+  private final Map<String, Map<String, Object>> changes = new LinkedHashMap<>();
 
   /** Adds a condition: the key has this stamp; 0: it does not exist. */
   public Transaction requireStamp(String key, long stamp) {
-    Long old = requireStamp.put(key, stamp);
+    Long old = conditionStamps.put(key, stamp);
     if (old != null && old != stamp) {
       throw new IllegalStateException("two stamps wanted of " + key);
     }
@@ -25,85 +25,85 @@
   }
 
   /** Adds a write, tied to a lease unless that is 0. */
-  public Transaction write(String key, Object value, long tether) {
-    Map<String, Object> op = new LinkedHashMap<>();
-    op.put("write", key);
-    op.put("v", value);
-    if (tether > 0) {
-      op.put("tether", tether);
+  public Transaction write(String key, Object value, long leaseId) {
+    Map<String, Object> change = new LinkedHashMap<>();
+    change.put("write", key);
+    change.put("v", value);
+    if (leaseId > 0) {
+      change.put("tether", leaseId);
     }
-    then.put(key, op);
+    changes.put(key, change);
     return this;
   }
 
   public Transaction delete(String key) {
-    Map<String, Object> op = new LinkedHashMap<>();
-    op.put("delete", key);
-    then.put(key, op);
+    Map<String, Object> change = new LinkedHashMap<>();
+    change.put("delete", key);
+    changes.put(key, change);
     return this;
   }
 
   /** Takes back whatever was said of a key. */
   public void remove(String key) {
-    requireStamp.remove(key);
-    then.remove(key);
+    conditionStamps.remove(key);
+    changes.remove(key);
   }
 
   public int changeCount() {
-    return then.size();
+    return changes.size();
   }
 
   public boolean changesKey(String key) {
-    return then.containsKey(key);
+    return changes.containsKey(key);
   }
 
   public Map<String, Long> conditions() {
-    return requireStamp;
+    return conditionStamps;
   }
 
   /** Why the state service would refuse it for its size, or null. */
-  String tooLarge(StateServiceLimits limits) {
-    if (then.size() > limits.maxTransactionChanges()) {
-      return then.size() + " changes, as of " + largest();
+  String sizeViolation(StateServiceLimits limits) {
+    if (changes.size() > limits.maxTransactionChanges()) {
+      return changes.size() + " changes, as of " + largestRecord();
     }
-    if (requireStamp.size() > limits.maxTransactionConditions()) {
-      return requireStamp.size() + " conditions, as of " + largest();
+    if (conditionStamps.size() > limits.maxTransactionConditions()) {
+      return conditionStamps.size() + " conditions, as of " + largestRecord();
     }
-    for (Map.Entry<String, Map<String, Object>> e : then.entrySet()) {
+    for (Map.Entry<String, Map<String, Object>> e : changes.entrySet()) {
       Object v = e.getValue().get("v");
       if (v != null && MessageCodec.jsonSize(v) > limits.maxValueBytes()) {
-        return kind(e.getKey());
+        return keyPrefix(e.getKey());
       }
     }
     return null;
   }
 
   /** What kind of record its largest value is, for a log: kinds are few, keys are not. */
-  String largest() {
-    String best = "";
-    int most = -1;
-    for (Map.Entry<String, Map<String, Object>> e : then.entrySet()) {
+  String largestRecord() {
+    String largestKey = "";
+    int maxSize = -1;
+    for (Map.Entry<String, Map<String, Object>> e : changes.entrySet()) {
       Object v = e.getValue().get("v");
       int n = v == null ? 0 : MessageCodec.jsonSize(v);
-      if (n > most) {
-        most = n;
-        best = e.getKey();
+      if (n > maxSize) {
+        maxSize = n;
+        largestKey = e.getKey();
       }
     }
-    return kind(best);
+    return keyPrefix(largestKey);
   }
 
-  private static String kind(String key) {
+  private static String keyPrefix(String key) {
     return "a record " + key.substring(0, Math.min(4, key.length()));
   }
 
   /** The body of the request. */
   public Map<String, Object> toRequest() {
-    List<Object> w = new ArrayList<>();
-    requireStamp.forEach((k, s) -> w.add(Map.of("key", k, "stamp", s)));
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("when", w);
-    m.put("then", new ArrayList<Object>(then.values()));
-    return m;
+    List<Object> conditionList = new ArrayList<>();
+    conditionStamps.forEach((k, s) -> conditionList.add(Map.of("key", k, "stamp", s)));
+    Map<String, Object> request = new LinkedHashMap<>();
+    request.put("when", conditionList);
+    request.put("then", new ArrayList<Object>(changes.values()));
+    return request;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -32,11 +32,11 @@
     long viewsGateEpoch,
     Map<String, Object> extra) {
   public static final String KEY = "w/v";
-  private static final String LEVEL = "level";
-  private static final String SINCE = "since";
+  private static final String LEVEL_FIELD = "level";
+  private static final String SINCE_FIELD = "since";
 
   /** The controllers of a zone hold at most so many times an even share of the machines. */
-  private static final int MOST_SHARE = 4;
+  private static final int MAX_SHARE_FACTOR = 4;
 
   public View(long epoch, Map<String, String> members, String leader, Map<String, String> zones) {
     this(epoch, members, leader, zones, 1, 0, Map.of());
@@ -58,51 +58,54 @@
 
   /** The same under another level. */
   public View withLevel(int newLevel) {
-    boolean opens = !isOpen(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
-    return new View(epoch, members, leader, zones, newLevel, opens ? epoch : viewsGateEpoch, extra);
+    boolean opensViewsGate = !isOpen(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
+    return new View(
+        epoch, members, leader, zones, newLevel, opensViewsGate ? epoch : viewsGateEpoch, extra);
   }
 
   /** The same with other members. */
-  public View withMembers(Map<String, String> others, String newLeader, Map<String, String> where) {
-    return new View(epoch, others, newLeader, where, level, viewsGateEpoch, extra);
+  public View withMembers(
+      Map<String, String> newMembers, String newLeader, Map<String, String> newZones) {
+    return new View(epoch, newMembers, newLeader, newZones, level, viewsGateEpoch, extra);
   }
 
   /** The record as it is stored, in the form of its level. */
   public Object toStore() {
-    Map<String, Object> m = new LinkedHashMap<>(extra);
+    Map<String, Object> record = new LinkedHashMap<>(extra);
     if (level > 1) {
-      m.put(LEVEL, level);
+      record.put(LEVEL_FIELD, level);
     }
     if (viewsGateEpoch > 0) {
-      m.put(SINCE, viewsGateEpoch);
+      record.put(SINCE_FIELD, viewsGateEpoch);
     }
-    m.put("epoch", epoch);
-    m.put("members", members);
-    m.put("leader", leader);
-    m.put("zones", zones);
-    return Encoding.wrap(Encoding.forLevel(level), m);
+    record.put("epoch", epoch);
+    record.put("members", members);
+    record.put("leader", leader);
+    record.put("zones", zones);
+    return Encoding.wrap(Encoding.forLevel(level), record);
   }
 
   /**
    * @throws BadMessage if it is malformed or of a form that this build does not read
    */
   public static View parse(Object value) throws BadMessage {
-    Document d = Encoding.decode(value, Encoding.NUMBERED);
-    Map<String, String> zones = d.raw("zones") == null ? Map.of() : texts(d.raw("zones"));
-    long level = d.count(LEVEL, 1);
+    Document document = Encoding.decode(value, Encoding.NUMBERED);
+    Map<String, String> zones =
+        document.raw("zones") == null ? Map.of() : texts(document.raw("zones"));
+    long level = document.count(LEVEL_FIELD, 1);
     if (level < 1
         || level > Integer.MAX_VALUE
         || Encoding.versionOf(value) != Encoding.forLevel((int) level)) {
       throw new BadMessage("level " + level + " does not go with the record's form");
     }
     return new View(
-        d.count("epoch"),
-        texts(d.raw("members")),
-        d.text("leader"),
+        document.count("epoch"),
+        texts(document.raw("members")),
+        document.text("leader"),
         zones,
         (int) level,
-        d.count(SINCE, 0),
-        d.without(LEVEL, SINCE, "epoch", "members", "leader", "zones"));
+        document.count(SINCE_FIELD, 0),
+        document.without(LEVEL_FIELD, SINCE_FIELD, "epoch", "members", "leader", "zones"));
   }
 
   private static Map<String, String> texts(Object map) throws BadMessage {
@@ -128,11 +131,11 @@
    * @param zone null when it is not known
    */
   public String owner(String machine, String zone) {
-    int here = 0;
+    int membersInZone = 0;
     for (String z : zones.values()) {
-      here += z.equals(zone) ? 1 : 0;
+      membersInZone += z.equals(zone) ? 1 : 0;
     }
-    boolean local = here > 0 && members.size() <= MOST_SHARE * here;
+    boolean local = membersInZone > 0 && members.size() <= MAX_SHARE_FACTOR * membersInZone;
     return owner(machine, local ? m -> zone.equals(zones.get(m)) : m -> true);
   }
 
@@ -141,20 +144,20 @@
     return Set.copyOf(zones.values()).size() > 1;
   }
 
-  private String owner(String name, Predicate<String> among) {
-    String best = null;
-    long bestHash = 0;
+  private String owner(String name, Predicate<String> eligible) {
+    String owner = null;
+    long ownerScore = 0;
     for (String m : members.keySet()) {
-      if (!among.test(m)) {
+      if (!eligible.test(m)) {
         continue;
       }
-      long h = mix(hash(name) * 0x9E3779B97F4A7C15L ^ hash(m));
-      if (best == null || Long.compareUnsigned(h, bestHash) > 0) {
-        best = m;
-        bestHash = h;
+      long score = mix(hash(name) * 0x9E3779B97F4A7C15L ^ hash(m));
+      if (owner == null || Long.compareUnsigned(score, ownerScore) > 0) {
+        owner = m;
+        ownerScore = score;
       }
     }
-    return best;
+    return owner;
   }
 
   /** Who places a job's tasks, given the part it was sent to. */
@@ -184,19 +187,20 @@
    *
    * @param zones where the live members are
    */
-  public static View next(View now, Map<String, String> live, Map<String, String> zones) {
-    if (live.isEmpty() || now != null && now.members.equals(live)) {
+  public static View next(View current, Map<String, String> live, Map<String, String> zones) {
+    if (live.isEmpty() || current != null && current.members.equals(live)) {
       return null;
     }
     String leader = null;
-    if (now != null) {
-      String old = now.leader;
-      if (Objects.equals(live.get(old), now.members.get(old)) && live.containsKey(old)) {
-        leader = old;
+    if (current != null) {
+      String oldLeader = current.leader;
+      if (Objects.equals(live.get(oldLeader), current.members.get(oldLeader))
+          && live.containsKey(oldLeader)) {
+        leader = oldLeader;
       } else {
         // One who was a member before has settled tables; a newcomer leads only if all are new.
         for (String m : new ArrayList<>(live.keySet())) {
-          if (leader == null && Objects.equals(live.get(m), now.members.get(m))) {
+          if (leader == null && Objects.equals(live.get(m), current.members.get(m))) {
             leader = m;
           }
         }
@@ -205,15 +209,15 @@
     if (leader == null) {
       leader = List.copyOf(live.keySet()).get(0);
     }
-    TreeMap<String, String> where = new TreeMap<>(zones);
-    where.keySet().retainAll(live.keySet());
+    TreeMap<String, String> liveZones = new TreeMap<>(zones);
+    liveZones.keySet().retainAll(live.keySet());
     return new View(
-        now == null ? 1 : now.epoch + 1,
+        current == null ? 1 : current.epoch + 1,
         new TreeMap<>(live),
         leader,
-        where,
-        now == null ? 1 : now.level,
-        now == null ? 0 : now.viewsGateEpoch,
-        now == null ? Map.of() : now.extra);
+        liveZones,
+        current == null ? 1 : current.level,
+        current == null ? 0 : current.viewsGateEpoch,
+        current == null ? Map.of() : current.extra);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/Encoding.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Encoding.java
@@ -23,8 +23,8 @@
   private Encoding() {}
 
   /** The value to store for a map in a form. */
-  public static Object wrap(int form, Map<String, Object> map) {
-    return form == FIRST ? map : List.of((long) form, map);
+  public static Object wrap(int version, Map<String, Object> map) {
+    return version == FIRST ? map : List.of((long) version, map);
   }
 
   /** The form at a level of those records that {@link Gate#NUMBERS} changes. */
@@ -43,11 +43,11 @@
     }
     if (value instanceof List<?> l
         && l.size() == 2
-        && l.get(0) instanceof Long form
-        && form > FIRST
-        && form <= Integer.MAX_VALUE
+        && l.get(0) instanceof Long version
+        && version > FIRST
+        && version <= Integer.MAX_VALUE
         && l.get(1) instanceof Map<?, ?>) {
-      return form.intValue();
+      return version.intValue();
     }
     throw new BadMessage("neither a map nor a form and a map");
   }
@@ -55,14 +55,15 @@
   /**
    * The map of a stored value.
    *
-   * @param most the newest form of its kind that this build reads
+   * @param newest the newest form of its kind that this build reads
    * @throws BadMessage if the value is malformed, or of a newer form
    */
-  public static Document decode(Object value, int most) throws BadMessage {
-    int form = versionOf(value);
-    if (form > most) {
-      throw new BadMessage("form " + form + " is newer than this build, which reads up to " + most);
+  public static Document decode(Object value, int newest) throws BadMessage {
+    int version = versionOf(value);
+    if (version > newest) {
+      throw new BadMessage(
+          "form " + version + " is newer than this build, which reads up to " + newest);
     }
-    return Document.of(form == FIRST ? value : ((List<?>) value).get(1));
+    return Document.of(version == FIRST ? value : ((List<?>) value).get(1));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/Gate.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Gate.java
@@ -41,11 +41,11 @@
   LIMITS(4, false);
 
   private final int level;
-  private final boolean afterConversion;
+  private final boolean requiresConversion;
 
-  Gate(int level, boolean afterConversion) {
+  Gate(int level, boolean requiresConversion) {
     this.level = level;
-    this.afterConversion = afterConversion;
+    this.requiresConversion = requiresConversion;
   }
 
   /**
@@ -53,10 +53,10 @@
    * One that changes no form may open in one step with that level; one that nobody here knows may
    * change any.
    */
-  static boolean afterConversion(int level) {
+  static boolean requiresConversion(int level) {
     for (Gate g : values()) {
       if (g.level == level) {
-        return g.afterConversion;
+        return g.requiresConversion;
       }
     }
     return true;
@@ -82,7 +82,7 @@
     return null;
   }
 
-  static int newest() {
+  static int newestLevel() {
     int most = 1;
     for (Gate g : values()) {
       most = Math.max(most, g.level);
--- a/src/main/java/wickdrift/bookkeeping/level/LevelRange.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelRange.java
@@ -13,10 +13,10 @@
   public static final LevelRange FIRST = new LevelRange(1, 1);
 
   /** What this build speaks. */
-  public static final LevelRange BUILD = new LevelRange(1, Gate.newest());
+  public static final LevelRange BUILD = new LevelRange(1, Gate.newestLevel());
 
-  private static final String LEAST = "least";
-  private static final String MOST = "most";
+  private static final String MIN_FIELD = "least";
+  private static final String MAX_FIELD = "most";
 
   public LevelRange {
     if (min < 1 || max < min) {
@@ -33,22 +33,22 @@
    *
    * @throws BadMessage if only one end is there, an end is out of range, or the range is empty
    */
-  public static LevelRange parse(Document d) throws BadMessage {
-    if (d.raw(LEAST) == null && d.raw(MOST) == null) {
+  public static LevelRange parse(Document document) throws BadMessage {
+    if (document.raw(MIN_FIELD) == null && document.raw(MAX_FIELD) == null) {
       return FIRST;
     }
-    long least = d.count(LEAST);
-    long most = d.count(MOST);
-    if (least < 1 || most < least || most > Integer.MAX_VALUE) {
-      throw new BadMessage("levels " + least + " to " + most + " are no range");
+    long min = document.count(MIN_FIELD);
+    long max = document.count(MAX_FIELD);
+    if (min < 1 || max < min || max > Integer.MAX_VALUE) {
+      throw new BadMessage("levels " + min + " to " + max + " are no range");
     }
-    return new LevelRange((int) least, (int) most);
+    return new LevelRange((int) min, (int) max);
   }
 
   /** Adds both ends to a record that is about to be stored. */
   public void addTo(Map<String, Object> record) {
-    record.put(LEAST, min);
-    record.put(MOST, max);
+    record.put(MIN_FIELD, min);
+    record.put(MAX_FIELD, max);
   }
 
   @Override
--- a/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
@@ -21,91 +21,91 @@
  */
 public record LevelUpgrade(int level, List<String> blockers, Map<String, Long> conditions) {
   /**
-   * @param now the level in force
+   * @param current the level in force
    * @param build what this build speaks
    * @param live the levels of each member that is there, announced with its lease
-   * @param named the controllers that the asking controller's settings name
+   * @param configuredNames the controllers that the asking controller's settings name
    * @param registry the lasting records
    */
   public static LevelUpgrade evaluate(
-      int now,
+      int current,
       LevelRange build,
       Map<String, LevelRange> live,
-      Collection<String> named,
+      Collection<String> configuredNames,
       NodeRegistry registry) {
-    LevelUpgrade rise = step(now, build, live, named, registry);
+    LevelUpgrade upgrade = nextStep(current, build, live, configuredNames, registry);
     // Levels that change no form need no conversion of what is there: one change of view for all.
-    while (rise.level() > now && !Gate.afterConversion(rise.level() + 1)) {
-      LevelUpgrade further = step(rise.level(), build, live, named, registry);
-      if (further.level() == rise.level()) {
+    while (upgrade.level() > current && !Gate.requiresConversion(upgrade.level() + 1)) {
+      LevelUpgrade further = nextStep(upgrade.level(), build, live, configuredNames, registry);
+      if (further.level() == upgrade.level()) {
         break;
       }
-      rise = further;
+      upgrade = further;
     }
-    return rise;
+    return upgrade;
   }
 
-  private static LevelUpgrade step(
-      int now,
+  private static LevelUpgrade nextStep(
+      int current,
       LevelRange build,
       Map<String, LevelRange> live,
-      Collection<String> named,
+      Collection<String> configuredNames,
       NodeRegistry registry) {
-    int next = now + 1;
+    int next = current + 1;
     if (next > build.max()) {
-      return new LevelUpgrade(now, List.of(), Map.of());
+      return new LevelUpgrade(current, List.of(), Map.of());
     }
-    List<String> waits = new ArrayList<>();
+    List<String> blockers = new ArrayList<>();
     Map<String, Long> conditions = new LinkedHashMap<>();
     OperatorOverrides word = registry.overrides();
     conditions.put(OperatorOverrides.KEY, word.stamp());
-    String holding = word.holdsBack(next);
-    if (holding != null) {
-      waits.add("gate " + holding + " is held back");
+    String heldGate = word.gateBlocking(next);
+    if (heldGate != null) {
+      blockers.add("gate " + heldGate + " is held back");
     }
-    if (now > 1 && Gate.afterConversion(next) && registry.convertedLevel() < now) {
-      waits.add("records of a form older than level " + now + " are left");
+    if (current > 1 && Gate.requiresConversion(next) && registry.convertedLevel() < current) {
+      blockers.add("records of a form older than level " + current + " are left");
     }
-    TreeSet<String> all = new TreeSet<>(named);
-    all.addAll(live.keySet());
+    TreeSet<String> controllers = new TreeSet<>(configuredNames);
+    controllers.addAll(live.keySet());
     for (String name : live.keySet()) {
-      NodeRecord a = registry.nodeRecord(name);
+      NodeRecord record = registry.nodeRecord(name);
       // Whom a member's settings name may act too, once it is started.
-      all.addAll(a == null ? List.of() : a.peers());
+      controllers.addAll(record == null ? List.of() : record.peers());
     }
-    for (String name : all) {
-      LevelRange r = live.get(name);
-      if (r != null) {
-        if (!r.includes(next)) {
-          waits.add(name + " speaks levels " + r);
+    for (String name : controllers) {
+      LevelRange levels = live.get(name);
+      if (levels != null) {
+        if (!levels.includes(next)) {
+          blockers.add(name + " speaks levels " + levels);
         }
       } else if (!word.ignoredNodes().contains(name)) {
-        NodeRecord a = registry.nodeRecord(name);
-        if (a == null) {
-          waits.add(name + " is down and has announced nothing");
-        } else if (!a.levels().includes(next)) {
-          waits.add(name + " is down and spoke levels " + a.levels());
+        NodeRecord record = registry.nodeRecord(name);
+        if (record == null) {
+          blockers.add(name + " is down and has announced nothing");
+        } else if (!record.levels().includes(next)) {
+          blockers.add(name + " is down and spoke levels " + record.levels());
         } else {
-          conditions.put(NodeRecord.key(a.number()), a.stamp());
+          conditions.put(NodeRecord.key(record.number()), record.stamp());
           // Nor may it have come back meanwhile with a build that announces nothing.
           conditions.put("w/m/" + name, 0L);
         }
       }
     }
-    return waits.isEmpty()
+    return blockers.isEmpty()
         ? new LevelUpgrade(next, List.of(), conditions)
-        : new LevelUpgrade(now, List.copyOf(waits), Map.of());
+        : new LevelUpgrade(current, List.copyOf(blockers), Map.of());
   }
 
   /** What keeps each of the gates of a build closed, by label; empty text for those open. */
-  public static Map<String, String> closedGateReasons(int inForce, OperatorOverrides word) {
-    Map<String, String> out = new TreeMap<>();
+  public static Map<String, String> closedGateReasons(int level, OperatorOverrides word) {
+    Map<String, String> reasons = new TreeMap<>();
     for (Gate g : Gate.values()) {
-      boolean open = g.level() <= inForce;
-      out.put(
+      boolean open = g.level() <= level;
+      reasons.put(
           g.label(),
           open ? "" : word.heldGates().contains(g.label()) ? "held back" : "level " + g.level());
     }
-    return out;
+    return reasons;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
@@ -25,10 +25,10 @@
   /**
    * Numbers stand in entries of the logs and in frames; more controllers than this are an error.
    */
-  public static final int MOST_NUMBER = 0xFFFF;
+  public static final int MAX_NUMBER = 0xFFFF;
 
-  public static NodeRecord create(int number, String name, LevelRange range, List<String> peers) {
-    return new NodeRecord(number, name, range, List.copyOf(peers), 0, Map.of());
+  public static NodeRecord create(int number, String name, LevelRange levels, List<String> peers) {
+    return new NodeRecord(number, name, levels, List.copyOf(peers), 0, Map.of());
   }
 
   public static String key(int number) {
@@ -36,39 +36,39 @@
   }
 
   /** The same under other levels, or with other peers. */
-  public NodeRecord withLevels(LevelRange other, List<String> otherPeers) {
-    return new NodeRecord(number, name, other, List.copyOf(otherPeers), stamp, extra);
+  public NodeRecord withLevels(LevelRange newLevels, List<String> newPeers) {
+    return new NodeRecord(number, name, newLevels, List.copyOf(newPeers), stamp, extra);
   }
 
   /** The record as it is stored. */
   public Map<String, Object> toStore() {
-    Map<String, Object> m = new LinkedHashMap<>(extra);
-    m.put("name", name);
-    levels.addTo(m);
-    m.put("peers", new ArrayList<>(peers));
-    return m;
+    Map<String, Object> record = new LinkedHashMap<>(extra);
+    record.put("name", name);
+    levels.addTo(record);
+    record.put("peers", new ArrayList<>(peers));
+    return record;
   }
 
-  static NodeRecord parse(String number, Document d, long stamp) throws BadMessage {
-    int n = number(number);
+  static NodeRecord parse(String number, Document document, long stamp) throws BadMessage {
+    int parsedNumber = number(number);
     return new NodeRecord(
-        n,
-        d.text("name"),
-        LevelRange.parse(d),
-        List.copyOf(d.texts("peers")),
+        parsedNumber,
+        document.text("name"),
+        LevelRange.parse(document),
+        List.copyOf(document.texts("peers")),
         stamp,
-        d.without("name", "least", "most", "peers"));
+        document.without("name", "least", "most", "peers"));
   }
 
   private static int number(String text) throws BadMessage {
     try {
       int n = Integer.parseInt(text);
-      if (n >= 0 && n <= MOST_NUMBER) {
+      if (n >= 0 && n <= MAX_NUMBER) {
         return n;
       }
     } catch (NumberFormatException e) {
       // Said below.
     }
-    throw new BadMessage("a controller's number is not 0 to " + MOST_NUMBER);
+    throw new BadMessage("a controller's number is not 0 to " + MAX_NUMBER);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
@@ -19,30 +19,30 @@
   public static final String PREFIX = "w/c/";
   public static final String INITIAL_NAMES_KEY = PREFIX + "list";
   public static final String CONVERTED_LEVEL_KEY = PREFIX + "done";
-  private static final String NAMES = "names";
+  private static final String NAMES_FIELD = "names";
 
-  private final List<String> settingsNames;
-  private final TreeMap<Integer, NodeRecord> announced = new TreeMap<>();
+  private final List<String> configuredNames;
+  private final TreeMap<Integer, NodeRecord> nodeRecords = new TreeMap<>();
   private final Map<String, Integer> numbers = new HashMap<>();
-  private List<String> list;
+  private List<String> storedInitialNames;
   private long initialNamesStamp;
   private OperatorOverrides overrides = OperatorOverrides.NONE;
   private int convertedLevel;
   private long convertedLevelStamp;
 
   /**
-   * @param settingsNames all controllers that the settings name, sorted: the list until one is
+   * @param configuredNames all controllers that the settings name, sorted: the list until one is
    *     stored
    */
-  public NodeRegistry(List<String> settingsNames) {
-    this.settingsNames = List.copyOf(settingsNames);
+  public NodeRegistry(List<String> configuredNames) {
+    this.configuredNames = List.copyOf(configuredNames);
     reset();
   }
 
   /** Forgets everything, before a load. */
   public void reset() {
-    announced.clear();
-    list = null;
+    nodeRecords.clear();
+    storedInitialNames = null;
     initialNamesStamp = 0;
     overrides = OperatorOverrides.NONE;
     convertedLevel = 0;
@@ -52,7 +52,7 @@
 
   /** The value of {@link #INITIAL_NAMES_KEY}. */
   public static Map<String, Object> encodeInitialNames(List<String> names) {
-    return new TreeMap<>(Map.of(NAMES, new ArrayList<>(names)));
+    return new TreeMap<>(Map.of(NAMES_FIELD, new ArrayList<>(names)));
   }
 
   /**
@@ -66,32 +66,33 @@
    * Takes in a record under {@link #PREFIX}.
    *
    * @param name the key after the prefix
-   * @param d null when it is gone
+   * @param document null when it is gone
    * @throws BadMessage if it can't be read, or nobody here knows it; nothing has changed then
    */
-  public void apply(String name, Document d, long stamp) throws BadMessage {
+  public void apply(String name, Document document, long stamp) throws BadMessage {
     switch (name) {
       case "list" -> {
-        List<String> names = d == null ? null : List.copyOf(d.texts(NAMES));
+        List<String> names = document == null ? null : List.copyOf(document.texts(NAMES_FIELD));
         if (names != null
             && (names.isEmpty() || names.stream().distinct().count() < names.size())) {
           throw new BadMessage("the first list of controllers is empty or names one twice");
         }
-        list = names;
-        initialNamesStamp = d == null ? 0 : stamp;
+        storedInitialNames = names;
+        initialNamesStamp = document == null ? 0 : stamp;
       }
       case "word" ->
-          overrides = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
+          overrides =
+              document == null ? OperatorOverrides.NONE : OperatorOverrides.parse(document, stamp);
       case "done" -> {
-        convertedLevel = d == null ? 0 : (int) d.count("level");
-        convertedLevelStamp = d == null ? 0 : stamp;
+        convertedLevel = document == null ? 0 : (int) document.count("level");
+        convertedLevelStamp = document == null ? 0 : stamp;
       }
       default -> {
-        if (d != null) {
-          NodeRecord a = NodeRecord.parse(name, d, stamp);
-          announced.put(a.number(), a);
+        if (document != null) {
+          NodeRecord record = NodeRecord.parse(name, document, stamp);
+          nodeRecords.put(record.number(), record);
         } else if (name.matches("[0-9]{1,5}")) {
-          announced.remove(Integer.parseInt(name));
+          nodeRecords.remove(Integer.parseInt(name));
         }
       }
     }
@@ -101,7 +102,7 @@
   private void renumber() {
     numbers.clear();
     // The lowest counts: should a name ever have two, all draw the same from it.
-    announced.descendingMap().forEach((n, a) -> numbers.put(a.name(), n));
+    nodeRecords.descendingMap().forEach((n, a) -> numbers.put(a.name(), n));
     for (int i = 0; i < initialNames().size(); i++) {
       numbers.put(initialNames().get(i), i);
     }
@@ -109,12 +110,12 @@
 
   /** The names whose places are the first numbers. */
   public List<String> initialNames() {
-    return list == null ? settingsNames : list;
+    return storedInitialNames == null ? configuredNames : storedInitialNames;
   }
 
   /** Whether the first list is stored. */
   public boolean hasStoredInitialNames() {
-    return list != null;
+    return storedInitialNames != null;
   }
 
   public long initialNamesStamp() {
@@ -131,8 +132,8 @@
     if (number >= 0 && number < initialNames().size()) {
       return initialNames().get(number);
     }
-    NodeRecord a = announced.get(number);
-    return a == null ? null : a.name();
+    NodeRecord record = nodeRecords.get(number);
+    return record == null ? null : record.name();
   }
 
   /** All that have a number. */
@@ -142,18 +143,18 @@
 
   /** A controller's lasting record, or null. */
   public NodeRecord nodeRecord(String name) {
-    int n = numberOf(name);
-    NodeRecord a = n < 0 ? null : announced.get(n);
-    return a != null && a.name().equals(name) ? a : null;
+    int number = numberOf(name);
+    NodeRecord record = number < 0 ? null : nodeRecords.get(number);
+    return record != null && record.name().equals(name) ? record : null;
   }
 
   public Collection<NodeRecord> nodeRecords() {
-    return announced.values();
+    return nodeRecords.values();
   }
 
   /** A number that no one ever had. */
   public int nextNumber() {
-    int after = announced.isEmpty() ? 0 : announced.lastKey() + 1;
+    int after = nodeRecords.isEmpty() ? 0 : nodeRecords.lastKey() + 1;
     return Math.max(initialNames().size(), after);
   }
 
--- a/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -22,32 +22,33 @@
       new OperatorOverrides(List.of(), List.of(), 0, Map.of());
 
   public Map<String, Object> toStore() {
-    Map<String, Object> m = new LinkedHashMap<>(extra);
-    m.put("held", new ArrayList<>(heldGates));
-    m.put("without", new ArrayList<>(ignoredNodes));
-    return m;
+    Map<String, Object> record = new LinkedHashMap<>(extra);
+    record.put("held", new ArrayList<>(heldGates));
+    record.put("without", new ArrayList<>(ignoredNodes));
+    return record;
   }
 
   /** Reads the record of an operator's command, of that stamp. */
-  public static OperatorOverrides parse(Document d, long stamp) throws BadMessage {
+  public static OperatorOverrides parse(Document document, long stamp) throws BadMessage {
     return new OperatorOverrides(
-        List.copyOf(d.texts("held")),
-        List.copyOf(d.texts("without")),
+        List.copyOf(document.texts("held")),
+        List.copyOf(document.texts("without")),
         stamp,
-        d.without("held", "without"));
+        document.without("held", "without"));
   }
 
-  public OperatorOverrides withGateHeld(String gate, boolean on) {
-    return new OperatorOverrides(change(heldGates, gate, on), ignoredNodes, stamp, extra);
+  public OperatorOverrides withGateHeld(String gate, boolean held) {
+    return new OperatorOverrides(withMembership(heldGates, gate, held), ignoredNodes, stamp, extra);
   }
 
-  public OperatorOverrides withNodeIgnored(String name, boolean on) {
-    return new OperatorOverrides(heldGates, change(ignoredNodes, name, on), stamp, extra);
+  public OperatorOverrides withNodeIgnored(String name, boolean ignored) {
+    return new OperatorOverrides(
+        heldGates, withMembership(ignoredNodes, name, ignored), stamp, extra);
   }
 
-  private static List<String> change(List<String> list, String name, boolean on) {
-    TreeSet<String> set = new TreeSet<>(list);
-    if (on) {
+  private static List<String> withMembership(List<String> names, String name, boolean present) {
+    TreeSet<String> set = new TreeSet<>(names);
+    if (present) {
       set.add(name);
     } else {
       set.remove(name);
@@ -56,10 +57,10 @@
   }
 
   /** The label of a gate that keeps a level from coming into force, or null. */
-  public String holdsBack(int level) {
+  public String gateBlocking(int level) {
     for (String label : heldGates) {
-      Gate g = Gate.byLabel(label);
-      if (g == null || g.level() <= level) {
+      Gate gate = Gate.byLabel(label);
+      if (gate == null || gate.level() <= level) {
         return label;
       }
     }
