--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -22,13 +22,13 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 
-/** All that is durable, as of the ledger's revision. Changed by the ledger's changes alone. */
+/** Replica of the stored state as of a revision; only changes from the state service modify it. */
 public final class Tables implements StateServiceClient.ChangeListener {
   private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
 
   /**
-   * The record that a leader rewrites when it takes machines of several parts, since {@link
-   * Gate#TAKES}: every owner's placement is conditional on it.
+   * The record that a leader rewrites when it claims machines of several partitions, from {@link
+   * Gate#TAKES} on: every owner's placement is conditional on it.
    */
   public static final String CLAIMS_KEY = "w/x";
 
@@ -45,15 +45,15 @@
   private final NodeRegistry registry;
   private final LevelRange supportedLevels;
 
-  /** What can't be read, by key, and why. While there is any nothing is decided. */
+  /** Reason why a record cannot be read, by key. While there is any, this node decides nothing. */
   private final Map<String, String> unreadable = new LinkedHashMap<>();
 
-  /** Whether something that could not be read was passed over, which only a new load mends. */
+  /** Whether log entries or stored chunks were skipped as unreadable: only a full load recovers. */
   private boolean needsReload;
 
   private String blockedReason;
 
-  /** Pages, chunks and parts of a form older than the newest that is known here. */
+  /** Keys of pages, chunks and partitions in an encoding older than {@link Encoding#NUMBERED}. */
   private final TreeSet<String> keysInOldEncoding = new TreeSet<>();
 
   private static final TreeMap<Long, LogPage> NO_PAGES = new TreeMap<>();
@@ -72,20 +72,20 @@
       };
   private final DependencyGraph dependencies = new DependencyGraph(jobs::get, this::terminalState);
 
-  /** Jobs that are over and whose end stands in their own record still, with its stamp. */
+  /** Ended jobs whose terminal state is not yet moved from their own record to the job history. */
   private final Map<String, PendingHistoryEntry> pendingHistory = new LinkedHashMap<>();
 
-  /** How a job ended, and the stamp of the record that says so. */
+  /** Terminal state of a job, and the stamp of the job record that holds it. */
   public record PendingHistoryEntry(TerminalState terminalState, long stamp) {}
 
-  /** Names of awaited jobs, by record, until their job has them all. */
+  /** Names of awaited jobs, by overflow record, until all records of the waiting job are there. */
   private final TreeMap<String, List<String>> awaitedNames = new TreeMap<>();
 
   /**
-   * Jobs that a peer has told to be withdrawn, with a revision that says so and is not applied here
-   * yet: who is not served by the state service learns of it in no other way.
+   * Withdrawals announced by a peer, with a revision that holds them and is not applied here yet. A
+   * node that the state service does not serve learns of a withdrawal in no other way.
    */
-  private final Map<String, Long> foretold = new HashMap<>();
+  private final Map<String, Long> announcedWithdrawals = new HashMap<>();
 
   private View view;
   private long viewStamp;
@@ -94,13 +94,13 @@
   private final Runnable onApplied;
   private final List<Machine> changedMachines = new ArrayList<>();
   private final List<Job> changedJobs = new ArrayList<>();
-  private final Set<String> marked = new HashSet<>();
+  private final Set<String> reservedMachines = new HashSet<>();
   private int nextMachineNumber;
 
   /**
    * @param names all controllers that the settings name, sorted
-   * @param supportedLevels what this build reads and writes
-   * @param onApplied called after each run of changes
+   * @param supportedLevels levels that this build reads and writes
+   * @param onApplied called after each batch of changes
    */
   public Tables(List<String> names, LevelRange supportedLevels, Runnable onApplied) {
     this.registry = new NodeRegistry(names);
@@ -108,9 +108,7 @@
     this.onApplied = onApplied;
   }
 
-  // ---- what this build understands ----
-
-  /** The controllers' numbers, the levels that they speak, and what operators said of them. */
+  /** The controllers' numbers and supported levels, and the operator overrides. */
   public NodeRegistry registry() {
     return registry;
   }
@@ -120,27 +118,27 @@
     return view == null ? 1 : view.level();
   }
 
-  /** Whether what a gate stands for is switched on, as of the tables' revision. */
+  /** Whether the feature behind a gate is enabled, as of the tables' revision. */
   public boolean isOpen(Gate gate) {
     return level() >= gate.level();
   }
 
-  /** In which form the records that changed it are written at the level in force. */
+  /** Encoding in which the records that {@link Gate#NUMBERS} changes are written at this level. */
   public int encoding() {
     return Encoding.forLevel(level());
   }
 
-  /** Why nothing may be decided from these tables, or null. */
+  /** Reason why no decision may be based on these tables, or null. */
   public String blockedReason() {
     return blockedReason;
   }
 
-  /** The keys of pages, chunks and parts whose form is older than the level in force asks for. */
+  /** Keys of pages, chunks and partitions in an older encoding than the level in force requires. */
   public TreeSet<String> keysInOldEncoding() {
     return encoding() == Encoding.FIRST ? new TreeSet<>() : keysInOldEncoding;
   }
 
-  /** What of the stored state can't be read, by key, with why. */
+  /** Reason why a stored record cannot be read, by key. */
   public Map<String, String> unreadableRecords() {
     return unreadable;
   }
@@ -160,7 +158,7 @@
     if (reason != null && !reason.equals(blockedReason)) {
       LOG.error("stays outside and decides nothing: {}", reason);
     } else if (reason == null && blockedReason != null) {
-      LOG.warn("understands the stored state again");
+      LOG.warn("stored state is readable again, decisions resume");
     }
     blockedReason = reason;
   }
@@ -182,9 +180,7 @@
     }
   }
 
-  // ---- what has changed: those who keep indices ask after each run of changes ----
-
-  /** The machines changed since the last call, each once, those that are gone too. */
+  /** Returns the machines changed or removed since the last call, each once. */
   public List<Machine> drainChangedMachines() {
     List<Machine> changed = new ArrayList<>(changedMachines);
     changedMachines.clear();
@@ -192,7 +188,7 @@
     return changed;
   }
 
-  /** The jobs changed since the last call, each once, those that are over too. */
+  /** Returns the jobs changed or ended since the last call, each once. */
   public List<Job> drainChangedJobs() {
     List<Job> changed = new ArrayList<>(changedJobs);
     changedJobs.clear();
@@ -204,23 +200,23 @@
     return usage;
   }
 
-  /** Whether a gang that waits has marked the machine. */
+  /** Whether the machine is reserved for a waiting gang. */
   public boolean isReserved(Machine machine) {
-    return marked.contains(machine.name());
+    return reservedMachines.contains(machine.name());
   }
 
   private void updateReservations() {
     Set<String> reserved = new HashSet<>();
-    // Where a change of view leaves the parts alone, marks are of the epoch that they tell.
+    // From VIEWS on, a new view rewrites no partition: reservations of older epochs are void.
     boolean ofView = isOpen(Gate.VIEWS);
     partitions.values().stream()
         .filter(p -> !ofView || p.epoch() == view.epoch())
         .forEach(p -> reserved.addAll(p.reserved()));
-    if (!reserved.equals(marked)) {
+    if (!reserved.equals(reservedMachines)) {
       Set<String> changed = new HashSet<>(reserved);
-      changed.addAll(marked);
-      marked.clear();
-      marked.addAll(reserved);
+      changed.addAll(reservedMachines);
+      reservedMachines.clear();
+      reservedMachines.addAll(reserved);
       for (String name : changed) {
         Machine machine = machines.get(name);
         if (machine != null) {
@@ -246,7 +242,7 @@
     return machines.get(name);
   }
 
-  /** The machine of that name; made up when a report or the cloud names it first. */
+  /** The machine of that name, created when a report or the cloud names it for the first time. */
   public Machine getOrCreateMachine(String name) {
     return machines.computeIfAbsent(
         name, k -> new Machine(k, nextMachineNumber++, changedMachines::add));
@@ -261,9 +257,9 @@
   }
 
   /**
-   * A node's part as it is to be decided from, and written anew: since {@link Gate#VIEWS} one that
-   * was not written under this view marks nothing, and one that was never written is empty. Null
-   * before that level, if it is not there.
+   * A node's partition as decisions and rewrites must see it. From {@link Gate#VIEWS} on, one
+   * written under another view reserves nothing and a missing one is empty; before, a missing one
+   * is null.
    */
   public Partition currentPartition(String node) {
     Partition partition = partitions.get(node);
@@ -275,8 +271,8 @@
   }
 
   /**
-   * The parts that were last written before placements were conditional on the view: something that
-   * was prepared by then is conditional on those records alone, and may come yet.
+   * Nodes whose partition was last written before placements became conditional on the view. A
+   * transaction prepared by then is conditional on that record alone and may still be committed.
    */
   public List<String> unfencedPartitions() {
     List<String> nodes = new ArrayList<>();
@@ -295,7 +291,7 @@
     return members;
   }
 
-  /** Where the members are, as they have told. */
+  /** The zone of each member that reports one. */
   public Map<String, String> memberZones() {
     return memberZones;
   }
@@ -312,42 +308,39 @@
     return viewStamp;
   }
 
-  /** The stamp of {@link #CLAIMS_KEY}; 0 while no leader has taken any. */
+  /** The stamp of {@link #CLAIMS_KEY}; 0 while no leader has claimed a machine. */
   public long claimsStamp() {
     return claimsStamp;
   }
 
-  /** Chunk records whose job is over, left to be deleted. */
+  /** Keys of chunk and overflow records whose job has ended, to be deleted. */
   public TreeSet<String> orphanedKeys() {
     return orphanedKeys;
   }
 
-  /** How a job ended, if it is remembered here. Final, so never out of date. */
+  /** Terminal state of a job if it is held here, else null. It is final, so it is never stale. */
   public TerminalState terminalState(String id) {
     PendingHistoryEntry pending = pendingHistory.get(id);
     return pending != null ? pending.terminalState : terminalStates.get(id);
   }
 
-  /** The ends that are to be moved to their lasting place, oldest first. */
+  /** Terminal states that are still to be moved to the job history, oldest first. */
   public Map<String, PendingHistoryEntry> pendingHistory() {
     return pendingHistory;
   }
 
   /**
-   * Takes in that a job is withdrawn, ahead of the record that says so. It is final, so it is kept
-   * until the tables hold it themselves.
-   *
-   * @param rev a revision as of which the job's record says it
-   * @return false if so much is known ahead already that it can't be kept
+   * Records a withdrawal before the tables hold it; being final, it is kept until they reach {@code
+   * rev}, as of which the job's record is withdrawn. False if too many are held to keep this one.
    */
   public boolean announceWithdrawal(String id, long rev) {
-    if (rev <= appliedRev || foretold.containsKey(id)) {
+    if (rev <= appliedRev || announcedWithdrawals.containsKey(id)) {
       return true;
     }
-    if (foretold.size() >= MAX_ANNOUNCED_WITHDRAWALS) {
+    if (announcedWithdrawals.size() >= MAX_ANNOUNCED_WITHDRAWALS) {
       return false;
     }
-    foretold.put(id, rev);
+    announcedWithdrawals.put(id, rev);
     Job job = jobs.get(id);
     if (job != null) {
       job.announceWithdrawal();
@@ -355,14 +348,14 @@
     return true;
   }
 
-  /** Whether a job is known to be withdrawn ahead of what the tables say. */
+  /** Whether the job's withdrawal was announced and the tables do not hold it yet. */
   public boolean isWithdrawalAnnounced(String id) {
-    return foretold.containsKey(id);
+    return announcedWithdrawals.containsKey(id);
   }
 
   private void advanceTo(long rev) {
     appliedRev = rev;
-    foretold.values().removeIf(told -> told <= rev);
+    announcedWithdrawals.values().removeIf(announcedRev -> announcedRev <= rev);
   }
 
   public void rememberTerminalState(String id, TerminalState terminalState) {
@@ -370,7 +363,7 @@
     dependencies.jobTerminated(id, terminalState);
   }
 
-  /** Which jobs await which. */
+  /** The dependency graph of the jobs that await others. */
   public DependencyGraph dependencies() {
     return dependencies;
   }
@@ -402,24 +395,22 @@
     claimsStamp = 0;
   }
 
-  // ---- the logs ----
-
-  /** A node's pages, oldest first. */
+  /** A node's log pages by number, oldest first. */
   public TreeMap<Long, LogPage> logPages(String node) {
     return pagesByNode.getOrDefault(node, NO_PAGES);
   }
 
-  /** The nodes that have pages. */
+  /** The nodes that have log pages. */
   public Set<String> nodesWithLogPages() {
     return pagesByNode.keySet();
   }
 
-  /** The revision up to which all is applied. */
+  /** The revision up to which all changes are applied. */
   public long appliedRev() {
     return appliedRev;
   }
 
-  /** What is stored of machines whose names differ in the last letter only. */
+  /** Archived records of the machines whose names differ in the last character only. */
   public record ArchiveBucket(long stamp, long rev, Map<String, Object> extra) {}
 
   public ArchiveBucket archiveBucket(String name) {
@@ -434,7 +425,7 @@
     return "w/h/" + bucket;
   }
 
-  /** The machines of a shelf as of a revision. */
+  /** The value to store for an archive bucket: its machines as of a revision. */
   public Map<String, Object> encodeArchiveBucket(String bucket, long rev) {
     List<Object> list = new ArrayList<>();
     for (Machine m : machinesInBucket(bucket)) {
@@ -465,7 +456,9 @@
     return out;
   }
 
-  /** Whether nobody needs an entry any more: its job is over, or what it says is stored. */
+  /**
+   * Whether an entry is no longer needed: its job has ended or a later record holds its content.
+   */
   public boolean isObsolete(long rev, List<?> entry) {
     try {
       String subject = LogEntry.subject(entry);
@@ -484,17 +477,17 @@
       }
       return true;
     } catch (BadMessage e) {
-      // Who can't read it does not drop it: whoever can may need it.
+      // An entry that this build cannot read is kept: another build may need it.
       return false;
     }
   }
 
-  /** What must be stored before a page may go: chunks of jobs, and shelves of machines. */
+  /** Job chunks and archive buckets that must be written before a page may be deleted. */
   public record RequiredWrites(Map<Job, Set<Integer>> chunks, Set<String> archiveBuckets) {}
 
-  /** What a page still speaks of that no later record holds. */
+  /** The writes that replace those entries of a page that no later record holds. */
   public RequiredWrites requiredWrites(LogPage page) {
-    RequiredWrites required = new RequiredWrites(new LinkedHashMap<>(), new LinkedHashSet<>());
+    RequiredWrites out = new RequiredWrites(new LinkedHashMap<>(), new LinkedHashSet<>());
     for (LogPage.Run r : page.runs()) {
       for (Object o : r.entries()) {
         List<?> entry = (List<?>) o;
@@ -503,26 +496,25 @@
         }
         try {
           if (LogEntry.aboutMachine(entry)) {
-            required.archiveBuckets.add(Machine.archiveBucketOf(LogEntry.subject(entry)));
+            out.archiveBuckets.add(Machine.archiveBucketOf(LogEntry.subject(entry)));
             continue;
           }
           Job job = jobs.get(LogEntry.subject(entry));
           int width = LogEntry.valuesPerTask(entry);
           for (int i = LogEntry.firstTaskIndex(entry); i + width <= entry.size(); i += width) {
-            required
-                .chunks
+            out.chunks
                 .computeIfAbsent(job, k -> new LinkedHashSet<>())
                 .add(LogEntry.number(entry, i) / Job.TASKS_PER_CHUNK);
           }
         } catch (BadMessage x) {
-          LOG.error("unreadable entry: {}", x.getMessage());
+          LOG.error("unreadable log entry: {}", x.getMessage());
         }
       }
     }
-    return required;
+    return out;
   }
 
-  /** No page holds anything older than this. */
+  /** Revision of the oldest run in any log page; {@code Long.MAX_VALUE} if there is none. */
   public long oldestEntryRev() {
     long oldest = Long.MAX_VALUE;
     for (TreeMap<Long, LogPage> pages : pagesByNode.values()) {
@@ -535,12 +527,12 @@
     return oldest;
   }
 
-  /** Never passes over an entry in silence: others may have drawn something from it. */
+  /** Records every entry that cannot be applied: other nodes may have decisions based on it. */
   private void applyRun(String page, LogPage.Run run) {
     for (Object o : run.entries()) {
       try {
         if (!(o instanceof List<?> e)) {
-          throw new BadMessage("an entry is not a list");
+          throw new BadMessage("a log entry is not a list");
         }
         applyEntry(run.rev(), e);
       } catch (BadMessage | RuntimeException x) {
@@ -561,7 +553,7 @@
                 ? machine.transitionTo(LogEntry.info(entry))
                 : machine.forget();
         if (!applies) {
-          LOG.debug("void: {} of {}", entry, machine.phase());
+          LOG.debug("entry not applied: {}, machine phase={}", entry, machine.phase());
         }
         if (machine.info() == null && machine.slots().isEmpty()) {
           machines.remove(subject);
@@ -572,7 +564,7 @@
     LogEntry.checkKnown(kind);
     int width = LogEntry.valuesPerTask(entry);
     if ((entry.size() - LogEntry.firstTaskIndex(entry)) % width != 0) {
-      throw new BadMessage("an entry that ends early");
+      throw new BadMessage("truncated log entry");
     }
     if (kind.equals(LogEntry.PLACED) && LogEntry.number(entry, 2) > NodeRecord.MAX_NUMBER) {
       throw new BadMessage("no controller has the number " + LogEntry.number(entry, 2));
@@ -601,22 +593,20 @@
             default -> throw new BadMessage("unknown kind " + kind);
           };
       if (!applies) {
-        LOG.debug("void: {} {} of {}/{}", kind, attempt, subject, index);
+        LOG.debug("entry not applied: {}, attempt={}, task={}/{}", kind, attempt, subject, index);
       }
     }
   }
 
-  // ---- records ----
-
   /**
-   * Takes a whole copy, whose parts were read at different revisions, none before {@code rev}. The
-   * logs were read first: what a page said that is gone by then is in the chunks and shelves. What
-   * is newer than {@code rev} in the logs comes again, in its order, as changes.
+   * Loads a full copy whose records were read at different revisions, none before {@code rev}. The
+   * logs were read first: the content of a page deleted since is in the chunks and archive buckets.
+   * Log entries newer than {@code rev} are delivered again as changes, in their order.
    */
   @Override
   public void load(List<StateServiceClient.Change> records, long rev) {
-    record Of(String page, LogPage.Run run) {}
-    List<Of> runs = new ArrayList<>();
+    record PageRun(String page, LogPage.Run run) {}
+    List<PageRun> runs = new ArrayList<>();
     for (StateServiceClient.Change change : records) {
       if (!LogPage.isPage(change.key()) && !Job.isChunkKey(change.key())) {
         apply(change, true);
@@ -628,31 +618,31 @@
       } else if (LogPage.isPage(change.key())) {
         LogPage p = updatePage(change);
         if (p != null) {
-          p.runs().forEach(r -> runs.add(new Of(change.key(), r)));
+          p.runs().forEach(r -> runs.add(new PageRun(change.key(), r)));
         }
       }
     }
     runs.sort(Comparator.comparingLong(o -> o.run.rev()));
-    for (Of o : runs) {
+    for (PageRun o : runs) {
       if (o.run.rev() <= rev) {
         applyRun(o.page, o.run);
       }
     }
     jobs.values().forEach(Job::completeGang);
-    // Named by what a log still says of tasks that are over; itself it was forgotten long ago.
+    // Log entries of ended tasks still name machines that were themselves forgotten long ago.
     machines.values().removeIf(m -> m.info() == null && m.slots().isEmpty() && m.report() == null);
     advanceTo(rev);
     updateBlockedReason();
   }
 
-  /** Something to apply at a revision; of one revision in this order. */
+  /** An action to apply at a revision; actions of one revision run in ascending order. */
   private record Step(long rev, int order, String key, Runnable action) {
     static final int RUN = 0;
     static final int STORED = 1;
     static final int RECORD = 2;
   }
 
-  /** Takes changes in the order of their revisions, whatever the order in which they come. */
+  /** Applies changes in the order of their revisions, whatever the order of arrival. */
   @Override
   public void apply(List<StateServiceClient.Change> changes, long rev) {
     List<Step> steps = new ArrayList<>();
@@ -661,8 +651,7 @@
       if (LogPage.isPage(change.key())) {
         LogPage page = updatePage(change);
         for (LogPage.Run r : page == null ? List.<LogPage.Run>of() : page.runs()) {
-          // A page that changed twice comes twice, and each time whole; and a large transaction
-          // writes several pages under one revision.
+          // A page changed twice arrives twice in full; one transaction may write several pages.
           if (r.rev() > appliedRev && seen.add(r.rev() + change.key())) {
             steps.add(new Step(r.rev(), Step.RUN, change.key(), () -> applyRun(change.key(), r)));
           }
@@ -672,11 +661,11 @@
       steps.add(new Step(change.stamp(), Step.RECORD, change.key(), () -> apply(change, false)));
       long holds = archivedUpTo(change);
       if (holds > appliedRev) {
-        // Newer than what we have: what it replaces may have gone from the pages we see.
+        // Newer than the tables: the log entries it replaces may already be deleted from the pages.
         steps.add(new Step(holds, Step.STORED, change.key(), () -> apply(change, true)));
       }
     }
-    // The pages of one transaction in their order: what is placed may follow on an exit.
+    // Pages of one transaction apply in key order: a placement may depend on an earlier exit.
     steps.sort(
         Comparator.comparingLong(Step::rev).thenComparingInt(Step::order).thenComparing(Step::key));
     steps.forEach(s -> s.action.run());
@@ -684,7 +673,7 @@
     updateBlockedReason();
   }
 
-  /** Up to which revision a chunk or a shelf holds what the logs say; 0 for other records. */
+  /** Revision up to which a chunk or archive bucket holds the logs' content; else 0. */
   private static long archivedUpTo(StateServiceClient.Change change) {
     boolean stored = Job.isChunkKey(change.key()) || change.key().startsWith("w/h/");
     try {
@@ -696,7 +685,7 @@
     }
   }
 
-  /** Notes a page as it is now; null when it is gone or can't be read. */
+  /** Stores the current state of a page; returns null if it is deleted or cannot be read. */
   private LogPage updatePage(StateServiceClient.Change change) {
     String node = LogPage.node(change.key());
     try {
@@ -728,19 +717,19 @@
       applyRecord(change, whole);
       unreadable.remove(change.key());
     } catch (BadMessage | RuntimeException e) {
-      // A record we cannot read is left alone: acting on half of it would be worse.
+      // An unreadable record is not applied: acting on half of it would be worse.
       noteUnreadable(change.key(), e);
       needsReload |= Job.isChunkKey(change.key()) || change.key().startsWith("w/h/");
     }
   }
 
-  /** The newest form that this build reads of what a key holds. */
+  /** The newest encoding version of a key's record that this build reads. */
   public static int newestReadableEncoding(String key) {
     boolean numbered = key.equals(View.KEY) || key.startsWith("w/p/") || LogPage.isPage(key);
     return Job.isChunkKey(key) ? Encoding.DENSE : numbered ? Encoding.NUMBERED : Encoding.FIRST;
   }
 
-  /** A job is over: what is left of it is to be deleted in time. */
+  /** Releases an ended job and queues its remaining chunk and overflow records for deletion. */
   private void discard(Job job) {
     if (job == null) {
       return;
@@ -757,8 +746,8 @@
     dependencies.jobRemoved(job);
   }
 
-  /** Gives a job the names that its own record has no room for, once all are there. */
-  private boolean gatherAwaitedNames(Job job) {
+  /** Sets a job's awaited names that did not fit its own record, once all overflow is loaded. */
+  private boolean gatherNames(Job job) {
     AwaitsOverflow overflow = job.overflow();
     List<String> names = new ArrayList<>();
     for (int k = 0; overflow != null && k < overflow.records(); k++) {
@@ -822,10 +811,10 @@
             job = new Job(name, usage, changedJobs::add);
             job.applyRecord(document, change.stamp());
             jobs.put(name, job);
-            if (foretold.containsKey(name)) {
+            if (announcedWithdrawals.containsKey(name)) {
               job.announceWithdrawal();
             }
-            gatherAwaitedNames(job);
+            gatherNames(job);
             dependencies.jobAdded(job);
           } else {
             boolean wasWithdrawn = job.withdrawnByUser();
@@ -844,10 +833,7 @@
         }
         awaitedNames.put(key, AwaitsOverflow.parseNames(document));
         Job job = jobs.get(AwaitsOverflow.jobOfKey(key));
-        if (job != null
-            && job.overflow() != null
-            && job.awaits().isEmpty()
-            && gatherAwaitedNames(job)) {
+        if (job != null && job.overflow() != null && job.awaits().isEmpty() && gatherNames(job)) {
           dependencies.jobAdded(job);
         }
       }
@@ -888,8 +874,8 @@
   }
 
   /**
-   * A member that can't be read is none, and holds up every rise of the level; it is tied to a
-   * lease, so it is no reason for the others to stop.
+   * Applies a member record. A malformed one counts as no member and blocks every level upgrade; it
+   * is tied to a lease, so it does not stop the other nodes from deciding.
    */
   private void applyMember(String name, Object value, long stamp) {
     members.remove(name);
@@ -911,11 +897,11 @@
         memberZones.put(name, zone);
       }
     } catch (BadMessage e) {
-      LOG.error("{} is not taken for a member: {}", name, e.getMessage());
+      LOG.error("member record ignored: node={}, cause={}", name, e.getMessage());
     }
   }
 
-  /** All whose record is there, with the levels that they speak, readable members or not. */
+  /** Supported levels by node, for every member record that exists, readable or not. */
   public Map<String, LevelRange> memberLevels() {
     return memberLevels;
   }
