--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -17,56 +17,56 @@
 import wickdrift.transport.Timers;
 
 /**
- * The state service's client. All our keys share one prefix, so that one watch shows every change
- * in order and its revision says how new the tables are.
+ * Client of the state service. All keys of the cluster share one prefix, so that a single watch
+ * delivers every change in order, and the watch's revision tells how current the tables are.
  */
 public final class StateServiceClient {
   private static final Logger LOG = LoggerFactory.getLogger(StateServiceClient.class);
 
-  /** Where all our keys live. */
+  /** Prefix of all keys of the cluster. */
   public static final String PREFIX = "w/";
 
   private static final long CALL_TIMEOUT_MS = 1500;
 
-  /** After that a transaction counts as unanswered: one that is sent again can't do harm. */
+  /** After this time a transaction counts as unanswered. Sending it again is harmless. */
   private static final long COMMIT_TIMEOUT_MS = 700;
 
-  /** The answer of a transaction that shows in the tables comes within this time, or is lost. */
+  /** A commit answer not received this long after its changes reached the tables counts as lost. */
   private static final long COMMIT_ANSWER_GRACE_MS = 100;
 
   private static final long WATCH_HOLD_MS = 10_000;
   private static final int RECORDS_PER_PAGE = 400;
 
-  /** Of the writes that the state service takes a second. */
+  /** Fraction of the state service's write rate that all nodes together use. */
   private static final double USED_WRITE_FRACTION = 0.95;
 
   private static final long RATE_WINDOW_MS = 500;
 
-  /** A submission that found no write left comes again within this time. */
+  /** A submission refused for lack of write budget is retried within this time. */
   private static final long USER_RETRY_WINDOW_MS = 250;
 
-  /** Of our writes, what submissions may take: hundreds at once are not to stop all placements. */
+  /** Fraction of the writes open to users, so that submission bursts do not stop placements. */
   private static final double USER_WRITE_FRACTION = 0.75;
 
-  /** Left for authority and users. */
+  /** Writes that work leaves in the shared budget for authority and user transactions. */
   private static final double RESERVED_WRITES = 3;
 
-  /** Of what is kept for work, the leader's part: gangs and what is spread over zones are its. */
+  /** Leader's fraction of the work budget: it places gangs and jobs spread over zones. */
   private static final double LEADER_WORK_FRACTION = 0.7;
 
   /**
-   * So many writes a node may save up for its work even where its share of a second is less: the
-   * end of a job takes so many, and must come to be written however many controllers there are.
+   * Writes that a node may accumulate for work even if its share per second is lower. The end of a
+   * job takes this many and must remain writable however many controllers there are.
    */
   private static final double MIN_WORK_BURST = 4;
 
-  /** Loading until a whole copy is there and has been caught up; then following. */
+  /** LOADING until a full copy is loaded and caught up; FOLLOWING while the watch runs. */
   public enum Phase {
     LOADING,
     FOLLOWING
   }
 
-  /** What became of a transaction. UNKNOWN: it may have been applied, or may yet be. */
+  /** Outcome of a transaction. UNKNOWN: it may have been applied, or may still be. */
   public enum Outcome {
     OK,
     CONDITION_FAILED,
@@ -75,19 +75,21 @@
   }
 
   /**
-   * @param rev for OK and FAILED the store's revision then; for a settled UNKNOWN, one that holds
-   *     what settled it
-   * @param settled of UNKNOWN: a key that it depends on has changed, so that it was carried out by
-   *     {@code rev} or never will be
+   * Result of a commit.
+   *
+   * @param rev for OK and CONDITION_FAILED the store's revision at the answer; for a settled
+   *     UNKNOWN, a revision that holds the change that settled it
+   * @param settled for UNKNOWN: a key that the transaction depends on has changed, so that it was
+   *     either applied by {@code rev} or never will be
    */
   public record CommitResult(
       Outcome outcome, long rev, Set<String> failedKeys, boolean leaseNotFound, boolean settled) {
-    private CommitResult(Outcome outcome, long rev, Set<String> failed, boolean noLease) {
-      this(outcome, rev, failed, noLease, false);
+    private CommitResult(Outcome outcome, long rev, Set<String> failedKeys, boolean leaseNotFound) {
+      this(outcome, rev, failedKeys, leaseNotFound, false);
     }
   }
 
-  /** A transaction that is out: who waits for its outcome is told once. */
+  /** A transaction without an answer yet; its callback is invoked exactly once. */
   private final class InFlightTransaction {
     private final Transaction transaction;
     private final Consumer<CommitResult> callback;
@@ -110,15 +112,15 @@
     }
 
     /**
-     * A key that it depends on has changed. By itself most likely: the answer is given a moment,
-     * then it counts as lost.
+     * Handles a change of a key that the transaction depends on. Most likely the transaction itself
+     * made it, so the answer gets a grace period, after which it counts as lost.
      */
     void onKeyChanged(Change change) {
       long expected = transaction.conditions().get(change.key());
       if (change.stamp() <= expected) {
         return;
       }
-      // One that must not be there may vanish again; a stamp never comes back.
+      // A key required to be absent may be deleted again; a required stamp never returns.
       settled |= expected > 0;
       if (!changeSeen) {
         changeSeen = true;
@@ -129,29 +131,30 @@
     }
   }
 
-  /** One key's state: value null when it is gone, else as it is stored, in whatever form. */
+  /** State of one key: its value as stored, in any encoding, or null once it is deleted. */
   public record Change(String key, Object value, long stamp) {}
 
-  /** Takes the changes in order. */
+  /** Receives the changes in order. */
   public interface ChangeListener {
+    /** Discards the whole state before a load. */
     void reset();
 
-    /** A whole copy, its parts read at revisions from {@code rev} on. */
+    /** Loads a full copy, whose records were read at revisions from {@code rev} on. */
     void load(List<Change> records, long rev);
 
-    /** Changes after the last, up to {@code rev}. */
+    /** Applies the changes since the previous ones, up to {@code rev}. */
     void apply(List<Change> changes, long rev);
 
-    /** Called after a run of changes that belong together. */
+    /** Called after a batch of changes was applied. */
     void changesApplied();
 
-    /** Whether it has missed something that only a whole copy brings back. */
+    /** Whether the listener skipped data that only a full load restores. */
     boolean needsReload();
   }
 
   /**
-   * The prefixes loaded at the start, the logs first (see Tables.load); finished jobs are read one
-   * by one when asked for.
+   * Prefixes loaded at the start, the logs first (see {@link Tables#load}). The job history is not
+   * loaded; its records are read one by one on request.
    */
   private static final List<String> LOADED_PREFIXES =
       List.of("w/l/", "w/h/", "w/a/", "w/j/", "w/m/", "w/p/", "w/t/", "w/c/", "w/x", "w/v");
@@ -170,9 +173,9 @@
   private double requestReserve;
   private int memberCount;
   private boolean dividedNextLimits;
-  private boolean leading;
+  private boolean leader;
   private double fairWriteRate;
-  private double fairUserWrites;
+  private double fairUserWriteRate;
   private long lastUserRefusalMs = Long.MIN_VALUE / 2;
   private long refusedByBudget;
   private long refusedByStore;
@@ -192,7 +195,7 @@
 
   private boolean syncing;
 
-  /** Counts the loads: the answer to a watch from before the last one is of no use. */
+  /** Number of loads so far; the answer to a watch sent before the latest load is ignored. */
   private int loadCount;
 
   private long lastSyncMs;
@@ -200,26 +203,26 @@
   private List<BarrierWaiter> barrierWaiters = new ArrayList<>();
   private final List<RevWaiter> revWaiters = new ArrayList<>();
 
-  /** Transactions that are out, by the keys that they depend on; of several the last. */
+  /** Transactions in flight by the keys they depend on; of several, the latest. */
   private final Map<String, InFlightTransaction> inFlightByKey = new HashMap<>();
 
   private record BarrierWaiter(Consumer<Boolean> done, long deadlineMs) {}
 
   private record RevWaiter(long rev, Runnable done) {}
 
-  /** A client that loads nothing until it is started. */
+  /** Creates a client; it loads nothing until {@link #start}. */
   public StateServiceClient(
       Timers timers,
       Caller caller,
       String address,
       StateServiceLimits limits,
       int nodes,
-      ChangeListener applier,
+      ChangeListener listener,
       MalformedMessages malformed) {
     this.timers = timers;
     this.caller = caller;
     this.address = address;
-    this.listener = applier;
+    this.listener = listener;
     this.malformed = malformed;
     long now = timers.nowMs();
     this.limits = limits;
@@ -236,42 +239,42 @@
   }
 
   /**
-   * So many members share the limits. Requests leave room for one that joins. What users may take
-   * of the writes is divided evenly, for they come to all alike; of what is kept for work the
-   * leader has more, since more of the placements are its: with an even share, each controller more
-   * would have the leader place less.
+   * Divides the limits among the members. The request rate leaves room for one joining member. The
+   * user writes are divided evenly, since users reach all members alike. The leader gets more of
+   * the work writes, since it makes more of the placements: with an even division, every additional
+   * controller would lower the leader's placement rate.
    */
-  public final void divideLimits(int members, boolean leads) {
+  public final void divideLimits(int members, boolean isLeader) {
     if (members == memberCount
-        && leads == leading
+        && isLeader == leader
         && limits.nextLimitsInEffect() == dividedNextLimits) {
       return;
     }
     memberCount = members;
     dividedNextLimits = limits.nextLimitsInEffect();
-    leading = leads;
+    leader = isLeader;
     double requestRate = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
     requests.setRate(requestRate);
     requestReserve = requestRate * 0.25;
     syncIntervalMs = Math.max(5, (long) (1000 / (requestRate * 0.45)));
-    int memberCountOrOne = Math.max(1, members);
+    int divisor = Math.max(1, members);
     double writeRate = limits.maxWritesPerSecond() * USED_WRITE_FRACTION;
     double workRate = writeRate * (1 - USER_WRITE_FRACTION);
-    fairUserWrites = writeRate * USER_WRITE_FRACTION / memberCountOrOne;
+    fairUserWriteRate = writeRate * USER_WRITE_FRACTION / divisor;
     fairWriteRate =
-        fairUserWrites
-            + (memberCountOrOne == 1
+        fairUserWriteRate
+            + (divisor == 1
                 ? workRate
-                : leads
+                : isLeader
                     ? workRate * LEADER_WORK_FRACTION
-                    : workRate * (1 - LEADER_WORK_FRACTION) / (memberCountOrOne - 1));
+                    : workRate * (1 - LEADER_WORK_FRACTION) / (divisor - 1));
     setOtherMembersWriteRate((writeRate - fairWriteRate) / 2, fairWriteRate);
   }
 
   /**
-   * What the other members are taken to write a second. What they leave is ours, up to {@code
-   * most}, but only an even share is saved up: were all to begin at once, the sum would still keep
-   * to the limit.
+   * Sets the assumed write rate of the other members. This node may use the remainder, up to {@code
+   * max}, but accumulates only its fair share, so that the sum stays within the limit even if all
+   * members start writing at once.
    */
   public void setOtherMembersWriteRate(double perSecond, double max) {
     double ownRate =
@@ -279,28 +282,28 @@
             max,
             Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED_WRITE_FRACTION - perSecond));
     writes.setRate(ownRate, fairWriteRate);
-    double users = fairUserWrites / fairWriteRate;
-    userWrites.setRate(ownRate * users, fairUserWrites);
-    double work = ownRate * (1 - users);
-    workWrites.setRate(work, Math.max(work, MIN_WORK_BURST));
+    double userFraction = fairUserWriteRate / fairWriteRate;
+    userWrites.setRate(ownRate * userFraction, fairUserWriteRate);
+    double workRate = ownRate * (1 - userFraction);
+    workWrites.setRate(workRate, Math.max(workRate, MIN_WORK_BURST));
   }
 
-  /** This node's share of the writes that the state service takes, were all to write. */
+  /** This node's share of the state service's write rate while all members write. */
   public double fairWriteRate() {
     return fairWriteRate;
   }
 
-  /** Of this node's changes a second, what users may take at least. */
+  /** Changes per second of this node that users may make at least. */
   public double guaranteedUserWriteRate() {
-    return fairUserWrites;
+    return fairUserWriteRate;
   }
 
-  /** What another member may write at least, the leader apart. */
+  /** Write rate per member if divided evenly; the minimum for any member but the leader. */
   public double evenWriteRate() {
     return limits.maxWritesPerSecond() * USED_WRITE_FRACTION / Math.max(1, memberCount);
   }
 
-  /** How many changes a transaction of our work may have now, {@code most} at most. */
+  /** Number of changes that a WORK transaction may have now, at most {@code max}. */
   public int affordableChanges(int max) {
     long now = timers.nowMs();
     int n = max;
@@ -311,12 +314,12 @@
   }
 
   /**
-   * From what all may use, if enough stays there and no submission waits for it, or from what is
-   * kept for work.
+   * Whether a WORK transaction may make {@code n} changes now: from the shared budget, if the
+   * reserve stays there and no submission waits for it, or from the budget kept for work.
    */
   private boolean canAffordWork(int n, long now) {
-    boolean usersWait = now - lastUserRefusalMs < USER_RETRY_WINDOW_MS;
-    return !usersWait && writes.canAcquire(n, RESERVED_WRITES, now)
+    boolean userIsWaiting = now - lastUserRefusalMs < USER_RETRY_WINDOW_MS;
+    return !userIsWaiting && writes.canAcquire(n, RESERVED_WRITES, now)
         || workWrites.canAcquire(n, 0, now);
   }
 
@@ -329,32 +332,32 @@
     return true;
   }
 
-  /** Transactions of our work that our own budget refused. */
+  /** Number of WORK transactions refused by this node's own write budget. */
   public long refusedByBudget() {
     return refusedByBudget;
   }
 
-  /** Transactions that the state service refused: over its limits, or away. */
+  /** Number of transactions refused by the state service: over its limits, or unavailable. */
   public long refusedByStore() {
     return refusedByStore;
   }
 
-  /** Transactions that were larger than may be, found here or by the state service. */
+  /** Number of transactions over a size limit, detected here or by the state service. */
   public long tooLargeCount() {
     return tooLargeCount;
   }
 
-  /** What the state service takes. */
+  /** The limits of the state service. */
   public StateServiceLimits limits() {
     return limits;
   }
 
-  /** Transactions whose conditions did not hold. */
+  /** Number of transactions whose conditions did not hold. */
   public long failedByCondition() {
     return failedByCondition;
   }
 
-  /** How many writes a second we have sent lately. */
+  /** Writes per second that this node sent recently. */
   public double recentWriteRate() {
     advanceWindow();
     return Math.max(windowWrites, lastWindowWrites) * 1000.0 / RATE_WINDOW_MS;
@@ -369,30 +372,34 @@
     }
   }
 
+  /** Whether the tables are being loaded or follow the watch. */
   public Phase phase() {
     return phase;
   }
 
+  /** The revision that the tables have reached. */
   public long rev() {
     return rev;
   }
 
-  /** True unless the last calls say that the state service does not serve us. */
+  /** True unless the latest calls show that the state service does not serve this node. */
   public boolean reachable() {
     return lastCallOk;
   }
 
+  /** Time of the last successful call. */
   public long lastOkMs() {
     return lastOkMs;
   }
 
-  /** How much of the write budget is left, from 0 to 1: little calls for fewer, fuller writes. */
+  /** Remaining write budget, 0 to 1; if it is low, fewer and larger transactions are better. */
   public double writeBudgetFraction() {
     return writes.fillRatio(timers.nowMs());
   }
 
   // ---- loading and following ----
 
+  /** Loads a full copy, then follows the changes. */
   public void start() {
     loadCount++;
     load(0, null, new ArrayList<>(), Long.MAX_VALUE);
@@ -423,13 +430,13 @@
           }
           try {
             Document document = Document.parse(answer.body());
-            long r = Math.min(minRev, document.count("ledgerRev"));
-            ListResult l = parseListing(document);
-            records.addAll(l.entries);
-            if (l.truncated && !l.entries.isEmpty()) {
-              load(prefix, records.get(records.size() - 1).key(), records, r);
+            long oldestRev = Math.min(minRev, document.count("ledgerRev"));
+            ListResult page = parseListing(document);
+            records.addAll(page.entries);
+            if (page.truncated && !page.entries.isEmpty()) {
+              load(prefix, records.get(records.size() - 1).key(), records, oldestRev);
             } else {
-              load(prefix + 1, null, records, r);
+              load(prefix + 1, null, records, oldestRev);
             }
           } catch (BadMessage e) {
             noteMalformed("list", e);
@@ -438,7 +445,7 @@
         });
   }
 
-  /** The first catching up makes the copy whole: pages were read at different revisions. */
+  /** Makes the copy consistent after a load, whose pages were read at different revisions. */
   private void catchUp() {
     call(
         "GET",
@@ -452,7 +459,7 @@
             timers.after(backoffMs(), this::catchUp);
           } else {
             phase = Phase.FOLLOWING;
-            LOG.info("tables loaded at revision {}", rev);
+            LOG.info("tables loaded: revision={}", rev);
             listener.changesApplied();
             follow();
           }
@@ -476,7 +483,7 @@
           } else if (answer.status() != 200) {
             timers.after(backoffMs(), () -> followUnlessReloaded(loadCountBefore));
           } else if (applyAnswer(answer.body())) {
-            // A short pause lets changes gather: a watch per change would eat the request limit.
+            // A short delay batches changes: one watch per change would use up the request limit.
             timers.after(syncIntervalMs, () -> followUnlessReloaded(loadCountBefore));
           } else {
             timers.after(backoffMs(), () -> followUnlessReloaded(loadCountBefore));
@@ -524,7 +531,7 @@
         listener.changesApplied();
       }
       if (listener.needsReload()) {
-        LOG.warn("what could not be read is gone: all is loaded anew");
+        LOG.warn("unreadable records are gone, reloading all tables");
         phase = Phase.LOADING;
         loadCount++;
         timers.after(1, this::start);
@@ -544,7 +551,7 @@
 
   // ---- reading ----
 
-  /** Calls back once the tables hold everything that was durable when this was called. */
+  /** Calls back with true once the tables hold all that was durable at the call, else false. */
   public void barrier(long waitMs, Consumer<Boolean> done) {
     long deadline = timers.nowMs() + waitMs;
     barrierWaiters.add(new BarrierWaiter(done, deadline));
@@ -552,13 +559,15 @@
     scheduleSync();
   }
 
-  /** Runs once the tables have reached a revision, which a commit of ours returned. */
-  public void runAtRevision(long wanted, Runnable done) {
-    if (rev >= wanted && phase == Phase.FOLLOWING) {
+  /**
+   * Runs a callback once the tables have reached a revision that a commit of this node returned.
+   */
+  public void runAtRevision(long wantedRev, Runnable done) {
+    if (rev >= wantedRev && phase == Phase.FOLLOWING) {
       done.run();
       return;
     }
-    revWaiters.add(new RevWaiter(wanted, done));
+    revWaiters.add(new RevWaiter(wantedRev, done));
     scheduleSync();
   }
 
@@ -634,15 +643,15 @@
     }
   }
 
-  /** Ends a lease of ours at once, and what is tied to it. */
+  /** Ends a lease of this node at once and deletes the keys tied to it. */
   public void revokeLease(long leaseId, Runnable done) {
     call("DELETE", "/grants/" + leaseId, null, CALL_TIMEOUT_MS, answer -> done.run());
   }
 
-  /** Reads one key: an empty value with {@code ok} means it is not there. */
+  /** Result of reading one key: a null value with {@code ok} means that the key does not exist. */
   public record ReadResult(boolean ok, Document value, long stamp) {}
 
-  /** Reads one key as it is in the state service now. */
+  /** Reads the current value of one key from the state service. */
   public void read(String key, Consumer<ReadResult> done) {
     call(
         "GET",
@@ -667,13 +676,13 @@
         });
   }
 
-  /** A page of records, by key; null when there was no answer. */
+  /** One page of records, ordered by key. */
   public record ListResult(List<Change> entries, boolean truncated) {}
 
   /**
-   * Reads the records of a prefix whose keys come after another, so many at most.
+   * Reads the records of a prefix whose keys follow {@code after}, at most {@code max}.
    *
-   * @param done gets null when the state service does not answer
+   * @param done receives null when the state service does not answer
    */
   public void list(String prefix, String after, int max, Consumer<ListResult> done) {
     call(
@@ -693,33 +702,33 @@
   }
 
   private static ListResult parseListing(Document document) throws BadMessage {
-    List<Change> got = new ArrayList<>();
+    List<Change> entries = new ArrayList<>();
     for (Document e : document.docs("entries")) {
-      got.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
+      entries.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
     }
-    return new ListResult(got, document.flag("truncated", false));
+    return new ListResult(entries, document.flag("truncated", false));
   }
 
   // ---- writing ----
 
-  /** Whose writes come first. */
+  /** Priority of a transaction when the write budget is short, highest first. */
   public enum WritePriority {
-    /** Views, members, fences: never held back. */
+    /** Views, members and fences; never held back. */
     AUTHORITY,
-    /** Submissions and withdrawals: before our work, but for a part that is kept for that. */
+    /** Submissions and withdrawals; before work, except for the budget kept for work. */
     USER,
-    /** Placements, exits, records, and tidying up. */
+    /** Placements, exits, records, and removal of obsolete records. */
     WORK
   }
 
-  /** Commits, or refuses at once where the budget of writes does not allow it. */
-  public void commit(Transaction transaction, WritePriority rank, Consumer<CommitResult> done) {
+  /** Commits a transaction, or refuses it at once if the write budget does not allow it. */
+  public void commit(Transaction transaction, WritePriority priority, Consumer<CommitResult> done) {
     long now = timers.nowMs();
     int changeCount = transaction.changeCount();
     boolean allowed =
-        switch (rank) {
+        switch (priority) {
           case AUTHORITY -> writes.tryAcquire(changeCount, -1e9, now);
-          // Only one of them may be short: what was taken from the first is not to be lost.
+          // userWrites is checked first, so that no tokens are taken from writes if it is short.
           case USER ->
               userWrites.canAcquire(changeCount, 0, now)
                   && writes.tryAcquire(changeCount, 0, now)
@@ -727,15 +736,15 @@
           case WORK -> takeWorkWrites(changeCount, now);
         };
     if (changeCount > 0 && !allowed) {
-      refusedByBudget += rank == WritePriority.WORK ? 1 : 0;
-      lastUserRefusalMs = rank == WritePriority.USER ? now : lastUserRefusalMs;
+      refusedByBudget += priority == WritePriority.WORK ? 1 : 0;
+      lastUserRefusalMs = priority == WritePriority.USER ? now : lastUserRefusalMs;
       timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
     String oversized = transaction.sizeViolation(limits);
     if (oversized != null) {
-      // Never sent: it would be refused each time. Whoever drafts keeps to the limits; what does
-      // not, by a mistake, is told once and is not to use up the rate.
+      // Not sent, since it would be refused every time and use up the rate. Callers keep to the
+      // limits; a violation is a bug and is logged once.
       noteTooLarge(oversized);
       timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
@@ -751,11 +760,11 @@
         answer -> inFlight.finish(toCommitResult(transaction, answer)));
   }
 
-  /** Counted each time, and told once a cause. */
+  /** Counts an oversized transaction each time, but logs each cause only once. */
   private void noteTooLarge(String cause) {
     tooLargeCount++;
     if (loggedTooLarge.size() < 100 && loggedTooLarge.add(cause)) {
-      LOG.error("larger than the state service takes: {}", cause);
+      LOG.error("transaction exceeds the limits of the state service: {}", cause);
     }
   }
 
@@ -780,14 +789,14 @@
           limits.onRefusedForRate();
           return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
         case 400:
-          String why = String.valueOf(Document.parse(answer.body()).raw("error"));
-          boolean lease = why.contains("lease");
-          if (!lease) {
-            // The next draft is smaller, if the limits have fallen; if not, it is told once.
+          String error = String.valueOf(Document.parse(answer.body()).raw("error"));
+          boolean leaseNotFound = error.contains("lease");
+          if (!leaseNotFound) {
+            // If the next limits are in effect, the next transaction is smaller; else log once.
             limits.onRefusedForSize();
-            noteTooLarge(transaction.largestRecord() + ": " + why);
+            noteTooLarge(transaction.largestRecord() + ": " + error);
           }
-          return new CommitResult(Outcome.REFUSED, 0, Set.of(), lease);
+          return new CommitResult(Outcome.REFUSED, 0, Set.of(), leaseNotFound);
         case 503:
           refusedByStore++;
           return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
@@ -802,7 +811,7 @@
 
   // ---- leases ----
 
-  /** Asks for a lease; {@code done} gets its id, or 0 if there was no answer. */
+  /** Requests a lease; {@code done} receives its id, or 0 if there was no answer. */
   public void grantLease(long lifetimeMs, Consumer<Long> done) {
     call(
         "POST",
@@ -820,7 +829,7 @@
         });
   }
 
-  /** Renews a lease; {@code done} gets the status of the answer. */
+  /** Renews a lease; {@code done} receives the HTTP status of the answer. */
   public void extendLease(long leaseId, Consumer<Integer> done) {
     call(
         "POST",
@@ -834,8 +843,8 @@
 
   private void call(
       String method, String path, byte[] body, long timeoutMs, Consumer<Caller.Answer> done) {
-    boolean vital = path.startsWith("/grants") || path.startsWith("/commit");
-    if (!requests.tryAcquire(1, vital ? -1e9 : requestReserve, timers.nowMs())) {
+    boolean unthrottled = path.startsWith("/grants") || path.startsWith("/commit");
+    if (!requests.tryAcquire(1, unthrottled ? -1e9 : requestReserve, timers.nowMs())) {
       timers.after(20, () -> call(method, path, body, timeoutMs, done));
       return;
     }
