--- a/src/main/java/wickdrift/bookkeeping/LogEntry.java
+++ b/src/main/java/wickdrift/bookkeeping/LogEntry.java
@@ -6,51 +6,57 @@
 import wickdrift.protocol.BadMessage;
 
 /**
- * The entries of a log, as lists: the kind, what it is about, then its numbers. An entry says what
- * happened; whether it still applies is decided alike by every reader, from the state that the
- * entries before it have led to.
+ * Entries of a node's log, encoded as lists: the kind, the subject, then the values. An entry
+ * states an event. Every reader decides in the same way whether it still applies, from the state
+ * that results from the entries before it.
  */
 public final class LogEntry {
-  /** Placed: job, the placer's number, then index, attempt and machine of each task. */
+  /** Tasks placed: job, number of the placing node, then index, attempt and machine per task. */
   static final String PLACED = "p";
 
-  /** Exited: job, then index, attempt and how of each task: {@link #EXIT_LOST} and so on. */
+  /** Attempts ended: job, then index, attempt and exit code per task, see {@link #EXIT_LOST}. */
   static final String EXITED = "x";
 
-  /** To be stopped: job, how, then index and attempt of each task. */
+  /** Attempts to stop: job, ordinal of {@link TaskState.Stop}, then index and attempt per task. */
   static final String STOPPED = "s";
 
-  /** A machine: name, type, zone, kind, phase, since when. */
+  /** State of a machine: name, type, zone, spot flag, phase ordinal, time of the phase. */
   static final String MACHINE = "h";
 
-  /** A machine that is gone is forgotten: name. */
+  /** A machine that no longer exists: name. */
   static final String FORGOTTEN = "f";
 
-  /** How an attempt ended: without its doing, with its work done, or with an error. */
+  /** The attempt was lost through no fault of its own. */
   public static final int EXIT_LOST = 0;
 
+  /** The attempt completed its work. */
   public static final int EXIT_DONE = 1;
+
+  /** The attempt ended with an error. */
   public static final int EXIT_FAILED = 2;
 
   private LogEntry() {}
 
+  /** Starts an entry of placed tasks; the caller appends the values of each task. */
   public static List<Object> placed(String job, int placer) {
     return newEntry(PLACED, job, placer);
   }
 
+  /** Starts an entry of ended attempts; the caller appends the values of each task. */
   public static List<Object> exited(String job) {
     return newEntry(EXITED, job);
   }
 
-  public static List<Object> stopped(String job, TaskState.Stop how) {
-    return newEntry(STOPPED, job, how.ordinal());
+  /** Starts an entry of attempts to stop; the caller appends the values of each task. */
+  public static List<Object> stopped(String job, TaskState.Stop stop) {
+    return newEntry(STOPPED, job, stop.ordinal());
   }
 
   private static List<Object> newEntry(Object... values) {
     return new ArrayList<>(List.of(values));
   }
 
-  /** The log entry of a machine's phase. */
+  /** The entry of a machine's state, or of its removal if {@code info} is null. */
   public static List<Object> machine(String name, Machine.Info info) {
     if (info == null) {
       return newEntry(FORGOTTEN, name);
@@ -70,15 +76,17 @@
   }
 
   /**
-   * @throws BadMessage if no reader of this build knows entries of that kind
+   * Checks the kind of an entry.
+   *
+   * @throws BadMessage if this build does not know entries of that kind
    */
   static void checkKnown(String kind) throws BadMessage {
     if (!Set.of(PLACED, EXITED, STOPPED, MACHINE, FORGOTTEN).contains(kind)) {
-      throw new BadMessage("an entry of the unknown kind " + kind);
+      throw new BadMessage("log entry of unknown kind " + kind);
     }
   }
 
-  /** The job or the machine that it is about. */
+  /** The job id or the machine name. */
   static String subject(List<?> entry) throws BadMessage {
     return text(entry, 1);
   }
@@ -87,37 +95,41 @@
     return kind(entry).equals(MACHINE) || kind(entry).equals(FORGOTTEN);
   }
 
-  /** Where its tasks begin, and how many values each takes. */
+  /** Index of the first task's values. */
   static int firstTaskIndex(List<?> entry) throws BadMessage {
     return kind(entry).equals(EXITED) ? 2 : 3;
   }
 
+  /** Number of values per task. */
   static int valuesPerTask(List<?> entry) throws BadMessage {
     return kind(entry).equals(STOPPED) ? 2 : 3;
   }
 
-  static String text(List<?> entry, int i) throws BadMessage {
-    if (i < entry.size() && entry.get(i) instanceof String s) {
-      return s;
+  static String text(List<?> entry, int index) throws BadMessage {
+    if (index < entry.size() && entry.get(index) instanceof String value) {
+      return value;
     }
-    throw new BadMessage("an entry lacks a text");
+    throw new BadMessage("log entry lacks a string");
   }
 
-  static int number(List<?> entry, int i) throws BadMessage {
-    if (i < entry.size() && entry.get(i) instanceof Long l && l >= 0 && l <= Integer.MAX_VALUE) {
-      return l.intValue();
+  static int number(List<?> entry, int index) throws BadMessage {
+    if (index < entry.size()
+        && entry.get(index) instanceof Long value
+        && value >= 0
+        && value <= Integer.MAX_VALUE) {
+      return value.intValue();
     }
-    throw new BadMessage("an entry lacks a number");
+    throw new BadMessage("log entry lacks a number");
   }
 
   static Machine.Info info(List<?> entry) throws BadMessage {
     if (entry.size() < 7
         || !(entry.get(4) instanceof Boolean spot)
-        || !(entry.get(6) instanceof Long at)
+        || !(entry.get(6) instanceof Long atMs)
         || number(entry, 5) >= Machine.Phase.values().length) {
-      throw new BadMessage("an entry of a machine is incomplete");
+      throw new BadMessage("log entry of a machine is incomplete");
     }
     return new Machine.Info(
-        text(entry, 2), text(entry, 3), spot, Machine.Phase.values()[number(entry, 5)], at);
+        text(entry, 2), text(entry, 3), spot, Machine.Phase.values()[number(entry, 5)], atMs);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/LogPage.java
+++ b/src/main/java/wickdrift/bookkeeping/LogPage.java
@@ -11,16 +11,17 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * A page of a node's log: what its transactions changed about tasks and machines, in one record
- * however many those are. Only the node itself appends to it, by rewriting it on condition of its
- * stamp. Each run of entries carries the revision at which it became durable, so that all readers
- * apply the entries of all logs in one order; the last run's revision is the record's own stamp.
+ * One page of a node's log: the changes of tasks and machines made by its transactions, in a single
+ * record regardless of their number. Only the node itself appends to its pages, by rewriting a page
+ * on condition of its stamp. Each run of entries carries the revision at which it became durable,
+ * so that all readers apply the entries of all logs in the same order. The revision of the last run
+ * is the record's own stamp.
  */
 public final class LogPage {
   private static final String PREFIX = "w/l/";
   private static final String RUNS_FIELD = "g";
 
-  /** Entries that became durable together. */
+  /** Entries that became durable at one revision. */
   public record Run(long rev, List<?> entries) {}
 
   private final String node;
@@ -48,6 +49,7 @@
     this.extra = extra;
   }
 
+  /** The key of a page; its number is padded so that keys sort by number. */
   public static String key(String node, long number) {
     return PREFIX + node + "/" + String.format("%010d", number);
   }
@@ -56,6 +58,7 @@
     return key.startsWith(PREFIX);
   }
 
+  /** The node whose log the page with a key belongs to. */
   public static String node(String key) {
     return key.substring(PREFIX.length(), key.lastIndexOf('/'));
   }
@@ -64,11 +67,11 @@
     try {
       return Long.parseLong(key.substring(key.lastIndexOf('/') + 1));
     } catch (NumberFormatException e) {
-      throw new BadMessage("a page's key has no number");
+      throw new BadMessage("log page key does not end with a number");
     }
   }
 
-  /** Reads a stored page, in whatever form. */
+  /** Reads a stored page, in any encoding version that this build reads. */
   public static LogPage parse(String key, Object value, long stamp) throws BadMessage {
     Document document = Encoding.decode(value, Encoding.NUMBERED);
     List<Run> runs = new ArrayList<>();
@@ -77,7 +80,7 @@
           || l.size() != 2
           || !(l.get(0) instanceof Long rev)
           || !(l.get(1) instanceof List<?> entries)) {
-        throw new BadMessage("a page holds something that is not a run");
+        throw new BadMessage("log page holds an element that is not a run");
       }
       runs.add(new Run(rev == 0 ? stamp : rev, entries));
     }
@@ -107,21 +110,24 @@
     return encoding;
   }
 
-  /** Its size as the state service counts it. */
+  /** Size of the stored value as the state service counts it. */
   public int bytes() {
     return bytes;
   }
 
   /**
-   * The value of a page that holds one new run after those of {@code old}, less what is dead.
+   * The value to store for a page: the runs of {@code previous} without obsolete entries, then a
+   * new run.
    *
-   * @param entries of the new run; none if the page is only brought to another form
+   * @param previous the page as stored, or null for a new one
+   * @param entries entries of the new run; empty if only the encoding version changes
+   * @param obsolete whether the entry of a run at a revision can be dropped
    */
   public static Object encode(
-      LogPage old, int encoding, List<Object> entries, BiPredicate<Long, List<?>> obsolete) {
+      LogPage previous, int encoding, List<Object> entries, BiPredicate<Long, List<?>> obsolete) {
     List<Object> runs = new ArrayList<>();
-    if (old != null) {
-      for (Run r : old.runs) {
+    if (previous != null) {
+      for (Run r : previous.runs) {
         List<Object> kept = new ArrayList<>();
         for (Object e : r.entries) {
           if (!obsolete.test(r.rev, (List<?>) e)) {
@@ -136,7 +142,7 @@
     if (!entries.isEmpty()) {
       runs.add(List.of(0L, entries));
     }
-    Map<String, Object> record = new LinkedHashMap<>(old == null ? Map.of() : old.extra);
+    Map<String, Object> record = new LinkedHashMap<>(previous == null ? Map.of() : previous.extra);
     record.put(RUNS_FIELD, runs);
     return Encoding.wrap(encoding, record);
   }
--- a/src/main/java/wickdrift/bookkeeping/StateServiceLimits.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceLimits.java
@@ -5,30 +5,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the state service takes: now, and from some moment on that nobody is told of. From the level
- * of {@link wickdrift.bookkeeping.level.Gate#LIMITS} on whatever is written keeps to the smaller
- * sizes of both, for a value that is too large is found out by a refusal only, and what is stored
- * by then may have to be rewritten after the fall. The larger rate is used until the state service
- * refuses for it: what is given up before the fall would be given up for nothing, and a refusal
- * costs one try.
+ * Limits of the state service: the current ones, and the next ones, which take effect at a time
+ * that is not announced. From the level of {@link wickdrift.bookkeeping.level.Gate#LIMITS} on, all
+ * writes keep to the smaller size limits, because an oversized value is detected only by a refusal,
+ * and records stored before the change may have to be rewritten after it. The larger rate is used
+ * until the state service refuses it: reducing the rate earlier gains nothing, and a refusal costs
+ * only one attempt.
  */
 public final class StateServiceLimits {
   private static final Logger LOG = LoggerFactory.getLogger(StateServiceLimits.class);
   private static final double BYTES_PER_KB = 1024;
 
-  /** Of a value, the part that is used: sizes are counted as JSON, which others may write wider. */
+  /** Margin: value sizes are counted as JSON, and other JSON encoders may produce longer text. */
   private static final double USED_VALUE_FRACTION = 0.9;
 
-  /** The protocol allows so many conditions for each change. */
+  /** The protocol allows this many conditions per change of a transaction. */
   private static final int CONDITIONS_PER_CHANGE = 4;
 
   /**
-   * Source: {@code cluster.state} of the settings.
+   * A set of limits, from {@code cluster.state} of the settings.
    *
-   * @param rps requests a second
-   * @param writeRps changes a second
-   * @param valueKb KiB a value may have
-   * @param txnOps changes a transaction may have
+   * @param rps maximum requests per second
+   * @param writeRps maximum changes per second
+   * @param valueKb maximum size of a value in KiB
+   * @param txnOps maximum changes per transaction
    */
   public record Bounds(double rps, double writeRps, double valueKb, int txnOps) {}
 
@@ -38,8 +38,11 @@
   private boolean nextLimitsInEffect;
 
   /**
-   * @param next null if the limits stay as they are
-   * @param smallerSizesRequired whether the level in force asks for the smaller sizes
+   * Creates the limits.
+   *
+   * @param current limits in effect at the start
+   * @param next limits that take effect later, or null if the current ones remain
+   * @param smallerSizesRequired whether the level in force requires the smaller size limits
    */
   public StateServiceLimits(Bounds current, Bounds next, BooleanSupplier smallerSizesRequired) {
     this.current = current;
@@ -47,26 +50,26 @@
     this.smallerSizesRequired = smallerSizesRequired;
   }
 
-  /** The state service has refused a value or a transaction for its size. */
+  /** Called when the state service refused a value or a transaction for its size. */
   void onRefusedForSize() {
-    switchToNext("it refuses a size");
+    switchToNext("size refused");
   }
 
-  /** It has refused changes for their rate: below the level, that may be the rate of today. */
+  /** Called on a rate refusal. Below the level of the gate, the current rate may have caused it. */
   void onRefusedForRate() {
     if (smallerSizesRequired.getAsBoolean()) {
-      switchToNext("it refuses a rate");
+      switchToNext("rate refused");
     }
   }
 
   private void switchToNext(String reason) {
     if (!nextLimitsInEffect && !next.equals(current)) {
       nextLimitsInEffect = true;
-      LOG.warn("the state service's limits have fallen to {}: {}", next, reason);
+      LOG.warn("state service limits reduced: limits={}, cause={}", next, reason);
     }
   }
 
-  /** Whether the next limits are known to be in force. */
+  /** Whether the next limits are known to be in effect. */
   public boolean nextLimitsInEffect() {
     return nextLimitsInEffect;
   }
@@ -75,34 +78,34 @@
     return nextLimitsInEffect || smallerSizesRequired.getAsBoolean();
   }
 
-  /** Changes that a transaction may have. */
+  /** Maximum number of changes per transaction. */
   public int maxTransactionChanges() {
     return useSmallerSizes() ? Math.min(current.txnOps, next.txnOps) : current.txnOps;
   }
 
-  /** Conditions that a transaction may have. */
+  /** Maximum number of conditions per transaction. */
   public int maxTransactionConditions() {
     return CONDITIONS_PER_CHANGE * maxTransactionChanges();
   }
 
-  /** Bytes that a value may have, counted as JSON. */
+  /** Maximum size of a value in bytes, counted as JSON. */
   public int maxValueBytes() {
     return (int)
         ((useSmallerSizes() ? Math.min(current.valueKb, next.valueKb) : current.valueKb)
             * BYTES_PER_KB);
   }
 
-  /** Bytes that are used of a value that could be larger: a part is left for a margin. */
+  /** Size in bytes up to which values are filled; it leaves a margin below the maximum. */
   public int targetValueBytes() {
     return (int) (maxValueBytes() * USED_VALUE_FRACTION);
   }
 
-  /** Changes a second. */
+  /** Maximum number of changes per second. */
   public double maxWritesPerSecond() {
     return nextLimitsInEffect ? Math.min(current.writeRps, next.writeRps) : current.writeRps;
   }
 
-  /** Requests a second. */
+  /** Maximum number of requests per second. */
   public double maxRequestsPerSecond() {
     return nextLimitsInEffect ? Math.min(current.rps, next.rps) : current.rps;
   }
--- a/src/main/java/wickdrift/bookkeeping/Transaction.java
+++ b/src/main/java/wickdrift/bookkeeping/Transaction.java
@@ -6,25 +6,28 @@
 import java.util.Map;
 import wickdrift.protocol.MessageCodec;
 
-/** A transaction being put together: conditions on stamps, then writes and deletions. */
+/**
+ * A transaction under construction: conditions on stamps, and the writes and deletions to apply.
+ */
 public final class Transaction {
   private final Map<String, Long> conditionStamps = new LinkedHashMap<>();
   private final Map<String, Map<String, Object>> changes = new LinkedHashMap<>();
 
-  /** Adds a condition: the key has this stamp; 0: it does not exist. */
+  /** Adds a condition: the key must have this stamp, or must not exist if it is 0. */
   public Transaction requireStamp(String key, long stamp) {
     Long old = conditionStamps.put(key, stamp);
     if (old != null && old != stamp) {
-      throw new IllegalStateException("two stamps wanted of " + key);
+      throw new IllegalStateException("conflicting stamp conditions for key " + key);
     }
     return this;
   }
 
+  /** Adds a write of a key that is not tied to a lease. */
   public Transaction write(String key, Object value) {
     return write(key, value, 0);
   }
 
-  /** Adds a write, tied to a lease unless that is 0. */
+  /** Adds a write, tied to a lease unless {@code leaseId} is 0. */
   public Transaction write(String key, Object value, long leaseId) {
     Map<String, Object> change = new LinkedHashMap<>();
     change.put("write", key);
@@ -36,6 +39,7 @@
     return this;
   }
 
+  /** Adds a deletion of a key. */
   public Transaction delete(String key) {
     Map<String, Object> change = new LinkedHashMap<>();
     change.put("delete", key);
@@ -43,61 +47,66 @@
     return this;
   }
 
-  /** Takes back whatever was said of a key. */
+  /** Removes the condition and the change of a key. */
   public void remove(String key) {
     conditionStamps.remove(key);
     changes.remove(key);
   }
 
+  /** Number of writes and deletions. */
   public int changeCount() {
     return changes.size();
   }
 
+  /** Whether the transaction writes or deletes a key. */
   public boolean changesKey(String key) {
     return changes.containsKey(key);
   }
 
+  /** Required stamps by key; 0 for a key that must not exist. */
   public Map<String, Long> conditions() {
     return conditionStamps;
   }
 
-  /** Why the state service would refuse it for its size, or null. */
+  /** Which size limit of the state service the transaction exceeds, or null. */
   String sizeViolation(StateServiceLimits limits) {
     if (changes.size() > limits.maxTransactionChanges()) {
-      return changes.size() + " changes, as of " + largestRecord();
+      return changes.size() + " changes, largest is " + largestRecord();
     }
     if (conditionStamps.size() > limits.maxTransactionConditions()) {
-      return conditionStamps.size() + " conditions, as of " + largestRecord();
+      return conditionStamps.size() + " conditions, largest is " + largestRecord();
     }
     for (Map.Entry<String, Map<String, Object>> e : changes.entrySet()) {
-      Object v = e.getValue().get("v");
-      if (v != null && MessageCodec.jsonSize(v) > limits.maxValueBytes()) {
-        return keyPrefix(e.getKey());
+      Object value = e.getValue().get("v");
+      if (value != null && MessageCodec.jsonSize(value) > limits.maxValueBytes()) {
+        return describeRecord(e.getKey());
       }
     }
     return null;
   }
 
-  /** What kind of record its largest value is, for a log: kinds are few, keys are not. */
+  /**
+   * Kind of the record with the largest value, for log lines: there are few kinds but many keys.
+   */
   String largestRecord() {
     String largestKey = "";
     int maxSize = -1;
     for (Map.Entry<String, Map<String, Object>> e : changes.entrySet()) {
-      Object v = e.getValue().get("v");
-      int n = v == null ? 0 : MessageCodec.jsonSize(v);
-      if (n > maxSize) {
-        maxSize = n;
+      Object value = e.getValue().get("v");
+      int size = value == null ? 0 : MessageCodec.jsonSize(value);
+      if (size > maxSize) {
+        maxSize = size;
         largestKey = e.getKey();
       }
     }
-    return keyPrefix(largestKey);
+    return describeRecord(largestKey);
   }
 
-  private static String keyPrefix(String key) {
+  private static String describeRecord(String key) {
     return "a record " + key.substring(0, Math.min(4, key.length()));
   }
 
-  /** The body of the request. */
+  /** The body of the commit request. */
   public Map<String, Object> toRequest() {
     List<Object> conditionList = new ArrayList<>();
     conditionStamps.forEach((k, s) -> conditionList.add(Map.of("key", k, "stamp", s)));
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -14,14 +14,14 @@
 import wickdrift.protocol.Document;
 
 /**
- * Who holds authority: the epoch, the members with their incarnations, and the leader; and the
- * level of stored state that is in force, which so changes at one revision for all, under a new
- * epoch, and makes every placement that was prepared before fail.
+ * The cluster view: the epoch, the members with their incarnations, the leader, and the level of
+ * stored state that is in force. Since the level is part of the view, it changes at one revision
+ * for all nodes, under a new epoch, and every placement prepared before that fails.
  *
- * @param zones where the members are; those without a zone are left out
- * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before: parts that were
- *     last written under an earlier one may still let something through that was prepared by then
- * @param extra fields that this build does not know; they survive a rewriting
+ * @param zones zone of each member; members without a zone are left out
+ * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before. A partition last
+ *     written under an earlier epoch may still admit a transaction prepared by then.
+ * @param extra fields that this build does not know; they are kept when the record is rewritten
  */
 public record View(
     long epoch,
@@ -31,45 +31,49 @@
     int level,
     long viewsGateEpoch,
     Map<String, Object> extra) {
+  /** Key of the stored view. */
   public static final String KEY = "w/v";
+
   private static final String LEVEL_FIELD = "level";
   private static final String SINCE_FIELD = "since";
 
-  /** The controllers of a zone hold at most so many times an even share of the machines. */
+  /** A zone's controllers own at most this multiple of an even share of the machines. */
   private static final int MAX_SHARE_FACTOR = 4;
 
+  /** Creates a view at level 1. */
   public View(long epoch, Map<String, String> members, String leader, Map<String, String> zones) {
     this(epoch, members, leader, zones, 1, 0, Map.of());
   }
 
+  /** Creates a view at level 1 without zones. */
   public View(long epoch, Map<String, String> members, String leader) {
     this(epoch, members, leader, Map.of());
   }
 
-  /** Whether what a gate stands for is switched on. */
+  /** Whether the feature behind a gate is enabled. */
   public boolean isOpen(Gate gate) {
     return level >= gate.level();
   }
 
-  /** The same members under a higher epoch. */
+  /** Returns the same view under the next epoch. */
   public View withNextEpoch() {
     return new View(epoch + 1, members, leader, zones, level, viewsGateEpoch, extra);
   }
 
-  /** The same under another level. */
+  /** Returns the same view at another level. */
   public View withLevel(int newLevel) {
     boolean opensViewsGate = !isOpen(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
     return new View(
         epoch, members, leader, zones, newLevel, opensViewsGate ? epoch : viewsGateEpoch, extra);
   }
 
-  /** The same with other members. */
+  /** Returns the same view with other members, leader and zones. */
   public View withMembers(
       Map<String, String> newMembers, String newLeader, Map<String, String> newZones) {
     return new View(epoch, newMembers, newLeader, newZones, level, viewsGateEpoch, extra);
   }
 
-  /** The record as it is stored, in the form of its level. */
+  /** The record as it is stored, in the encoding version of its level. */
   public Object toStore() {
     Map<String, Object> record = new LinkedHashMap<>(extra);
     if (level > 1) {
@@ -86,7 +90,9 @@
   }
 
   /**
-   * @throws BadMessage if it is malformed or of a form that this build does not read
+   * Reads a stored view.
+   *
+   * @throws BadMessage if it is malformed or in an encoding version that this build does not read
    */
   public static View parse(Object value) throws BadMessage {
     Document document = Encoding.decode(value, Encoding.NUMBERED);
@@ -96,7 +102,7 @@
     if (level < 1
         || level > Integer.MAX_VALUE
         || Encoding.versionOf(value) != Encoding.forLevel((int) level)) {
-      throw new BadMessage("level " + level + " does not go with the record's form");
+      throw new BadMessage("level " + level + " does not match the record's encoding version");
     }
     return new View(
         document.count("epoch"),
@@ -117,29 +123,29 @@
     return out;
   }
 
-  /** The part that a name falls to: the member whose hash with it is highest. */
+  /** The owner of a name by rendezvous hashing: the member whose hash with it is highest. */
   public String owner(String name) {
     return owner(name, m -> true);
   }
 
   /**
-   * The part that a machine falls to: by the hash among the members of its own zone, where it has
-   * any. A zone that is cut off goes on working inside, but only the owner of a machine may answer
-   * its worker, for nobody else can tell when its lease has ended. Where the zone's members are so
-   * few that they would hold far more than the others, and where it has none, all take part.
+   * The owner of a machine by rendezvous hashing among the members of the machine's zone. A
+   * disconnected zone keeps working internally, but only a machine's owner may answer its worker,
+   * because no other node knows when the worker's lease ends. If the zone has no members, or so few
+   * that each would own far more machines than the others, all members are candidates.
    *
-   * @param zone null when it is not known
+   * @param zone zone of the machine, or null if it is unknown
    */
   public String owner(String machine, String zone) {
     int membersInZone = 0;
     for (String z : zones.values()) {
       membersInZone += z.equals(zone) ? 1 : 0;
     }
-    boolean local = membersInZone > 0 && members.size() <= MAX_SHARE_FACTOR * membersInZone;
-    return owner(machine, local ? m -> zone.equals(zones.get(m)) : m -> true);
+    boolean zonal = membersInZone > 0 && members.size() <= MAX_SHARE_FACTOR * membersInZone;
+    return owner(machine, zonal ? m -> zone.equals(zones.get(m)) : m -> true);
   }
 
-  /** Whether a part may lack machines of some zones that others have. */
+  /** Whether partitions may differ in the zones of their machines. */
   public boolean partitionsAreZonal() {
     return Set.copyOf(zones.values()).size() > 1;
   }
@@ -160,12 +166,12 @@
     return owner;
   }
 
-  /** Who places a job's tasks, given the part it was sent to. */
-  public String placer(String part, String jobId) {
-    if (part.equals(Job.LEADER_PARTITION)) {
+  /** The node that places a job's tasks, given the partition that the job was routed to. */
+  public String placer(String partition, String jobId) {
+    if (partition.equals(Job.LEADER_PARTITION)) {
       return leader;
     }
-    return members.containsKey(part) ? part : owner(jobId);
+    return members.containsKey(partition) ? partition : owner(jobId);
   }
 
   private static long hash(String s) {
@@ -183,9 +189,10 @@
   }
 
   /**
-   * The view that the live members call for, or null when this one still fits.
+   * The view that follows from the live members, or null if the current one still matches them.
    *
-   * @param zones where the live members are
+   * @param live incarnations of the live members
+   * @param zones zones of the live members
    */
   public static View next(View current, Map<String, String> live, Map<String, String> zones) {
     if (live.isEmpty() || current != null && current.members.equals(live)) {
@@ -198,7 +205,7 @@
           && live.containsKey(oldLeader)) {
         leader = oldLeader;
       } else {
-        // One who was a member before has settled tables; a newcomer leads only if all are new.
+        // A continuing member has up-to-date tables; a new member leads only if all are new.
         for (String m : new ArrayList<>(live.keySet())) {
           if (leader == null && Objects.equals(live.get(m), current.members.get(m))) {
             leader = m;
--- a/src/main/java/wickdrift/bookkeeping/level/Encoding.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Encoding.java
@@ -6,36 +6,37 @@
 import wickdrift.protocol.Document;
 
 /**
- * How a stored record says its form. Form 1 is the bare map that was there before there were forms;
- * any later one is a list of the form's number and the map. A build that knows no forms takes a
- * value that is no map for a malformed answer and never gets past it: so each record of a new form
- * keeps such a build out by itself.
+ * Encoding versions of stored records. Version 1 is a bare map without a version number; every
+ * later version is a list of the version number and the map. A build that knows no versions treats
+ * a value that is not a map as a malformed answer and cannot proceed, so each record in a newer
+ * encoding by itself keeps such a build out.
  */
 public final class Encoding {
+  /** The bare map. */
   public static final int FIRST = 1;
 
-  /** View, part, page and chunk since {@link Gate#NUMBERS}. */
+  /** Encoding of view, partition, log page and chunk from {@link Gate#NUMBERS} on. */
   public static final int NUMBERED = 2;
 
-  /** A chunk that would be larger than a value may be, since {@link Gate#LIMITS}. */
+  /** Encoding of a chunk that would exceed the value size limit, from {@link Gate#LIMITS} on. */
   public static final int DENSE = 3;
 
   private Encoding() {}
 
-  /** The value to store for a map in a form. */
+  /** The value to store for a map in an encoding version. */
   public static Object wrap(int version, Map<String, Object> map) {
     return version == FIRST ? map : List.of((long) version, map);
   }
 
-  /** The form at a level of those records that {@link Gate#NUMBERS} changes. */
+  /** The encoding version at a level, for the records that {@link Gate#NUMBERS} changes. */
   public static int forLevel(int level) {
     return level >= Gate.NUMBERS.level() ? NUMBERED : FIRST;
   }
 
   /**
-   * The form that a stored value says.
+   * The encoding version of a stored value.
    *
-   * @throws BadMessage if it is neither a map nor a form and a map
+   * @throws BadMessage if it is neither a map nor a list of encoding version and map
    */
   public static int versionOf(Object value) throws BadMessage {
     if (value instanceof Map<?, ?>) {
@@ -49,14 +50,14 @@
         && l.get(1) instanceof Map<?, ?>) {
       return version.intValue();
     }
-    throw new BadMessage("neither a map nor a form and a map");
+    throw new BadMessage("neither a map nor a list of encoding version and map");
   }
 
   /**
    * The map of a stored value.
    *
-   * @param newest the newest form of its kind that this build reads
-   * @throws BadMessage if the value is malformed, or of a newer form
+   * @param newest the newest encoding version of this kind of record that this build reads
+   * @throws BadMessage if the value is malformed or in a newer encoding version
    */
   public static Document decode(Object value, int newest) throws BadMessage {
     int version = versionOf(value);
--- a/src/main/java/wickdrift/bookkeeping/level/Gate.java
+++ b/src/main/java/wickdrift/bookkeeping/level/Gate.java
@@ -3,41 +3,43 @@
 import java.util.Locale;
 
 /**
- * What is new, each bound to the level of stored state with which it is switched on. Whoever
- * decides asks the tables, as of their revision, whether a gate is open; never what its own build
- * could do. One constant a change: what it changes, and when it can go.
+ * Feature gates, each enabled at a level of the stored state. Code that decides asks the tables, as
+ * of their revision, whether a gate is open, never what its own build supports. Each constant says
+ * what it changes and when it can be removed.
  */
 public enum Gate {
   /**
-   * Controllers have durable numbers in the store, so their list may change; a part's record says
-   * what it gave and got of each team's limit instead of amounts. Forms: view, part, page and chunk
-   * 2. Can go, and with it the reading of form 1, in a build whose least level is 2, when {@code
-   * w/c/done} has said so for longer than any transaction may be under way.
+   * Controllers have durable numbers in the store, so that their list may change. A partition's
+   * record holds the quota transfers it gave and received of each team's limit instead of amounts.
+   * View, partition, log page and chunk use encoding version 2. Can be removed, together with
+   * reading version 1, in a build whose minimum level is 2, once {@code w/c/done} has reported this
+   * level for longer than any transaction may be in flight.
    */
   NUMBERS(2, true),
 
   /**
-   * A leader that takes machines of several parts rewrites one record, {@code w/x}, in place of
-   * each part's, and every owner's placement is conditional on it too. No form changes. Can go, and
-   * with it the older way, in a build whose least level is 3.
+   * A leader that claims machines of several partitions rewrites the single record {@code w/x}
+   * instead of each partition's record, and every owner's placement is conditional on it too. No
+   * encoding changes. Can be removed, together with the older method, in a build whose minimum
+   * level is 3.
    */
   TAKES(3, false),
 
   /**
-   * A job may name others that must be done before it starts ({@code awaits} in its record, and
-   * {@code w/a/}); what ends a job tells when. Its record is one that an older build would read and
-   * run too early; the level keeps such a build out.
+   * A job may name other jobs that must finish before it starts ({@code awaits} in its record, and
+   * {@code w/a/}), and a terminal state holds its time. An older build would read such a job's
+   * record and run the job too early; the level keeps such a build out.
    */
   AWAITS(4, false),
 
   /**
-   * What a member decides is conditional on the view itself, so a change of view rewrites no part
-   * and is one write, however many members there are. Can go, and with it the older way, in a build
-   * whose least level is 4.
+   * A member's decisions are conditional on the view itself, so a view change rewrites no partition
+   * and is a single write however many members there are. Can be removed, together with the older
+   * method, in a build whose minimum level is 4.
    */
   VIEWS(4, false),
 
-  /** What is written fits the smaller of the state service's limits of now and next. */
+  /** All writes fit the smaller of the state service's current and next limits. */
   LIMITS(4, false);
 
   private final int level;
@@ -49,9 +51,9 @@
   }
 
   /**
-   * Whether a level's gate opens only when no record is left of a form older than the level before.
-   * One that changes no form may open in one step with that level; one that nobody here knows may
-   * change any.
+   * Whether a level comes into force only when no record is left in an encoding older than that of
+   * the previous level. A level that changes no encoding may come into force together with the
+   * previous one. A level unknown to this build may change any encoding, so it requires conversion.
    */
   static boolean requiresConversion(int level) {
     for (Gate g : values()) {
@@ -62,17 +64,17 @@
     return true;
   }
 
-  /** The level with which it opens. */
+  /** The level at which the gate opens. */
   public int level() {
     return level;
   }
 
-  /** The name that operators use: lower case. */
+  /** The lower-case name that operators use. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** The gate of that label, or null if nobody here knows it. */
+  /** The gate with a label, or null if this build does not know it. */
   public static Gate byLabel(String label) {
     for (Gate g : values()) {
       if (g.label().equals(label)) {
@@ -83,10 +85,10 @@
   }
 
   static int newestLevel() {
-    int most = 1;
+    int newest = 1;
     for (Gate g : values()) {
-      most = Math.max(most, g.level);
+      newest = Math.max(newest, g.level);
     }
-    return most;
+    return newest;
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/LevelRange.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelRange.java
@@ -5,14 +5,14 @@
 import wickdrift.protocol.Document;
 
 /**
- * The levels of stored state that a build reads and writes, both ends included. A level is a
- * positive integer; each adds to the one before, see {@link Gate}.
+ * The range of stored-state levels that a build reads and writes, both ends inclusive. A level is a
+ * positive integer; each includes all changes of the previous one, see {@link Gate}.
  */
 public record LevelRange(int min, int max) {
-  /** What builds that know no levels speak; they announce nothing. */
+  /** The range of builds that know no levels; they announce none. */
   public static final LevelRange FIRST = new LevelRange(1, 1);
 
-  /** What this build speaks. */
+  /** The range that this build supports. */
   public static final LevelRange BUILD = new LevelRange(1, Gate.newestLevel());
 
   private static final String MIN_FIELD = "least";
@@ -20,18 +20,19 @@
 
   public LevelRange {
     if (min < 1 || max < min) {
-      throw new IllegalArgumentException("levels " + min + " to " + max + " are no range");
+      throw new IllegalArgumentException("levels " + min + " to " + max + " are not a valid range");
     }
   }
 
+  /** Whether the range contains a level. */
   public boolean includes(int level) {
     return min <= level && level <= max;
   }
 
   /**
-   * The range that a stored record announces; {@link #FIRST} where it announces none.
+   * The range that a stored record announces; {@link #FIRST} if it announces none.
    *
-   * @throws BadMessage if only one end is there, an end is out of range, or the range is empty
+   * @throws BadMessage if only one end is present, an end is out of bounds, or the range is empty
    */
   public static LevelRange parse(Document document) throws BadMessage {
     if (document.raw(MIN_FIELD) == null && document.raw(MAX_FIELD) == null) {
@@ -40,12 +41,12 @@
     long min = document.count(MIN_FIELD);
     long max = document.count(MAX_FIELD);
     if (min < 1 || max < min || max > Integer.MAX_VALUE) {
-      throw new BadMessage("levels " + min + " to " + max + " are no range");
+      throw new BadMessage("levels " + min + " to " + max + " are not a valid range");
     }
     return new LevelRange((int) min, (int) max);
   }
 
-  /** Adds both ends to a record that is about to be stored. */
+  /** Adds both ends to a record before it is stored. */
   public void addTo(Map<String, Object> record) {
     record.put(MIN_FIELD, min);
     record.put(MAX_FIELD, max);
--- a/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
+++ b/src/main/java/wickdrift/bookkeeping/level/LevelUpgrade.java
@@ -9,23 +9,26 @@
 import java.util.TreeSet;
 
 /**
- * Whether the level in force may rise by one: a pure function of what is durable. It may when every
- * controller that can act, now or after a return, has announced that it speaks the next level, no
- * gate of that level is held back, and the records of the level in force are all of its form.
+ * The decision whether the level in force may be upgraded, a pure function of the durable state. It
+ * may if every controller that can act, now or after a restart, has announced support for the next
+ * level, no gate of that level is held back, and all records of the level in force use its
+ * encoding.
  *
- * @param level the next level, or the one in force if it must stay
- * @param blockers why it must stay, a line a cause; empty when it rises, or when nothing newer is
- *     known here
- * @param conditions the stamps of what this was drawn from, besides the view's and the members':
- *     the transaction that raises the level must be conditional on all of them
+ * @param level the level to upgrade to, or the one in force if it must stay
+ * @param blockers why the level must stay, one line per cause; empty if it is upgraded or if this
+ *     build knows no newer level
+ * @param conditions stamps of the records that the decision is based on, besides the view and the
+ *     members: the transaction that upgrades the level must be conditional on all of them
  */
 public record LevelUpgrade(int level, List<String> blockers, Map<String, Long> conditions) {
   /**
+   * Decides which level may come into force next.
+   *
    * @param current the level in force
-   * @param build what this build speaks
-   * @param live the levels of each member that is there, announced with its lease
-   * @param configuredNames the controllers that the asking controller's settings name
-   * @param registry the lasting records
+   * @param build levels that this build supports
+   * @param live levels of each live member, announced with its lease
+   * @param configuredNames controllers named by the settings of the deciding controller
+   * @param registry the durable records of the controllers
    */
   public static LevelUpgrade evaluate(
       int current,
@@ -34,7 +37,7 @@
       Collection<String> configuredNames,
       NodeRegistry registry) {
     LevelUpgrade upgrade = nextStep(current, build, live, configuredNames, registry);
-    // Levels that change no form need no conversion of what is there: one change of view for all.
+    // Levels that change no encoding need no conversion, so one view change covers all of them.
     while (upgrade.level() > current && !Gate.requiresConversion(upgrade.level() + 1)) {
       LevelUpgrade further = nextStep(upgrade.level(), build, live, configuredNames, registry);
       if (further.level() == upgrade.level()) {
@@ -57,9 +60,9 @@
     }
     List<String> blockers = new ArrayList<>();
     Map<String, Long> conditions = new LinkedHashMap<>();
-    OperatorOverrides word = registry.overrides();
-    conditions.put(OperatorOverrides.KEY, word.stamp());
-    String heldGate = word.gateBlocking(next);
+    OperatorOverrides overrides = registry.overrides();
+    conditions.put(OperatorOverrides.KEY, overrides.stamp());
+    String heldGate = overrides.gateBlocking(next);
     if (heldGate != null) {
       blockers.add("gate " + heldGate + " is held back");
     }
@@ -70,7 +73,7 @@
     controllers.addAll(live.keySet());
     for (String name : live.keySet()) {
       NodeRecord record = registry.nodeRecord(name);
-      // Whom a member's settings name may act too, once it is started.
+      // Controllers named in a member's settings may act too, once they are started.
       controllers.addAll(record == null ? List.of() : record.peers());
     }
     for (String name : controllers) {
@@ -79,7 +82,7 @@
         if (!levels.includes(next)) {
           blockers.add(name + " speaks levels " + levels);
         }
-      } else if (!word.ignoredNodes().contains(name)) {
+      } else if (!overrides.ignoredNodes().contains(name)) {
         NodeRecord record = registry.nodeRecord(name);
         if (record == null) {
           blockers.add(name + " is down and has announced nothing");
@@ -87,7 +90,7 @@
           blockers.add(name + " is down and spoke levels " + record.levels());
         } else {
           conditions.put(NodeRecord.key(record.number()), record.stamp());
-          // Nor may it have come back meanwhile with a build that announces nothing.
+          // Fails if the node has meanwhile restarted with a build that announces no levels.
           conditions.put("w/m/" + name, 0L);
         }
       }
@@ -97,14 +100,16 @@
         : new LevelUpgrade(current, List.copyOf(blockers), Map.of());
   }
 
-  /** What keeps each of the gates of a build closed, by label; empty text for those open. */
-  public static Map<String, String> closedGateReasons(int level, OperatorOverrides word) {
+  /** Why each gate of this build is closed, by label; an empty text for an open gate. */
+  public static Map<String, String> closedGateReasons(int level, OperatorOverrides overrides) {
     Map<String, String> reasons = new TreeMap<>();
     for (Gate g : Gate.values()) {
       boolean open = g.level() <= level;
       reasons.put(
           g.label(),
-          open ? "" : word.heldGates().contains(g.label()) ? "held back" : "level " + g.level());
+          open
+              ? ""
+              : overrides.heldGates().contains(g.label()) ? "held back" : "level " + g.level());
     }
     return reasons;
   }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
@@ -8,12 +8,12 @@
 import wickdrift.protocol.Document;
 
 /**
- * A controller's lasting record, under its number: its name, the levels that its build speaks, and
- * whom its settings name. It stays when the controller is down, so that the others know what will
- * come back. Stored as {@code w/c/NUMBER}.
+ * The durable record of a controller, stored as {@code w/c/NUMBER}: its name, the levels that its
+ * build supports, and the controllers named in its settings. It is kept while the controller is
+ * down, so that the others know which build will come back.
  *
- * @param peers all controllers that its settings name, itself too, sorted
- * @param extra fields that this build does not know; they survive a rewriting
+ * @param peers all controllers named in its settings, including itself, sorted
+ * @param extra fields that this build does not know; they are kept when the record is rewritten
  */
 public record NodeRecord(
     int number,
@@ -22,20 +22,20 @@
     List<String> peers,
     long stamp,
     Map<String, Object> extra) {
-  /**
-   * Numbers stand in entries of the logs and in frames; more controllers than this are an error.
-   */
+  /** Highest controller number that fits the fields of log entries and peer frames. */
   public static final int MAX_NUMBER = 0xFFFF;
 
+  /** Creates a record that is not stored yet. */
   public static NodeRecord create(int number, String name, LevelRange levels, List<String> peers) {
     return new NodeRecord(number, name, levels, List.copyOf(peers), 0, Map.of());
   }
 
+  /** The key of a controller's record. */
   public static String key(int number) {
     return NodeRegistry.PREFIX + number;
   }
 
-  /** The same under other levels, or with other peers. */
+  /** Returns the same record with other levels and peers. */
   public NodeRecord withLevels(LevelRange newLevels, List<String> newPeers) {
     return new NodeRecord(number, name, newLevels, List.copyOf(newPeers), stamp, extra);
   }
@@ -67,8 +67,8 @@
         return n;
       }
     } catch (NumberFormatException e) {
-      // Said below.
+      // Reported below, like a number out of range.
     }
-    throw new BadMessage("a controller's number is not 0 to " + MAX_NUMBER);
+    throw new BadMessage("controller number is not in the range 0 to " + MAX_NUMBER);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
@@ -10,15 +10,22 @@
 import wickdrift.protocol.Document;
 
 /**
- * The controllers' durable numbers. Builds that know no levels number controllers by their place in
- * the sorted list of their settings. So that nothing that they wrote changes its meaning, that list
- * is stored once ({@code w/c/list}) and its places are the first numbers for ever; a controller
- * that comes later takes the next number that no one ever had.
+ * The durable numbers of the controllers, their records and the operator overrides. Builds that
+ * know no levels number controllers by their position in the sorted list of the settings. To keep
+ * the meaning of the records that they wrote, that list is stored once ({@code w/c/list}) and its
+ * positions remain the first numbers permanently. A controller added later gets the next number
+ * that was never used.
  */
 public final class NodeRegistry {
+  /** Prefix of the keys of all records of the registry. */
   public static final String PREFIX = "w/c/";
+
+  /** Key of the list whose positions are the first numbers. */
   public static final String INITIAL_NAMES_KEY = PREFIX + "list";
+
+  /** Key of the level up to which all records are converted. */
   public static final String CONVERTED_LEVEL_KEY = PREFIX + "done";
+
   private static final String NAMES_FIELD = "names";
 
   private final List<String> configuredNames;
@@ -31,15 +38,17 @@
   private long convertedLevelStamp;
 
   /**
-   * @param configuredNames all controllers that the settings name, sorted: the list until one is
-   *     stored
+   * Creates an empty registry.
+   *
+   * @param configuredNames all controllers that the settings name, sorted; they serve as the list
+   *     until one is stored
    */
   public NodeRegistry(List<String> configuredNames) {
     this.configuredNames = List.copyOf(configuredNames);
     reset();
   }
 
-  /** Forgets everything, before a load. */
+  /** Discards all records before a load. */
   public void reset() {
     nodeRecords.clear();
     storedInitialNames = null;
@@ -55,19 +64,17 @@
     return new TreeMap<>(Map.of(NAMES_FIELD, new ArrayList<>(names)));
   }
 
-  /**
-   * The value of {@link #CONVERTED_LEVEL_KEY}: nothing older than the forms of that level is left.
-   */
+  /** The value of {@link #CONVERTED_LEVEL_KEY}: no record uses an encoding older than a level's. */
   public static Map<String, Object> encodeConvertedLevel(int level) {
     return new TreeMap<>(Map.of("level", level));
   }
 
   /**
-   * Takes in a record under {@link #PREFIX}.
+   * Applies a change of a record under {@link #PREFIX}.
    *
    * @param name the key after the prefix
-   * @param document null when it is gone
-   * @throws BadMessage if it can't be read, or nobody here knows it; nothing has changed then
+   * @param document the record, or null if it was deleted
+   * @throws BadMessage if it is malformed or unknown to this build; the registry is then unchanged
    */
   public void apply(String name, Document document, long stamp) throws BadMessage {
     switch (name) {
@@ -75,7 +82,7 @@
         List<String> names = document == null ? null : List.copyOf(document.texts(NAMES_FIELD));
         if (names != null
             && (names.isEmpty() || names.stream().distinct().count() < names.size())) {
-          throw new BadMessage("the first list of controllers is empty or names one twice");
+          throw new BadMessage("the initial list of controllers is empty or names one twice");
         }
         storedInitialNames = names;
         initialNamesStamp = document == null ? 0 : stamp;
@@ -101,23 +108,24 @@
 
   private void renumber() {
     numbers.clear();
-    // The lowest counts: should a name ever have two, all draw the same from it.
-    nodeRecords.descendingMap().forEach((n, a) -> numbers.put(a.name(), n));
+    // If a name ever has two numbers, the lowest counts, so that all nodes agree.
+    nodeRecords.descendingMap().forEach((n, r) -> numbers.put(r.name(), n));
     for (int i = 0; i < initialNames().size(); i++) {
       numbers.put(initialNames().get(i), i);
     }
   }
 
-  /** The names whose places are the first numbers. */
+  /** The names whose positions are the first numbers. */
   public List<String> initialNames() {
     return storedInitialNames == null ? configuredNames : storedInitialNames;
   }
 
-  /** Whether the first list is stored. */
+  /** Whether the initial list is stored. */
   public boolean hasStoredInitialNames() {
     return storedInitialNames != null;
   }
 
+  /** Stamp of the stored initial list; 0 if there is none. */
   public long initialNamesStamp() {
     return initialNamesStamp;
   }
@@ -127,7 +135,7 @@
     return numbers.getOrDefault(name, -1);
   }
 
-  /** Who has a number, or null. */
+  /** The controller with a number, or null. */
   public String name(int number) {
     if (number >= 0 && number < initialNames().size()) {
       return initialNames().get(number);
@@ -136,37 +144,40 @@
     return record == null ? null : record.name();
   }
 
-  /** All that have a number. */
+  /** All controllers that have a number. */
   public Collection<String> names() {
     return numbers.keySet();
   }
 
-  /** A controller's lasting record, or null. */
+  /** A controller's durable record, or null. */
   public NodeRecord nodeRecord(String name) {
     int number = numberOf(name);
     NodeRecord record = number < 0 ? null : nodeRecords.get(number);
     return record != null && record.name().equals(name) ? record : null;
   }
 
+  /** The durable records of all controllers, by number. */
   public Collection<NodeRecord> nodeRecords() {
     return nodeRecords.values();
   }
 
-  /** A number that no one ever had. */
+  /** The lowest number above all that were ever used. */
   public int nextNumber() {
     int after = nodeRecords.isEmpty() ? 0 : nodeRecords.lastKey() + 1;
     return Math.max(initialNames().size(), after);
   }
 
+  /** The operator overrides; {@link OperatorOverrides#NONE} if none are stored. */
   public OperatorOverrides overrides() {
     return overrides;
   }
 
-  /** Up to which level nothing of an older form is left, durably; 0 if that was never said. */
+  /** Level up to which all records are durably converted; 0 if none was recorded. */
   public int convertedLevel() {
     return convertedLevel;
   }
 
+  /** Stamp of {@link #CONVERTED_LEVEL_KEY}; 0 if there is none. */
   public long convertedLevelStamp() {
     return convertedLevelStamp;
   }
--- a/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -9,18 +9,24 @@
 import wickdrift.protocol.Document;
 
 /**
- * What the operators have said about the levels, durably: gates that are held back, and controllers
- * that are not waited for. Stored as {@code w/c/word}; every rise is conditional on it.
+ * Durable operator overrides for level upgrades, stored as {@code w/c/word}. Every level upgrade is
+ * conditional on this record.
  *
- * @param heldGates labels of gates; one that nobody here knows holds back every rise
- * @param ignoredNodes names of controllers
+ * @param heldGates labels of the gates that are held back; a label unknown to this build holds back
+ *     every upgrade
+ * @param ignoredNodes names of the controllers that an upgrade does not wait for
+ * @param extra fields that this build does not know; they are kept when the record is rewritten
  */
 public record OperatorOverrides(
     List<String> heldGates, List<String> ignoredNodes, long stamp, Map<String, Object> extra) {
+  /** Key of the stored overrides. */
   public static final String KEY = NodeRegistry.PREFIX + "word";
+
+  /** No overrides, as while nothing is stored. */
   public static final OperatorOverrides NONE =
       new OperatorOverrides(List.of(), List.of(), 0, Map.of());
 
+  /** The record as it is stored. */
   public Map<String, Object> toStore() {
     Map<String, Object> record = new LinkedHashMap<>(extra);
     record.put("held", new ArrayList<>(heldGates));
@@ -28,7 +34,7 @@
     return record;
   }
 
-  /** Reads the record of an operator's command, of that stamp. */
+  /** Reads the stored record. */
   public static OperatorOverrides parse(Document document, long stamp) throws BadMessage {
     return new OperatorOverrides(
         List.copyOf(document.texts("held")),
@@ -37,16 +43,17 @@
         document.without("held", "without"));
   }
 
+  /** Returns the same overrides with a gate held back or released. */
   public OperatorOverrides withGateHeld(String gate, boolean held) {
-    return new OperatorOverrides(withMembership(heldGates, gate, held), ignoredNodes, stamp, extra);
+    return new OperatorOverrides(withElement(heldGates, gate, held), ignoredNodes, stamp, extra);
   }
 
+  /** Returns the same overrides with a controller ignored or waited for again. */
   public OperatorOverrides withNodeIgnored(String name, boolean ignored) {
-    return new OperatorOverrides(
-        heldGates, withMembership(ignoredNodes, name, ignored), stamp, extra);
+    return new OperatorOverrides(heldGates, withElement(ignoredNodes, name, ignored), stamp, extra);
   }
 
-  private static List<String> withMembership(List<String> names, String name, boolean present) {
+  private static List<String> withElement(List<String> names, String name, boolean present) {
     TreeSet<String> set = new TreeSet<>(names);
     if (present) {
       set.add(name);
@@ -56,7 +63,7 @@
     return List.copyOf(set);
   }
 
-  /** The label of a gate that keeps a level from coming into force, or null. */
+  /** The label of a held gate that prevents a level from coming into force, or null. */
   public String gateBlocking(int level) {
     for (String label : heldGates) {
       Gate gate = Gate.byLabel(label);
