--- a/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
@@ -22,7 +22,10 @@
     List<String> peers,
     long stamp,
     Map<String, Object> extra) {
-  /** Highest controller number that fits the fields of log entries and peer frames. */
+  /**
+   * Highest controller number. Numbers are fields of log entries and peer frames; a higher number
+   * is an error.
+   */
   public static final int MAX_NUMBER = 0xFFFF;
 
   /** Creates a record that is not stored yet. */
