--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -45,7 +45,7 @@
   /** A submission refused for lack of write budget is retried within this time. */
   private static final long USER_RETRY_WINDOW_MS = 250;
 
-  /** Fraction of the writes open to users, so that submission bursts do not stop placements. */
+  /** Fraction of the writes open to users: hundreds of submissions must not stop all placements. */
   private static final double USER_WRITE_FRACTION = 0.75;
 
   /** Writes that work leaves in the shared budget for authority and user transactions. */
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -48,7 +48,7 @@
   /** Reason why a record cannot be read, by key. While there is any, this node decides nothing. */
   private final Map<String, String> unreadable = new LinkedHashMap<>();
 
-  /** Whether log entries or stored chunks were skipped as unreadable: only a full load recovers. */
+  /** Whether logs, chunks or archive buckets were skipped as unreadable; only a load recovers. */
   private boolean needsReload;
 
   private String blockedReason;
