--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -17,56 +17,56 @@
 import wickdrift.transport.Timers;
 
 /**
- * The state service's client. All our keys share one prefix, so that one watch shows every change
- * in order and its revision says how new the tables are.
+ * Client of the state service. All keys of the cluster share one prefix, so that a single watch
+ * delivers every change in order, and the watch's revision tells how current the tables are.
  */
 public final class StateServiceClient {
   private static final Logger LOG = LoggerFactory.getLogger(StateServiceClient.class);
 
-  /** Where all our keys live. */
+  /** Prefix of all keys of the cluster. */
   public static final String PREFIX = "w/";
 
-  private static final long CALL_MS = 1500;
+  private static final long CALL_TIMEOUT_MS = 1500;
 
-  /** After that a transaction counts as unanswered: one that is sent again can't do harm. */
-  private static final long COMMIT_MS = 700;
+  /** After this time a transaction counts as unanswered. Sending it again is harmless. */
+  private static final long COMMIT_TIMEOUT_MS = 700;
 
-  /** The answer of a transaction that shows in the tables comes within this time, or is lost. */
-  private static final long ANSWER_LOST_MS = 100;
+  /** A commit answer not received this long after its changes reached the tables counts as lost. */
+  private static final long COMMIT_ANSWER_GRACE_MS = 100;
 
-  private static final long HOLD_MS = 10_000;
-  private static final int PAGE = 400;
+  private static final long WATCH_HOLD_MS = 10_000;
+  private static final int RECORDS_PER_PAGE = 400;
 
-  /** Of the writes that the state service takes a second. */
-  private static final double USED = 0.95;
+  /** Fraction of the state service's write rate that all nodes together use. */
+  private static final double USED_WRITE_FRACTION = 0.95;
 
-  private static final long WINDOW_MS = 500;
+  private static final long RATE_WINDOW_MS = 500;
 
-  /** A submission that found no write left comes again within this time. */
-  private static final long USERS_WAIT_MS = 250;
+  /** A submission refused for lack of write budget is retried within this time. */
+  private static final long USER_RETRY_WINDOW_MS = 250;
 
-  /** Of our writes, what submissions may take: hundreds at once are not to stop all placements. */
-  private static final double USERS = 0.75;
+  /** Fraction of the writes open to users: hundreds of submissions must not stop all placements. */
+  private static final double USER_WRITE_FRACTION = 0.75;
 
-  /** Left for authority and users. */
-  private static final double RESERVE = 3;
+  /** Writes that work leaves in the shared budget for authority and user transactions. */
+  private static final double RESERVED_WRITES = 3;
 
-  /** Of what is kept for work, the leader's part: gangs and what is spread over zones are its. */
-  private static final double LEADERS = 0.7;
+  /** Leader's fraction of the work budget: it places gangs and jobs spread over zones. */
+  private static final double LEADER_WORK_FRACTION = 0.7;
 
   /**
-   * So many writes a node may save up for its work even where its share of a second is less: the
-   * end of a job takes so many, and must come to be written however many controllers there are.
+   * Writes that a node may accumulate for work even if its share per second is lower. The end of a
+   * job takes this many and must remain writable however many controllers there are.
    */
-  private static final double WORK_SAVED = 4;
+  private static final double MIN_WORK_BURST = 4;
 
-  /** Loading until a whole copy is there and has been caught up; then following. */
+  /** LOADING until a full copy is loaded and caught up; FOLLOWING while the watch runs. */
   public enum Phase {
     LOADING,
     FOLLOWING
   }
 
-  /** What became of a transaction. UNKNOWN: it may have been applied, or may yet be. */
+  /** Outcome of a transaction. UNKNOWN: it may have been applied, or may still be. */
   public enum Outcome {
     OK,
     CONDITION_FAILED,
@@ -75,91 +75,94 @@
   }
 
   /**
-   * @param rev for OK and FAILED the store's revision then; for a settled UNKNOWN, one that holds
-   *     what settled it
-   * @param settled of UNKNOWN: a key that it depends on has changed, so that it was carried out by
-   *     {@code rev} or never will be
+   * Result of a commit.
+   *
+   * @param rev for OK and CONDITION_FAILED the store's revision at the answer; for a settled
+   *     UNKNOWN, a revision that holds the change that settled it
+   * @param settled for UNKNOWN: a key that the transaction depends on has changed, so that it was
+   *     either applied by {@code rev} or never will be
    */
   public record CommitResult(
       Outcome outcome, long rev, Set<String> failedKeys, boolean leaseNotFound, boolean settled) {
-    private CommitResult(Outcome outcome, long rev, Set<String> failed, boolean noLease) {
-      this(outcome, rev, failed, noLease, false);
+    private CommitResult(Outcome outcome, long rev, Set<String> failedKeys, boolean leaseNotFound) {
+      this(outcome, rev, failedKeys, leaseNotFound, false);
     }
   }
 
-  /** A transaction that is out: who waits for its outcome is told once. */
-  private final class Outstanding {
-    private final Transaction txn;
-    private final Consumer<CommitResult> done;
-    private boolean over;
-    private boolean seen;
+  /** A transaction without an answer yet; its callback is invoked exactly once. */
+  private final class InFlightTransaction {
+    private final Transaction transaction;
+    private final Consumer<CommitResult> callback;
+    private boolean finished;
+    private boolean changeSeen;
     private boolean settled;
 
-    Outstanding(Transaction txn, Consumer<CommitResult> done) {
-      this.txn = txn;
-      this.done = done;
-      txn.conditions().keySet().forEach(k -> outstanding.put(k, this));
+    InFlightTransaction(Transaction transaction, Consumer<CommitResult> callback) {
+      this.transaction = transaction;
+      this.callback = callback;
+      transaction.conditions().keySet().forEach(k -> inFlightByKey.put(k, this));
     }
 
-    void finish(CommitResult r) {
-      if (!over) {
-        over = true;
-        txn.conditions().keySet().forEach(k -> outstanding.remove(k, this));
-        done.accept(r);
+    void finish(CommitResult result) {
+      if (!finished) {
+        finished = true;
+        transaction.conditions().keySet().forEach(k -> inFlightByKey.remove(k, this));
+        callback.accept(result);
       }
     }
 
     /**
-     * A key that it depends on has changed. By itself most likely: the answer is given a moment,
-     * then it counts as lost.
+     * Handles a change of a key that the transaction depends on. Most likely the transaction itself
+     * made it, so the answer gets a grace period, after which it counts as lost.
      */
-    void changed(Change c) {
-      long expected = txn.conditions().get(c.key());
-      if (c.stamp() <= expected) {
+    void onKeyChanged(Change change) {
+      long expected = transaction.conditions().get(change.key());
+      if (change.stamp() <= expected) {
         return;
       }
-      // One that must not be there may vanish again; a stamp never comes back.
+      // A key required to be absent may be deleted again; a required stamp never returns.
       settled |= expected > 0;
-      if (!seen) {
-        seen = true;
+      if (!changeSeen) {
+        changeSeen = true;
         timers.after(
-            ANSWER_LOST_MS,
+            COMMIT_ANSWER_GRACE_MS,
             () -> finish(new CommitResult(Outcome.UNKNOWN, rev, Set.of(), false, settled)));
       }
     }
   }
 
-  /** One key's state: value null when it is gone, else as it is stored, in whatever form. */
+  /** State of one key: its value as stored, in any encoding, or null once it is deleted. */
   public record Change(String key, Object value, long stamp) {}
 
-  /** Takes the changes in order. */
+  /** Receives the changes in order. */
   public interface ChangeListener {
+    /** Discards the whole state before a load. */
     void reset();
 
-    /** A whole copy, its parts read at revisions from {@code rev} on. */
-    void load(List<Change> all, long rev);
+    /** Loads a full copy, whose records were read at revisions from {@code rev} on. */
+    void load(List<Change> records, long rev);
 
-    /** Changes after the last, up to {@code rev}. */
-    void apply(List<Change> news, long rev);
+    /** Applies the changes since the previous ones, up to {@code rev}. */
+    void apply(List<Change> changes, long rev);
 
-    /** Called after a run of changes that belong together. */
+    /** Called after a batch of changes was applied. */
     void changesApplied();
 
-    /** Whether it has missed something that only a whole copy brings back. */
+    /** Whether the listener skipped data that only a full load restores. */
     boolean needsReload();
   }
 
   /**
-   * The prefixes loaded at the start, the logs first (see Tables.load); finished jobs are read one
-   * by one when asked for.
+   * Prefixes loaded at the start, the logs first (see {@link Tables#load}). The job history is not
+   * loaded; its records are read one by one on request.
    */
-  private static final List<String> LOADED =
+  private static final List<String> LOADED_PREFIXES =
       List.of("w/l/", "w/h/", "w/a/", "w/j/", "w/m/", "w/p/", "w/t/", "w/c/", "w/x", "w/v");
 
   private final Timers timers;
   private final Caller caller;
   private final String address;
-  private final ChangeListener applier;
+  private final ChangeListener listener;
   private final MalformedMessages malformed;
   private final TokenBucket requests;
   private final TokenBucket writes;
@@ -168,58 +171,58 @@
   private final int nodes;
   private final StateServiceLimits limits;
   private double requestReserve;
-  private int sharing;
-  private boolean sharingFallen;
-  private boolean leading;
+  private int memberCount;
+  private boolean dividedNextLimits;
+  private boolean leader;
   private double fairWriteRate;
-  private double fairUserWrites;
-  private long usersWaitedMs = Long.MIN_VALUE / 2;
+  private double fairUserWriteRate;
+  private long lastUserRefusalMs = Long.MIN_VALUE / 2;
   private long refusedByBudget;
   private long refusedByStore;
   private long failedByCondition;
-  private long tooLarge;
-  private final Set<String> tooLargeTold = new HashSet<>();
-  private long windowMs;
-  private int window;
-  private int lastWindow;
-  private long syncGapMs;
+  private long tooLargeCount;
+  private final Set<String> loggedTooLarge = new HashSet<>();
+  private long windowStartMs;
+  private int windowWrites;
+  private int lastWindowWrites;
+  private long syncIntervalMs;
 
   private Phase phase = Phase.LOADING;
   private long rev;
   private long lastOkMs;
   private boolean lastCallOk;
-  private int failures;
+  private int consecutiveFailures;
 
   private boolean syncing;
 
-  /** Counts the loads: the answer to a watch from before the last one is of no use. */
-  private int loads;
+  /** Number of loads so far; the answer to a watch sent before the latest load is ignored. */
+  private int loadCount;
 
   private long lastSyncMs;
-  private boolean syncArmed;
-  private List<Waiter> waiters = new ArrayList<>();
+  private boolean syncScheduled;
+  private List<BarrierWaiter> barrierWaiters = new ArrayList<>();
   private final List<RevWaiter> revWaiters = new ArrayList<>();
 
-  /** Transactions that are out, by the keys that they depend on; of several the last. */
-  private final Map<String, Outstanding> outstanding = new HashMap<>();
+  /** Transactions in flight by the keys they depend on; of several, the latest. */
+  private final Map<String, InFlightTransaction> inFlightByKey = new HashMap<>();
 
-  private record Waiter(Consumer<Boolean> done, long deadlineMs) {}
+  private record BarrierWaiter(Consumer<Boolean> done, long deadlineMs) {}
 
   private record RevWaiter(long rev, Runnable done) {}
 
-  /** A client that loads nothing until it is started. */
+  /** Creates a client; it loads nothing until {@link #start}. */
   public StateServiceClient(
       Timers timers,
       Caller caller,
       String address,
       StateServiceLimits limits,
       int nodes,
-      ChangeListener applier,
+      ChangeListener listener,
       MalformedMessages malformed) {
     this.timers = timers;
     this.caller = caller;
     this.address = address;
-    this.applier = applier;
+    this.listener = listener;
     this.malformed = malformed;
     long now = timers.nowMs();
     this.limits = limits;
@@ -236,82 +239,92 @@
   }
 
   /**
-   * So many members share the limits. Requests leave room for one that joins. What users may take
-   * of the writes is divided evenly, for they come to all alike; of what is kept for work the
-   * leader has more, since more of the placements are its: with an even share, each controller more
-   * would have the leader place less.
+   * Divides the limits among the members. The request rate leaves room for one joining member. The
+   * user writes are divided evenly, since users reach all members alike. The leader gets more of
+   * the work writes, since it makes more of the placements: with an even division, every additional
+   * controller would lower the leader's placement rate.
    */
-  public final void divideLimits(int members, boolean leads) {
-    if (members == sharing && leads == leading && limits.nextLimitsInEffect() == sharingFallen) {
+  public final void divideLimits(int members, boolean isLeader) {
+    if (members == memberCount
+        && isLeader == leader
+        && limits.nextLimitsInEffect() == dividedNextLimits) {
       return;
     }
-    sharing = members;
-    sharingFallen = limits.nextLimitsInEffect();
-    leading = leads;
-    double share = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
-    requests.setRate(share);
-    requestReserve = share * 0.25;
-    syncGapMs = Math.max(5, (long) (1000 / (share * 0.45)));
-    int n = Math.max(1, members);
-    double all = limits.maxWritesPerSecond() * USED;
-    double work = all * (1 - USERS);
-    fairUserWrites = all * USERS / n;
+    memberCount = members;
+    dividedNextLimits = limits.nextLimitsInEffect();
+    leader = isLeader;
+    double requestRate = limits.maxRequestsPerSecond() / Math.min(nodes, members + 1) * 0.95;
+    requests.setRate(requestRate);
+    requestReserve = requestRate * 0.25;
+    syncIntervalMs = Math.max(5, (long) (1000 / (requestRate * 0.45)));
+    int divisor = Math.max(1, members);
+    double writeRate = limits.maxWritesPerSecond() * USED_WRITE_FRACTION;
+    double workRate = writeRate * (1 - USER_WRITE_FRACTION);
+    fairUserWriteRate = writeRate * USER_WRITE_FRACTION / divisor;
     fairWriteRate =
-        fairUserWrites + (n == 1 ? work : leads ? work * LEADERS : work * (1 - LEADERS) / (n - 1));
-    setOtherMembersWriteRate((all - fairWriteRate) / 2, fairWriteRate);
+        fairUserWriteRate
+            + (divisor == 1
+                ? workRate
+                : isLeader
+                    ? workRate * LEADER_WORK_FRACTION
+                    : workRate * (1 - LEADER_WORK_FRACTION) / (divisor - 1));
+    setOtherMembersWriteRate((writeRate - fairWriteRate) / 2, fairWriteRate);
   }
 
   /**
-   * What the other members are taken to write a second. What they leave is ours, up to {@code
-   * most}, but only an even share is saved up: were all to begin at once, the sum would still keep
-   * to the limit.
+   * Sets the assumed write rate of the other members. This node may use the remainder, up to {@code
+   * max}, but accumulates only its fair share, so that the sum stays within the limit even if all
+   * members start writing at once.
    */
-  public void setOtherMembersWriteRate(double perSecond, double most) {
-    double ours =
-        Math.min(most, Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED - perSecond));
-    writes.setRate(ours, fairWriteRate);
-    double users = fairUserWrites / fairWriteRate;
-    userWrites.setRate(ours * users, fairUserWrites);
-    double work = ours * (1 - users);
-    workWrites.setRate(work, Math.max(work, WORK_SAVED));
-  }
-
-  /** This node's share of the writes that the state service takes, were all to write. */
+  public void setOtherMembersWriteRate(double perSecond, double max) {
+    double ownRate =
+        Math.min(
+            max,
+            Math.max(fairWriteRate, limits.maxWritesPerSecond() * USED_WRITE_FRACTION - perSecond));
+    writes.setRate(ownRate, fairWriteRate);
+    double userFraction = fairUserWriteRate / fairWriteRate;
+    userWrites.setRate(ownRate * userFraction, fairUserWriteRate);
+    double workRate = ownRate * (1 - userFraction);
+    workWrites.setRate(workRate, Math.max(workRate, MIN_WORK_BURST));
+  }
+
+  /** This node's share of the state service's write rate while all members write. */
   public double fairWriteRate() {
     return fairWriteRate;
   }
 
-  /** Of this node's changes a second, what users may take at least. */
+  /** Changes per second of this node that users may make at least. */
   public double guaranteedUserWriteRate() {
-    return fairUserWrites;
+    return fairUserWriteRate;
   }
 
-  /** What another member may write at least, the leader apart. */
+  /** Write rate per member if divided evenly; the minimum for any member but the leader. */
   public double evenWriteRate() {
-    return limits.maxWritesPerSecond() * USED / Math.max(1, sharing);
+    return limits.maxWritesPerSecond() * USED_WRITE_FRACTION / Math.max(1, memberCount);
   }
 
-  /** How many changes a transaction of our work may have now, {@code most} at most. */
-  public int affordableChanges(int most) {
+  /** Number of changes that a WORK transaction may have now, at most {@code max}. */
+  public int affordableChanges(int max) {
     long now = timers.nowMs();
-    int n = most;
-    while (n > 0 && !mayWork(n, now)) {
+    int n = max;
+    while (n > 0 && !canAffordWork(n, now)) {
       n--;
     }
     return n;
   }
 
   /**
-   * From what all may use, if enough stays there and no submission waits for it, or from what is
-   * kept for work.
+   * Whether a WORK transaction may make {@code n} changes now: from the shared budget, if the
+   * reserve stays there and no submission waits for it, or from the budget kept for work.
    */
-  private boolean mayWork(int n, long now) {
-    boolean usersWait = now - usersWaitedMs < USERS_WAIT_MS;
-    return !usersWait && writes.canAcquire(n, RESERVE, now) || workWrites.canAcquire(n, 0, now);
+  private boolean canAffordWork(int n, long now) {
+    boolean userIsWaiting = now - lastUserRefusalMs < USER_RETRY_WINDOW_MS;
+    return !userIsWaiting && writes.canAcquire(n, RESERVED_WRITES, now)
+        || workWrites.canAcquire(n, 0, now);
   }
 
-  private boolean takeForWork(int n, long now) {
-    if (!mayWork(n, now)) {
+  private boolean takeWorkWrites(int n, long now) {
+    if (!canAffordWork(n, now)) {
       return false;
     }
     writes.tryAcquire(n, -1e9, now);
@@ -319,85 +332,89 @@
     return true;
   }
 
-  /** Transactions of our work that our own budget refused. */
+  /** Number of WORK transactions refused by this node's own write budget. */
   public long refusedByBudget() {
     return refusedByBudget;
   }
 
-  /** Transactions that the state service refused: over its limits, or away. */
+  /** Number of transactions refused by the state service: over its limits, or unavailable. */
   public long refusedByStore() {
     return refusedByStore;
   }
 
-  /** Transactions that were larger than may be, found here or by the state service. */
+  /** Number of transactions over a size limit, detected here or by the state service. */
   public long tooLargeCount() {
-    return tooLarge;
+    return tooLargeCount;
   }
 
-  /** What the state service takes. */
+  /** The limits of the state service. */
   public StateServiceLimits limits() {
     return limits;
   }
 
-  /** Transactions whose conditions did not hold. */
+  /** Number of transactions whose conditions did not hold. */
   public long failedByCondition() {
     return failedByCondition;
   }
 
-  /** How many writes a second we have sent lately. */
+  /** Writes per second that this node sent recently. */
   public double recentWriteRate() {
-    nextWindow();
-    return Math.max(window, lastWindow) * 1000.0 / WINDOW_MS;
+    advanceWindow();
+    return Math.max(windowWrites, lastWindowWrites) * 1000.0 / RATE_WINDOW_MS;
   }
 
-  private void nextWindow() {
+  private void advanceWindow() {
     long now = timers.nowMs();
-    if (now - windowMs >= WINDOW_MS) {
-      lastWindow = now - windowMs < 2 * WINDOW_MS ? window : 0;
-      window = 0;
-      windowMs = now;
+    if (now - windowStartMs >= RATE_WINDOW_MS) {
+      lastWindowWrites = now - windowStartMs < 2 * RATE_WINDOW_MS ? windowWrites : 0;
+      windowWrites = 0;
+      windowStartMs = now;
     }
   }
 
+  /** Whether the tables are being loaded or follow the watch. */
   public Phase phase() {
     return phase;
   }
 
+  /** The revision that the tables have reached. */
   public long rev() {
     return rev;
   }
 
-  /** True unless the last calls say that the state service does not serve us. */
+  /** True unless the latest calls show that the state service does not serve this node. */
   public boolean reachable() {
     return lastCallOk;
   }
 
+  /** Time of the last successful call. */
   public long lastOkMs() {
     return lastOkMs;
   }
 
-  /** How much of the write budget is left, from 0 to 1: little calls for fewer, fuller writes. */
+  /** Remaining write budget, 0 to 1; if it is low, fewer and larger transactions are better. */
   public double writeBudgetFraction() {
     return writes.fillRatio(timers.nowMs());
   }
 
   // ---- loading and following ----
 
+  /** Loads a full copy, then follows the changes. */
   public void start() {
-    loads++;
+    loadCount++;
     load(0, null, new ArrayList<>(), Long.MAX_VALUE);
   }
 
-  private void load(int prefix, String from, List<Change> got, long minRev) {
-    if (prefix == LOADED.size()) {
+  private void load(int prefix, String from, List<Change> records, long minRev) {
+    if (prefix == LOADED_PREFIXES.size()) {
       phase = Phase.LOADING;
-      applier.reset();
-      applier.load(got, minRev);
+      listener.reset();
+      listener.load(records, minRev);
       rev = minRev;
       catchUp();
       return;
     }
-    String path = "/store?prefix=" + LOADED.get(prefix) + "&most=" + PAGE;
+    String path = "/store?prefix=" + LOADED_PREFIXES.get(prefix) + "&most=" + RECORDS_PER_PAGE;
     if (from != null) {
       path += "&from=" + from;
     }
@@ -405,118 +422,118 @@
         "GET",
         path,
         null,
-        CALL_MS,
-        a -> {
-          if (a.status() != 200) {
-            timers.after(backoff(), () -> load(prefix, from, got, minRev));
+        CALL_TIMEOUT_MS,
+        answer -> {
+          if (answer.status() != 200) {
+            timers.after(backoffMs(), () -> load(prefix, from, records, minRev));
             return;
           }
           try {
-            Document d = Document.parse(a.body());
-            long r = Math.min(minRev, d.count("ledgerRev"));
-            ListResult l = listed(d);
-            got.addAll(l.entries);
-            if (l.truncated && !l.entries.isEmpty()) {
-              load(prefix, got.get(got.size() - 1).key(), got, r);
+            Document document = Document.parse(answer.body());
+            long oldestRev = Math.min(minRev, document.count("ledgerRev"));
+            ListResult page = parseListing(document);
+            records.addAll(page.entries);
+            if (page.truncated && !page.entries.isEmpty()) {
+              load(prefix, records.get(records.size() - 1).key(), records, oldestRev);
             } else {
-              load(prefix + 1, null, got, r);
+              load(prefix + 1, null, records, oldestRev);
             }
           } catch (BadMessage e) {
-            malformed("list", e);
-            timers.after(backoff(), () -> load(prefix, from, got, minRev));
+            noteMalformed("list", e);
+            timers.after(backoffMs(), () -> load(prefix, from, records, minRev));
           }
         });
   }
 
-  /** The first catching up makes the copy whole: pages were read at different revisions. */
+  /** Makes the copy consistent after a load, whose pages were read at different revisions. */
   private void catchUp() {
     call(
         "GET",
         "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=0",
         null,
-        CALL_MS,
-        a -> {
-          if (a.status() == 410) {
+        CALL_TIMEOUT_MS,
+        answer -> {
+          if (answer.status() == 410) {
             start();
-          } else if (a.status() != 200 || !take(a.body())) {
-            timers.after(backoff(), this::catchUp);
+          } else if (answer.status() != 200 || !applyAnswer(answer.body())) {
+            timers.after(backoffMs(), this::catchUp);
           } else {
             phase = Phase.FOLLOWING;
-            LOG.info("tables loaded at revision {}", rev);
-            applier.changesApplied();
+            LOG.info("tables loaded: revision={}", rev);
+            listener.changesApplied();
             follow();
           }
         });
   }
 
   private void follow() {
-    int since = loads;
+    int loadCountBefore = loadCount;
     call(
         "GET",
-        "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=" + HOLD_MS,
+        "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=" + WATCH_HOLD_MS,
         null,
-        HOLD_MS + 60_000,
-        a -> {
-          if (since != loads) {
+        WATCH_HOLD_MS + 60_000,
+        answer -> {
+          if (loadCountBefore != loadCount) {
             return;
           }
-          if (a.status() == 410) {
+          if (answer.status() == 410) {
             phase = Phase.LOADING;
             start();
-          } else if (a.status() != 200) {
-            timers.after(backoff(), () -> followOn(since));
-          } else if (take(a.body())) {
-            // A short pause lets changes gather: a watch per change would eat the request limit.
-            timers.after(syncGapMs, () -> followOn(since));
+          } else if (answer.status() != 200) {
+            timers.after(backoffMs(), () -> followUnlessReloaded(loadCountBefore));
+          } else if (applyAnswer(answer.body())) {
+            // A short delay batches changes: one watch per change would use up the request limit.
+            timers.after(syncIntervalMs, () -> followUnlessReloaded(loadCountBefore));
           } else {
-            timers.after(backoff(), () -> followOn(since));
+            timers.after(backoffMs(), () -> followUnlessReloaded(loadCountBefore));
           }
         });
   }
 
-  private void followOn(int since) {
-    if (since == loads) {
+  private void followUnlessReloaded(int loadCountBefore) {
+    if (loadCountBefore == loadCount) {
       follow();
     }
   }
 
-  private boolean take(byte[] body) {
-    List<Change> news = new ArrayList<>();
+  private boolean applyAnswer(byte[] body) {
+    List<Change> changes = new ArrayList<>();
     long newRev;
     try {
-      Document d = Document.parse(body);
-      newRev = d.count("ledgerRev");
-      for (Document e : d.docs("news")) {
+      Document document = Document.parse(body);
+      newRev = document.count("ledgerRev");
+      for (Document e : document.docs("news")) {
         long stamp = e.count("stamp");
         String written = e.textOrNull("write");
         if (stamp <= rev) {
           continue;
         }
-        news.add(
+        changes.add(
             written != null
                 ? new Change(written, e.raw("v"), stamp)
                 : new Change(e.text("delete"), null, stamp));
       }
     } catch (BadMessage e) {
-      malformed("watch", e);
+      noteMalformed("watch", e);
       return false;
     }
-    applier.apply(news, newRev);
+    listener.apply(changes, newRev);
     rev = Math.max(rev, newRev);
-    for (Change c : news) {
-      Outstanding out = outstanding.get(c.key());
-      if (out != null) {
-        out.changed(c);
+    for (Change c : changes) {
+      InFlightTransaction inFlight = inFlightByKey.get(c.key());
+      if (inFlight != null) {
+        inFlight.onKeyChanged(c);
       }
     }
     if (phase == Phase.FOLLOWING) {
-      if (!news.isEmpty()) {
-        applier.changesApplied();
+      if (!changes.isEmpty()) {
+        listener.changesApplied();
       }
-      if (applier.needsReload()) {
-        LOG.warn("what could not be read is gone: all is loaded anew");
+      if (listener.needsReload()) {
+        LOG.warn("unreadable records are gone, reloading all tables");
         phase = Phase.LOADING;
-        loads++;
+        loadCount++;
         timers.after(1, this::start);
       }
       for (int i = 0; i < revWaiters.size(); ) {
@@ -534,52 +551,54 @@
 
   // ---- reading ----
 
-  /** Calls back once the tables hold everything that was durable when this was called. */
+  /** Calls back with true once the tables hold all that was durable at the call, else false. */
   public void barrier(long waitMs, Consumer<Boolean> done) {
     long deadline = timers.nowMs() + waitMs;
-    waiters.add(new Waiter(done, deadline));
+    barrierWaiters.add(new BarrierWaiter(done, deadline));
     timers.after(waitMs, this::expireWaiters);
-    armSync();
+    scheduleSync();
   }
 
-  /** Runs once the tables have reached a revision, which a commit of ours returned. */
-  public void runAtRevision(long wanted, Runnable done) {
-    if (rev >= wanted && phase == Phase.FOLLOWING) {
+  /**
+   * Runs a callback once the tables have reached a revision that a commit of this node returned.
+   */
+  public void runAtRevision(long wantedRev, Runnable done) {
+    if (rev >= wantedRev && phase == Phase.FOLLOWING) {
       done.run();
       return;
     }
-    revWaiters.add(new RevWaiter(wanted, done));
-    armSync();
+    revWaiters.add(new RevWaiter(wantedRev, done));
+    scheduleSync();
   }
 
   private void expireWaiters() {
     long now = timers.nowMs();
-    List<Waiter> late = new ArrayList<>();
-    waiters.removeIf(
+    List<BarrierWaiter> expired = new ArrayList<>();
+    barrierWaiters.removeIf(
         w -> {
           if (w.deadlineMs <= now) {
-            late.add(w);
+            expired.add(w);
             return true;
           }
           return false;
         });
-    late.forEach(w -> w.done.accept(false));
+    expired.forEach(w -> w.done.accept(false));
   }
 
-  private void armSync() {
-    if (syncing || syncArmed) {
+  private void scheduleSync() {
+    if (syncing || syncScheduled) {
       return;
     }
-    long wait = lastSyncMs + syncGapMs - timers.nowMs();
+    long wait = lastSyncMs + syncIntervalMs - timers.nowMs();
     if (wait <= 0) {
       sync();
       return;
     }
-    syncArmed = true;
+    syncScheduled = true;
     timers.after(
         wait,
         () -> {
-          syncArmed = false;
+          syncScheduled = false;
           if (!syncing) {
             sync();
           }
@@ -587,7 +606,7 @@
   }
 
   private void sync() {
-    if (waiters.isEmpty() && revWaiters.isEmpty()) {
+    if (barrierWaiters.isEmpty() && revWaiters.isEmpty()) {
       return;
     }
     lastSyncMs = timers.nowMs();
@@ -596,185 +615,188 @@
       return;
     }
     syncing = true;
-    List<Waiter> mine = waiters;
-    waiters = new ArrayList<>();
-    int since = loads;
+    List<BarrierWaiter> served = barrierWaiters;
+    barrierWaiters = new ArrayList<>();
+    int loadCountBefore = loadCount;
     call(
         "GET",
         "/follow?prefix=" + PREFIX + "&from=" + rev + "&holdMs=0",
         null,
-        CALL_MS,
-        a -> {
+        CALL_TIMEOUT_MS,
+        answer -> {
           syncing = false;
-          boolean ok = since == loads && a.status() == 200 && take(a.body());
-          mine.forEach(w -> w.done.accept(ok));
-          if (!waiters.isEmpty() || !revWaiters.isEmpty()) {
-            armSync();
+          boolean ok =
+              loadCountBefore == loadCount && answer.status() == 200 && applyAnswer(answer.body());
+          served.forEach(w -> w.done.accept(ok));
+          if (!barrierWaiters.isEmpty() || !revWaiters.isEmpty()) {
+            scheduleSync();
           }
         });
   }
 
   private void failWaiters() {
-    List<Waiter> mine = waiters;
-    waiters = new ArrayList<>();
-    mine.forEach(w -> w.done.accept(false));
+    List<BarrierWaiter> failed = barrierWaiters;
+    barrierWaiters = new ArrayList<>();
+    failed.forEach(w -> w.done.accept(false));
     if (!revWaiters.isEmpty()) {
-      armSync();
+      scheduleSync();
     }
   }
 
-  /** Ends a lease of ours at once, and what is tied to it. */
-  public void revokeLease(long tether, Runnable done) {
-    call("DELETE", "/grants/" + tether, null, CALL_MS, a -> done.run());
+  /** Ends a lease of this node at once and deletes the keys tied to it. */
+  public void revokeLease(long leaseId, Runnable done) {
+    call("DELETE", "/grants/" + leaseId, null, CALL_TIMEOUT_MS, answer -> done.run());
   }
 
-  /** Reads one key: an empty value with {@code ok} means it is not there. */
+  /** Result of reading one key: a null value with {@code ok} means that the key does not exist. */
   public record ReadResult(boolean ok, Document value, long stamp) {}
 
-  /** Reads one key as it is in the state service now. */
+  /** Reads the current value of one key from the state service. */
   public void read(String key, Consumer<ReadResult> done) {
     call(
         "GET",
         "/store/" + key,
         null,
-        CALL_MS,
-        a -> {
+        CALL_TIMEOUT_MS,
+        answer -> {
           try {
-            if (a.status() == 404) {
+            if (answer.status() == 404) {
               done.accept(new ReadResult(true, null, 0));
-            } else if (a.status() == 200) {
-              Document d = Document.parse(a.body());
-              done.accept(new ReadResult(true, Document.of(d.raw("v")), d.count("stamp")));
+            } else if (answer.status() == 200) {
+              Document document = Document.parse(answer.body());
+              done.accept(
+                  new ReadResult(true, Document.of(document.raw("v")), document.count("stamp")));
             } else {
               done.accept(new ReadResult(false, null, 0));
             }
           } catch (BadMessage e) {
-            malformed("read", e);
+            noteMalformed("read", e);
             done.accept(new ReadResult(false, null, 0));
           }
         });
   }
 
-  /** A page of records, by key; null when there was no answer. */
+  /** One page of records, ordered by key. */
   public record ListResult(List<Change> entries, boolean truncated) {}
 
   /**
-   * Reads the records of a prefix whose keys come after another, so many at most.
+   * Reads the records of a prefix whose keys follow {@code after}, at most {@code max}.
    *
-   * @param done gets null when the state service does not answer
+   * @param done receives null when the state service does not answer
    */
-  public void list(String prefix, String after, int most, Consumer<ListResult> done) {
+  public void list(String prefix, String after, int max, Consumer<ListResult> done) {
     call(
         "GET",
-        "/store?prefix=" + prefix + "&from=" + after + "&most=" + most,
+        "/store?prefix=" + prefix + "&from=" + after + "&most=" + max,
         null,
-        CALL_MS,
-        a -> {
+        CALL_TIMEOUT_MS,
+        answer -> {
           try {
-            done.accept(a.status() == 200 ? listed(Document.parse(a.body())) : null);
+            done.accept(
+                answer.status() == 200 ? parseListing(Document.parse(answer.body())) : null);
           } catch (BadMessage e) {
-            malformed("list", e);
+            noteMalformed("list", e);
             done.accept(null);
           }
         });
   }
 
-  private static ListResult listed(Document d) throws BadMessage {
-    List<Change> got = new ArrayList<>();
-    for (Document e : d.docs("entries")) {
-      got.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
+  private static ListResult parseListing(Document document) throws BadMessage {
+    List<Change> entries = new ArrayList<>();
+    for (Document e : document.docs("entries")) {
+      entries.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
     }
-    return new ListResult(got, d.flag("truncated", false));
+    return new ListResult(entries, document.flag("truncated", false));
   }
 
   // ---- writing ----
 
-  /** Whose writes come first. */
+  /** Priority of a transaction when the write budget is short, highest first. */
   public enum WritePriority {
-    /** Views, members, fences: never held back. */
+    /** Views, members and fences; never held back. */
     AUTHORITY,
-    /** Submissions and withdrawals: before our work, but for a part that is kept for that. */
+    /** Submissions and withdrawals; before work, except for the budget kept for work. */
     USER,
-    /** Placements, exits, records, and tidying up. */
+    /** Placements, exits, records, and removal of obsolete records. */
     WORK
   }
 
-  /** Commits, or refuses at once where the budget of writes does not allow it. */
-  public void commit(Transaction txn, WritePriority rank, Consumer<CommitResult> done) {
+  /** Commits a transaction, or refuses it at once if the write budget does not allow it. */
+  public void commit(Transaction transaction, WritePriority priority, Consumer<CommitResult> done) {
     long now = timers.nowMs();
-    int n = txn.changeCount();
+    int changeCount = transaction.changeCount();
     boolean allowed =
-        switch (rank) {
-          case AUTHORITY -> writes.tryAcquire(n, -1e9, now);
-          // Only one of them may be short: what was taken from the first is not to be lost.
+        switch (priority) {
+          case AUTHORITY -> writes.tryAcquire(changeCount, -1e9, now);
+          // userWrites is checked first, so that no tokens are taken from writes if it is short.
           case USER ->
-              userWrites.canAcquire(n, 0, now)
-                  && writes.tryAcquire(n, 0, now)
-                  && userWrites.tryAcquire(n, 0, now);
-          case WORK -> takeForWork(n, now);
+              userWrites.canAcquire(changeCount, 0, now)
+                  && writes.tryAcquire(changeCount, 0, now)
+                  && userWrites.tryAcquire(changeCount, 0, now);
+          case WORK -> takeWorkWrites(changeCount, now);
         };
-    if (n > 0 && !allowed) {
-      refusedByBudget += rank == WritePriority.WORK ? 1 : 0;
-      usersWaitedMs = rank == WritePriority.USER ? now : usersWaitedMs;
+    if (changeCount > 0 && !allowed) {
+      refusedByBudget += priority == WritePriority.WORK ? 1 : 0;
+      lastUserRefusalMs = priority == WritePriority.USER ? now : lastUserRefusalMs;
       timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
-    String over = txn.tooLarge(limits);
-    if (over != null) {
-      // Never sent: it would be refused each time. Whoever drafts keeps to the limits; what does
-      // not, by a mistake, is told once and is not to use up the rate.
-      tooLarge(over);
+    String oversized = transaction.sizeViolation(limits);
+    if (oversized != null) {
+      // Not sent, since it would be refused every time and use up the rate. Callers keep to the
+      // limits; a violation is a bug and is logged once.
+      noteTooLarge(oversized);
       timers.after(1, () -> done.accept(new CommitResult(Outcome.REFUSED, 0, Set.of(), false)));
       return;
     }
-    nextWindow();
-    window += n;
-    Outstanding out = new Outstanding(txn, done);
+    advanceWindow();
+    windowWrites += changeCount;
+    InFlightTransaction inFlight = new InFlightTransaction(transaction, done);
     call(
         "POST",
         "/commit",
-        MessageCodec.encode(txn.toRequest()),
-        COMMIT_MS,
-        a -> out.finish(result(txn, a)));
+        MessageCodec.encode(transaction.toRequest()),
+        COMMIT_TIMEOUT_MS,
+        answer -> inFlight.finish(toCommitResult(transaction, answer)));
   }
 
-  /** Counted each time, and told once a cause. */
-  private void tooLarge(String cause) {
-    tooLarge++;
-    if (tooLargeTold.size() < 100 && tooLargeTold.add(cause)) {
-      LOG.error("larger than the state service takes: {}", cause);
+  /** Counts an oversized transaction each time, but logs each cause only once. */
+  private void noteTooLarge(String cause) {
+    tooLargeCount++;
+    if (loggedTooLarge.size() < 100 && loggedTooLarge.add(cause)) {
+      LOG.error("transaction exceeds the limits of the state service: {}", cause);
     }
   }
 
-  private CommitResult result(Transaction txn, Caller.Answer a) {
+  private CommitResult toCommitResult(Transaction transaction, Caller.Answer answer) {
     try {
-      switch (a.status()) {
+      switch (answer.status()) {
         case 200:
           return new CommitResult(
-              Outcome.OK, Document.parse(a.body()).count("ledgerRev"), Set.of(), false);
+              Outcome.OK, Document.parse(answer.body()).count("ledgerRev"), Set.of(), false);
         case 409:
           failedByCondition++;
-          Document d = Document.parse(a.body());
+          Document document = Document.parse(answer.body());
           return new CommitResult(
               Outcome.CONDITION_FAILED,
-              d.count("ledgerRev"),
-              new HashSet<>(d.texts("failed")),
+              document.count("ledgerRev"),
+              new HashSet<>(document.texts("failed")),
               false);
         case 429:
           refusedByStore++;
           writes.drain();
           workWrites.drain();
-          limits.refusedForRate();
+          limits.onRefusedForRate();
           return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
         case 400:
-          String why = String.valueOf(Document.parse(a.body()).raw("error"));
-          boolean lease = why.contains("lease");
-          if (!lease) {
-            // The next draft is smaller, if the limits have fallen; if not, it is told once.
-            limits.refusedForSize();
-            tooLarge(txn.largest() + ": " + why);
+          String error = String.valueOf(Document.parse(answer.body()).raw("error"));
+          boolean leaseNotFound = error.contains("lease");
+          if (!leaseNotFound) {
+            // If the next limits are in effect, the next transaction is smaller; else log once.
+            limits.onRefusedForSize();
+            noteTooLarge(transaction.largestRecord() + ": " + error);
           }
-          return new CommitResult(Outcome.REFUSED, 0, Set.of(), lease);
+          return new CommitResult(Outcome.REFUSED, 0, Set.of(), leaseNotFound);
         case 503:
           refusedByStore++;
           return new CommitResult(Outcome.REFUSED, 0, Set.of(), false);
@@ -782,46 +804,47 @@
           return new CommitResult(Outcome.UNKNOWN, 0, Set.of(), false);
       }
     } catch (BadMessage e) {
-      malformed("commit", e);
+      noteMalformed("commit", e);
       return new CommitResult(Outcome.UNKNOWN, 0, Set.of(), false);
     }
   }
 
   // ---- leases ----
 
-  /** Asks for a lease; {@code done} gets its id, or 0 if there was no answer. */
-  public void grantLease(long lifeMs, Consumer<Long> done) {
+  /** Requests a lease; {@code done} receives its id, or 0 if there was no answer. */
+  public void grantLease(long lifetimeMs, Consumer<Long> done) {
     call(
         "POST",
         "/grants",
-        MessageCodec.encode(Map.of("lifeMs", lifeMs)),
-        CALL_MS,
-        a -> {
+        MessageCodec.encode(Map.of("lifeMs", lifetimeMs)),
+        CALL_TIMEOUT_MS,
+        answer -> {
           try {
-            done.accept(a.status() == 200 ? Document.parse(a.body()).count("tether") : 0L);
+            done.accept(
+                answer.status() == 200 ? Document.parse(answer.body()).count("tether") : 0L);
           } catch (BadMessage e) {
-            malformed("grant", e);
+            noteMalformed("grant", e);
             done.accept(0L);
           }
         });
   }
 
-  /** Renews a lease; {@code done} gets the status of the answer. */
-  public void extendLease(long tether, Consumer<Integer> done) {
+  /** Renews a lease; {@code done} receives the HTTP status of the answer. */
+  public void extendLease(long leaseId, Consumer<Integer> done) {
     call(
         "POST",
-        "/grants/" + tether + "/extend",
+        "/grants/" + leaseId + "/extend",
         MessageCodec.encode(Map.of()),
-        CALL_MS,
-        a -> done.accept(a.status()));
+        CALL_TIMEOUT_MS,
+        answer -> done.accept(answer.status()));
   }
 
   // ---- calls ----
 
   private void call(
       String method, String path, byte[] body, long timeoutMs, Consumer<Caller.Answer> done) {
-    boolean vital = path.startsWith("/grants") || path.startsWith("/commit");
-    if (!requests.tryAcquire(1, vital ? -1e9 : requestReserve, timers.nowMs())) {
+    boolean unthrottled = path.startsWith("/grants") || path.startsWith("/commit");
+    if (!requests.tryAcquire(1, unthrottled ? -1e9 : requestReserve, timers.nowMs())) {
       timers.after(20, () -> call(method, path, body, timeoutMs, done));
       return;
     }
@@ -831,27 +854,27 @@
         path,
         body,
         timeoutMs,
-        a -> {
-          boolean ok = a.status() != 0 && a.status() != 503;
-          if (a.status() == 429) {
+        answer -> {
+          boolean ok = answer.status() != 0 && answer.status() != 503;
+          if (answer.status() == 429) {
             requests.drain();
           }
           if (ok) {
             lastOkMs = timers.nowMs();
-            failures = 0;
+            consecutiveFailures = 0;
           } else {
-            failures++;
+            consecutiveFailures++;
           }
-          lastCallOk = ok || failures < 3 && timers.nowMs() - lastOkMs < 1000;
-          done.accept(a);
+          lastCallOk = ok || consecutiveFailures < 3 && timers.nowMs() - lastOkMs < 1000;
+          done.accept(answer);
         });
   }
 
-  private long backoff() {
-    return 100L + Math.floorMod(timers.nowMs() * 31, 100) + Math.min(failures, 5) * 50L;
+  private long backoffMs() {
+    return 100L + Math.floorMod(timers.nowMs() * 31, 100) + Math.min(consecutiveFailures, 5) * 50L;
   }
 
-  private void malformed(String request, BadMessage e) {
+  private void noteMalformed(String request, BadMessage e) {
     malformed.note(MalformedMessages.Sender.STATE_SERVICE, "answer to " + request, e);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -14,14 +14,14 @@
 import wickdrift.protocol.Document;
 
 /**
- * Who holds authority: the epoch, the members with their incarnations, and the leader; and the
- * level of stored state that is in force, which so changes at one revision for all, under a new
- * epoch, and makes every placement that was prepared before fail.
+ * The cluster view: the epoch, the members with their incarnations, the leader, and the level of
+ * stored state that is in force. Since the level is part of the view, it changes at one revision
+ * for all nodes, under a new epoch, and every placement prepared before that fails.
  *
- * @param zones where the members are; those without a zone are left out
- * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before: parts that were
- *     last written under an earlier one may still let something through that was prepared by then
- * @param extra fields that this build does not know; they survive a rewriting
+ * @param zones zone of each member; members without a zone are left out
+ * @param viewsGateEpoch the epoch with which {@link Gate#VIEWS} opened, 0 before. A partition last
+ *     written under an earlier epoch may still admit a transaction prepared by then.
+ * @param extra fields that this build does not know; they are kept when the record is rewritten
  */
 public record View(
     long epoch,
@@ -31,78 +31,87 @@
     int level,
     long viewsGateEpoch,
     Map<String, Object> extra) {
+  /** Key of the stored view. */
   public static final String KEY = "w/v";
-  private static final String LEVEL = "level";
-  private static final String SINCE = "since";
 
-  /** The controllers of a zone hold at most so many times an even share of the machines. */
-  private static final int MOST_SHARE = 4;
+  private static final String LEVEL_FIELD = "level";
+  private static final String SINCE_FIELD = "since";
 
+  /** A zone's controllers own at most this multiple of an even share of the machines. */
+  private static final int MAX_SHARE_FACTOR = 4;
+
+  /** Creates a view at level 1. */
   public View(long epoch, Map<String, String> members, String leader, Map<String, String> zones) {
     this(epoch, members, leader, zones, 1, 0, Map.of());
   }
 
+  /** Creates a view at level 1 without zones. */
   public View(long epoch, Map<String, String> members, String leader) {
     this(epoch, members, leader, Map.of());
   }
 
-  /** Whether what a gate stands for is switched on. */
+  /** Whether the feature behind a gate is enabled. */
   public boolean isOpen(Gate gate) {
     return level >= gate.level();
   }
 
-  /** The same members under a higher epoch. */
+  /** Returns the same view under the next epoch. */
   public View withNextEpoch() {
     return new View(epoch + 1, members, leader, zones, level, viewsGateEpoch, extra);
   }
 
-  /** The same under another level. */
+  /** Returns the same view at another level. */
   public View withLevel(int newLevel) {
-    boolean opens = !isOpen(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
-    return new View(epoch, members, leader, zones, newLevel, opens ? epoch : viewsGateEpoch, extra);
+    boolean opensViewsGate = !isOpen(Gate.VIEWS) && newLevel >= Gate.VIEWS.level();
+    return new View(
+        epoch, members, leader, zones, newLevel, opensViewsGate ? epoch : viewsGateEpoch, extra);
   }
 
-  /** The same with other members. */
-  public View withMembers(Map<String, String> others, String newLeader, Map<String, String> where) {
-    return new View(epoch, others, newLeader, where, level, viewsGateEpoch, extra);
+  /** Returns the same view with other members, leader and zones. */
+  public View withMembers(
+      Map<String, String> newMembers, String newLeader, Map<String, String> newZones) {
+    return new View(epoch, newMembers, newLeader, newZones, level, viewsGateEpoch, extra);
   }
 
-  /** The record as it is stored, in the form of its level. */
+  /** The record as it is stored, in the encoding version of its level. */
   public Object toStore() {
-    Map<String, Object> m = new LinkedHashMap<>(extra);
+    Map<String, Object> record = new LinkedHashMap<>(extra);
     if (level > 1) {
-      m.put(LEVEL, level);
+      record.put(LEVEL_FIELD, level);
     }
     if (viewsGateEpoch > 0) {
-      m.put(SINCE, viewsGateEpoch);
+      record.put(SINCE_FIELD, viewsGateEpoch);
     }
-    m.put("epoch", epoch);
-    m.put("members", members);
-    m.put("leader", leader);
-    m.put("zones", zones);
-    return Encoding.wrap(Encoding.forLevel(level), m);
+    record.put("epoch", epoch);
+    record.put("members", members);
+    record.put("leader", leader);
+    record.put("zones", zones);
+    return Encoding.wrap(Encoding.forLevel(level), record);
   }
 
   /**
-   * @throws BadMessage if it is malformed or of a form that this build does not read
+   * Reads a stored view.
+   *
+   * @throws BadMessage if it is malformed or in an encoding version that this build does not read
    */
   public static View parse(Object value) throws BadMessage {
-    Document d = Encoding.decode(value, Encoding.NUMBERED);
-    Map<String, String> zones = d.raw("zones") == null ? Map.of() : texts(d.raw("zones"));
-    long level = d.count(LEVEL, 1);
+    Document document = Encoding.decode(value, Encoding.NUMBERED);
+    Map<String, String> zones =
+        document.raw("zones") == null ? Map.of() : texts(document.raw("zones"));
+    long level = document.count(LEVEL_FIELD, 1);
     if (level < 1
         || level > Integer.MAX_VALUE
         || Encoding.versionOf(value) != Encoding.forLevel((int) level)) {
-      throw new BadMessage("level " + level + " does not go with the record's form");
+      throw new BadMessage("level " + level + " does not match the record's encoding version");
     }
     return new View(
-        d.count("epoch"),
-        texts(d.raw("members")),
-        d.text("leader"),
+        document.count("epoch"),
+        texts(document.raw("members")),
+        document.text("leader"),
         zones,
         (int) level,
-        d.count(SINCE, 0),
-        d.without(LEVEL, SINCE, "epoch", "members", "leader", "zones"));
+        document.count(SINCE_FIELD, 0),
+        document.without(LEVEL_FIELD, SINCE_FIELD, "epoch", "members", "leader", "zones"));
   }
 
   private static Map<String, String> texts(Object map) throws BadMessage {
@@ -114,55 +123,55 @@
     return out;
   }
 
-  /** The part that a name falls to: the member whose hash with it is highest. */
+  /** The owner of a name by rendezvous hashing: the member whose hash with it is highest. */
   public String owner(String name) {
     return owner(name, m -> true);
   }
 
   /**
-   * The part that a machine falls to: by the hash among the members of its own zone, where it has
-   * any. A zone that is cut off goes on working inside, but only the owner of a machine may answer
-   * its worker, for nobody else can tell when its lease has ended. Where the zone's members are so
-   * few that they would hold far more than the others, and where it has none, all take part.
+   * The owner of a machine by rendezvous hashing among the members of the machine's zone. A
+   * disconnected zone keeps working internally, but only a machine's owner may answer its worker,
+   * because no other node knows when the worker's lease ends. If the zone has no members, or so few
+   * that each would own far more machines than the others, all members are candidates.
    *
-   * @param zone null when it is not known
+   * @param zone zone of the machine, or null if it is unknown
    */
   public String owner(String machine, String zone) {
-    int here = 0;
+    int membersInZone = 0;
     for (String z : zones.values()) {
-      here += z.equals(zone) ? 1 : 0;
+      membersInZone += z.equals(zone) ? 1 : 0;
     }
-    boolean local = here > 0 && members.size() <= MOST_SHARE * here;
-    return owner(machine, local ? m -> zone.equals(zones.get(m)) : m -> true);
+    boolean zonal = membersInZone > 0 && members.size() <= MAX_SHARE_FACTOR * membersInZone;
+    return owner(machine, zonal ? m -> zone.equals(zones.get(m)) : m -> true);
   }
 
-  /** Whether a part may lack machines of some zones that others have. */
+  /** Whether partitions may differ in the zones of their machines. */
   public boolean partitionsAreZonal() {
     return Set.copyOf(zones.values()).size() > 1;
   }
 
-  private String owner(String name, Predicate<String> among) {
-    String best = null;
-    long bestHash = 0;
+  private String owner(String name, Predicate<String> eligible) {
+    String owner = null;
+    long ownerScore = 0;
     for (String m : members.keySet()) {
-      if (!among.test(m)) {
+      if (!eligible.test(m)) {
         continue;
       }
-      long h = mix(hash(name) * 0x9E3779B97F4A7C15L ^ hash(m));
-      if (best == null || Long.compareUnsigned(h, bestHash) > 0) {
-        best = m;
-        bestHash = h;
+      long score = mix(hash(name) * 0x9E3779B97F4A7C15L ^ hash(m));
+      if (owner == null || Long.compareUnsigned(score, ownerScore) > 0) {
+        owner = m;
+        ownerScore = score;
       }
     }
-    return best;
+    return owner;
   }
 
-  /** Who places a job's tasks, given the part it was sent to. */
-  public String placer(String part, String jobId) {
-    if (part.equals(Job.LEADER_PARTITION)) {
+  /** The node that places a job's tasks, given the partition that the job was routed to. */
+  public String placer(String partition, String jobId) {
+    if (partition.equals(Job.LEADER_PARTITION)) {
       return leader;
     }
-    return members.containsKey(part) ? part : owner(jobId);
+    return members.containsKey(partition) ? partition : owner(jobId);
   }
 
   private static long hash(String s) {
@@ -180,23 +189,25 @@
   }
 
   /**
-   * The view that the live members call for, or null when this one still fits.
+   * The view that follows from the live members, or null if the current one still matches them.
    *
-   * @param zones where the live members are
+   * @param live incarnations of the live members
+   * @param zones zones of the live members
    */
-  public static View next(View now, Map<String, String> live, Map<String, String> zones) {
-    if (live.isEmpty() || now != null && now.members.equals(live)) {
+  public static View next(View current, Map<String, String> live, Map<String, String> zones) {
+    if (live.isEmpty() || current != null && current.members.equals(live)) {
       return null;
     }
     String leader = null;
-    if (now != null) {
-      String old = now.leader;
-      if (Objects.equals(live.get(old), now.members.get(old)) && live.containsKey(old)) {
-        leader = old;
+    if (current != null) {
+      String oldLeader = current.leader;
+      if (Objects.equals(live.get(oldLeader), current.members.get(oldLeader))
+          && live.containsKey(oldLeader)) {
+        leader = oldLeader;
       } else {
-        // One who was a member before has settled tables; a newcomer leads only if all are new.
+        // A continuing member has up-to-date tables; a new member leads only if all are new.
         for (String m : new ArrayList<>(live.keySet())) {
-          if (leader == null && Objects.equals(live.get(m), now.members.get(m))) {
+          if (leader == null && Objects.equals(live.get(m), current.members.get(m))) {
             leader = m;
           }
         }
@@ -205,15 +216,15 @@
     if (leader == null) {
       leader = List.copyOf(live.keySet()).get(0);
     }
-    TreeMap<String, String> where = new TreeMap<>(zones);
-    where.keySet().retainAll(live.keySet());
+    TreeMap<String, String> liveZones = new TreeMap<>(zones);
+    liveZones.keySet().retainAll(live.keySet());
     return new View(
-        now == null ? 1 : now.epoch + 1,
+        current == null ? 1 : current.epoch + 1,
         new TreeMap<>(live),
         leader,
-        where,
-        now == null ? 1 : now.level,
-        now == null ? 0 : now.viewsGateEpoch,
-        now == null ? Map.of() : now.extra);
+        liveZones,
+        current == null ? 1 : current.level,
+        current == null ? 0 : current.viewsGateEpoch,
+        current == null ? Map.of() : current.extra);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
@@ -8,12 +8,12 @@
 import wickdrift.protocol.Document;
 
 /**
- * A controller's lasting record, under its number: its name, the levels that its build speaks, and
- * whom its settings name. It stays when the controller is down, so that the others know what will
- * come back. Stored as {@code w/c/NUMBER}.
+ * The durable record of a controller, stored as {@code w/c/NUMBER}: its name, the levels that its
+ * build supports, and the controllers named in its settings. It is kept while the controller is
+ * down, so that the others know which build will come back.
  *
- * @param peers all controllers that its settings name, itself too, sorted
- * @param extra fields that this build does not know; they survive a rewriting
+ * @param peers all controllers named in its settings, including itself, sorted
+ * @param extra fields that this build does not know; they are kept when the record is rewritten
  */
 public record NodeRecord(
     int number,
@@ -23,52 +23,55 @@
     long stamp,
     Map<String, Object> extra) {
   /**
-   * Numbers stand in entries of the logs and in frames; more controllers than this are an error.
+   * Highest controller number. Numbers are fields of log entries and peer frames; a higher number
+   * is an error.
    */
-  public static final int MOST_NUMBER = 0xFFFF;
+  public static final int MAX_NUMBER = 0xFFFF;
 
-  public static NodeRecord create(int number, String name, LevelRange range, List<String> peers) {
-    return new NodeRecord(number, name, range, List.copyOf(peers), 0, Map.of());
+  /** Creates a record that is not stored yet. */
+  public static NodeRecord create(int number, String name, LevelRange levels, List<String> peers) {
+    return new NodeRecord(number, name, levels, List.copyOf(peers), 0, Map.of());
   }
 
+  /** The key of a controller's record. */
   public static String key(int number) {
     return NodeRegistry.PREFIX + number;
   }
 
-  /** The same under other levels, or with other peers. */
-  public NodeRecord withLevels(LevelRange other, List<String> otherPeers) {
-    return new NodeRecord(number, name, other, List.copyOf(otherPeers), stamp, extra);
+  /** Returns the same record with other levels and peers. */
+  public NodeRecord withLevels(LevelRange newLevels, List<String> newPeers) {
+    return new NodeRecord(number, name, newLevels, List.copyOf(newPeers), stamp, extra);
   }
 
   /** The record as it is stored. */
   public Map<String, Object> toStore() {
-    Map<String, Object> m = new LinkedHashMap<>(extra);
-    m.put("name", name);
-    levels.addTo(m);
-    m.put("peers", new ArrayList<>(peers));
-    return m;
+    Map<String, Object> record = new LinkedHashMap<>(extra);
+    record.put("name", name);
+    levels.addTo(record);
+    record.put("peers", new ArrayList<>(peers));
+    return record;
   }
 
-  static NodeRecord parse(String number, Document d, long stamp) throws BadMessage {
-    int n = number(number);
+  static NodeRecord parse(String number, Document document, long stamp) throws BadMessage {
+    int parsedNumber = number(number);
     return new NodeRecord(
-        n,
-        d.text("name"),
-        LevelRange.parse(d),
-        List.copyOf(d.texts("peers")),
+        parsedNumber,
+        document.text("name"),
+        LevelRange.parse(document),
+        List.copyOf(document.texts("peers")),
         stamp,
-        d.without("name", "least", "most", "peers"));
+        document.without("name", "least", "most", "peers"));
   }
 
   private static int number(String text) throws BadMessage {
     try {
       int n = Integer.parseInt(text);
-      if (n >= 0 && n <= MOST_NUMBER) {
+      if (n >= 0 && n <= MAX_NUMBER) {
         return n;
       }
     } catch (NumberFormatException e) {
-      // Said below.
+      // Reported below, like a number out of range.
     }
-    throw new BadMessage("a controller's number is not 0 to " + MOST_NUMBER);
+    throw new BadMessage("controller number is not in the range 0 to " + MAX_NUMBER);
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRegistry.java
@@ -10,39 +10,48 @@
 import wickdrift.protocol.Document;
 
 /**
- * The controllers' durable numbers. Builds that know no levels number controllers by their place in
- * the sorted list of their settings. So that nothing that they wrote changes its meaning, that list
- * is stored once ({@code w/c/list}) and its places are the first numbers for ever; a controller
- * that comes later takes the next number that no one ever had.
+ * The durable numbers of the controllers, their records and the operator overrides. Builds that
+ * know no levels number controllers by their position in the sorted list of the settings. To keep
+ * the meaning of the records that they wrote, that list is stored once ({@code w/c/list}) and its
+ * positions remain the first numbers permanently. A controller added later gets the next number
+ * that was never used.
  */
 public final class NodeRegistry {
+  /** Prefix of the keys of all records of the registry. */
   public static final String PREFIX = "w/c/";
+
+  /** Key of the list whose positions are the first numbers. */
   public static final String INITIAL_NAMES_KEY = PREFIX + "list";
+
+  /** Key of the level up to which all records are converted. */
   public static final String CONVERTED_LEVEL_KEY = PREFIX + "done";
-  private static final String NAMES = "names";
 
-  private final List<String> settingsNames;
-  private final TreeMap<Integer, NodeRecord> announced = new TreeMap<>();
+  private static final String NAMES_FIELD = "names";
+
+  private final List<String> configuredNames;
+  private final TreeMap<Integer, NodeRecord> nodeRecords = new TreeMap<>();
   private final Map<String, Integer> numbers = new HashMap<>();
-  private List<String> list;
+  private List<String> storedInitialNames;
   private long initialNamesStamp;
   private OperatorOverrides overrides = OperatorOverrides.NONE;
   private int convertedLevel;
   private long convertedLevelStamp;
 
   /**
-   * @param settingsNames all controllers that the settings name, sorted: the list until one is
-   *     stored
+   * Creates an empty registry.
+   *
+   * @param configuredNames all controllers that the settings name, sorted; they serve as the list
+   *     until one is stored
    */
-  public NodeRegistry(List<String> settingsNames) {
-    this.settingsNames = List.copyOf(settingsNames);
+  public NodeRegistry(List<String> configuredNames) {
+    this.configuredNames = List.copyOf(configuredNames);
     reset();
   }
 
-  /** Forgets everything, before a load. */
+  /** Discards all records before a load. */
   public void reset() {
-    announced.clear();
-    list = null;
+    nodeRecords.clear();
+    storedInitialNames = null;
     initialNamesStamp = 0;
     overrides = OperatorOverrides.NONE;
     convertedLevel = 0;
@@ -52,46 +61,45 @@
 
   /** The value of {@link #INITIAL_NAMES_KEY}. */
   public static Map<String, Object> encodeInitialNames(List<String> names) {
-    return new TreeMap<>(Map.of(NAMES, new ArrayList<>(names)));
+    return new TreeMap<>(Map.of(NAMES_FIELD, new ArrayList<>(names)));
   }
 
-  /**
-   * The value of {@link #CONVERTED_LEVEL_KEY}: nothing older than the forms of that level is left.
-   */
+  /** The value of {@link #CONVERTED_LEVEL_KEY}: no record uses an encoding older than a level's. */
   public static Map<String, Object> encodeConvertedLevel(int level) {
     return new TreeMap<>(Map.of("level", level));
   }
 
   /**
-   * Takes in a record under {@link #PREFIX}.
+   * Applies a change of a record under {@link #PREFIX}.
    *
    * @param name the key after the prefix
-   * @param d null when it is gone
-   * @throws BadMessage if it can't be read, or nobody here knows it; nothing has changed then
+   * @param document the record, or null if it was deleted
+   * @throws BadMessage if it is malformed or unknown to this build; the registry is then unchanged
    */
-  public void apply(String name, Document d, long stamp) throws BadMessage {
+  public void apply(String name, Document document, long stamp) throws BadMessage {
     switch (name) {
       case "list" -> {
-        List<String> names = d == null ? null : List.copyOf(d.texts(NAMES));
+        List<String> names = document == null ? null : List.copyOf(document.texts(NAMES_FIELD));
         if (names != null
             && (names.isEmpty() || names.stream().distinct().count() < names.size())) {
-          throw new BadMessage("the first list of controllers is empty or names one twice");
+          throw new BadMessage("the initial list of controllers is empty or names one twice");
         }
-        list = names;
-        initialNamesStamp = d == null ? 0 : stamp;
+        storedInitialNames = names;
+        initialNamesStamp = document == null ? 0 : stamp;
       }
       case "word" ->
-          overrides = d == null ? OperatorOverrides.NONE : OperatorOverrides.parse(d, stamp);
+          overrides =
+              document == null ? OperatorOverrides.NONE : OperatorOverrides.parse(document, stamp);
       case "done" -> {
-        convertedLevel = d == null ? 0 : (int) d.count("level");
-        convertedLevelStamp = d == null ? 0 : stamp;
+        convertedLevel = document == null ? 0 : (int) document.count("level");
+        convertedLevelStamp = document == null ? 0 : stamp;
       }
       default -> {
-        if (d != null) {
-          NodeRecord a = NodeRecord.parse(name, d, stamp);
-          announced.put(a.number(), a);
+        if (document != null) {
+          NodeRecord record = NodeRecord.parse(name, document, stamp);
+          nodeRecords.put(record.number(), record);
         } else if (name.matches("[0-9]{1,5}")) {
-          announced.remove(Integer.parseInt(name));
+          nodeRecords.remove(Integer.parseInt(name));
         }
       }
     }
@@ -100,23 +108,24 @@
 
   private void renumber() {
     numbers.clear();
-    // The lowest counts: should a name ever have two, all draw the same from it.
-    announced.descendingMap().forEach((n, a) -> numbers.put(a.name(), n));
+    // If a name ever has two numbers, the lowest counts, so that all nodes agree.
+    nodeRecords.descendingMap().forEach((n, r) -> numbers.put(r.name(), n));
     for (int i = 0; i < initialNames().size(); i++) {
       numbers.put(initialNames().get(i), i);
     }
   }
 
-  /** The names whose places are the first numbers. */
+  /** The names whose positions are the first numbers. */
   public List<String> initialNames() {
-    return list == null ? settingsNames : list;
+    return storedInitialNames == null ? configuredNames : storedInitialNames;
   }
 
-  /** Whether the first list is stored. */
+  /** Whether the initial list is stored. */
   public boolean hasStoredInitialNames() {
-    return list != null;
+    return storedInitialNames != null;
   }
 
+  /** Stamp of the stored initial list; 0 if there is none. */
   public long initialNamesStamp() {
     return initialNamesStamp;
   }
@@ -126,46 +135,49 @@
     return numbers.getOrDefault(name, -1);
   }
 
-  /** Who has a number, or null. */
+  /** The controller with a number, or null. */
   public String name(int number) {
     if (number >= 0 && number < initialNames().size()) {
       return initialNames().get(number);
     }
-    NodeRecord a = announced.get(number);
-    return a == null ? null : a.name();
+    NodeRecord record = nodeRecords.get(number);
+    return record == null ? null : record.name();
   }
 
-  /** All that have a number. */
+  /** All controllers that have a number. */
   public Collection<String> names() {
     return numbers.keySet();
   }
 
-  /** A controller's lasting record, or null. */
+  /** A controller's durable record, or null. */
   public NodeRecord nodeRecord(String name) {
-    int n = numberOf(name);
-    NodeRecord a = n < 0 ? null : announced.get(n);
-    return a != null && a.name().equals(name) ? a : null;
+    int number = numberOf(name);
+    NodeRecord record = number < 0 ? null : nodeRecords.get(number);
+    return record != null && record.name().equals(name) ? record : null;
   }
 
+  /** The durable records of all controllers, by number. */
   public Collection<NodeRecord> nodeRecords() {
-    return announced.values();
+    return nodeRecords.values();
   }
 
-  /** A number that no one ever had. */
+  /** The lowest number above all that were ever used. */
   public int nextNumber() {
-    int after = announced.isEmpty() ? 0 : announced.lastKey() + 1;
+    int after = nodeRecords.isEmpty() ? 0 : nodeRecords.lastKey() + 1;
     return Math.max(initialNames().size(), after);
   }
 
+  /** The operator overrides; {@link OperatorOverrides#NONE} if none are stored. */
   public OperatorOverrides overrides() {
     return overrides;
   }
 
-  /** Up to which level nothing of an older form is left, durably; 0 if that was never said. */
+  /** Level up to which all records are durably converted; 0 if none was recorded. */
   public int convertedLevel() {
     return convertedLevel;
   }
 
+  /** Stamp of {@link #CONVERTED_LEVEL_KEY}; 0 if there is none. */
   public long convertedLevelStamp() {
     return convertedLevelStamp;
   }
