--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -32,31 +32,31 @@
 /** The leader's dealings with the cloud: renting for what waits, returning what is idle or lost. */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-  private static final long TICK_MS = 500;
-  private static final long TELL_MS = 10_000;
-  private static final long CALL_MS = 4000;
-  private static final long TYPES_MS = 60_000;
-  private static final int PAGE = 500;
-  private static final int RENT_MOST = 50;
-  private static final int DELETE_MOST = 100;
-  private static final int TASKS_SEEN = 3000;
-  private static final int NEW_MOST = 200;
-  private static final long REFUSED_MS = 15_000;
-  private static final int OVERDUE_LEAST = 2;
+  private static final long TICK_INTERVAL_MS = 500;
+  private static final long STATUS_LOG_INTERVAL_MS = 10_000;
+  private static final long CLOUD_CALL_TIMEOUT_MS = 4000;
+  private static final long TYPES_REFRESH_INTERVAL_MS = 60_000;
+  private static final int MACHINES_PER_LIST_PAGE = 500;
+  private static final int MAX_MACHINES_PER_RENTAL = 50;
+  private static final int MAX_MACHINES_PER_DELETION = 100;
+  private static final int MAX_TASKS_EXAMINED = 3000;
+  private static final int MAX_NEW_MACHINES = 200;
+  private static final long REFUSAL_BACKOFF_MS = 15_000;
+  private static final int MIN_REPLACEABLE_OVERDUE_BOOTS = 2;
 
   /** How much dearer a zone may be that suits a job less, below the step from spot to ordinary. */
-  private static final double FAR = 1.2;
+  private static final double ZONE_MISMATCH_COST_FACTOR = 1.2;
 
-  private record Listed(String phase, String type, String zone, boolean spot, double ageS) {}
+  private record ListedMachine(String phase, String type, String zone, boolean spot, double ageS) {}
 
   /** A kind of machine that can be asked for. */
-  private record Kind(String type, String zone, boolean spot) {}
+  private record MachineKind(String type, String zone, boolean spot) {}
 
-  private record Rental(String claim, Kind kind, int count) {}
+  private record RentalRequest(String idempotencyKey, MachineKind kind, int count) {}
 
   private final Timers timers;
   private final Caller caller;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final Types types;
@@ -67,42 +67,42 @@
   private final String incarnation;
   private final PauseDetector pauseDetector;
   private final Zones zones;
-  private final MalformedMessages malformed;
-  private final TokenBucket calls;
+  private final MalformedMessages malformedMessages;
+  private final TokenBucket cloudCallBudget;
 
-  private final Map<String, Long> absentSince = new HashMap<>();
+  private final Map<String, Long> absentSinceMs = new HashMap<>();
   private final Map<String, Boolean> everListed = new HashMap<>();
-  private final Map<String, Long> deleted = new HashMap<>();
-  private final Map<String, Long> emptySince = new HashMap<>();
-  private final Map<Kind, Long> refusedUntil = new HashMap<>();
-  private final List<Rental> rentals = new ArrayList<>();
+  private final Map<String, Long> deletedAtMs = new HashMap<>();
+  private final Map<String, Long> emptySinceMs = new HashMap<>();
+  private final Map<MachineKind, Long> refusedUntilMs = new HashMap<>();
+  private final List<RentalRequest> pendingRentals = new ArrayList<>();
 
   /** Zones that are cut off, where machines are that would tell of their return. */
-  private final Set<String> closed = new HashSet<>();
+  private final Set<String> closedZones = new HashSet<>();
 
-  private final Map<String, Machine.Info> rentedUnrecorded = new LinkedHashMap<>();
-  private long claimCounter;
-  private long lastListMs = Long.MIN_VALUE / 2;
-  private boolean listing;
-  private boolean deleting;
-  private boolean askingTypes;
-  private long typesAtMs = Long.MIN_VALUE / 2;
-  private long leadSinceMs = Long.MIN_VALUE;
+  private final Map<String, Machine.Info> unrecordedRentals = new LinkedHashMap<>();
+  private long rentalCounter;
+  private long lastListRequestMs = Long.MIN_VALUE / 2;
+  private boolean listInProgress;
+  private boolean deletionInProgress;
+  private boolean typesRequestInProgress;
+  private long lastTypesRequestMs = Long.MIN_VALUE / 2;
+  private long leaderSinceMs = Long.MIN_VALUE;
 
   /**
    * When this lead began there was no machine, neither in the tables nor in the cloud's list: none
    * has to be heard of before it is known what to rent.
    */
-  private boolean fromNothing;
+  private boolean startedWithoutMachines;
 
-  private long listedMs = Long.MIN_VALUE;
-  private long toldMs;
+  private long lastListReceivedMs = Long.MIN_VALUE;
+  private long lastStatusLogMs;
 
   /** Rents nothing before it is started and leads. */
   public Fleet(
       Timers timers,
       Caller caller,
-      StateServiceClient ledger,
+      StateServiceClient stateService,
       Tables tables,
       SchedulingState scheduling,
       Types types,
@@ -113,10 +113,10 @@
       PauseDetector pauseDetector,
       Zones zones,
       String incarnation,
-      MalformedMessages malformed) {
+      MalformedMessages malformedMessages) {
     this.timers = timers;
     this.caller = caller;
-    this.ledger = ledger;
+    this.stateService = stateService;
     this.tables = tables;
     this.scheduling = scheduling;
     this.types = types;
@@ -127,8 +127,8 @@
     this.incarnation = incarnation;
     this.pauseDetector = pauseDetector;
     this.zones = zones;
-    this.malformed = malformed;
-    this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
+    this.malformedMessages = malformedMessages;
+    this.cloudCallBudget = new TokenBucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
   }
 
   public void start() {
@@ -136,207 +136,213 @@
   }
 
   private void tick() {
-    timers.after(TICK_MS, this::tick);
+    timers.after(TICK_INTERVAL_MS, this::tick);
     long now = timers.nowMs();
-    if (now - typesAtMs > (types.known() ? TYPES_MS : 1000)) {
-      askTypes();
+    if (now - lastTypesRequestMs > (types.known() ? TYPES_REFRESH_INTERVAL_MS : 1000)) {
+      refreshTypes();
     }
     if (!membership.isLeader()
-        || ledger.phase() != StateServiceClient.Phase.FOLLOWING
+        || stateService.phase() != StateServiceClient.Phase.FOLLOWING
         || membership.isViewOutdated()
         || !types.known()) {
-      leadSinceMs = Long.MIN_VALUE;
+      leaderSinceMs = Long.MIN_VALUE;
       return;
     }
-    if (leadSinceMs < pauseDetector.uninterruptedSinceMs()) {
+    if (leaderSinceMs < pauseDetector.uninterruptedSinceMs()) {
       // A new leader, or one that stood still: what it was about to do was judged by another's
       // time. What is still so is found again.
-      leadSinceMs = now;
-      emptySince.clear();
-      absentSince.clear();
+      leaderSinceMs = now;
+      emptySinceMs.clear();
+      absentSinceMs.clear();
       everListed.clear();
-      rentals.clear();
-      condemned.clear();
-      fromNothing = false;
-      listedMs = Long.MIN_VALUE;
-    }
-    if (now - toldMs >= TELL_MS) {
-      toldMs = now;
-      tell();
-    }
-    list();
-    recordRented();
-    retireIdle();
-    deleteUnwanted();
-    if ((pipeline.isLeaderSettled() || fromNothing) && ledger.reachable()) {
-      rent();
+      pendingRentals.clear();
+      scheduledDeletions.clear();
+      startedWithoutMachines = false;
+      lastListReceivedMs = Long.MIN_VALUE;
+    }
+    if (now - lastStatusLogMs >= STATUS_LOG_INTERVAL_MS) {
+      lastStatusLogMs = now;
+      logStatus();
+    }
+    refreshList();
+    recordRentedMachines();
+    drainIdleMachines();
+    deleteUnwantedMachines();
+    if ((pipeline.isLeaderSettled() || startedWithoutMachines) && stateService.reachable()) {
+      rentForWaitingJobs();
     }
   }
 
   /** What an operator asks first: how much there is, how full it is, what waits. */
-  private void tell() {
-    int[] byLoad = new int[5];
-    Map<Machine.Phase, Integer> phases = new EnumMap<>(Machine.Phase.class);
-    int fetching = 0;
-    for (Machine m : tables.machines()) {
-      phases.merge(m.phase(), 1, Integer::sum);
-      TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-      if (t != null && m.phase() == Machine.Phase.UP) {
-        byLoad[(int) Math.min(4, new FreeCapacity(m, t).load() * 4 + FreeCapacity.EPS)]++;
-        fetching += m.estimatedFetchEndMs(t.fetchGbPerS()) > timers.nowMs() ? 1 : 0;
+  private void logStatus() {
+    int[] machinesByLoadQuarter = new int[5];
+    Map<Machine.Phase, Integer> machinesByPhase = new EnumMap<>(Machine.Phase.class);
+    int fetchingCount = 0;
+    for (Machine machine : tables.machines()) {
+      machinesByPhase.merge(machine.phase(), 1, Integer::sum);
+      TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+      if (type != null && machine.phase() == Machine.Phase.UP) {
+        machinesByLoadQuarter[
+            (int) Math.min(4, new FreeCapacity(machine, type).load() * 4 + FreeCapacity.EPS)]++;
+        fetchingCount += machine.estimatedFetchEndMs(type.fetchGbPerS()) > timers.nowMs() ? 1 : 0;
       }
     }
     LOG.info(
         "machines {}, by quarters of load {}, {} fetch; {} jobs wait",
-        phases,
-        byLoad,
-        fetching,
+        machinesByPhase,
+        machinesByLoadQuarter,
+        fetchingCount,
         scheduling.queue().size());
   }
 
   // ---- types ----
 
-  private void askTypes() {
-    if (askingTypes || !calls.tryAcquire(1, 0, timers.nowMs())) {
+  private void refreshTypes() {
+    if (typesRequestInProgress || !cloudCallBudget.tryAcquire(1, 0, timers.nowMs())) {
       return;
     }
-    askingTypes = true;
-    typesAtMs = timers.nowMs();
+    typesRequestInProgress = true;
+    lastTypesRequestMs = timers.nowMs();
     caller.call(
         settings.cloud(),
         "GET",
         "/flavors",
         null,
-        CALL_MS,
-        a -> {
-          askingTypes = false;
-          if (a.status() != 200) {
+        CLOUD_CALL_TIMEOUT_MS,
+        response -> {
+          typesRequestInProgress = false;
+          if (response.status() != 200) {
             return;
           }
           try {
-            for (Document d : Document.parse(a.body()).docs("flavours")) {
-              types.put(TypeInfo.parse(d));
+            for (Document type : Document.parse(response.body()).docs("flavours")) {
+              types.put(TypeInfo.parse(type));
             }
           } catch (BadMessage e) {
-            malformed.note(MalformedMessages.Sender.CLOUD, "types", e);
+            malformedMessages.note(MalformedMessages.Sender.CLOUD, "types", e);
           }
         });
   }
 
   // ---- the list ----
 
-  private void list() {
-    long gap = Math.max(1000, (long) (settings.cloudLimits().listLagS() * 500));
-    if (listing || timers.nowMs() - lastListMs < gap) {
+  private void refreshList() {
+    long intervalMs = Math.max(1000, (long) (settings.cloudLimits().listLagS() * 500));
+    if (listInProgress || timers.nowMs() - lastListRequestMs < intervalMs) {
       return;
     }
-    listing = true;
-    lastListMs = timers.nowMs();
-    page("", new TreeMap<>());
+    listInProgress = true;
+    lastListRequestMs = timers.nowMs();
+    fetchListPage("", new TreeMap<>());
   }
 
-  private void page(String from, Map<String, Listed> got) {
-    if (!calls.tryAcquire(1, 0, timers.nowMs())) {
-      listing = false;
+  private void fetchListPage(String startAfter, Map<String, ListedMachine> listed) {
+    if (!cloudCallBudget.tryAcquire(1, 0, timers.nowMs())) {
+      listInProgress = false;
       return;
     }
-    String path = "/hosts?most=" + PAGE + (from.isEmpty() ? "" : "&from=" + from);
+    String path =
+        "/hosts?most="
+            + MACHINES_PER_LIST_PAGE
+            + (startAfter.isEmpty() ? "" : "&from=" + startAfter);
     caller.call(
         settings.cloud(),
         "GET",
         path,
         null,
-        CALL_MS,
-        a -> {
-          if (a.status() != 200) {
-            listing = false;
+        CLOUD_CALL_TIMEOUT_MS,
+        response -> {
+          if (response.status() != 200) {
+            listInProgress = false;
             return;
           }
           try {
-            Document d = Document.parse(a.body());
-            String last = from;
-            for (Document h : d.docs("hosts")) {
-              last = h.text("ref");
-              got.put(
-                  last,
-                  new Listed(
-                      h.text("phase"),
-                      h.text("flavour"),
-                      h.text("region"),
-                      h.flag("reclaimable", false),
-                      h.amount("ageS", 0)));
+            Document page = Document.parse(response.body());
+            String lastName = startAfter;
+            for (Document host : page.docs("hosts")) {
+              lastName = host.text("ref");
+              listed.put(
+                  lastName,
+                  new ListedMachine(
+                      host.text("phase"),
+                      host.text("flavour"),
+                      host.text("region"),
+                      host.flag("reclaimable", false),
+                      host.amount("ageS", 0)));
             }
-            if (d.flag("truncated", false) && !last.equals(from)) {
-              page(last, got);
+            if (page.flag("truncated", false) && !lastName.equals(startAfter)) {
+              fetchListPage(lastName, listed);
               return;
             }
           } catch (BadMessage e) {
-            malformed.note(MalformedMessages.Sender.CLOUD, "list", e);
-            listing = false;
+            malformedMessages.note(MalformedMessages.Sender.CLOUD, "list", e);
+            listInProgress = false;
             return;
           }
-          listing = false;
+          listInProgress = false;
           if (membership.isLeader()) {
-            compare(got);
+            reconcileWithList(listed);
           }
         });
   }
 
-  private void compare(Map<String, Listed> got) {
+  private void reconcileWithList(Map<String, ListedMachine> listed) {
     long now = timers.nowMs();
-    if (listedMs < leadSinceMs) {
-      fromNothing = got.isEmpty() && tables.machines().isEmpty();
-    }
-    listedMs = now;
-    long lag = (long) (settings.cloudLimits().listLagS() * 1000);
-    deleted.values().removeIf(t -> now - t > 20 * lag + 60_000);
-    got.forEach(
-        (name, l) -> {
+    if (lastListReceivedMs < leaderSinceMs) {
+      startedWithoutMachines = listed.isEmpty() && tables.machines().isEmpty();
+    }
+    lastListReceivedMs = now;
+    long listLagMs = (long) (settings.cloudLimits().listLagS() * 1000);
+    deletedAtMs.values().removeIf(deletedMs -> now - deletedMs > 20 * listLagMs + 60_000);
+    listed.forEach(
+        (name, entry) -> {
           everListed.put(name, true);
-          absentSince.remove(name);
-          if (deleted.containsKey(name)) {
+          absentSinceMs.remove(name);
+          if (deletedAtMs.containsKey(name)) {
             return;
           }
-          Machine m = tables.getOrCreateMachine(name);
-          if (l.phase.equals("failed")) {
-            condemn(name, "it failed");
-          } else if (m.phase() == Machine.Phase.UNKNOWN && !pipeline.hasPendingRecord(m)) {
+          Machine machine = tables.getOrCreateMachine(name);
+          if (entry.phase.equals("failed")) {
+            scheduleDeletion(name, "it failed");
+          } else if (machine.phase() == Machine.Phase.UNKNOWN
+              && !pipeline.hasPendingRecord(machine)) {
             pipeline.enqueueRecord(
-                m,
+                machine,
                 new Machine.Info(
-                    l.type,
-                    l.zone,
-                    l.spot,
+                    entry.type,
+                    entry.zone,
+                    entry.spot,
                     Machine.Phase.BOOTING,
-                    timers.wallMs() - (long) (l.ageS * 1000)));
+                    timers.wallMs() - (long) (entry.ageS * 1000)));
           }
         });
-    for (Machine m : tables.machines()) {
-      boolean known = m.info() != null && m.phase() != Machine.Phase.GONE;
-      if (!known || got.containsKey(m.name())) {
+    for (Machine machine : tables.machines()) {
+      boolean isExpected = machine.info() != null && machine.phase() != Machine.Phase.GONE;
+      if (!isExpected || listed.containsKey(machine.name())) {
         continue;
       }
       boolean couldBeListed =
-          everListed.containsKey(m.name())
-              || timers.wallMs() - m.info().phaseSinceWallMs() > 3 * lag;
-      boolean heard = m.lastReportMs() > 0 && now - m.lastReportMs() < 2 * lag;
-      if (couldBeListed && !heard) {
-        absentSince.putIfAbsent(m.name(), now);
-        if (now - absentSince.get(m.name()) > 2 * lag) {
-          condemn(m.name(), "it is no longer listed");
+          everListed.containsKey(machine.name())
+              || timers.wallMs() - machine.info().phaseSinceWallMs() > 3 * listLagMs;
+      boolean reportedRecently =
+          machine.lastReportMs() > 0 && now - machine.lastReportMs() < 2 * listLagMs;
+      if (couldBeListed && !reportedRecently) {
+        absentSinceMs.putIfAbsent(machine.name(), now);
+        if (now - absentSinceMs.get(machine.name()) > 2 * listLagMs) {
+          scheduleDeletion(machine.name(), "it is no longer listed");
         }
       }
     }
-    everListed.keySet().removeIf(n -> tables.machine(n) == null && !got.containsKey(n));
+    everListed.keySet().removeIf(n -> tables.machine(n) == null && !listed.containsKey(n));
   }
 
   // ---- deleting ----
 
-  private final Map<String, String> condemned = new LinkedHashMap<>();
+  private final Map<String, String> scheduledDeletions = new LinkedHashMap<>();
 
-  private void condemn(String name, String why) {
-    if (!deleted.containsKey(name) && condemned.putIfAbsent(name, why) == null) {
-      LOG.info("deleting {}: {}", name, why);
+  private void scheduleDeletion(String name, String reason) {
+    if (!deletedAtMs.containsKey(name) && scheduledDeletions.putIfAbsent(name, reason) == null) {
+      LOG.info("deleting {}: {}", name, reason);
     }
   }
 
@@ -345,81 +351,84 @@
    * live: behind a cut a controller goes on answering its workers. Only the cloud can end it in
    * time.
    */
-  private void deleteOverdue(long wall) {
-    for (Job j : scheduling.withdrawnRunningJobs()) {
-      if (j.withdrawnWallMs() == 0 || wall - j.withdrawnWallMs() < tuning.overdueMs()) {
+  private void scheduleOverdueWithdrawalDeletions(long nowWallMs) {
+    for (Job job : scheduling.withdrawnRunningJobs()) {
+      if (job.withdrawnWallMs() == 0 || nowWallMs - job.withdrawnWallMs() < tuning.overdueMs()) {
         continue;
       }
-      for (Machine m : j.machines()) {
-        condemn(m.name(), "a cancelled task may still run there");
+      for (Machine machine : job.machines()) {
+        scheduleDeletion(machine.name(), "a cancelled task may still run there");
       }
     }
   }
 
-  private void deleteUnwanted() {
-    long wall = timers.wallMs();
-    deleteOverdue(wall);
-    for (Machine m : new ArrayList<>(tables.machines())) {
-      Machine.Info i = m.info();
-      if (i == null) {
+  private void deleteUnwantedMachines() {
+    long nowWallMs = timers.wallMs();
+    scheduleOverdueWithdrawalDeletions(nowWallMs);
+    for (Machine machine : new ArrayList<>(tables.machines())) {
+      Machine.Info info = machine.info();
+      if (info == null) {
         continue;
       }
-      long age = wall - i.phaseSinceWallMs();
-      switch (i.phase()) {
+      long phaseAgeMs = nowWallMs - info.phaseSinceWallMs();
+      switch (info.phase()) {
         case BOOTING -> {
-          TypeInfo t = types.find(i.type());
-          double boot = t == null ? 60 : t.bootS();
+          TypeInfo type = types.find(info.type());
+          double bootS = type == null ? 60 : type.bootS();
           // One that came up meanwhile has told its owner, perhaps not yet us.
-          if (age > boot * 4000 + 5000 && settled()) {
-            condemn(m.name(), "it does not come up");
+          if (phaseAgeMs > bootS * 4000 + 5000 && isSettled()) {
+            scheduleDeletion(machine.name(), "it does not come up");
           }
         }
         case LOST -> {
-          if (age > keepLostMs(i.zone()) && settled()) {
-            condemn(m.name(), "it is silent");
+          if (phaseAgeMs > lostRetentionMs(info.zone()) && isSettled()) {
+            scheduleDeletion(machine.name(), "it is silent");
           }
         }
         case DRAINING -> {
-          if (m.slots().isEmpty() && age > 1000) {
-            condemn(m.name(), "it is empty and not needed");
+          if (machine.slots().isEmpty() && phaseAgeMs > 1000) {
+            scheduleDeletion(machine.name(), "it is empty and not needed");
           }
         }
         case GONE -> {
-          if (m.slots().isEmpty() && !pipeline.hasPendingRecord(m)) {
-            pipeline.enqueueRecord(m, null);
+          if (machine.slots().isEmpty() && !pipeline.hasPendingRecord(machine)) {
+            pipeline.enqueueRecord(machine, null);
           }
         }
         default -> {}
       }
     }
-    if (condemned.isEmpty() || deleting || !calls.tryAcquire(1, 0, timers.nowMs())) {
+    if (scheduledDeletions.isEmpty()
+        || deletionInProgress
+        || !cloudCallBudget.tryAcquire(1, 0, timers.nowMs())) {
       return;
     }
     List<String> names = new ArrayList<>();
-    for (String n : condemned.keySet()) {
-      if (names.size() < DELETE_MOST) {
-        names.add(n);
+    for (String name : scheduledDeletions.keySet()) {
+      if (names.size() < MAX_MACHINES_PER_DELETION) {
+        names.add(name);
       }
     }
-    deleting = true;
+    deletionInProgress = true;
     caller.call(
         settings.cloud(),
         "POST",
         "/hosts/delete",
         MessageCodec.encode(Map.of("hosts", names)),
-        CALL_MS,
-        a -> {
-          deleting = false;
-          if (a.status() != 200) {
+        CLOUD_CALL_TIMEOUT_MS,
+        response -> {
+          deletionInProgress = false;
+          if (response.status() != 200) {
             return;
           }
-          for (String n : names) {
-            condemned.remove(n);
-            deleted.put(n, timers.nowMs());
-            Machine m = tables.machine(n);
-            if (m != null && m.info() != null) {
+          for (String name : names) {
+            scheduledDeletions.remove(name);
+            deletedAtMs.put(name, timers.nowMs());
+            Machine machine = tables.machine(name);
+            if (machine != null && machine.info() != null) {
               // The answer is the proof that nothing runs there any more.
-              pipeline.enqueueRecord(m, m.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
+              pipeline.enqueueRecord(
+                  machine, machine.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
             }
           }
         });
@@ -430,42 +439,44 @@
    * goes on answering its workers for its grace: all that runs there lives, and comes back with the
    * zone. What is cut off without one has lost its tasks by the time it is recorded as silent.
    */
-  private long keepLostMs(String zone) {
-    boolean lives = zones.away(zone, timers.nowMs()) && settings.controllerZones().contains(zone);
-    return lives ? tuning.graceMs() : tuning.lostMs();
+  private long lostRetentionMs(String zone) {
+    boolean mayStillRunTasks =
+        zones.away(zone, timers.nowMs()) && settings.controllerZones().contains(zone);
+    return mayStillRunTasks ? tuning.graceMs() : tuning.lostMs();
   }
 
   /** Long enough at it for reports to have come in from all that is up. */
-  private boolean settled() {
-    return timers.nowMs() - leadSinceMs >= tuning.settleMs();
+  private boolean isSettled() {
+    return timers.nowMs() - leaderSinceMs >= tuning.settleMs();
   }
 
-  private void retireIdle() {
+  private void drainIdleMachines() {
     long now = timers.nowMs();
-    long keepMs = idleMs();
-    int idle = 0;
+    long timeoutMs = idleTimeoutMs();
+    int idleCount = 0;
     List<Machine> candidates = new ArrayList<>();
-    for (Machine m : tables.machines()) {
-      if (m.phase() != Machine.Phase.UP || !m.slots().isEmpty()) {
-        emptySince.remove(m.name());
+    for (Machine machine : tables.machines()) {
+      if (machine.phase() != Machine.Phase.UP || !machine.slots().isEmpty()) {
+        emptySinceMs.remove(machine.name());
         continue;
       }
-      idle++;
-      if (now - emptySince.computeIfAbsent(m.name(), k -> now) > keepMs) {
-        candidates.add(m);
+      idleCount++;
+      if (now - emptySinceMs.computeIfAbsent(machine.name(), k -> now) > timeoutMs) {
+        candidates.add(machine);
       }
     }
-    for (Machine m : candidates) {
-      if (idle <= tuning.spareMachines()) {
+    for (Machine machine : candidates) {
+      if (idleCount <= tuning.spareMachines()) {
         return;
       }
-      if (wanted(m)) {
+      if (isUsableByWaitingJob(machine)) {
         continue;
       }
-      if (!pipeline.hasPendingRecord(m)) {
-        pipeline.enqueueRecord(m, m.info().withPhase(Machine.Phase.DRAINING, timers.wallMs()));
+      if (!pipeline.hasPendingRecord(machine)) {
+        pipeline.enqueueRecord(
+            machine, machine.info().withPhase(Machine.Phase.DRAINING, timers.wallMs()));
       }
-      idle--;
+      idleCount--;
     }
   }
 
@@ -473,14 +484,14 @@
    * How long an empty machine is kept. Where work should start sooner than a rented machine comes
    * up, only machines that are there already can meet the aim, so they are kept for long.
    */
-  private long idleMs() {
-    double boot = 0;
-    for (TypeInfo t : types.all()) {
-      boot = Math.max(boot, t.bootS());
-    }
-    for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals("wait") && o.withinS() < boot) {
-        return Math.max(tuning.idleMs(), (long) (tuning.idleBootsWait() * boot * 1000));
+  private long idleTimeoutMs() {
+    double maxBootS = 0;
+    for (TypeInfo type : types.all()) {
+      maxBootS = Math.max(maxBootS, type.bootS());
+    }
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.kind().equals("wait") && objective.withinS() < maxBootS) {
+        return Math.max(tuning.idleMs(), (long) (tuning.idleBootsWait() * maxBootS * 1000));
       }
     }
     return tuning.idleMs();
@@ -489,13 +500,13 @@
   /**
    * Whether a job waits that could use it: in a large fleet some job waits for something always.
    */
-  private boolean wanted(Machine m) {
-    Machine.Info i = m.info();
-    TypeInfo t = types.find(i.type());
-    for (Job j : scheduling.queue().waiting()) {
-      JobSpec s = j.spec();
-      boolean zone = s.zone() == null || s.zone().equals(i.zone());
-      if (t != null && t.canHold(s) && zone && (s.spot() || !i.spot())) {
+  private boolean isUsableByWaitingJob(Machine machine) {
+    Machine.Info info = machine.info();
+    TypeInfo type = types.find(info.type());
+    for (Job job : scheduling.queue().waiting()) {
+      JobSpec spec = job.spec();
+      boolean zoneMatches = spec.zone() == null || spec.zone().equals(info.zone());
+      if (type != null && type.canHold(spec) && zoneMatches && (spec.spot() || !info.spot())) {
         return true;
       }
     }
@@ -504,76 +515,85 @@
 
   // ---- renting ----
 
-  private void recordRented() {
-    rentedUnrecorded
+  private void recordRentedMachines() {
+    unrecordedRentals
         .entrySet()
         .removeIf(
-            e -> {
-              Machine m = tables.getOrCreateMachine(e.getKey());
-              if (m.phase() != Machine.Phase.UNKNOWN) {
+            entry -> {
+              Machine machine = tables.getOrCreateMachine(entry.getKey());
+              if (machine.phase() != Machine.Phase.UNKNOWN) {
                 return true;
               }
-              if (!pipeline.hasPendingRecord(m)) {
-                pipeline.enqueueRecord(m, e.getValue());
+              if (!pipeline.hasPendingRecord(machine)) {
+                pipeline.enqueueRecord(machine, entry.getValue());
               }
               return false;
             });
   }
 
   /** Machines that are not there yet, plus what would have to be rented for all that waits. */
-  private void rent() {
+  private void rentForWaitingJobs() {
     if (scheduling.queue().isEmpty()) {
       return;
     }
-    closed.clear();
-    List<FreeCapacity> rooms = new ArrayList<>();
-    for (Machine m : tables.machines()) {
-      TypeInfo t = m.info() == null ? null : types.find(m.info().type());
-      boolean there = m.phase() != Machine.Phase.UNKNOWN && m.phase() != Machine.Phase.GONE;
-      if (there && zones.dark(m.info().zone())) {
+    closedZones.clear();
+    List<FreeCapacity> freeCapacities = new ArrayList<>();
+    for (Machine machine : tables.machines()) {
+      TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+      boolean exists =
+          machine.phase() != Machine.Phase.UNKNOWN && machine.phase() != Machine.Phase.GONE;
+      if (exists && zones.dark(machine.info().zone())) {
         // Whatever comes up there can't be told to run anything; as long as something is there
         // that would report, no more is rented to see whether the zone is back.
-        closed.add(m.info().zone());
+        closedZones.add(machine.info().zone());
         continue;
       }
-      boolean usable = m.phase() == Machine.Phase.UP || m.phase() == Machine.Phase.BOOTING;
+      boolean usable =
+          machine.phase() == Machine.Phase.UP || machine.phase() == Machine.Phase.BOOTING;
       // One that fails whatever it is given is no room.
-      if (t != null && usable && m.failedJobCount() < 2) {
-        rooms.add(new FreeCapacity(m, t));
+      if (type != null && usable && machine.failedJobCount() < 2) {
+        freeCapacities.add(new FreeCapacity(machine, type));
       }
     }
-    leaveOutOverdue(rooms);
-    Map<Kind, Integer> coming = new LinkedHashMap<>();
-    rentals.forEach(r -> coming.merge(r.kind, r.count, Integer::sum));
-    coming.keySet().stream().map(Kind::zone).filter(zones::dark).forEach(closed::add);
+    removeOverdueBoots(freeCapacities);
+    Map<MachineKind, Integer> expectedMachines = new LinkedHashMap<>();
+    pendingRentals.forEach(
+        rental -> expectedMachines.merge(rental.kind, rental.count, Integer::sum));
+    expectedMachines.keySet().stream()
+        .map(MachineKind::zone)
+        .filter(zones::dark)
+        .forEach(closedZones::add);
     // Where many are found at once, as by the first list of a new leader, records take a while.
-    for (Machine m : tables.machines()) {
-      Machine.Info i = m.phase() == Machine.Phase.UNKNOWN ? pipeline.pendingRecord(m) : null;
-      if (i != null && (i.phase() == Machine.Phase.UP || i.phase() == Machine.Phase.BOOTING)) {
-        coming.merge(new Kind(i.type(), i.zone(), i.spot()), 1, Integer::sum);
+    for (Machine machine : tables.machines()) {
+      Machine.Info info =
+          machine.phase() == Machine.Phase.UNKNOWN ? pipeline.pendingRecord(machine) : null;
+      if (info != null
+          && (info.phase() == Machine.Phase.UP || info.phase() == Machine.Phase.BOOTING)) {
+        expectedMachines.merge(
+            new MachineKind(info.type(), info.zone(), info.spot()), 1, Integer::sum);
       }
     }
-    coming.keySet().removeIf(k -> closed.contains(k.zone()));
-    Map<Kind, Integer> wanted =
-        Demand.of(
+    expectedMachines.keySet().removeIf(kind -> closedZones.contains(kind.zone()));
+    Map<MachineKind, Integer> demand =
+        RentalDemand.compute(
             scheduling.queue().waiting(),
             timers.nowMs(),
             settings,
             types,
             tables.usage(),
-            rooms,
-            toKinds(coming),
-            this::pick);
-    for (Map.Entry<Kind, Integer> e : wanted.entrySet()) {
-      int n = Math.min(e.getValue(), RENT_MOST);
-      if (n > 0 && calls.tryAcquire(1, 1, timers.nowMs())) {
-        View v = tables.view();
+            freeCapacities,
+            toExpectedMachines(expectedMachines),
+            this::chooseKind);
+    for (Map.Entry<MachineKind, Integer> entry : demand.entrySet()) {
+      int count = Math.min(entry.getValue(), MAX_MACHINES_PER_RENTAL);
+      if (count > 0 && cloudCallBudget.tryAcquire(1, 1, timers.nowMs())) {
+        View view = tables.view();
         // Never used by anyone else: the epoch, this process and a counter are in it.
-        String claim =
-            "r-" + v.epoch() + "-" + settings.node() + "-" + incarnation + "-" + ++claimCounter;
-        Rental r = new Rental(claim, e.getKey(), n);
-        rentals.add(r);
-        ask(r, 0);
+        String idempotencyKey =
+            "r-" + view.epoch() + "-" + settings.node() + "-" + incarnation + "-" + ++rentalCounter;
+        RentalRequest rental = new RentalRequest(idempotencyKey, entry.getKey(), count);
+        pendingRentals.add(rental);
+        sendRental(rental, 0);
       }
     }
   }
@@ -583,62 +603,66 @@
    * waits is not left to wait for them; but so many at most are rented for a second time, for when
    * all are late the next ones are too. Those that come after all are used, or returned.
    */
-  private void leaveOutOverdue(List<FreeCapacity> rooms) {
-    long wall = timers.wallMs();
-    int most = Math.max(OVERDUE_LEAST, (int) (rooms.size() * tuning.overdueShare()));
-    for (Iterator<FreeCapacity> it = rooms.iterator(); it.hasNext() && most > 0; ) {
-      FreeCapacity r = it.next();
-      Machine.Info i = r.machine().info();
-      if (i.phase() == Machine.Phase.BOOTING
-          && wall - i.phaseSinceWallMs() > r.type().bootS() * 1000 * tuning.overdueBoots()) {
+  private void removeOverdueBoots(List<FreeCapacity> freeCapacities) {
+    long nowWallMs = timers.wallMs();
+    int removable =
+        Math.max(
+            MIN_REPLACEABLE_OVERDUE_BOOTS, (int) (freeCapacities.size() * tuning.overdueShare()));
+    for (Iterator<FreeCapacity> it = freeCapacities.iterator(); it.hasNext() && removable > 0; ) {
+      FreeCapacity capacity = it.next();
+      Machine.Info info = capacity.machine().info();
+      if (info.phase() == Machine.Phase.BOOTING
+          && nowWallMs - info.phaseSinceWallMs()
+              > capacity.type().bootS() * 1000 * tuning.overdueBoots()) {
         it.remove();
-        most--;
+        removable--;
       }
     }
   }
 
-  private List<Demand.Virtual> toKinds(Map<Kind, Integer> coming) {
-    List<Demand.Virtual> out = new ArrayList<>();
-    coming.forEach(
-        (k, n) -> {
-          TypeInfo t = types.find(k.type);
-          for (int i = 0; t != null && i < n; i++) {
-            out.add(new Demand.Virtual(t, k.zone, k.spot));
+  private List<RentalDemand.ExpectedMachine> toExpectedMachines(
+      Map<MachineKind, Integer> countsByKind) {
+    List<RentalDemand.ExpectedMachine> machines = new ArrayList<>();
+    countsByKind.forEach(
+        (kind, count) -> {
+          TypeInfo type = types.find(kind.type);
+          for (int i = 0; type != null && i < count; i++) {
+            machines.add(new RentalDemand.ExpectedMachine(type, kind.zone, kind.spot));
           }
         });
-    return out;
+    return machines;
   }
 
   /**
    * The kind to rent for a job: cheapest first, zones in turn, what was just refused not at all.
    */
-  private Kind pick(Job job, Map<String, Integer> perZone) {
+  private MachineKind chooseKind(Job job, Map<String, Integer> machinesPerZone) {
     long now = timers.nowMs();
-    Kind best = null;
+    MachineKind best = null;
     double bestCost = 0;
-    for (TypeInfo t : types.all()) {
-      if (!t.canHold(job.spec())) {
+    for (TypeInfo type : types.all()) {
+      if (!type.canHold(job.spec())) {
         continue;
       }
-      for (String zone : t.zones()) {
+      for (String zone : type.zones()) {
         if (job.spec().zone() != null && !job.spec().zone().equals(zone)) {
           continue;
         }
-        if (closed.contains(zone) && job.spec().zone() == null) {
+        if (closedZones.contains(zone) && job.spec().zone() == null) {
           continue;
         }
         for (boolean spot :
             job.spec().spot() ? new boolean[] {true, false} : new boolean[] {false}) {
-          Kind k = new Kind(t.name(), zone, spot);
-          if (refusedUntil.getOrDefault(k, 0L) > now) {
+          MachineKind kind = new MachineKind(type.name(), zone, spot);
+          if (refusedUntilMs.getOrDefault(kind, 0L) > now) {
             continue;
           }
           double cost =
-              (spot ? t.spotPrice() : t.price())
-                  * (1 + 0.001 * perZone.getOrDefault(zone, 0))
-                  * (near(job, zone) ? 1 : FAR);
+              (spot ? type.spotPrice() : type.price())
+                  * (1 + 0.001 * machinesPerZone.getOrDefault(zone, 0))
+                  * (isPreferredZone(job, zone) ? 1 : ZONE_MISMATCH_COST_FACTOR);
           if (best == null || cost < bestCost) {
-            best = k;
+            best = kind;
             bestCost = cost;
           }
         }
@@ -646,21 +670,21 @@
     }
     if (best != null && zones.dark(best.zone)) {
       // One, to see whether the zone is back.
-      closed.add(best.zone);
+      closedZones.add(best.zone);
     }
     return best;
   }
 
   /** Replicas and gangs belong where a controller is; arrays leave them the room. */
-  private boolean near(Job job, String zone) {
-    boolean array = job.spec().shape() == JobSpec.Shape.ARRAY;
-    return settings.controllerZones().contains(zone) != array;
+  private boolean isPreferredZone(Job job, String zone) {
+    boolean isArray = job.spec().shape() == JobSpec.Shape.ARRAY;
+    return settings.controllerZones().contains(zone) != isArray;
   }
 
-  private void ask(Rental r, int tries) {
+  private void sendRental(RentalRequest rental, int retries) {
     if (!membership.isLeader()) {
       // Not ours to rent any more, perhaps since the answer to the last try was lost.
-      rentals.remove(r);
+      pendingRentals.remove(rental);
       return;
     }
     caller.call(
@@ -669,34 +693,34 @@
         "/hosts",
         MessageCodec.encode(
             Map.of(
-                "claim", r.claim,
-                "flavour", r.kind.type,
-                "region", r.kind.zone,
-                "reclaimable", r.kind.spot,
-                "count", r.count)),
-        CALL_MS,
-        a -> {
-          if (a.status() == 200) {
-            rentals.remove(r);
-            rented(r, a.body());
-          } else if (a.status() == 503 && !trouble(a.body())) {
-            rentals.remove(r);
-            LOG.info("no capacity: {}", r.kind);
-            refusedUntil.put(r.kind, timers.nowMs() + REFUSED_MS);
-          } else if (a.status() == 400) {
-            rentals.remove(r);
-            LOG.error("cloud refused the rental of {}", r.kind);
-            refusedUntil.put(r.kind, timers.nowMs() + 4 * REFUSED_MS);
-          } else if (tries < 20 && rentals.contains(r)) {
+                "claim", rental.idempotencyKey,
+                "flavour", rental.kind.type,
+                "region", rental.kind.zone,
+                "reclaimable", rental.kind.spot,
+                "count", rental.count)),
+        CLOUD_CALL_TIMEOUT_MS,
+        response -> {
+          if (response.status() == 200) {
+            pendingRentals.remove(rental);
+            handleRentalReply(rental, response.body());
+          } else if (response.status() == 503 && !isTransientFailure(response.body())) {
+            pendingRentals.remove(rental);
+            LOG.info("no capacity: {}", rental.kind);
+            refusedUntilMs.put(rental.kind, timers.nowMs() + REFUSAL_BACKOFF_MS);
+          } else if (response.status() == 400) {
+            pendingRentals.remove(rental);
+            LOG.error("cloud refused the rental of {}", rental.kind);
+            refusedUntilMs.put(rental.kind, timers.nowMs() + 4 * REFUSAL_BACKOFF_MS);
+          } else if (retries < 20 && pendingRentals.contains(rental)) {
             // Perhaps executed: the same claim gives the same answer and rents nothing twice.
-            timers.after(1000 + 200L * tries, () -> ask(r, tries + 1));
+            timers.after(1000 + 200L * retries, () -> sendRental(rental, retries + 1));
           } else {
-            rentals.remove(r);
+            pendingRentals.remove(rental);
           }
         });
   }
 
-  private static boolean trouble(byte[] body) {
+  private static boolean isTransientFailure(byte[] body) {
     try {
       return "trouble".equals(Document.parse(body).raw("error"));
     } catch (BadMessage e) {
@@ -704,135 +728,141 @@
     }
   }
 
-  private void rented(Rental r, byte[] body) {
+  private void handleRentalReply(RentalRequest rental, byte[] body) {
     List<String> names;
     try {
       names = Document.parse(body).texts("hosts");
     } catch (BadMessage e) {
-      malformed.note(MalformedMessages.Sender.CLOUD, "answer to a rental", e);
+      malformedMessages.note(MalformedMessages.Sender.CLOUD, "answer to a rental", e);
       return;
     }
-    LOG.info("rented {} of {} {}", names.size(), r.count, r.kind);
-    if (names.size() < r.count) {
-      refusedUntil.put(r.kind, timers.nowMs() + REFUSED_MS);
+    LOG.info("rented {} of {} {}", names.size(), rental.count, rental.kind);
+    if (names.size() < rental.count) {
+      refusedUntilMs.put(rental.kind, timers.nowMs() + REFUSAL_BACKOFF_MS);
     }
-    for (String n : names) {
-      rentedUnrecorded.put(
-          n,
+    for (String name : names) {
+      unrecordedRentals.put(
+          name,
           new Machine.Info(
-              r.kind.type, r.kind.zone, r.kind.spot, Machine.Phase.BOOTING, timers.wallMs()));
+              rental.kind.type,
+              rental.kind.zone,
+              rental.kind.spot,
+              Machine.Phase.BOOTING,
+              timers.wallMs()));
     }
-    recordRented();
+    recordRentedMachines();
   }
 
   /** What waits and fits nowhere, as machines to rent. */
-  static final class Demand {
+  static final class RentalDemand {
     /** A machine that is not in the tables yet. */
-    record Virtual(TypeInfo type, String zone, boolean spot) {}
+    record ExpectedMachine(TypeInfo type, String zone, boolean spot) {}
 
-    interface Picker {
-      Kind pick(Job job, Map<String, Integer> perZone);
+    interface KindChooser {
+      MachineKind choose(Job job, Map<String, Integer> machinesPerZone);
     }
 
     private static final class Bin {
-      final FreeCapacity room;
+      final FreeCapacity capacity;
       final String zone;
       final boolean spot;
-      final Kind fresh;
+      final MachineKind kindToRent;
 
-      Bin(FreeCapacity room, String zone, boolean spot, Kind fresh) {
-        this.room = room;
+      Bin(FreeCapacity capacity, String zone, boolean spot, MachineKind kindToRent) {
+        this.capacity = capacity;
         this.zone = zone;
         this.spot = spot;
-        this.fresh = fresh;
+        this.kindToRent = kindToRent;
       }
     }
 
-    private Demand() {}
+    private RentalDemand() {}
 
-    static Map<Kind, Integer> of(
+    static Map<MachineKind, Integer> compute(
         Iterable<Job> waiting,
         long nowMs,
         Settings settings,
         Types types,
         TeamUsage usage,
-        List<FreeCapacity> rooms,
-        List<Virtual> coming,
-        Picker picker) {
+        List<FreeCapacity> freeCapacities,
+        List<ExpectedMachine> expectedMachines,
+        KindChooser kindChooser) {
       List<Bin> bins = new ArrayList<>();
-      for (FreeCapacity r : rooms) {
-        Machine.Info i = r.machine().info();
-        bins.add(new Bin(r, i.zone(), i.spot(), null));
+      for (FreeCapacity capacity : freeCapacities) {
+        Machine.Info info = capacity.machine().info();
+        bins.add(new Bin(capacity, info.zone(), info.spot(), null));
       }
-      for (Virtual c : coming) {
-        bins.add(new Bin(new FreeCapacity(null, c.type), c.zone, c.spot, null));
+      for (ExpectedMachine machine : expectedMachines) {
+        bins.add(new Bin(new FreeCapacity(null, machine.type), machine.zone, machine.spot, null));
       }
-      Map<Kind, Integer> wanted = new LinkedHashMap<>();
-      Map<String, Integer> perZone = new HashMap<>();
-      bins.forEach(b -> perZone.merge(b.zone, 1, Integer::sum));
-      Map<String, QuotaShare> leftOfLimit = new HashMap<>();
-      Set<String> savedFor = new HashSet<>();
-      int seen = 0;
-      int fresh = 0;
+      Map<MachineKind, Integer> demand = new LinkedHashMap<>();
+      Map<String, Integer> machinesPerZone = new HashMap<>();
+      bins.forEach(candidate -> machinesPerZone.merge(candidate.zone, 1, Integer::sum));
+      Map<String, QuotaShare> remainingQuotas = new HashMap<>();
+      Set<String> teamsSavingQuota = new HashSet<>();
+      int tasksExamined = 0;
+      int newMachines = 0;
       for (Job job : waiting) {
         Settings.Team team = JobQueue.findTeam(settings, job.spec().team());
         if (team == null || job.isSuspected() && job.retryAtMs() > nowMs) {
           continue;
         }
         // What seems to fail everywhere is tried, not provided for.
-        boolean one = job.isSuspected() && job.spec().shape() != JobSpec.Shape.GANG;
-        int most = one ? 1 : job.waitingCount();
-        QuotaShare need = new QuotaShare(job.spec().cpus(), job.spec().gpus());
-        QuotaShare left =
-            leftOfLimit.computeIfAbsent(team.name(), k -> leftOf(team, usage.of(team.name())));
-        int allowed =
+        boolean probeOnly = job.isSuspected() && job.spec().shape() != JobSpec.Shape.GANG;
+        int taskCount = probeOnly ? 1 : job.waitingCount();
+        QuotaShare quotaPerTask = new QuotaShare(job.spec().cpus(), job.spec().gpus());
+        QuotaShare remainingQuota =
+            remainingQuotas.computeIfAbsent(
+                team.name(), k -> remainingQuota(team, usage.of(team.name())));
+        int allowedTasks =
             FreeCapacity.taskCapacity(
-                job.spec(), left.cpus(), left.gpus(), Double.POSITIVE_INFINITY);
+                job.spec(), remainingQuota.cpus(), remainingQuota.gpus(), Double.POSITIVE_INFINITY);
         // What its team's limit forbids has no use for a machine: it runs where others have ended.
         // But for the first gang that waits for it: the limit is saved up for that one.
-        boolean gang = job.spec().shape() == JobSpec.Shape.GANG;
-        if (!gang) {
-          most = Math.min(most, allowed);
-        } else if (allowed < most && !savedFor.add(team.name())) {
+        boolean isGang = job.spec().shape() == JobSpec.Shape.GANG;
+        if (!isGang) {
+          taskCount = Math.min(taskCount, allowedTasks);
+        } else if (allowedTasks < taskCount && !teamsSavingQuota.add(team.name())) {
           continue;
         }
-        leftOfLimit.put(team.name(), left.minus(need.times(most)));
+        remainingQuotas.put(team.name(), remainingQuota.minus(quotaPerTask.times(taskCount)));
         // Its tasks are alike: where one did not fit, the next does not either.
-        int from = 0;
-        for (int n = 0; n < most; n++) {
-          if (++seen > TASKS_SEEN || fresh >= NEW_MOST) {
-            return wanted;
+        int nextBin = 0;
+        for (int n = 0; n < taskCount; n++) {
+          if (++tasksExamined > MAX_TASKS_EXAMINED || newMachines >= MAX_NEW_MACHINES) {
+            return demand;
           }
           Bin bin = null;
-          for (; from < bins.size(); from++) {
-            Bin b = bins.get(from);
-            if ((job.spec().spot() || !b.spot)
-                && (job.spec().zone() == null || job.spec().zone().equals(b.zone))
-                && b.room.type().canHold(job.spec())
-                && b.room.fits(job.spec())) {
-              bin = b;
+          for (; nextBin < bins.size(); nextBin++) {
+            Bin candidate = bins.get(nextBin);
+            if ((job.spec().spot() || !candidate.spot)
+                && (job.spec().zone() == null || job.spec().zone().equals(candidate.zone))
+                && candidate.capacity.type().canHold(job.spec())
+                && candidate.capacity.fits(job.spec())) {
+              bin = candidate;
               break;
             }
           }
           if (bin == null) {
-            Kind k = picker.pick(job, perZone);
-            if (k == null) {
+            MachineKind kind = kindChooser.choose(job, machinesPerZone);
+            if (kind == null) {
               break;
             }
-            bin = new Bin(new FreeCapacity(null, types.find(k.type)), k.zone, k.spot, k);
+            bin =
+                new Bin(new FreeCapacity(null, types.find(kind.type)), kind.zone, kind.spot, kind);
             bins.add(bin);
-            fresh++;
-            wanted.merge(k, 1, Integer::sum);
-            perZone.merge(k.zone, 1, Integer::sum);
+            newMachines++;
+            demand.merge(kind, 1, Integer::sum);
+            machinesPerZone.merge(kind.zone, 1, Integer::sum);
           }
-          bin.room.book(job.spec());
+          bin.capacity.book(job.spec());
         }
       }
-      return wanted;
+      return demand;
     }
 
     /** What a team may use beyond what it does; without end where it has no limit. */
-    private static QuotaShare leftOf(Settings.Team team, QuotaShare used) {
+    private static QuotaShare remainingQuota(Settings.Team team, QuotaShare used) {
       return new QuotaShare(
           team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.POSITIVE_INFINITY,
           team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.POSITIVE_INFINITY);
--- a/src/main/java/wickdrift/coordination/Tuning.java
+++ b/src/main/java/wickdrift/coordination/Tuning.java
@@ -37,33 +37,33 @@
     int logPageBytes) {
 
   /** Clocks drift apart by at most 0.05%; twice that, for a lease is measured by two clocks. */
-  private static final double DRIFT = 0.001;
+  private static final double MAX_CLOCK_DRIFT = 0.001;
 
-  private static final long SLACK_MS = 300;
+  private static final long TIMER_SLACK_MS = 300;
   private static final long MEMBER_LEASE_MS = 4000;
 
   /** The defaults for a deployment. */
-  public static Tuning defaults(Settings s) {
-    long lease = (long) (s.workers().leaseS() * 1000);
-    double cancel = s.workers().cancelS() * 1000;
-    long report = (long) (s.workers().reportS() * 1000);
+  public static Tuning defaults(Settings settings) {
+    long leaseMs = (long) (settings.workers().leaseS() * 1000);
+    double cancelMs = settings.workers().cancelS() * 1000;
+    long reportMs = (long) (settings.workers().reportS() * 1000);
     return new Tuning(
         MEMBER_LEASE_MS,
         // A process on a fraction of a core is now and then late by some hundred milliseconds.
         MEMBER_LEASE_MS / 4,
         MEMBER_LEASE_MS / 8,
         0.2,
-        3 * lease,
+        3 * leaseMs,
         // Two reports in a row are missing.
-        Math.min(lease / 2, 2 * (report * 5 / 4) + SLACK_MS),
-        lease,
-        (long) (lease * (1 + DRIFT)) + SLACK_MS,
+        Math.min(leaseMs / 2, 2 * (reportMs * 5 / 4) + TIMER_SLACK_MS),
+        leaseMs,
+        (long) (leaseMs * (1 + MAX_CLOCK_DRIFT)) + TIMER_SLACK_MS,
         // Reports are late now and then, and a worker looks at its lease now and then.
-        lease * (1 + DRIFT) + SLACK_MS + report < cancel,
+        leaseMs * (1 + MAX_CLOCK_DRIFT) + TIMER_SLACK_MS + reportMs < cancelMs,
         // A little more than half of the time for a cancellation, and, if that leaves time for a
         // deletion or two, no sooner than a silent worker's lease ends by itself.
-        (long) Math.max(cancel * 0.55, Math.min(lease + 1000, cancel * 0.7)),
-        report * 5 / 4 + SLACK_MS,
+        (long) Math.max(cancelMs * 0.55, Math.min(leaseMs + 1000, cancelMs * 0.7)),
+        reportMs * 5 / 4 + TIMER_SLACK_MS,
         1500,
         3000,
         1000,
@@ -78,7 +78,7 @@
         1,
         12,
         // Pages are rewritten whole, so they are kept small even where values may be large.
-        (int) Math.min(3600, s.stateLimits().valueKb() * 1024 * 0.9));
+        (int) Math.min(3600, settings.stateLimits().valueKb() * 1024 * 0.9));
   }
 
   /** The same with other sizes of a node's log. */
--- a/src/main/java/wickdrift/coordination/TypeInfo.java
+++ b/src/main/java/wickdrift/coordination/TypeInfo.java
@@ -19,31 +19,31 @@
     List<String> zones) {
 
   /** Reads a machine type of the cloud's list. */
-  public static TypeInfo parse(Document d) throws BadMessage {
+  public static TypeInfo parse(Document document) throws BadMessage {
     return new TypeInfo(
-        d.text("sku"),
-        d.amount("cores"),
-        d.amount("gpus", 0),
-        d.amount("memoryGb"),
-        d.amount("localGb", 0),
-        d.amount("fetchGbPerS", 0),
-        d.amount("rate", 0),
-        d.amount("lowPrice", 0),
-        d.amount("bootS", 0),
-        List.copyOf(d.texts("regions")));
+        document.text("sku"),
+        document.amount("cores"),
+        document.amount("gpus", 0),
+        document.amount("memoryGb"),
+        document.amount("localGb", 0),
+        document.amount("fetchGbPerS", 0),
+        document.amount("rate", 0),
+        document.amount("lowPrice", 0),
+        document.amount("bootS", 0),
+        List.copyOf(document.texts("regions")));
   }
 
   /** Whether a task of the job could ever run on a machine of this type. */
-  public boolean canHold(JobSpec s) {
-    return s.allowsType(name)
-        && s.cpus() <= cpus + FreeCapacity.EPS
-        && s.gpus() <= gpus + FreeCapacity.EPS
-        && s.memoryGb() <= memoryGb + FreeCapacity.EPS
-        && (s.zone() == null || zones.contains(s.zone()));
+  public boolean canHold(JobSpec spec) {
+    return spec.allowsType(name)
+        && spec.cpus() <= cpus + FreeCapacity.EPS
+        && spec.gpus() <= gpus + FreeCapacity.EPS
+        && spec.memoryGb() <= memoryGb + FreeCapacity.EPS
+        && (spec.zone() == null || zones.contains(spec.zone()));
   }
 
   /** How many tasks of a kind an empty machine holds. */
-  int tasksThatFit(JobSpec s) {
-    return FreeCapacity.taskCapacity(s, cpus, gpus, memoryGb);
+  int tasksThatFit(JobSpec spec) {
+    return FreeCapacity.taskCapacity(spec, cpus, gpus, memoryGb);
   }
 }
--- a/src/main/java/wickdrift/coordination/Types.java
+++ b/src/main/java/wickdrift/coordination/Types.java
@@ -20,7 +20,7 @@
     return types.values();
   }
 
-  public void put(TypeInfo t) {
-    types.put(t.name(), t);
+  public void put(TypeInfo type) {
+    types.put(type.name(), type);
   }
 }
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -36,38 +36,46 @@
 /** One controller, put together. It knows no sockets, so tests run it in a simulated world. */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final String JOBS = "/api/jobs";
+  private static final String JOBS_PATH = "/api/jobs";
 
   /** Seconds: what keeps this node out is mended by people, and others serve meanwhile. */
-  private static final int BARRED_RETRY_S = 5;
+  private static final int BLOCKED_RETRY_S = 5;
 
-  private static final long LEAVE_STEP_MS = 20;
+  private static final long SHUTDOWN_POLL_INTERVAL_MS = 20;
 
   private final PauseDetector pauseDetector;
-  private final StateServiceClient ledger;
+  private final StateServiceClient stateService;
   private final Tables tables;
   private final SchedulingState scheduling;
   private final JobHistory history;
   private final Membership membership;
   private final TransactionPipeline pipeline;
-  private final ReportRelay relay;
-  private final ReportHandler reporting;
+  private final ReportRelay reportRelay;
+  private final ReportHandler reportHandler;
   private final WithdrawalConfirmations confirmations;
   private final Admission admission;
   private final Fleet fleet;
   private final Metrics metrics;
-  private long unknownFrames;
-  private final MalformedMessages malformed = new MalformedMessages();
+  private long unknownFrameCount;
+  private final MalformedMessages malformedMessages = new MalformedMessages();
 
   public Controller(
       Settings settings,
       Tuning tuning,
-      Timers clock,
-      Caller calls,
+      Timers unmonitoredTimers,
+      Caller unmonitoredCaller,
       Map<String, Consumer<ByteBuffer>> peers,
       String incarnation,
       Metrics metrics) {
-    this(settings, tuning, clock, calls, peers, incarnation, metrics, LevelRange.BUILD);
+    this(
+        settings,
+        tuning,
+        unmonitoredTimers,
+        unmonitoredCaller,
+        peers,
+        incarnation,
+        metrics,
+        LevelRange.BUILD);
   }
 
   /**
@@ -77,34 +85,34 @@
   public Controller(
       Settings settings,
       Tuning tuning,
-      Timers clock,
-      Caller calls,
+      Timers unmonitoredTimers,
+      Caller unmonitoredCaller,
       Map<String, Consumer<ByteBuffer>> peers,
       String incarnation,
       Metrics metrics,
       LevelRange levels) {
     this.metrics = metrics;
-    pauseDetector = new PauseDetector(clock, tuning.stillMs());
+    pauseDetector = new PauseDetector(unmonitoredTimers, tuning.stillMs());
     Timers timers = pauseDetector.monitoredTimers();
     Caller caller =
         (address, method, path, body, timeoutMs, done) ->
-            calls.call(
+            unmonitoredCaller.call(
                 address,
                 method,
                 path,
                 body,
                 timeoutMs,
-                a -> {
+                response -> {
                   pauseDetector.recordActivity();
-                  done.accept(a);
+                  done.accept(response);
                 });
     Types types = new Types();
-    tables = new Tables(settings.nodeNames(), levels, this::tablesChanged);
+    tables = new Tables(settings.nodeNames(), levels, this::onTablesChanged);
     scheduling = new SchedulingState(timers, tables, types, settings);
     StateServiceLimits limits =
         new StateServiceLimits(
             settings.stateLimits(), settings.nextLimits(), () -> tables.isOpen(Gate.LIMITS));
-    ledger =
+    stateService =
         new StateServiceClient(
             timers,
             caller,
@@ -112,38 +120,39 @@
             limits,
             settings.peers().size() + 1,
             tables,
-            malformed);
+            malformedMessages);
     membership =
-        new Membership(timers, ledger, tables, tuning, settings, levels, incarnation, peers);
-    relay = new ReportRelay(timers, settings.node(), tables.registry(), peers);
+        new Membership(timers, stateService, tables, tuning, settings, levels, incarnation, peers);
+    reportRelay = new ReportRelay(timers, settings.node(), tables.registry(), peers);
     pipeline =
         new TransactionPipeline(
-            timers, ledger, tables, scheduling, types, membership, tuning, settings);
+            timers, stateService, tables, scheduling, types, membership, tuning, settings);
     Zones zones = new Zones(tuning.quietMs());
     WorkerLinks links = new WorkerLinks(timers);
-    reporting =
+    reportHandler =
         new ReportHandler(
             timers,
-            ledger,
+            stateService,
             tables,
             membership,
             pipeline,
             tuning,
             caller,
-            relay,
+            reportRelay,
             pauseDetector,
             zones,
             links,
             (long) (settings.workers().leaseS() * 1000),
             settings.node(),
-            malformed);
-    history = new JobHistory(timers, ledger, tables);
+            malformedMessages);
+    history = new JobHistory(timers, stateService, tables);
     confirmations =
-        new WithdrawalConfirmations(timers, ledger, tables, reporting, settings.node(), peers);
+        new WithdrawalConfirmations(
+            timers, stateService, tables, reportHandler, settings.node(), peers);
     admission =
         new Admission(
             timers,
-            ledger,
+            stateService,
             tables,
             history,
             scheduling,
@@ -157,7 +166,7 @@
         new Fleet(
             timers,
             caller,
-            ledger,
+            stateService,
             tables,
             scheduling,
             types,
@@ -168,7 +177,7 @@
             pauseDetector,
             zones,
             incarnation,
-            malformed);
+            malformedMessages);
     // In this order: what was drawn from silence is dropped after nothing is decided any more.
     pauseDetector.onResume(ms -> membership.onProcessResumed());
     pauseDetector.onResume(ms -> pipeline.onProcessResumed());
@@ -176,42 +185,46 @@
   }
 
   private void registerMetrics(StateServiceLimits limits, WorkerLinks links, String node) {
-    metrics.watch("rooms.looked", () -> scheduling.machinesExamined());
-    metrics.watch("tasks.placed", pipeline::placedTasks);
-    metrics.watch("transactions", pipeline::transactionCount);
-    metrics.watch("transactions.drafted", pipeline::builtTransactionCount);
-    metrics.watch("transactions.unpaid", pipeline::cyclesWithoutBudget);
-    metrics.watch("transactions.refused.by.budget", ledger::refusedByBudget);
-    metrics.watch("transactions.refused.by.store", ledger::refusedByStore);
-    metrics.watch("transactions.failed.by.condition", ledger::failedByCondition);
-    metrics.watch("jobs.unfinished", () -> tables.jobs().size());
-    metrics.watch("machines.known", () -> tables.machines().size());
-    metrics.watch("transactions.too.large", ledger::tooLargeCount);
-    metrics.watch("state.limits.fallen", () -> limits.nextLimitsInEffect() ? 1 : 0);
-    metrics.watch("finals.read", history::readCount);
-    metrics.watch("stages.delay.ms", () -> pipeline.stageDelayMs(90));
-    metrics.watch("jobs.over", () -> tables.pendingHistory().size());
-    metrics.watch("jobs.unclear", () -> tables.dependencies().unresolved().size());
-    metrics.watch("log.pages", () -> tables.logPages(node).size());
-    metrics.watch("polls.shed", admission::shedStatusRequests);
-    metrics.watch("loop.late.ms", pauseDetector::timerDelayMs);
-    metrics.watch("loop.pauses", pauseDetector::pauseCount);
-    metrics.watch("loop.paused.ms", pauseDetector::totalPausedMs);
-    metrics.watch("state.writes.ease", ledger::writeBudgetFraction);
-    metrics.watch("state.level", tables::level);
-    metrics.watch("state.barred", () -> tables.blockedReason() == null ? 0 : 1);
-    metrics.watch("state.old.forms", () -> tables.keysInOldEncoding().size());
-    metrics.watch("peers.unknown", () -> unknownFrames);
-    metrics.watch("peers.malformed", () -> malformed.count(MalformedMessages.Sender.PEER));
-    metrics.watch("state.malformed", () -> malformed.count(MalformedMessages.Sender.STATE_SERVICE));
-    metrics.watch("cloud.malformed", () -> malformed.count(MalformedMessages.Sender.CLOUD));
-    metrics.watch("workers.malformed", () -> malformed.count(MalformedMessages.Sender.WORKER));
-    metrics.watch("workers.restarted", links::workerRestarts);
-    metrics.watch("commands.unanswered", links::unansweredCommands);
-    metrics.watch("commands.uncertain.machines", links::machinesWithOutstandingRuns);
-    metrics.watch("invariants.violated", links.monitor()::violations);
-    metrics.watch("withdrawals.kept", confirmations::confirmedCount);
-    metrics.watch("withdrawals.unkept", confirmations::unconfirmedCount);
+    metrics.registerGauge("rooms.looked", () -> scheduling.machinesExamined());
+    metrics.registerGauge("tasks.placed", pipeline::placedTasks);
+    metrics.registerGauge("transactions", pipeline::transactionCount);
+    metrics.registerGauge("transactions.drafted", pipeline::builtTransactionCount);
+    metrics.registerGauge("transactions.unpaid", pipeline::cyclesWithoutBudget);
+    metrics.registerGauge("transactions.refused.by.budget", stateService::refusedByBudget);
+    metrics.registerGauge("transactions.refused.by.store", stateService::refusedByStore);
+    metrics.registerGauge("transactions.failed.by.condition", stateService::failedByCondition);
+    metrics.registerGauge("jobs.unfinished", () -> tables.jobs().size());
+    metrics.registerGauge("machines.known", () -> tables.machines().size());
+    metrics.registerGauge("transactions.too.large", stateService::tooLargeCount);
+    metrics.registerGauge("state.limits.fallen", () -> limits.nextLimitsInEffect() ? 1 : 0);
+    metrics.registerGauge("finals.read", history::readCount);
+    metrics.registerGauge("stages.delay.ms", () -> pipeline.stageDelayMs(90));
+    metrics.registerGauge("jobs.over", () -> tables.pendingHistory().size());
+    metrics.registerGauge("jobs.unclear", () -> tables.dependencies().unresolved().size());
+    metrics.registerGauge("log.pages", () -> tables.logPages(node).size());
+    metrics.registerGauge("polls.shed", admission::shedStatusRequests);
+    metrics.registerGauge("loop.late.ms", pauseDetector::timerDelayMs);
+    metrics.registerGauge("loop.pauses", pauseDetector::pauseCount);
+    metrics.registerGauge("loop.paused.ms", pauseDetector::totalPausedMs);
+    metrics.registerGauge("state.writes.ease", stateService::writeBudgetFraction);
+    metrics.registerGauge("state.level", tables::level);
+    metrics.registerGauge("state.barred", () -> tables.blockedReason() == null ? 0 : 1);
+    metrics.registerGauge("state.old.forms", () -> tables.keysInOldEncoding().size());
+    metrics.registerGauge("peers.unknown", () -> unknownFrameCount);
+    metrics.registerGauge(
+        "peers.malformed", () -> malformedMessages.count(MalformedMessages.Sender.PEER));
+    metrics.registerGauge(
+        "state.malformed", () -> malformedMessages.count(MalformedMessages.Sender.STATE_SERVICE));
+    metrics.registerGauge(
+        "cloud.malformed", () -> malformedMessages.count(MalformedMessages.Sender.CLOUD));
+    metrics.registerGauge(
+        "workers.malformed", () -> malformedMessages.count(MalformedMessages.Sender.WORKER));
+    metrics.registerGauge("workers.restarted", links::workerRestarts);
+    metrics.registerGauge("commands.unanswered", links::unansweredCommands);
+    metrics.registerGauge("commands.uncertain.machines", links::machinesWithOutstandingRuns);
+    metrics.registerGauge("invariants.violated", links.monitor()::violations);
+    metrics.registerGauge("withdrawals.kept", confirmations::confirmedCount);
+    metrics.registerGauge("withdrawals.unkept", confirmations::unconfirmedCount);
   }
 
   /** For looking in from outside: what this node holds for durable. */
@@ -222,10 +235,10 @@
   /** Begins to load the tables, and everything that runs by timers. */
   public void start() {
     pauseDetector.start();
-    ledger.start();
+    stateService.start();
     membership.start();
     pipeline.start();
-    reporting.start();
+    reportHandler.start();
     fleet.start();
   }
 
@@ -233,36 +246,38 @@
    * Ends in order: takes nothing new, lets the transaction that is out end, and gives its lease
    * back, so that the others take over at once instead of after the lease.
    *
-   * @param withinMs by then it has ended, whatever is still under way
+   * @param timeoutMs by then it has ended, whatever is still under way
    * @param done called once
    */
-  public void leave(long withinMs, Runnable done) {
+  public void leave(long timeoutMs, Runnable done) {
     membership.leave();
-    leaveStep(pauseDetector.monitoredTimers().nowMs() + withinMs, done);
+    awaitIdle(pauseDetector.monitoredTimers().nowMs() + timeoutMs, done);
   }
 
-  private void leaveStep(long byMs, Runnable done) {
+  private void awaitIdle(long deadlineMs, Runnable done) {
     long now = pauseDetector.monitoredTimers().nowMs();
-    if (pipeline.isIdle() && admission.isIdle() || now >= byMs) {
-      boolean[] once = new boolean[1];
-      Runnable end =
+    if (pipeline.isIdle() && admission.isIdle() || now >= deadlineMs) {
+      boolean[] finished = new boolean[1];
+      Runnable finish =
           () -> {
-            if (!once[0]) {
-              once[0] = true;
+            if (!finished[0]) {
+              finished[0] = true;
               done.run();
             }
           };
-      membership.releaseLease(end);
-      pauseDetector.monitoredTimers().after(Math.max(0, byMs - now), end);
+      membership.releaseLease(finish);
+      pauseDetector.monitoredTimers().after(Math.max(0, deadlineMs - now), finish);
     } else {
-      pauseDetector.monitoredTimers().after(LEAVE_STEP_MS, () -> leaveStep(byMs, done));
+      pauseDetector
+          .monitoredTimers()
+          .after(SHUTDOWN_POLL_INTERVAL_MS, () -> awaitIdle(deadlineMs, done));
     }
   }
 
-  private void tablesChanged() {
+  private void onTablesChanged() {
     history.resolveDependencies();
     scheduling.update();
-    reporting.tablesChanged(scheduling.drainChangedMachines());
+    reportHandler.tablesChanged(scheduling.drainChangedMachines());
     pipeline.scheduleCycle();
   }
 
@@ -273,94 +288,94 @@
     try {
       frame = PeerFrame.decode(bytes);
     } catch (BadMessage e) {
-      malformed.note(MalformedMessages.Sender.PEER, "frame", e);
+      malformedMessages.note(MalformedMessages.Sender.PEER, "frame", e);
       return;
     }
     if (frame instanceof PeerFrame.Standing s) {
       membership.handlePeerStatus(s);
     } else if (frame instanceof PeerFrame.Relayed r) {
-      reporting.handleRelayedReport(relay.exchangeFor(r));
+      reportHandler.handleRelayedReport(reportRelay.exchangeFor(r));
     } else if (frame instanceof PeerFrame.Answered a) {
-      relay.handleReply(a);
+      reportRelay.handleReply(a);
     } else if (frame instanceof PeerFrame.Withdrawn w) {
       confirmations.handleConfirmationRequest(w);
     } else if (frame instanceof PeerFrame.Obeyed o) {
       confirmations.handleConfirmation(o);
-    } else if (unknownFrames++ == 0) {
+    } else if (unknownFrameCount++ == 0) {
       LOG.info("from a peer: a frame that this build does not know, and passes over");
     }
   }
 
   /** Every request of users, workers and the load balancer comes in here. */
-  public void handle(Exchange x) {
+  public void handle(Exchange exchange) {
     pauseDetector.recordActivity();
-    metrics.request();
-    String path = x.path();
-    int query = path.indexOf('?');
-    if (query >= 0) {
-      path = path.substring(0, query);
+    metrics.countRequest();
+    String path = exchange.path();
+    int queryStart = path.indexOf('?');
+    if (queryStart >= 0) {
+      path = path.substring(0, queryStart);
     }
     if (tables.blockedReason() != null && !path.equals("/metrics")) {
       // Who does not understand the stored state answers nobody from it: users and workers go on
       // to the others.
-      x.reply(503, Map.of("error", "not in service"), BARRED_RETRY_S);
+      exchange.reply(503, Map.of("error", "not in service"), BLOCKED_RETRY_S);
       return;
     }
-    boolean post = x.method().equals("POST");
-    boolean get = x.method().equals("GET");
+    boolean isPost = exchange.method().equals("POST");
+    boolean isGet = exchange.method().equals("GET");
     if (path.equals("/hello")) {
-      if (post) {
-        reporting.handleReport(x);
+      if (isPost) {
+        reportHandler.handleReport(exchange);
       } else {
-        wrongMethod(x);
+        replyMethodNotAllowed(exchange);
       }
     } else if (path.equals("/up")) {
-      if (!get) {
-        wrongMethod(x);
-      } else if (healthy()) {
-        x.reply(200, Map.of("ok", true));
+      if (!isGet) {
+        replyMethodNotAllowed(exchange);
+      } else if (isHealthy()) {
+        exchange.reply(200, Map.of("ok", true));
       } else {
-        x.reply(503, Map.of("ok", false), 1);
+        exchange.reply(503, Map.of("ok", false), 1);
       }
     } else if (path.equals("/metrics")) {
-      x.reply(200, metrics.snapshot());
-    } else if (path.equals(JOBS)) {
-      if (post) {
-        admission.submit(x);
+      exchange.reply(200, metrics.snapshot());
+    } else if (path.equals(JOBS_PATH)) {
+      if (isPost) {
+        admission.submit(exchange);
       } else {
-        wrongMethod(x);
+        replyMethodNotAllowed(exchange);
       }
-    } else if (path.startsWith(JOBS + "/")) {
-      job(x, path.substring(JOBS.length() + 1), get, post);
+    } else if (path.startsWith(JOBS_PATH + "/")) {
+      handleJobRequest(exchange, path.substring(JOBS_PATH.length() + 1), isGet, isPost);
     } else {
-      x.reply(404, Map.of("error", "no such path"));
+      exchange.reply(404, Map.of("error", "no such path"));
     }
   }
 
-  private void job(Exchange x, String rest, boolean get, boolean post) {
-    int slash = rest.indexOf('/');
-    String id = slash < 0 ? rest : rest.substring(0, slash);
-    boolean withdraw = slash >= 0 && rest.substring(slash).equals("/withdraw");
-    if (slash >= 0 && !withdraw || !JobSpec.validId(id)) {
-      x.reply(404, Map.of("error", "no such job"));
-    } else if (withdraw && post) {
-      admission.withdraw(x, id);
-    } else if (!withdraw && get) {
-      admission.jobStatus(x, id);
+  private void handleJobRequest(Exchange exchange, String subPath, boolean isGet, boolean isPost) {
+    int slash = subPath.indexOf('/');
+    String id = slash < 0 ? subPath : subPath.substring(0, slash);
+    boolean isWithdrawal = slash >= 0 && subPath.substring(slash).equals("/withdraw");
+    if (slash >= 0 && !isWithdrawal || !JobSpec.validId(id)) {
+      exchange.reply(404, Map.of("error", "no such job"));
+    } else if (isWithdrawal && isPost) {
+      admission.withdraw(exchange, id);
+    } else if (!isWithdrawal && isGet) {
+      admission.jobStatus(exchange, id);
     } else {
-      wrongMethod(x);
+      replyMethodNotAllowed(exchange);
     }
   }
 
-  private static void wrongMethod(Exchange x) {
-    x.reply(405, Map.of("error", "method not allowed"));
+  private static void replyMethodNotAllowed(Exchange exchange) {
+    exchange.reply(405, Map.of("error", "method not allowed"));
   }
 
   /**
    * Healthy in an outage of the state service too, where no other node could serve better; not when
    * a peer is served and we alone are not.
    */
-  private boolean healthy() {
+  private boolean isHealthy() {
     return admission.isReady() && !membership.isIsolated() && !membership.isLeaving();
   }
 }
--- a/src/main/java/wickdrift/daemon/Main.java
+++ b/src/main/java/wickdrift/daemon/Main.java
@@ -10,7 +10,7 @@
     description = "A cluster scheduler.",
     mixinStandardHelpOptions = true,
     version = "wickdrift 0.1.0",
-    subcommands = {Serve.class, Rehearse.class})
+    subcommands = {ServeCommand.class, RehearseCommand.class})
 public final class Main implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -21,26 +21,26 @@
 
   /** Starts what the command line names. */
   public static void main(String[] args) {
-    logging();
-    CommandLine line = new CommandLine(new Main());
+    configureLogging();
+    CommandLine commandLine = new CommandLine(new Main());
     if (args.length == 0 || !args[0].equals("serve")) {
       // A controller, which starts on a part of a core, does without the operators' commands.
-      line.addSubcommand(new StateCommand()).addSubcommand(new LevelCommand());
+      commandLine.addSubcommand(new StateCommand()).addSubcommand(new LevelCommand());
     }
-    int code = line.execute(args);
-    if (code != Serve.RUNNING) {
+    int code = commandLine.execute(args);
+    if (code != ServeCommand.KEEP_RUNNING) {
       System.exit(code);
     }
   }
 
   /** Before the first logger is made. */
-  private static void logging() {
+  private static void configureLogging() {
     String level = System.getenv("LOG_LEVEL");
-    String known =
+    String validLevel =
         level != null && java.util.Set.of("error", "warn", "info", "debug").contains(level)
             ? level
             : "error";
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known);
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", validLevel);
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
--- a/src/main/java/wickdrift/daemon/Metrics.java
+++ b/src/main/java/wickdrift/daemon/Metrics.java
@@ -14,21 +14,27 @@
   private final MeterRegistry registry = new SimpleMeterRegistry();
   private final Counter requests = registry.counter("wickdrift.requests");
 
-  public void request() {
+  public void countRequest() {
     requests.increment();
   }
 
   /** A figure that is read when it is asked for. */
-  public void watch(String name, Supplier<Number> value) {
+  public void registerGauge(String name, Supplier<Number> value) {
     Gauge.builder("wickdrift." + name, value).register(registry);
   }
 
   /** All figures as they are now, by name. */
   public Map<String, Object> snapshot() {
-    Map<String, Object> out = new TreeMap<>();
-    for (Meter m : registry.getMeters()) {
-      m.measure().forEach(v -> out.put(m.getId().getName() + "." + v.getStatistic(), v.getValue()));
+    Map<String, Object> figures = new TreeMap<>();
+    for (Meter meter : registry.getMeters()) {
+      meter
+          .measure()
+          .forEach(
+              measurement ->
+                  figures.put(
+                      meter.getId().getName() + "." + measurement.getStatistic(),
+                      measurement.getValue()));
     }
-    return out;
+    return figures;
   }
 }
--- a/src/main/java/wickdrift/daemon/Rehearse.java
+++ b/src/main/java/wickdrift/daemon/RehearseCommand.java
@@ -29,21 +29,21 @@
     name = "rehearse",
     hidden = true,
     description = "Load what a controller loads, then end.")
-public final class Rehearse implements Callable<Integer> {
-  private static final long LIMIT_S = 20;
-  private static final long STEP_MS = 2000;
+public final class RehearseCommand implements Callable<Integer> {
+  private static final long TIMEOUT_S = 20;
+  private static final long REQUEST_TIMEOUT_MS = 2000;
 
   /** One answer that reads as empty whatever was asked. */
-  private static final Map<String, Object> NOTHING =
+  private static final Map<String, Object> EMPTY_ANSWER =
       Map.of(
           "ledgerRev", 1,
           "entries", List.of(),
           "news", List.of(),
           "tether", 1,
           "hosts", List.of(),
-          "flavours", List.of(type()));
+          "flavours", List.of(machineType()));
 
-  private static Map<String, Object> type() {
+  private static Map<String, Object> machineType() {
     return Map.of(
         "sku", "t", "cores", 1, "gpus", 0, "memoryGb", 1, "rate", 1, "regions", List.of("z"));
   }
@@ -51,21 +51,31 @@
   @Override
   public Integer call() throws Exception {
     EventLoop loop = new EventLoop();
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    Channel partner = new HttpServer(loop.group(), 16, x -> x.reply(200, NOTHING)).listen(any);
-    Controller[] box = new Controller[1];
-    Channel front = new HttpServer(loop.group(), 16, x -> box[0].handle(x)).listen(any);
-    PeerLink link = new PeerLink(loop.group(), f -> box[0].peerFrame(f));
-    Channel back = link.listen(any);
+    InetSocketAddress loopback = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    Channel partnerChannel =
+        new HttpServer(loop.group(), 16, exchange -> exchange.reply(200, EMPTY_ANSWER))
+            .listen(loopback);
+    Controller[] controller = new Controller[1];
+    Channel httpChannel =
+        new HttpServer(loop.group(), 16, exchange -> controller[0].handle(exchange))
+            .listen(loopback);
+    PeerLink link = new PeerLink(loop.group(), frame -> controller[0].peerFrame(frame));
+    Channel peerChannel = link.listen(loopback);
     Settings settings =
-        Settings.parse(new TomlParser().parse(settings(at(partner), at(front), at(back))));
+        Settings.parse(
+            new TomlParser()
+                .parse(
+                    settingsToml(
+                        addressOf(partnerChannel),
+                        addressOf(httpChannel),
+                        addressOf(peerChannel))));
     HttpClient client = new HttpClient(loop.group(), 16, Set.of());
-    Map<String, Consumer<ByteBuffer>> peers = Map.of("p", link.to(at(back)));
-    box[0] =
+    Map<String, Consumer<ByteBuffer>> peers = Map.of("p", link.to(addressOf(peerChannel)));
+    controller[0] =
         new Controller(
             settings, Tuning.defaults(settings), loop, client, peers, "i", new Metrics());
-    loop.run(box[0]::start);
-    List<Object[]> asks =
+    loop.run(controller[0]::start);
+    List<Object[]> requests =
         List.of(
             new Object[] {"GET", "/up", null},
             new Object[] {"POST", "/api/jobs", MessageCodec.encode(Map.of("ref", "req-1"))},
@@ -73,27 +83,28 @@
             new Object[] {"POST", "/api/jobs/req-1/withdraw", null},
             new Object[] {"POST", "/hello", MessageCodec.encode(Map.of("host", "i-1"))},
             new Object[] {"GET", "/metrics", null});
-    CountDownLatch left = new CountDownLatch(asks.size() + 1);
-    for (Object[] a : asks) {
+    CountDownLatch outstanding = new CountDownLatch(requests.size() + 1);
+    for (Object[] request : requests) {
       loop.run(
           () ->
               client.call(
-                  at(front),
-                  (String) a[0],
-                  (String) a[1],
-                  (byte[]) a[2],
-                  STEP_MS,
-                  r -> left.countDown()));
+                  addressOf(httpChannel),
+                  (String) request[0],
+                  (String) request[1],
+                  (byte[]) request[2],
+                  REQUEST_TIMEOUT_MS,
+                  response -> outstanding.countDown()));
     }
-    loop.after(STEP_MS, left::countDown);
-    return left.await(LIMIT_S, TimeUnit.SECONDS) ? 0 : 1;
+    loop.after(REQUEST_TIMEOUT_MS, outstanding::countDown);
+    return outstanding.await(TIMEOUT_S, TimeUnit.SECONDS) ? 0 : 1;
   }
 
-  private static String at(Channel c) {
-    return "127.0.0.1:" + ((InetSocketAddress) c.localAddress()).getPort();
+  private static String addressOf(Channel channel) {
+    return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  private static String settings(String partner, String front, String back) {
+  private static String settingsToml(
+      String partnerAddress, String listenAddress, String peerAddress) {
     return """
         host_name = "n"
         location = "z"
@@ -129,6 +140,6 @@
         [cluster.quota]
         fd_limit = 100
         """
-        .formatted(partner, front, back);
+        .formatted(partnerAddress, listenAddress, peerAddress);
   }
 }
--- a/src/main/java/wickdrift/daemon/Serve.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -23,16 +23,16 @@
 
 /** Runs a controller until the process is ended. */
 @CommandLine.Command(name = "serve", description = "Run a controller.")
-public final class Serve implements Callable<Integer> {
+public final class ServeCommand implements Callable<Integer> {
   /** Not an exit code: the service goes on running on its own thread. */
-  static final int RUNNING = -1;
+  static final int KEEP_RUNNING = -1;
 
-  private static final int BAD_SETTINGS = 2;
+  private static final int EXIT_BAD_SETTINGS = 2;
 
   /** From the signal to the end, milliseconds. */
-  private static final long LEAVE_MS = 3000;
+  private static final long SHUTDOWN_TIMEOUT_MS = 3000;
 
-  private static final long LEAVE_SLACK_MS = 500;
+  private static final long SHUTDOWN_SLACK_MS = 500;
 
   @CommandLine.Option(
       names = "--config",
@@ -41,11 +41,11 @@
   private Path config;
 
   /** On SIGTERM: what was begun is ended, then the process; on a kill nothing of this runs. */
-  private static void leave(EventLoop loop, Controller controller) {
-    CountDownLatch left = new CountDownLatch(1);
-    loop.run(() -> controller.leave(LEAVE_MS, left::countDown));
+  private static void shutDown(EventLoop loop, Controller controller) {
+    CountDownLatch finished = new CountDownLatch(1);
+    loop.run(() -> controller.leave(SHUTDOWN_TIMEOUT_MS, finished::countDown));
     try {
-      left.await(LEAVE_MS + LEAVE_SLACK_MS, TimeUnit.MILLISECONDS);
+      finished.await(SHUTDOWN_TIMEOUT_MS + SHUTDOWN_SLACK_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -58,34 +58,34 @@
       settings = Settings.load(config);
     } catch (Settings.Invalid e) {
       System.err.println("wickdrift: " + e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_BAD_SETTINGS;
     }
-    Logger log = LoggerFactory.getLogger(Serve.class);
+    Logger log = LoggerFactory.getLogger(ServeCommand.class);
     EventLoop loop = new EventLoop();
     // Half of the sockets for what comes in; a quarter for what we open; the rest is slack.
     HttpClient client =
         new HttpClient(
             loop.group(), settings.sockets() / 4, Set.of(settings.state(), settings.cloud()));
-    Controller[] box = new Controller[1];
-    PeerLink link = new PeerLink(loop.group(), f -> box[0].peerFrame(f));
+    Controller[] controllerHolder = new Controller[1];
+    PeerLink link = new PeerLink(loop.group(), frame -> controllerHolder[0].peerFrame(frame));
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
-    settings.peers().forEach(p -> peers.put(p.node(), link.to(p.address())));
+    settings.peers().forEach(peer -> peers.put(peer.node(), link.to(peer.address())));
     String incarnation = Long.toString(new SecureRandom().nextLong() >>> 24, 36);
     Controller controller =
         new Controller(
             settings, Tuning.defaults(settings), loop, client, peers, incarnation, new Metrics());
-    box[0] = controller;
+    controllerHolder[0] = controller;
     try {
       link.listen(HttpClient.parse(settings.back()));
       new HttpServer(loop.group(), settings.sockets() / 2, controller::handle)
           .listen(HttpClient.parse(settings.serveOn()));
     } catch (IOException e) {
       System.err.println("wickdrift: " + e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_BAD_SETTINGS;
     }
     loop.run(controller::start);
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(loop, controller), "leave"));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(loop, controller), "leave"));
     log.info("{} serves on {}", settings.node(), settings.serveOn());
-    return RUNNING;
+    return KEEP_RUNNING;
   }
 }
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -49,10 +49,10 @@
   public record CloudLimits(double rps, double listLagS) {}
 
   /** A view, the part of one that comes, its lasting record, and the first list. */
-  private static final int LEAST_OPS = 4;
+  private static final int MIN_TRANSACTION_OPS = 4;
 
   /** A job with names of the longest kind that a user may give. */
-  private static final double LEAST_VALUE_KB = 1;
+  private static final double MIN_VALUE_KB = 1;
 
   /** A setting that keeps the service from starting. */
   public static final class Invalid extends Exception {
@@ -65,7 +65,7 @@
   public List<String> nodeNames() {
     List<String> names = new ArrayList<>();
     names.add(node);
-    peers.forEach(p -> names.add(p.node()));
+    peers.forEach(peer -> names.add(peer.node()));
     Collections.sort(names);
     return names;
   }
@@ -75,52 +75,53 @@
    */
   public Set<String> controllerZones() {
     Set<String> zones = new HashSet<>(Set.of(zone));
-    peers.forEach(p -> zones.add(p.zone()));
+    peers.forEach(peer -> zones.add(peer.zone()));
     zones.remove("");
     return zones;
   }
 
   /** Reads the platform's settings file. */
   public static Settings load(Path file) throws Invalid {
-    UnmodifiableConfig c;
-    try (Reader r = Files.newBufferedReader(file)) {
-      c = new TomlParser().parse(r);
+    UnmodifiableConfig config;
+    try (Reader reader = Files.newBufferedReader(file)) {
+      config = new TomlParser().parse(reader);
     } catch (IOException e) {
       throw new Invalid("cannot read " + file + ": " + e.getMessage());
     } catch (ParsingException e) {
       throw new Invalid(file + " is not TOML: " + e.getMessage());
     }
-    return parse(c);
+    return parse(config);
   }
 
   /** Reads settings; the first that is wrong is named. */
-  public static Settings parse(UnmodifiableConfig c) throws Invalid {
-    String node = text(c, "host_name");
+  public static Settings parse(UnmodifiableConfig config) throws Invalid {
+    String node = requiredText(config, "host_name");
     List<Peer> peers = new ArrayList<>();
-    for (UnmodifiableConfig p : tables(c, "peers")) {
-      String zone = p.get("location") instanceof String z ? z : "";
-      peers.add(new Peer(text(p, "host_name"), zone, address(p, "peer_addr")));
+    for (UnmodifiableConfig peer : tablesOrEmpty(config, "peers")) {
+      String zone = peer.get("location") instanceof String z ? z : "";
+      peers.add(
+          new Peer(requiredText(peer, "host_name"), zone, requiredAddress(peer, "peer_addr")));
     }
     Set<String> names = new HashSet<>(List.of(node));
-    for (Peer p : peers) {
-      if (!names.add(p.node())) {
-        throw new Invalid("peers: host_name " + p.node() + " is used twice");
+    for (Peer peer : peers) {
+      if (!names.add(peer.node())) {
+        throw new Invalid("peers: host_name " + peer.node() + " is used twice");
       }
     }
-    long nodes = (long) number(c, "cluster.nodes");
-    if (nodes != names.size()) {
+    long nodeCount = (long) requiredNumber(config, "cluster.nodes");
+    if (nodeCount != names.size()) {
       throw new Invalid(
-          "cluster.nodes is " + nodes + ", but host_name and peers name " + names.size());
+          "cluster.nodes is " + nodeCount + ", but host_name and peers name " + names.size());
     }
     List<Team> teams = new ArrayList<>();
-    for (UnmodifiableConfig t : tables(c, "cluster.teams")) {
+    for (UnmodifiableConfig teamTable : tablesOrEmpty(config, "cluster.teams")) {
       Team team =
           new Team(
-              text(t, "name"),
-              number(t, "cpus", 0),
-              number(t, "cpus_max", 0),
-              number(t, "gpus", 0),
-              number(t, "gpus_max", 0));
+              requiredText(teamTable, "name"),
+              numberOrDefault(teamTable, "cpus", 0),
+              numberOrDefault(teamTable, "cpus_max", 0),
+              numberOrDefault(teamTable, "gpus", 0),
+              numberOrDefault(teamTable, "gpus_max", 0));
       if (team.cpusMax > 0 && team.cpus > team.cpusMax
           || team.gpusMax > 0 && team.gpus > team.gpusMax) {
         throw new Invalid("cluster.teams: " + team.name + " is guaranteed more than its limit");
@@ -128,139 +129,149 @@
       teams.add(team);
     }
     List<Objective> objectives = new ArrayList<>();
-    for (UnmodifiableConfig o : tables(c, "cluster.objectives")) {
+    for (UnmodifiableConfig objective : tablesOrEmpty(config, "cluster.objectives")) {
       objectives.add(
           new Objective(
-              text(o, "kind"),
-              o.get("class") instanceof String s ? s : null,
-              number(o, "within_s", 0),
-              number(o, "share", 0)));
+              requiredText(objective, "kind"),
+              objective.get("class") instanceof String s ? s : null,
+              numberOrDefault(objective, "within_s", 0),
+              numberOrDefault(objective, "share", 0)));
     }
     Workers workers =
         new Workers(
-            positive(c, "cluster.workers.report_s"),
-            positive(c, "cluster.workers.lease_s"),
-            positive(c, "cluster.workers.gang_wait_s"),
-            positive(c, "cluster.workers.gang_peer_s"),
-            positive(c, "cluster.workers.cancel_s"));
+            requiredPositive(config, "cluster.workers.report_s"),
+            requiredPositive(config, "cluster.workers.lease_s"),
+            requiredPositive(config, "cluster.workers.gang_wait_s"),
+            requiredPositive(config, "cluster.workers.gang_peer_s"),
+            requiredPositive(config, "cluster.workers.cancel_s"));
     if (workers.leaseS <= workers.reportS) {
       throw new Invalid("cluster.workers.lease_s is not longer than report_s");
     }
-    StateServiceLimits.Bounds state = bounds(c, "cluster.state", null);
-    StateServiceLimits.Bounds next = null;
-    if (c.get("cluster.state.next") instanceof UnmodifiableConfig) {
-      next = bounds(c, "cluster.state.next", state);
-    } else if (c.get("cluster.state.next") != null) {
+    StateServiceLimits.Bounds stateLimits = parseBounds(config, "cluster.state", null);
+    StateServiceLimits.Bounds nextLimits = null;
+    if (config.get("cluster.state.next") instanceof UnmodifiableConfig) {
+      nextLimits = parseBounds(config, "cluster.state.next", stateLimits);
+    } else if (config.get("cluster.state.next") != null) {
       throw new Invalid("cluster.state.next is not a table");
     }
     return new Settings(
         node,
-        text(c, "location"),
-        address(c, "serve_on"),
-        address(c, "back"),
+        requiredText(config, "location"),
+        requiredAddress(config, "serve_on"),
+        requiredAddress(config, "back"),
         List.copyOf(peers),
-        address(c, "endpoints.cloud"),
-        address(c, "endpoints.state"),
-        List.copyOf(texts(c, "cluster.zones")),
+        requiredAddress(config, "endpoints.cloud"),
+        requiredAddress(config, "endpoints.state"),
+        List.copyOf(requiredTexts(config, "cluster.zones")),
         List.copyOf(teams),
         List.copyOf(objectives),
         workers,
-        state,
-        next,
-        new CloudLimits(positive(c, "cluster.cloud.rps"), positive(c, "cluster.cloud.list_lag_s")),
-        (int) positive(c, "cluster.quota.fd_limit"));
+        stateLimits,
+        nextLimits,
+        new CloudLimits(
+            requiredPositive(config, "cluster.cloud.rps"),
+            requiredPositive(config, "cluster.cloud.list_lag_s")),
+        (int) requiredPositive(config, "cluster.quota.fd_limit"));
   }
 
   /**
-   * @param otherwise where a field is missing; null: all must be there
+   * @param defaults where a field is missing; null: all must be there
    */
-  private static StateServiceLimits.Bounds bounds(
-      UnmodifiableConfig c, String key, StateServiceLimits.Bounds otherwise) throws Invalid {
-    boolean all = otherwise == null;
-    StateServiceLimits.Bounds b =
+  private static StateServiceLimits.Bounds parseBounds(
+      UnmodifiableConfig config, String key, StateServiceLimits.Bounds defaults) throws Invalid {
+    boolean allRequired = defaults == null;
+    StateServiceLimits.Bounds bounds =
         new StateServiceLimits.Bounds(
-            bound(c, key + ".rps", all ? null : otherwise.rps()),
-            bound(c, key + ".write_rps", all ? null : otherwise.writeRps()),
-            bound(c, key + ".value_kb", all ? null : otherwise.valueKb()),
-            (int) bound(c, key + ".txn_ops", all ? null : (double) otherwise.txnOps()));
-    if (b.txnOps() < LEAST_OPS) {
-      throw new Invalid(key + ".txn_ops is too small to end a job or change a view: " + b.txnOps());
+            positiveOrDefault(config, key + ".rps", allRequired ? null : defaults.rps()),
+            positiveOrDefault(config, key + ".write_rps", allRequired ? null : defaults.writeRps()),
+            positiveOrDefault(config, key + ".value_kb", allRequired ? null : defaults.valueKb()),
+            (int)
+                positiveOrDefault(
+                    config, key + ".txn_ops", allRequired ? null : (double) defaults.txnOps()));
+    if (bounds.txnOps() < MIN_TRANSACTION_OPS) {
+      throw new Invalid(
+          key + ".txn_ops is too small to end a job or change a view: " + bounds.txnOps());
     }
-    if (b.valueKb() < LEAST_VALUE_KB) {
-      throw new Invalid(key + ".value_kb is too small to hold a job: " + b.valueKb());
+    if (bounds.valueKb() < MIN_VALUE_KB) {
+      throw new Invalid(key + ".value_kb is too small to hold a job: " + bounds.valueKb());
     }
-    return b;
+    return bounds;
   }
 
-  private static double bound(UnmodifiableConfig c, String key, Double otherwise) throws Invalid {
-    return otherwise != null && c.get(key) == null ? otherwise : positive(c, key);
+  private static double positiveOrDefault(
+      UnmodifiableConfig config, String key, Double defaultValue) throws Invalid {
+    return defaultValue != null && config.get(key) == null
+        ? defaultValue
+        : requiredPositive(config, key);
   }
 
-  private static String text(UnmodifiableConfig c, String key) throws Invalid {
-    Object v = c.get(key);
-    if (v instanceof String s && !s.isEmpty()) {
-      return s;
+  private static String requiredText(UnmodifiableConfig config, String key) throws Invalid {
+    Object value = config.get(key);
+    if (value instanceof String text && !text.isEmpty()) {
+      return text;
     }
-    throw new Invalid(key + (v == null ? " is missing" : " is not text"));
+    throw new Invalid(key + (value == null ? " is missing" : " is not text"));
   }
 
-  private static String address(UnmodifiableConfig c, String key) throws Invalid {
-    String s = text(c, key);
-    if (!s.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
+  private static String requiredAddress(UnmodifiableConfig config, String key) throws Invalid {
+    String address = requiredText(config, key);
+    if (!address.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
       throw new Invalid(key + " is not an address of the form 10.0.0.1:8080");
     }
-    return s;
+    return address;
   }
 
-  private static double number(UnmodifiableConfig c, String key) throws Invalid {
-    if (c.get(key) == null) {
+  private static double requiredNumber(UnmodifiableConfig config, String key) throws Invalid {
+    if (config.get(key) == null) {
       throw new Invalid(key + " is missing");
     }
-    return number(c, key, 0);
+    return numberOrDefault(config, key, 0);
   }
 
-  private static double number(UnmodifiableConfig c, String key, double otherwise) throws Invalid {
-    Object v = c.get(key);
-    if (v == null) {
-      return otherwise;
+  private static double numberOrDefault(UnmodifiableConfig config, String key, double defaultValue)
+      throws Invalid {
+    Object value = config.get(key);
+    if (value == null) {
+      return defaultValue;
     }
-    if (v instanceof Number n && n.doubleValue() >= 0 && n.doubleValue() < 1e12) {
+    if (value instanceof Number n && n.doubleValue() >= 0 && n.doubleValue() < 1e12) {
       return n.doubleValue();
     }
     throw new Invalid(key + " is not a number of 0 or more");
   }
 
-  private static double positive(UnmodifiableConfig c, String key) throws Invalid {
-    double d = number(c, key);
-    if (d <= 0) {
+  private static double requiredPositive(UnmodifiableConfig config, String key) throws Invalid {
+    double number = requiredNumber(config, key);
+    if (number <= 0) {
       throw new Invalid(key + " is not above 0");
     }
-    return d;
+    return number;
   }
 
-  private static List<UnmodifiableConfig> tables(UnmodifiableConfig c, String key) throws Invalid {
-    Object v = c.get(key);
-    List<UnmodifiableConfig> out = new ArrayList<>();
-    if (v instanceof List<?> l) {
+  private static List<UnmodifiableConfig> tablesOrEmpty(UnmodifiableConfig config, String key)
+      throws Invalid {
+    Object value = config.get(key);
+    List<UnmodifiableConfig> tables = new ArrayList<>();
+    if (value instanceof List<?> l) {
       for (Object o : l) {
         if (!(o instanceof UnmodifiableConfig t)) {
           throw new Invalid(key + " is not a list of tables");
         }
-        out.add(t);
+        tables.add(t);
       }
-    } else if (v != null) {
+    } else if (value != null) {
       throw new Invalid(key + " is not a list of tables");
     }
-    return out;
+    return tables;
   }
 
-  private static List<String> texts(UnmodifiableConfig c, String key) throws Invalid {
-    List<String> out = new ArrayList<>();
-    if (c.get(key) instanceof List<?> l) {
+  private static List<String> requiredTexts(UnmodifiableConfig config, String key) throws Invalid {
+    List<String> texts = new ArrayList<>();
+    if (config.get(key) instanceof List<?> l) {
       for (Object o : l) {
-        out.add(String.valueOf(o));
+        texts.add(String.valueOf(o));
       }
-      return out;
+      return texts;
     }
     throw new Invalid(key + " is missing");
   }
