--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -29,7 +29,11 @@
 import wickdrift.transport.Caller;
 import wickdrift.transport.Timers;
 
-/** The leader's dealings with the cloud: renting for what waits, returning what is idle or lost. */
+/**
+ * Manages the rented machines while this node is the leader: rents machines for waiting jobs that
+ * fit on no machine, deletes idle, lost and failed machines, and reconciles the tables with the
+ * cloud's list of machines.
+ */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
   private static final long TICK_INTERVAL_MS = 500;
@@ -44,14 +48,16 @@
   private static final long REFUSAL_BACKOFF_MS = 15_000;
   private static final int MIN_REPLACEABLE_OVERDUE_BOOTS = 2;
 
-  /** How much dearer a zone may be that suits a job less, below the step from spot to ordinary. */
+  /** For a zone that is not preferred; less than the price step from spot to on-demand machines. */
   private static final double ZONE_MISMATCH_COST_FACTOR = 1.2;
 
+  /** A machine in the cloud's list. */
   private record ListedMachine(String phase, String type, String zone, boolean spot, double ageS) {}
 
-  /** A kind of machine that can be asked for. */
+  /** The type, zone and purchase option of a machine to rent. */
   private record MachineKind(String type, String zone, boolean spot) {}
 
+  /** A request for machines of one kind whose outcome is not known yet. */
   private record RentalRequest(String idempotencyKey, MachineKind kind, int count) {}
 
   private final Timers timers;
@@ -70,17 +76,27 @@
   private final MalformedMessages malformedMessages;
   private final TokenBucket cloudCallBudget;
 
+  /** Since when a machine that the cloud should list has been missing from its list. */
   private final Map<String, Long> absentSinceMs = new HashMap<>();
+
   private final Map<String, Boolean> everListed = new HashMap<>();
+
+  /** When machines were deleted: the cloud's list may still contain them for a while. */
   private final Map<String, Long> deletedAtMs = new HashMap<>();
+
   private final Map<String, Long> emptySinceMs = new HashMap<>();
+
+  /** Until when no machine of a kind is requested, because the cloud had none or rejected it. */
   private final Map<MachineKind, Long> refusedUntilMs = new HashMap<>();
+
   private final List<RentalRequest> pendingRentals = new ArrayList<>();
 
-  /** Zones that are cut off, where machines are that would tell of their return. */
+  /** Unreachable zones that have a machine whose report will show when they are reachable again. */
   private final Set<String> closedZones = new HashSet<>();
 
+  /** Rented machines that are not in the tables yet. */
   private final Map<String, Machine.Info> unrecordedRentals = new LinkedHashMap<>();
+
   private long rentalCounter;
   private long lastListRequestMs = Long.MIN_VALUE / 2;
   private boolean listInProgress;
@@ -90,15 +106,15 @@
   private long leaderSinceMs = Long.MIN_VALUE;
 
   /**
-   * When this lead began there was no machine, neither in the tables nor in the cloud's list: none
-   * has to be heard of before it is known what to rent.
+   * Whether there was no machine, neither in the tables nor in the cloud's list, when this node
+   * became leader. Renting then need not wait for the reports of existing machines.
    */
   private boolean startedWithoutMachines;
 
   private long lastListReceivedMs = Long.MIN_VALUE;
   private long lastStatusLogMs;
 
-  /** Rents nothing before it is started and leads. */
+  /** Creates a fleet that does nothing until it is started and this node is the leader. */
   public Fleet(
       Timers timers,
       Caller caller,
@@ -131,6 +147,7 @@
     this.cloudCallBudget = new TokenBucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
   }
 
+  /** Starts the periodic check of the machines. */
   public void start() {
     tick();
   }
@@ -149,8 +166,8 @@
       return;
     }
     if (leaderSinceMs < pauseDetector.uninterruptedSinceMs()) {
-      // A new leader, or one that stood still: what it was about to do was judged by another's
-      // time. What is still so is found again.
+      // This node has become leader, or its process was paused. Its observations and plans may be
+      // out of date: whatever still holds will be observed again.
       leaderSinceMs = now;
       emptySinceMs.clear();
       absentSinceMs.clear();
@@ -173,7 +190,7 @@
     }
   }
 
-  /** What an operator asks first: how much there is, how full it is, what waits. */
+  /** Logs the number of machines by phase and by load, and the number of waiting jobs. */
   private void logStatus() {
     int[] machinesByLoadQuarter = new int[5];
     Map<Machine.Phase, Integer> machinesByPhase = new EnumMap<>(Machine.Phase.class);
@@ -188,15 +205,14 @@
       }
     }
     LOG.info(
-        "machines {}, by quarters of load {}, {} fetch; {} jobs wait",
+        "fleet status: machines by phase={}, by load quarter={}, fetching={}, waiting jobs={}",
         machinesByPhase,
         machinesByLoadQuarter,
         fetchingCount,
         scheduling.queue().size());
   }
 
-  // ---- types ----
-
+  /** Reads the machine types from the cloud. */
   private void refreshTypes() {
     if (typesRequestInProgress || !cloudCallBudget.tryAcquire(1, 0, timers.nowMs())) {
       return;
@@ -224,8 +240,7 @@
         });
   }
 
-  // ---- the list ----
-
+  /** Reads the cloud's list of machines, at intervals of half of its lag, at least a second. */
   private void refreshList() {
     long intervalMs = Math.max(1000, (long) (settings.cloudLimits().listLagS() * 500));
     if (listInProgress || timers.nowMs() - lastListRequestMs < intervalMs) {
@@ -236,6 +251,7 @@
     fetchListPage("", new TreeMap<>());
   }
 
+  /** Reads the page of the list that follows a machine's name, and then the remaining pages. */
   private void fetchListPage(String startAfter, Map<String, ListedMachine> listed) {
     if (!cloudCallBudget.tryAcquire(1, 0, timers.nowMs())) {
       listInProgress = false;
@@ -286,6 +302,11 @@
         });
   }
 
+  /**
+   * Records listed machines that are unknown here, and schedules machines for deletion that have
+   * failed or are no longer listed. The list lags, so a machine counts as missing only if it was
+   * listed before or is old enough to be listed, and has not reported recently.
+   */
   private void reconcileWithList(Map<String, ListedMachine> listed) {
     long now = timers.nowMs();
     if (lastListReceivedMs < leaderSinceMs) {
@@ -303,7 +324,7 @@
           }
           Machine machine = tables.getOrCreateMachine(name);
           if (entry.phase.equals("failed")) {
-            scheduleDeletion(name, "it failed");
+            scheduleDeletion(name, "it has failed");
           } else if (machine.phase() == Machine.Phase.UNKNOWN
               && !pipeline.hasPendingRecord(machine)) {
             pipeline.enqueueRecord(
@@ -336,20 +357,20 @@
     everListed.keySet().removeIf(n -> tables.machine(n) == null && !listed.containsKey(n));
   }
 
-  // ---- deleting ----
-
+  /** Machines that are to be deleted, with the reason. */
   private final Map<String, String> scheduledDeletions = new LinkedHashMap<>();
 
   private void scheduleDeletion(String name, String reason) {
     if (!deletedAtMs.containsKey(name) && scheduledDeletions.putIfAbsent(name, reason) == null) {
-      LOG.info("deleting {}: {}", name, reason);
+      LOG.info("deletion scheduled: machine={}, reason={}", name, reason);
     }
   }
 
   /**
-   * A cancelled task whose end is not proved by now is on a machine that can't be reached, yet may
-   * live: behind a cut a controller goes on answering its workers. Only the cloud can end it in
-   * time.
+   * Schedules the machines of withdrawn jobs for deletion if the end of the tasks is not proven
+   * {@link Tuning#overdueMs} after the withdrawal. Such a machine is unreachable from here, but its
+   * tasks may still run, since a controller that is isolated in the same zone continues to answer
+   * its workers. Only the cloud can then end the tasks in time.
    */
   private void scheduleOverdueWithdrawalDeletions(long nowWallMs) {
     for (Job job : scheduling.withdrawnRunningJobs()) {
@@ -357,7 +378,7 @@
         continue;
       }
       for (Machine machine : job.machines()) {
-        scheduleDeletion(machine.name(), "a cancelled task may still run there");
+        scheduleDeletion(machine.name(), "a withdrawn task may still run there");
       }
     }
   }
@@ -375,19 +396,20 @@
         case BOOTING -> {
           TypeInfo type = types.find(info.type());
           double bootS = type == null ? 60 : type.bootS();
-          // One that came up meanwhile has told its owner, perhaps not yet us.
+          // A machine that came up in the meantime may have reported to its owner only. Its record
+          // as up has reached this node by the time the leader is settled.
           if (phaseAgeMs > bootS * 4000 + 5000 && isSettled()) {
-            scheduleDeletion(machine.name(), "it does not come up");
+            scheduleDeletion(machine.name(), "it did not come up in time");
           }
         }
         case LOST -> {
           if (phaseAgeMs > lostRetentionMs(info.zone()) && isSettled()) {
-            scheduleDeletion(machine.name(), "it is silent");
+            scheduleDeletion(machine.name(), "no reports from its worker");
           }
         }
         case DRAINING -> {
           if (machine.slots().isEmpty() && phaseAgeMs > 1000) {
-            scheduleDeletion(machine.name(), "it is empty and not needed");
+            scheduleDeletion(machine.name(), "it is idle and not needed");
           }
         }
         case GONE -> {
@@ -426,7 +448,7 @@
             deletedAtMs.put(name, timers.nowMs());
             Machine machine = tables.machine(name);
             if (machine != null && machine.info() != null) {
-              // The answer is the proof that nothing runs there any more.
+              // The reply proves that nothing runs on the machine any more.
               pipeline.enqueueRecord(
                   machine, machine.info().withPhase(Machine.Phase.GONE, timers.wallMs()));
             }
@@ -435,9 +457,10 @@
   }
 
   /**
-   * How long a silent machine is kept. In a zone that is cut off with a controller in it, that one
-   * goes on answering its workers for its grace: all that runs there lives, and comes back with the
-   * zone. What is cut off without one has lost its tasks by the time it is recorded as silent.
+   * Returns how long a lost machine is kept before it is deleted. In an unreachable zone that has a
+   * controller, this controller continues to answer its workers for its grace period: their tasks
+   * keep running and are available again when the zone is. Machines that no controller can reach
+   * have lost their tasks by the time they are recorded as lost.
    */
   private long lostRetentionMs(String zone) {
     boolean mayStillRunTasks =
@@ -445,11 +468,12 @@
     return mayStillRunTasks ? tuning.graceMs() : tuning.lostMs();
   }
 
-  /** Long enough at it for reports to have come in from all that is up. */
+  /** Whether this node has been leader long enough for all machines that are up to report. */
   private boolean isSettled() {
     return timers.nowMs() - leaderSinceMs >= tuning.settleMs();
   }
 
+  /** Drains idle machines that no waiting job can use, except for the configured spares. */
   private void drainIdleMachines() {
     long now = timers.nowMs();
     long timeoutMs = idleTimeoutMs();
@@ -481,8 +505,9 @@
   }
 
   /**
-   * How long an empty machine is kept. Where work should start sooner than a rented machine comes
-   * up, only machines that are there already can meet the aim, so they are kept for long.
+   * Returns how long an idle machine is kept. If an objective requires jobs to start sooner than a
+   * rented machine boots, only machines that already exist can meet it, so idle machines are kept
+   * longer.
    */
   private long idleTimeoutMs() {
     double maxBootS = 0;
@@ -498,7 +523,8 @@
   }
 
   /**
-   * Whether a job waits that could use it: in a large fleet some job waits for something always.
+   * Whether a waiting job could use the machine. In a large cluster some job is always waiting, so
+   * a queue that is not empty is no reason to keep every machine.
    */
   private boolean isUsableByWaitingJob(Machine machine) {
     Machine.Info info = machine.info();
@@ -513,8 +539,7 @@
     return false;
   }
 
-  // ---- renting ----
-
+  /** Enqueues records of the rented machines until they appear in the tables. */
   private void recordRentedMachines() {
     unrecordedRentals
         .entrySet()
@@ -531,7 +556,7 @@
             });
   }
 
-  /** Machines that are not there yet, plus what would have to be rented for all that waits. */
+  /** Rents machines for the waiting tasks that fit on no existing or expected machine. */
   private void rentForWaitingJobs() {
     if (scheduling.queue().isEmpty()) {
       return;
@@ -543,14 +568,14 @@
       boolean exists =
           machine.phase() != Machine.Phase.UNKNOWN && machine.phase() != Machine.Phase.GONE;
       if (exists && zones.dark(machine.info().zone())) {
-        // Whatever comes up there can't be told to run anything; as long as something is there
-        // that would report, no more is rented to see whether the zone is back.
+        // A machine in an unreachable zone can't receive commands. While machines exist there
+        // that would report, no machine is rented to find out whether the zone is reachable.
         closedZones.add(machine.info().zone());
         continue;
       }
       boolean usable =
           machine.phase() == Machine.Phase.UP || machine.phase() == Machine.Phase.BOOTING;
-      // One that fails whatever it is given is no room.
+      // A machine on which two or more jobs have failed is not counted as free capacity.
       if (type != null && usable && machine.failedJobCount() < 2) {
         freeCapacities.add(new FreeCapacity(machine, type));
       }
@@ -563,7 +588,8 @@
         .map(MachineKind::zone)
         .filter(zones::dark)
         .forEach(closedZones::add);
-    // Where many are found at once, as by the first list of a new leader, records take a while.
+    // When many machines are found at once, as in the first list that a new leader receives,
+    // writing their records takes a while: pending records count as expected machines.
     for (Machine machine : tables.machines()) {
       Machine.Info info =
           machine.phase() == Machine.Phase.UNKNOWN ? pipeline.pendingRecord(machine) : null;
@@ -588,7 +614,7 @@
       int count = Math.min(entry.getValue(), MAX_MACHINES_PER_RENTAL);
       if (count > 0 && cloudCallBudget.tryAcquire(1, 1, timers.nowMs())) {
         View view = tables.view();
-        // Never used by anyone else: the epoch, this process and a counter are in it.
+        // Unique, since it contains the epoch, the node, its incarnation and a counter.
         String idempotencyKey =
             "r-" + view.epoch() + "-" + settings.node() + "-" + incarnation + "-" + ++rentalCounter;
         RentalRequest rental = new RentalRequest(idempotencyKey, entry.getKey(), count);
@@ -599,9 +625,10 @@
   }
 
   /**
-   * Some machines take several times as long to come up as they should, and a few never do. What
-   * waits is not left to wait for them; but so many at most are rented for a second time, for when
-   * all are late the next ones are too. Those that come after all are used, or returned.
+   * Removes machines whose boot is overdue, so that replacements are rented for them. Some machines
+   * take several times their type's boot time, and a few never come up. The number of replacements
+   * is limited, because when all boots are late the replacements will be late too. Overdue machines
+   * that come up in the end are used, or deleted when idle.
    */
   private void removeOverdueBoots(List<FreeCapacity> freeCapacities) {
     long nowWallMs = timers.wallMs();
@@ -620,6 +647,7 @@
     }
   }
 
+  /** Lists the machines one by one, without those of unknown types. */
   private List<RentalDemand.ExpectedMachine> toExpectedMachines(
       Map<MachineKind, Integer> countsByKind) {
     List<RentalDemand.ExpectedMachine> machines = new ArrayList<>();
@@ -634,7 +662,9 @@
   }
 
   /**
-   * The kind to rent for a job: cheapest first, zones in turn, what was just refused not at all.
+   * Chooses the cheapest kind of machine to rent for a job, or returns null if there is none. At
+   * equal prices the zone with fewer machines is chosen; kinds that the cloud refused recently are
+   * skipped.
    */
   private MachineKind chooseKind(Job job, Map<String, Integer> machinesPerZone) {
     long now = timers.nowMs();
@@ -669,21 +699,22 @@
       }
     }
     if (best != null && zones.dark(best.zone)) {
-      // One, to see whether the zone is back.
+      // Only one machine is rented in an unreachable zone, to find out when it is reachable again.
       closedZones.add(best.zone);
     }
     return best;
   }
 
-  /** Replicas and gangs belong where a controller is; arrays leave them the room. */
+  /** Zones with a controller are preferred for replicas and gangs, the other zones for arrays. */
   private boolean isPreferredZone(Job job, String zone) {
     boolean isArray = job.spec().shape() == JobSpec.Shape.ARRAY;
     return settings.controllerZones().contains(zone) != isArray;
   }
 
+  /** Sends a rental request to the cloud, and repeats it while its outcome is unknown. */
   private void sendRental(RentalRequest rental, int retries) {
     if (!membership.isLeader()) {
-      // Not ours to rent any more, perhaps since the answer to the last try was lost.
+      // This node has lost the leadership, possibly after the reply to the last request was lost.
       pendingRentals.remove(rental);
       return;
     }
@@ -705,14 +736,15 @@
             handleRentalReply(rental, response.body());
           } else if (response.status() == 503 && !isTransientFailure(response.body())) {
             pendingRentals.remove(rental);
-            LOG.info("no capacity: {}", rental.kind);
+            LOG.info("rental rejected, no capacity: kind={}", rental.kind);
             refusedUntilMs.put(rental.kind, timers.nowMs() + REFUSAL_BACKOFF_MS);
           } else if (response.status() == 400) {
             pendingRentals.remove(rental);
-            LOG.error("cloud refused the rental of {}", rental.kind);
+            LOG.error("rental rejected by the cloud as invalid: kind={}", rental.kind);
             refusedUntilMs.put(rental.kind, timers.nowMs() + 4 * REFUSAL_BACKOFF_MS);
           } else if (retries < 20 && pendingRentals.contains(rental)) {
-            // Perhaps executed: the same claim gives the same answer and rents nothing twice.
+            // The request may have been executed. Repeating it with the same key gives the same
+            // reply and rents nothing twice.
             timers.after(1000 + 200L * retries, () -> sendRental(rental, retries + 1));
           } else {
             pendingRentals.remove(rental);
@@ -720,6 +752,7 @@
         });
   }
 
+  /** Whether a 503 reply reports a transient failure, rather than a lack of capacity. */
   private static boolean isTransientFailure(byte[] body) {
     try {
       return "trouble".equals(Document.parse(body).raw("error"));
@@ -728,6 +761,7 @@
     }
   }
 
+  /** Records the rented machines; fewer than requested means that the capacity is exhausted. */
   private void handleRentalReply(RentalRequest rental, byte[] body) {
     List<String> names;
     try {
@@ -736,7 +770,11 @@
       malformedMessages.note(MalformedMessages.Sender.CLOUD, "answer to a rental", e);
       return;
     }
-    LOG.info("rented {} of {} {}", names.size(), rental.count, rental.kind);
+    LOG.info(
+        "machines rented: count={}, requested={}, kind={}",
+        names.size(),
+        rental.count,
+        rental.kind);
     if (names.size() < rental.count) {
       refusedUntilMs.put(rental.kind, timers.nowMs() + REFUSAL_BACKOFF_MS);
     }
@@ -753,15 +791,17 @@
     recordRentedMachines();
   }
 
-  /** What waits and fits nowhere, as machines to rent. */
+  /** Computes the machines to rent for waiting tasks that fit on no existing machine. */
   static final class RentalDemand {
-    /** A machine that is not in the tables yet. */
+    /** A machine that has been requested or rented but is not in the tables yet. */
     record ExpectedMachine(TypeInfo type, String zone, boolean spot) {}
 
+    /** Chooses the kind of machine to rent for a job; null if none can be rented now. */
     interface KindChooser {
       MachineKind choose(Job job, Map<String, Integer> machinesPerZone);
     }
 
+    /** The free capacity of a machine; {@code kindToRent} is null unless the machine is new. */
     private static final class Bin {
       final FreeCapacity capacity;
       final String zone;
@@ -778,6 +818,7 @@
 
     private RentalDemand() {}
 
+    /** Returns how many machines of each kind to rent for the jobs, in the order of the queue. */
     static Map<MachineKind, Integer> compute(
         Iterable<Job> waiting,
         long nowMs,
@@ -807,7 +848,7 @@
         if (team == null || job.isSuspected() && job.retryAtMs() > nowMs) {
           continue;
         }
-        // What seems to fail everywhere is tried, not provided for.
+        // A job that seems to fail everywhere is probed with one task, so one machine is enough.
         boolean probeOnly = job.isSuspected() && job.spec().shape() != JobSpec.Shape.GANG;
         int taskCount = probeOnly ? 1 : job.waitingCount();
         QuotaShare quotaPerTask = new QuotaShare(job.spec().cpus(), job.spec().gpus());
@@ -817,8 +858,9 @@
         int allowedTasks =
             FreeCapacity.taskCapacity(
                 job.spec(), remainingQuota.cpus(), remainingQuota.gpus(), Double.POSITIVE_INFINITY);
-        // What its team's limit forbids has no use for a machine: it runs where others have ended.
-        // But for the first gang that waits for it: the limit is saved up for that one.
+        // Tasks beyond their team's limit need no new machine: they run where other tasks of the
+        // team have ended. The first gang that waits for the limit is the exception, because quota
+        // is held for it.
         boolean isGang = job.spec().shape() == JobSpec.Shape.GANG;
         if (!isGang) {
           taskCount = Math.min(taskCount, allowedTasks);
@@ -826,7 +868,7 @@
           continue;
         }
         remainingQuotas.put(team.name(), remainingQuota.minus(quotaPerTask.times(taskCount)));
-        // Its tasks are alike: where one did not fit, the next does not either.
+        // All tasks of a job are alike: where one did not fit, the next one does not fit either.
         int nextBin = 0;
         for (int n = 0; n < taskCount; n++) {
           if (++tasksExamined > MAX_TASKS_EXAMINED || newMachines >= MAX_NEW_MACHINES) {
@@ -861,7 +903,7 @@
       return demand;
     }
 
-    /** What a team may use beyond what it does; without end where it has no limit. */
+    /** Returns what a team may use beyond its present usage; infinite where it has no limit. */
     private static QuotaShare remainingQuota(Settings.Team team, QuotaShare used) {
       return new QuotaShare(
           team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.POSITIVE_INFINITY,
--- a/src/main/java/wickdrift/coordination/FleetSize.java
+++ b/src/main/java/wickdrift/coordination/FleetSize.java
@@ -7,10 +7,11 @@
 import wickdrift.protocol.JobSpec;
 
 /**
- * How many machines of each kind are up in each zone, whatever runs there: what a gang could have
- * if all else made way. Counted once, and then asked for each gang.
+ * The total capacity of all machines that are up, whatever runs on them: what a gang could use if
+ * all other tasks were preempted. The machines are counted once, for checks of many gangs.
  */
 final class FleetSize {
+  /** Machines of one kind have the same capacity and can be used by the same jobs. */
   private record MachineKind(String type, String zone, boolean spot) {}
 
   private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
@@ -27,7 +28,7 @@
     }
   }
 
-  /** Whether the machines of a zone, were they empty, would hold so many tasks at once. */
+  /** Whether the machines of a zone, if empty, could run so many tasks at once. */
   boolean holds(JobSpec spec, String zone, int tasks) {
     long capacity = 0;
     for (Map.Entry<MachineKind, Integer> entry : machineCounts.entrySet()) {
@@ -38,7 +39,10 @@
     return capacity >= tasks;
   }
 
-  /** The same of all zones that the job may use, or of one of them if it must be in one. */
+  /**
+   * Whether the machines of all zones, if empty, could run so many tasks at once. If the job must
+   * stay in one zone, the machines of a single zone must be able to.
+   */
   boolean holds(JobSpec spec, int tasks) {
     Map<String, Long> byZone = new HashMap<>();
     machineCounts.forEach(
--- a/src/main/java/wickdrift/coordination/Tuning.java
+++ b/src/main/java/wickdrift/coordination/Tuning.java
@@ -3,11 +3,44 @@
 import wickdrift.settings.Settings;
 
 /**
- * The operators' own settings, all with defaults that derive from what the platform hands over.
- * Those that the design marks "ours" are here.
+ * Parameters that the platform's settings file does not contain. Their defaults derive from that
+ * file where they depend on the deployment.
  *
- * @param leaseEndsInTime whether a worker's lease that nobody renews ends sooner than a cancelled
- *     task must be gone
+ * @param memberLeaseMs lease of a controller's membership
+ * @param stillMs a gap between events that is longer than this is a pause of the process
+ * @param busyMs status requests are shed while timers are late by more than this
+ * @param lookUpShare share of a controller's request rate at the state service for status requests
+ * @param graceMs how long a controller whose lease has expired continues to answer its workers
+ * @param quietMs without a report for longer than this, the reports of a machine are overdue
+ * @param lostMs a machine that is silent, or unreachable for commands, for longer than this is
+ *     recorded as lost
+ * @param lapseMs time after the last renewal by which a worker's lease has certainly expired
+ * @param leaseEndsInTime whether a worker's lease that is not renewed expires before the deadline
+ *     by which the tasks of a cancelled job must have ended
+ * @param overdueMs time after a withdrawal at which the machines of tasks that have not provably
+ *     ended are deleted
+ * @param settleMs time for the reports of all machines to arrive after a controller takes over
+ *     machines or the leadership
+ * @param handoverMs how long a job waits in a partition without free capacity for it before it is
+ *     handed over to the leader
+ * @param markWaitMs how long a gang waits before machines are reserved for it
+ * @param preemptLowMs how long a job waits before it preempts tasks of the lowest priority
+ * @param preemptMs how long a job waits at least before it preempts other tasks, unless an
+ *     objective demands an earlier start
+ * @param preemptShare share of an objective's time after which a job preempts other tasks, where a
+ *     rented machine would come too late
+ * @param preemptBoots how long a job waits for a rented machine before it preempts other tasks, as
+ *     a multiple of the boot time
+ * @param idleMs how long an idle machine is kept
+ * @param idleBootsWait how long an idle machine is kept, as a multiple of the boot time, if an
+ *     objective demands a start sooner than a machine boots
+ * @param overdueBoots a boot that takes longer than this multiple of the boot time is overdue
+ * @param overdueShare share of the machines that are replaced at most because their boot is overdue
+ * @param largeShare a job that needs more than this share of a partition's machines is assigned to
+ *     the leader
+ * @param spareMachines number of idle machines that are always kept
+ * @param logPages number of pages of a controller's own log that compaction keeps
+ * @param logPageBytes largest size of a page of the log
  */
 public record Tuning(
     long memberLeaseMs,
@@ -36,32 +69,33 @@
     int logPages,
     int logPageBytes) {
 
-  /** Clocks drift apart by at most 0.05%; twice that, for a lease is measured by two clocks. */
+  /** Clocks drift by at most 0.05%. This is doubled, since two clocks measure a lease. */
   private static final double MAX_CLOCK_DRIFT = 0.001;
 
   private static final long TIMER_SLACK_MS = 300;
   private static final long MEMBER_LEASE_MS = 4000;
 
-  /** The defaults for a deployment. */
+  /** Returns the defaults for a deployment. */
   public static Tuning defaults(Settings settings) {
     long leaseMs = (long) (settings.workers().leaseS() * 1000);
     double cancelMs = settings.workers().cancelS() * 1000;
     long reportMs = (long) (settings.workers().reportS() * 1000);
     return new Tuning(
         MEMBER_LEASE_MS,
-        // A process on a fraction of a core is now and then late by some hundred milliseconds.
+        // A process on a fraction of a core is occasionally late by some hundred milliseconds,
+        // which is neither a pause nor overload.
         MEMBER_LEASE_MS / 4,
         MEMBER_LEASE_MS / 8,
         0.2,
         3 * leaseMs,
-        // Two reports in a row are missing.
+        // Two successive reports are missing.
         Math.min(leaseMs / 2, 2 * (reportMs * 5 / 4) + TIMER_SLACK_MS),
         leaseMs,
         (long) (leaseMs * (1 + MAX_CLOCK_DRIFT)) + TIMER_SLACK_MS,
-        // Reports are late now and then, and a worker looks at its lease now and then.
+        // Reports are sometimes late, and a worker checks its lease only at intervals.
         leaseMs * (1 + MAX_CLOCK_DRIFT) + TIMER_SLACK_MS + reportMs < cancelMs,
-        // A little more than half of the time for a cancellation, and, if that leaves time for a
-        // deletion or two, no sooner than a silent worker's lease ends by itself.
+        // Slightly more than half of the time for a cancellation. If that leaves time for one or
+        // two deletions, no sooner than the lease of a silent worker expires without intervention.
         (long) Math.max(cancelMs * 0.55, Math.min(leaseMs + 1000, cancelMs * 0.7)),
         reportMs * 5 / 4 + TIMER_SLACK_MS,
         1500,
@@ -77,11 +111,11 @@
         0.5,
         1,
         12,
-        // Pages are rewritten whole, so they are kept small even where values may be large.
+        // Each change rewrites a whole page, so pages are small even where values may be large.
         (int) Math.min(3600, settings.stateLimits().valueKb() * 1024 * 0.9));
   }
 
-  /** The same with other sizes of a node's log. */
+  /** Returns a copy with other limits for a controller's log. */
   public Tuning withLog(int pages, int pageBytes) {
     return new Tuning(
         memberLeaseMs,
--- a/src/main/java/wickdrift/coordination/TypeInfo.java
+++ b/src/main/java/wickdrift/coordination/TypeInfo.java
@@ -5,7 +5,14 @@
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 
-/** A machine type as the cloud describes it. */
+/**
+ * A machine type as the cloud describes it.
+ *
+ * @param cacheGb local storage for images
+ * @param fetchGbPerS rate at which a machine fetches images
+ * @param bootS seconds that a machine usually takes to boot
+ * @param zones where machines of the type can be rented
+ */
 public record TypeInfo(
     String name,
     double cpus,
@@ -18,7 +25,7 @@
     double bootS,
     List<String> zones) {
 
-  /** Reads a machine type of the cloud's list. */
+  /** Parses an entry of the cloud's list of machine types. */
   public static TypeInfo parse(Document document) throws BadMessage {
     return new TypeInfo(
         document.text("sku"),
@@ -33,7 +40,7 @@
         List.copyOf(document.texts("regions")));
   }
 
-  /** Whether a task of the job could ever run on a machine of this type. */
+  /** Whether a task of the job can run on an empty machine of this type. */
   public boolean canHold(JobSpec spec) {
     return spec.allowsType(name)
         && spec.cpus() <= cpus + FreeCapacity.EPS
@@ -42,7 +49,7 @@
         && (spec.zone() == null || zones.contains(spec.zone()));
   }
 
-  /** How many tasks of a kind an empty machine holds. */
+  /** Returns how many tasks of the job fit on an empty machine. */
   int tasksThatFit(JobSpec spec) {
     return FreeCapacity.taskCapacity(spec, cpus, gpus, memoryGb);
   }
--- a/src/main/java/wickdrift/coordination/Zones.java
+++ b/src/main/java/wickdrift/coordination/Zones.java
@@ -6,31 +6,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this node hears from each zone. A machine that is silent may be anything; a zone of which
- * nothing is heard while others go on reporting is cut off as a whole. What is rented there can't
- * be used, and what runs there may be well: a controller in that zone goes on answering its
- * workers.
+ * Detects unreachable zones from the reports of their workers. A single silent machine may have any
+ * cause; a zone without any report, while other zones report, is unreachable as a whole. A machine
+ * rented there can't be used, while the tasks there may keep running, since a controller in that
+ * zone continues to answer its workers.
  */
 public final class Zones {
   private static final Logger LOG = LoggerFactory.getLogger(Zones.class);
 
-  /** So many machines must be silent there: two may have died by chance. */
+  /** Two machines of a zone may have failed independently. */
   private static final int MIN_SILENT_MACHINES = 3;
 
-  /** Of a zone's machines, how many must be recorded as silent where nothing else is known. */
+  /**
+   * The least share of a zone's machines that must be recorded as lost for the zone to count as
+   * unreachable if this node has not observed the silence itself.
+   */
   private static final double MIN_LOST_SHARE = 0.8;
 
-  /** How long its workers have to report when it is back, in times of {@link #reportsOverdueMs}. */
+  /**
+   * How long the workers of a zone that is reachable again have to report, as a multiple of {@link
+   * #reportsOverdueMs}.
+   */
   private static final long RECOVERY_PERIODS = 2;
 
-  /** How a zone looks from here. */
+  /** Whether the workers of a zone can be reached from this node. */
   enum Reachability {
-    /** Something is heard, or not enough is known. */
+    /** Some worker reports, or too little is known to decide. */
     REACHABLE,
-    /** Nothing is heard that should be. Any report ends it. */
+    /** No worker reports although some should. The next report ends this state. */
     UNREACHABLE
   }
 
+  /** The state of a zone; the counts are those since the last evaluation. */
   private static final class Zone {
     Reachability reachability = Reachability.REACHABLE;
     long lastReportMs;
@@ -44,7 +51,9 @@
   private final long reportsOverdueMs;
 
   /**
-   * @param reportsOverdueMs so long without any report is not by chance
+   * Creates the state, with all zones reachable.
+   *
+   * @param reportsOverdueMs a zone without any report for longer than this may be unreachable
    */
   public Zones(long reportsOverdueMs) {
     this.reportsOverdueMs = reportsOverdueMs;
@@ -54,23 +63,24 @@
     return zones.computeIfAbsent(name, k -> new Zone());
   }
 
-  /** A worker there has reported, to whomever it should. */
+  /** Notes that a worker of the zone has reported, to this node or to its owner. */
   void heard(String name, long nowMs) {
     Zone zone = getOrCreateZone(name);
     zone.lastReportMs = nowMs;
     if (zone.reachability == Reachability.UNREACHABLE) {
-      // One after the other, and each is still recorded as silent until that is written.
+      // The workers report one after the other, and each machine stays recorded as lost until its
+      // new record is written.
       zone.recoveringUntilMs = nowMs + RECOVERY_PERIODS * reportsOverdueMs;
     }
     setReachability(name, zone, Reachability.REACHABLE);
   }
 
-  /** One of our machines there has been silent for too long. */
+  /** Counts a machine of this node in the zone whose reports are overdue. */
   void silent(String name) {
     getOrCreateZone(name).silentCount++;
   }
 
-  /** Any machine there, by its record: up, or silent as its owner found at the time. */
+  /** Counts a machine in the zone that is recorded as up, or as lost by its owner. */
   void recorded(String name, boolean isLost) {
     Zone zone = getOrCreateZone(name);
     zone.lostCount += isLost ? 1 : 0;
@@ -78,13 +88,14 @@
   }
 
   /**
-   * All machines have been looked at. What others found out is in the records: a leader that has
-   * just started, or has no machine there, must not begin by deleting what is well behind the cut.
+   * Decides which zones are unreachable, after all machines have been counted, and resets the
+   * counts. The records contain what other nodes have observed: a leader that has just started, or
+   * owns no machine in the zone, must not delete machines that work behind a network partition.
    *
-   * @param listeningSinceMs since when we could hear
+   * @param listeningSinceMs since when this process has received reports without a pause
    */
   void judge(long listeningSinceMs, long nowMs) {
-    // Where nothing is heard from anywhere, it is we who are cut off from the workers.
+    // If no zone reports, it is this node that is cut off from the workers.
     boolean anyZoneReports =
         zones.values().stream().anyMatch(zone -> nowMs - zone.lastReportMs < reportsOverdueMs);
     zones.forEach(
@@ -105,21 +116,25 @@
         });
   }
 
-  /** The one function by which a zone's state changes. */
+  /** Changes the state of a zone. No other method does. */
   private static void setReachability(String name, Zone zone, Reachability next) {
     if (zone.reachability != next) {
       zone.reachability = next;
-      LOG.info("zone {} is {}", name, next);
+      LOG.info("zone reachability changed: zone={}, state={}", name, next);
     }
   }
 
-  /** Dark, or so short a time ago that not all of its workers have reported again. */
+  /**
+   * Whether the zone is unreachable, or was until so recently that not all of its workers have had
+   * time to report again.
+   */
   boolean away(String name, long nowMs) {
     Zone zone = zones.get(name);
     return zone != null
         && (zone.reachability == Reachability.UNREACHABLE || nowMs < zone.recoveringUntilMs);
   }
 
+  /** Whether the zone is unreachable. */
   boolean dark(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.reachability == Reachability.UNREACHABLE;
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -33,12 +33,18 @@
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
-/** One controller, put together. It knows no sockets, so tests run it in a simulated world. */
+/**
+ * Creates and connects the components of a controller. It opens no sockets itself, so tests can run
+ * it in a simulated cluster.
+ */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final String JOBS_PATH = "/api/jobs";
 
-  /** Seconds: what keeps this node out is mended by people, and others serve meanwhile. */
+  /**
+   * Retry-After, in seconds, of a node that can't use the stored state. Only an operator can
+   * resolve this, and other nodes serve in the meantime.
+   */
   private static final int BLOCKED_RETRY_S = 5;
 
   private static final long SHUTDOWN_POLL_INTERVAL_MS = 20;
@@ -59,6 +65,7 @@
   private long unknownFrameCount;
   private final MalformedMessages malformedMessages = new MalformedMessages();
 
+  /** Creates a controller that supports the levels of this build. */
   public Controller(
       Settings settings,
       Tuning tuning,
@@ -79,8 +86,10 @@
   }
 
   /**
-   * @param levels of stored state that this controller is to speak: a part of what the build does,
-   *     or more, to stand for another build
+   * Creates a controller that supports the given levels.
+   *
+   * @param levels of stored state; fewer or more than this build supports, to simulate another
+   *     build
    */
   public Controller(
       Settings settings,
@@ -178,7 +187,8 @@
             zones,
             incarnation,
             malformedMessages);
-    // In this order: what was drawn from silence is dropped after nothing is decided any more.
+    // The order matters: the membership ends all decisions before the pipeline discards what was
+    // concluded from missing reports.
     pauseDetector.onResume(ms -> membership.onProcessResumed());
     pauseDetector.onResume(ms -> pipeline.onProcessResumed());
     registerMetrics(limits, links, settings.node());
@@ -227,12 +237,12 @@
     metrics.registerGauge("withdrawals.unkept", confirmations::unconfirmedCount);
   }
 
-  /** For looking in from outside: what this node holds for durable. */
+  /** Returns the tables, which hold the stored state as this node knows it. */
   public Tables tables() {
     return tables;
   }
 
-  /** Begins to load the tables, and everything that runs by timers. */
+  /** Starts loading the tables, and all periodic work. */
   public void start() {
     pauseDetector.start();
     stateService.start();
@@ -243,17 +253,18 @@
   }
 
   /**
-   * Ends in order: takes nothing new, lets the transaction that is out end, and gives its lease
-   * back, so that the others take over at once instead of after the lease.
+   * Shuts down in order: accepts no new work, waits for pending transactions and submissions, and
+   * releases its lease, so that other controllers take over at once instead of after its expiry.
    *
-   * @param timeoutMs by then it has ended, whatever is still under way
-   * @param done called once
+   * @param timeoutMs the shutdown completes after this time even if work is still pending
+   * @param done called once, on completion
    */
   public void leave(long timeoutMs, Runnable done) {
     membership.leave();
     awaitIdle(pauseDetector.monitoredTimers().nowMs() + timeoutMs, done);
   }
 
+  /** Waits until nothing is pending or the deadline has passed, then releases the lease. */
   private void awaitIdle(long deadlineMs, Runnable done) {
     long now = pauseDetector.monitoredTimers().nowMs();
     if (pipeline.isIdle() && admission.isIdle() || now >= deadlineMs) {
@@ -281,7 +292,7 @@
     pipeline.scheduleCycle();
   }
 
-  /** Takes a frame that came in on the link between controllers. */
+  /** Handles a frame from another controller. */
   public void peerFrame(ByteBuffer bytes) {
     pauseDetector.recordActivity();
     PeerFrame frame;
@@ -302,11 +313,11 @@
     } else if (frame instanceof PeerFrame.Obeyed o) {
       confirmations.handleConfirmation(o);
     } else if (unknownFrameCount++ == 0) {
-      LOG.info("from a peer: a frame that this build does not know, and passes over");
+      LOG.info("ignoring peer frames of a type that this build does not know");
     }
   }
 
-  /** Every request of users, workers and the load balancer comes in here. */
+  /** Handles a request of a user, a worker or the load balancer. */
   public void handle(Exchange exchange) {
     pauseDetector.recordActivity();
     metrics.countRequest();
@@ -316,8 +327,8 @@
       path = path.substring(0, queryStart);
     }
     if (tables.blockedReason() != null && !path.equals("/metrics")) {
-      // Who does not understand the stored state answers nobody from it: users and workers go on
-      // to the others.
+      // A node that can't read the stored state does not answer from it. Users and workers turn to
+      // other nodes.
       exchange.reply(503, Map.of("error", "not in service"), BLOCKED_RETRY_S);
       return;
     }
@@ -372,8 +383,9 @@
   }
 
   /**
-   * Healthy in an outage of the state service too, where no other node could serve better; not when
-   * a peer is served and we alone are not.
+   * Whether the load balancer should send requests to this node. This holds during an outage of the
+   * state service too, when no other node could serve better, but not when the state service is
+   * unreachable for this node while a peer can reach it.
    */
   private boolean isHealthy() {
     return admission.isReady() && !membership.isIsolated() && !membership.isLeaving();
--- a/src/main/java/wickdrift/daemon/Main.java
+++ b/src/main/java/wickdrift/daemon/Main.java
@@ -4,7 +4,7 @@
 import wickdrift.operator.LevelCommand;
 import wickdrift.operator.StateCommand;
 
-/** The command line. Sub-commands leave room for clients to come. */
+/** The command line interface. */
 @CommandLine.Command(
     name = "wickdrift",
     description = "A cluster scheduler.",
@@ -19,12 +19,12 @@
     spec.commandLine().usage(System.err);
   }
 
-  /** Starts what the command line names. */
+  /** Runs the command that the arguments name. */
   public static void main(String[] args) {
     configureLogging();
     CommandLine commandLine = new CommandLine(new Main());
     if (args.length == 0 || !args[0].equals("serve")) {
-      // A controller, which starts on a part of a core, does without the operators' commands.
+      // Not loaded for a controller, which has only a fraction of a core to start on.
       commandLine.addSubcommand(new StateCommand()).addSubcommand(new LevelCommand());
     }
     int code = commandLine.execute(args);
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Before the first logger is made. */
+  /** Configures logging. This must run before the first logger is created. */
   private static void configureLogging() {
     String level = System.getenv("LOG_LEVEL");
     String validLevel =
--- a/src/main/java/wickdrift/daemon/Metrics.java
+++ b/src/main/java/wickdrift/daemon/Metrics.java
@@ -9,21 +9,22 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** What the process counts, for operators. */
+/** The metrics of this process. */
 public final class Metrics {
   private final MeterRegistry registry = new SimpleMeterRegistry();
   private final Counter requests = registry.counter("wickdrift.requests");
 
+  /** Counts a request that has come in. */
   public void countRequest() {
     requests.increment();
   }
 
-  /** A figure that is read when it is asked for. */
+  /** Registers a gauge whose value is read on each snapshot. */
   public void registerGauge(String name, Supplier<Number> value) {
     Gauge.builder("wickdrift." + name, value).register(registry);
   }
 
-  /** All figures as they are now, by name. */
+  /** Returns the current values of all metrics by name. */
   public Map<String, Object> snapshot() {
     Map<String, Object> figures = new TreeMap<>();
     for (Meter meter : registry.getMeters()) {
--- a/src/main/java/wickdrift/daemon/RehearseCommand.java
+++ b/src/main/java/wickdrift/daemon/RehearseCommand.java
@@ -22,8 +22,9 @@
 import wickdrift.transport.PeerLink;
 
 /**
- * Runs a controller on loopback against a partner that has nothing, sends it one request of each
- * kind and ends. The build records which classes that loads.
+ * Runs a controller on the loopback interface against a server that stands for the state service
+ * and the cloud and returns empty results, sends it one request of each kind and exits. The build
+ * records the classes that this loads.
  */
 @CommandLine.Command(
     name = "rehearse",
@@ -33,7 +34,7 @@
   private static final long TIMEOUT_S = 20;
   private static final long REQUEST_TIMEOUT_MS = 2000;
 
-  /** One answer that reads as empty whatever was asked. */
+  /** A reply to any request, which contains an empty result and one machine type. */
   private static final Map<String, Object> EMPTY_ANSWER =
       Map.of(
           "ledgerRev", 1,
--- a/src/main/java/wickdrift/daemon/ServeCommand.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -21,17 +21,18 @@
 import wickdrift.transport.HttpServer;
 import wickdrift.transport.PeerLink;
 
-/** Runs a controller until the process is ended. */
+/** Runs a controller until the process is terminated. */
 @CommandLine.Command(name = "serve", description = "Run a controller.")
 public final class ServeCommand implements Callable<Integer> {
-  /** Not an exit code: the service goes on running on its own thread. */
+  /** Not an exit code: the service continues to run on its own thread. */
   static final int KEEP_RUNNING = -1;
 
   private static final int EXIT_BAD_SETTINGS = 2;
 
-  /** From the signal to the end, milliseconds. */
+  /** Time from SIGTERM to the end of the orderly shutdown. */
   private static final long SHUTDOWN_TIMEOUT_MS = 3000;
 
+  /** Additional time for the event loop to report the end of the shutdown. */
   private static final long SHUTDOWN_SLACK_MS = 500;
 
   @CommandLine.Option(
@@ -40,7 +41,7 @@
       description = "The settings file that the platform hands over.")
   private Path config;
 
-  /** On SIGTERM: what was begun is ended, then the process; on a kill nothing of this runs. */
+  /** Waits on SIGTERM until pending work has ended. On SIGKILL this does not run. */
   private static void shutDown(EventLoop loop, Controller controller) {
     CountDownLatch finished = new CountDownLatch(1);
     loop.run(() -> controller.leave(SHUTDOWN_TIMEOUT_MS, finished::countDown));
@@ -62,7 +63,8 @@
     }
     Logger log = LoggerFactory.getLogger(ServeCommand.class);
     EventLoop loop = new EventLoop();
-    // Half of the sockets for what comes in; a quarter for what we open; the rest is slack.
+    // Half of the sockets are for incoming connections, a quarter for outgoing ones; the rest is
+    // a reserve.
     HttpClient client =
         new HttpClient(
             loop.group(), settings.sockets() / 4, Set.of(settings.state(), settings.cloud()));
@@ -85,7 +87,7 @@
     }
     loop.run(controller::start);
     Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(loop, controller), "leave"));
-    log.info("{} serves on {}", settings.node(), settings.serveOn());
+    log.info("controller started: node={}, address={}", settings.node(), settings.serveOn());
     return KEEP_RUNNING;
   }
 }
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -14,7 +14,15 @@
 import java.util.Set;
 import wickdrift.bookkeeping.StateServiceLimits;
 
-/** The settings the platform hands over. Unknown fields are ignored, missing ones are named. */
+/**
+ * The settings from the platform's settings file. Unknown keys are ignored; an error names the key
+ * that is missing or invalid.
+ *
+ * @param back address for the connections of other controllers
+ * @param nextLimits announced limits of the state service that will replace {@code stateLimits};
+ *     null if none are announced
+ * @param sockets number of file descriptors that the process may use
+ */
 public record Settings(
     String node,
     String zone,
@@ -32,36 +40,46 @@
     CloudLimits cloudLimits,
     int sockets) {
 
-  /** Its zone is empty when the settings do not tell it. */
+  /** Another controller. Its zone is empty if the settings file does not contain it. */
   public record Peer(String node, String zone, String address) {}
 
-  /** A limit of 0 means none; a guarantee of 0 means none is given. */
+  /**
+   * A team with its guaranteed resources and its limits. A limit of 0 means that there is no limit,
+   * a guarantee of 0 that nothing is guaranteed.
+   */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-  /** What is expected of a class of jobs. */
+  /** A service objective for a class of jobs. */
   public record Objective(String kind, String jobClass, double withinS, double share) {}
 
-  /** The workers' times, in seconds. */
+  /** The times of the worker protocol, in seconds. */
   public record Workers(
       double reportS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {}
 
-  /** Requests a second that the cloud takes, and how late its list is. */
+  /** The cloud's limit of requests per second, and the lag of its list of machines in seconds. */
   public record CloudLimits(double rps, double listLagS) {}
 
-  /** A view, the part of one that comes, its lasting record, and the first list. */
+  /**
+   * A change of the view that admits a controller writes four keys in one transaction: the view,
+   * the controller's partition, its node record, and the initial list of names.
+   */
   private static final int MIN_TRANSACTION_OPS = 4;
 
-  /** A job with names of the longest kind that a user may give. */
+  /** Enough for a job whose names all have the maximum length that users may give them. */
   private static final double MIN_VALUE_KB = 1;
 
-  /** A setting that keeps the service from starting. */
+  /** Invalid settings, with which the service can't start. The message names the key. */
   public static final class Invalid extends Exception {
+    /** Creates an exception whose message names the setting. */
     public Invalid(String message) {
       super(message);
     }
   }
 
-  /** All controllers' names in one fixed order; a controller's dense number is its place here. */
+  /**
+   * Returns the names of all controllers in an order that is the same on each of them. A
+   * controller's number is its index in this list.
+   */
   public List<String> nodeNames() {
     List<String> names = new ArrayList<>();
     names.add(node);
@@ -71,7 +89,8 @@
   }
 
   /**
-   * The zones that have a controller, which goes on answering its workers when they are cut off.
+   * Returns the zones that have a controller. It continues to answer the workers of its zone when
+   * the zone is cut off from the others.
    */
   public Set<String> controllerZones() {
     Set<String> zones = new HashSet<>(Set.of(zone));
@@ -93,7 +112,7 @@
     return parse(config);
   }
 
-  /** Reads settings; the first that is wrong is named. */
+  /** Parses the settings. The exception names the first key that is missing or invalid. */
   public static Settings parse(UnmodifiableConfig config) throws Invalid {
     String node = requiredText(config, "host_name");
     List<Peer> peers = new ArrayList<>();
@@ -175,7 +194,9 @@
   }
 
   /**
-   * @param defaults where a field is missing; null: all must be there
+   * Reads a table of the state service's limits.
+   *
+   * @param defaults values for missing keys; null if all keys are required
    */
   private static StateServiceLimits.Bounds parseBounds(
       UnmodifiableConfig config, String key, StateServiceLimits.Bounds defaults) throws Invalid {
