--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -396,8 +396,8 @@
         case BOOTING -> {
           TypeInfo type = types.find(info.type());
           double bootS = type == null ? 60 : type.bootS();
-          // A machine that came up in the meantime may have reported to its owner only. Its record
-          // as up has reached this node by the time the leader is settled.
+          // A machine that came up in the meantime has reported to its owner, but possibly not yet
+          // to this node, so a new leader waits.
           if (phaseAgeMs > bootS * 4000 + 5000 && isSettled()) {
             scheduleDeletion(machine.name(), "it did not come up in time");
           }
--- a/src/main/java/wickdrift/daemon/RehearseCommand.java
+++ b/src/main/java/wickdrift/daemon/RehearseCommand.java
@@ -53,7 +53,7 @@
   public Integer call() throws Exception {
     EventLoop loop = new EventLoop();
     InetSocketAddress loopback = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    Channel partnerChannel =
+    Channel stubChannel =
         new HttpServer(loop.group(), 16, exchange -> exchange.reply(200, EMPTY_ANSWER))
             .listen(loopback);
     Controller[] controller = new Controller[1];
@@ -67,9 +67,7 @@
             new TomlParser()
                 .parse(
                     settingsToml(
-                        addressOf(partnerChannel),
-                        addressOf(httpChannel),
-                        addressOf(peerChannel))));
+                        addressOf(stubChannel), addressOf(httpChannel), addressOf(peerChannel))));
     HttpClient client = new HttpClient(loop.group(), 16, Set.of());
     Map<String, Consumer<ByteBuffer>> peers = Map.of("p", link.to(addressOf(peerChannel)));
     controller[0] =
@@ -104,8 +102,7 @@
     return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  private static String settingsToml(
-      String partnerAddress, String listenAddress, String peerAddress) {
+  private static String settingsToml(String stubAddress, String listenAddress, String peerAddress) {
     return """
         host_name = "n"
         location = "z"
@@ -141,6 +138,6 @@
         [cluster.quota]
         fd_limit = 100
         """
-        .formatted(partnerAddress, listenAddress, peerAddress);
+        .formatted(stubAddress, listenAddress, peerAddress);
   }
 }
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -78,7 +78,7 @@
 
   /**
    * Returns the names of all controllers in an order that is the same on each of them. A
-   * controller's number is its index in this list.
+   * controller's dense number is its index in this list.
    */
   public List<String> nodeNames() {
     List<String> names = new ArrayList<>();
