--- a/src/main/java/wickdrift/coordination/Tuning.java
+++ b/src/main/java/wickdrift/coordination/Tuning.java
@@ -12,7 +12,7 @@
  * @param lookUpShare share of a controller's request rate at the state service for status requests
  * @param graceMs how long a controller whose lease has expired continues to answer its workers
  * @param quietMs without a report for longer than this, the reports of a machine are overdue
- * @param lostMs a machine that is silent, or unreachable for commands, for longer than this is
+ * @param lostMs a machine without reports, or unreachable for commands, for longer than this is
  *     recorded as lost
  * @param lapseMs time after the last renewal by which a worker's lease has certainly expired
  * @param leaseEndsInTime whether a worker's lease that is not renewed expires before the deadline
@@ -95,7 +95,7 @@
         // Reports are sometimes late, and a worker checks its lease only at intervals.
         leaseMs * (1 + MAX_CLOCK_DRIFT) + TIMER_SLACK_MS + reportMs < cancelMs,
         // Slightly more than half of the time for a cancellation. If that leaves time for one or
-        // two deletions, no sooner than the lease of a silent worker expires without intervention.
+        // two deletions, no sooner than the lease of a worker that does not report has expired.
         (long) Math.max(cancelMs * 0.55, Math.min(leaseMs + 1000, cancelMs * 0.7)),
         reportMs * 5 / 4 + TIMER_SLACK_MS,
         1500,
--- a/src/main/java/wickdrift/coordination/Zones.java
+++ b/src/main/java/wickdrift/coordination/Zones.java
@@ -6,10 +6,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects unreachable zones from the reports of their workers. A single silent machine may have any
- * cause; a zone without any report, while other zones report, is unreachable as a whole. A machine
- * rented there can't be used, while the tasks there may keep running, since a controller in that
- * zone continues to answer its workers.
+ * Detects unreachable zones from the reports of their workers. A single machine without reports may
+ * have any cause; a zone without any report, while other zones report, is unreachable as a whole. A
+ * machine rented there can't be used, while the tasks there may keep running, since a controller in
+ * that zone continues to answer its workers.
  */
 public final class Zones {
   private static final Logger LOG = LoggerFactory.getLogger(Zones.class);
