--- a/src/main/java/wickdrift/coordination/TypeInfo.java
+++ b/src/main/java/wickdrift/coordination/TypeInfo.java
@@ -5,7 +5,14 @@
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 
-/** A machine type as the cloud describes it. */
+/**
+ * A machine type as the cloud describes it.
+ *
+ * @param cacheGb local storage for images
+ * @param fetchGbPerS rate at which a machine fetches images
+ * @param bootS seconds that a machine usually takes to boot
+ * @param zones where machines of the type can be rented
+ */
 public record TypeInfo(
     String name,
     double cpus,
@@ -18,32 +25,32 @@
     double bootS,
     List<String> zones) {
 
-  /** Reads a machine type of the cloud's list. */
-  public static TypeInfo parse(Document d) throws BadMessage {
+  /** Parses an entry of the cloud's list of machine types. */
+  public static TypeInfo parse(Document document) throws BadMessage {
     return new TypeInfo(
-        d.text("sku"),
-        d.amount("cores"),
-        d.amount("gpus", 0),
-        d.amount("memoryGb"),
-        d.amount("localGb", 0),
-        d.amount("fetchGbPerS", 0),
-        d.amount("rate", 0),
-        d.amount("lowPrice", 0),
-        d.amount("bootS", 0),
-        List.copyOf(d.texts("regions")));
+        document.text("sku"),
+        document.amount("cores"),
+        document.amount("gpus", 0),
+        document.amount("memoryGb"),
+        document.amount("localGb", 0),
+        document.amount("fetchGbPerS", 0),
+        document.amount("rate", 0),
+        document.amount("lowPrice", 0),
+        document.amount("bootS", 0),
+        List.copyOf(document.texts("regions")));
   }
 
-  /** Whether a task of the job could ever run on a machine of this type. */
-  public boolean canHold(JobSpec s) {
-    return s.allowsType(name)
-        && s.cpus() <= cpus + FreeCapacity.EPS
-        && s.gpus() <= gpus + FreeCapacity.EPS
-        && s.memoryGb() <= memoryGb + FreeCapacity.EPS
-        && (s.zone() == null || zones.contains(s.zone()));
+  /** Whether a task of the job can run on an empty machine of this type. */
+  public boolean canHold(JobSpec spec) {
+    return spec.allowsType(name)
+        && spec.cpus() <= cpus + FreeCapacity.EPS
+        && spec.gpus() <= gpus + FreeCapacity.EPS
+        && spec.memoryGb() <= memoryGb + FreeCapacity.EPS
+        && (spec.zone() == null || zones.contains(spec.zone()));
   }
 
-  /** How many tasks of a kind an empty machine holds. */
-  int tasksThatFit(JobSpec s) {
-    return FreeCapacity.taskCapacity(s, cpus, gpus, memoryGb);
+  /** Returns how many tasks of the job fit on an empty machine. */
+  int tasksThatFit(JobSpec spec) {
+    return FreeCapacity.taskCapacity(spec, cpus, gpus, memoryGb);
   }
 }
--- a/src/main/java/wickdrift/coordination/Zones.java
+++ b/src/main/java/wickdrift/coordination/Zones.java
@@ -6,116 +6,137 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this node hears from each zone. A machine that is silent may be anything; a zone of which
- * nothing is heard while others go on reporting is cut off as a whole. What is rented there can't
- * be used, and what runs there may be well: a controller in that zone goes on answering its
- * workers.
+ * Detects unreachable zones from the reports of their workers. A single machine without reports may
+ * have any cause; a zone without any report, while other zones report, is unreachable as a whole. A
+ * machine rented there can't be used, while the tasks there may keep running, since a controller in
+ * that zone continues to answer its workers.
  */
 public final class Zones {
   private static final Logger LOG = LoggerFactory.getLogger(Zones.class);
 
-  /** So many machines must be silent there: two may have died by chance. */
-  private static final int SILENT_LEAST = 3;
+  /** Two machines of a zone may have failed independently. */
+  private static final int MIN_SILENT_MACHINES = 3;
 
-  /** Of a zone's machines, how many must be recorded as silent where nothing else is known. */
-  private static final double LOST_SHARE = 0.8;
-
-  /** How long its workers have to report when it is back, in times of {@link #quietMs}. */
-  private static final long BACK = 2;
+  /**
+   * The least share of a zone's machines that must be recorded as lost for the zone to count as
+   * unreachable if this node has not observed the silence itself.
+   */
+  private static final double MIN_LOST_SHARE = 0.8;
 
-  /** How a zone looks from here. */
-  enum Light {
-    /** Something is heard, or not enough is known. */
-    LIT,
-    /** Nothing is heard that should be. Any report ends it. */
-    DARK
+  /**
+   * How long the workers of a zone that is reachable again have to report, as a multiple of {@link
+   * #reportsOverdueMs}.
+   */
+  private static final long RECOVERY_PERIODS = 2;
+
+  /** Whether the workers of a zone can be reached from this node. */
+  enum Reachability {
+    /** Some worker reports, or too little is known to decide. */
+    REACHABLE,
+    /** No worker reports although some should. The next report ends this state. */
+    UNREACHABLE
   }
 
+  /** The state of a zone; the counts are those since the last evaluation. */
   private static final class Zone {
-    Light light = Light.LIT;
-    long heardMs;
-    long backUntilMs;
-    int silent;
-    int up;
-    int lost;
+    Reachability reachability = Reachability.REACHABLE;
+    long lastReportMs;
+    long recoveringUntilMs;
+    int silentCount;
+    int upCount;
+    int lostCount;
   }
 
   private final Map<String, Zone> zones = new LinkedHashMap<>();
-  private final long quietMs;
+  private final long reportsOverdueMs;
 
   /**
-   * @param quietMs so long without any report is not by chance
+   * Creates the state, with all zones reachable.
+   *
+   * @param reportsOverdueMs a zone without any report for longer than this may be unreachable
    */
-  public Zones(long quietMs) {
-    this.quietMs = quietMs;
+  public Zones(long reportsOverdueMs) {
+    this.reportsOverdueMs = reportsOverdueMs;
   }
 
-  private Zone zone(String name) {
+  private Zone getOrCreateZone(String name) {
     return zones.computeIfAbsent(name, k -> new Zone());
   }
 
-  /** A worker there has reported, to whomever it should. */
+  /** Notes that a worker of the zone has reported, to this node or to its owner. */
   void heard(String name, long nowMs) {
-    Zone z = zone(name);
-    z.heardMs = nowMs;
-    if (z.light == Light.DARK) {
-      // One after the other, and each is still recorded as silent until that is written.
-      z.backUntilMs = nowMs + BACK * quietMs;
+    Zone zone = getOrCreateZone(name);
+    zone.lastReportMs = nowMs;
+    if (zone.reachability == Reachability.UNREACHABLE) {
+      // The workers report one after the other, and each machine stays recorded as lost until its
+      // new record is written.
+      zone.recoveringUntilMs = nowMs + RECOVERY_PERIODS * reportsOverdueMs;
     }
-    become(name, z, Light.LIT);
+    setReachability(name, zone, Reachability.REACHABLE);
   }
 
-  /** One of our machines there has been silent for too long. */
+  /** Counts a machine of this node in the zone whose reports are overdue. */
   void silent(String name) {
-    zone(name).silent++;
+    getOrCreateZone(name).silentCount++;
   }
 
-  /** Any machine there, by its record: up, or silent as its owner found at the time. */
-  void recorded(String name, boolean lost) {
-    Zone z = zone(name);
-    z.lost += lost ? 1 : 0;
-    z.up += lost ? 0 : 1;
+  /** Counts a machine in the zone that is recorded as up, or as lost by its owner. */
+  void recorded(String name, boolean isLost) {
+    Zone zone = getOrCreateZone(name);
+    zone.lostCount += isLost ? 1 : 0;
+    zone.upCount += isLost ? 0 : 1;
   }
 
   /**
-   * All machines have been looked at. What others found out is in the records: a leader that has
-   * just started, or has no machine there, must not begin by deleting what is well behind the cut.
+   * Decides which zones are unreachable, after all machines have been counted, and resets the
+   * counts. The records contain what other nodes have observed: a leader that has just started, or
+   * owns no machine in the zone, must not delete machines that work behind a network partition.
    *
-   * @param listeningMs since when we could hear
+   * @param listeningSinceMs since when this process has received reports without a pause
    */
-  void judge(long listeningMs, long nowMs) {
-    // Where nothing is heard from anywhere, it is we who are cut off from the workers.
-    boolean any = zones.values().stream().anyMatch(z -> nowMs - z.heardMs < quietMs);
+  void judge(long listeningSinceMs, long nowMs) {
+    // If no zone reports, it is this node that is cut off from the workers.
+    boolean anyZoneReports =
+        zones.values().stream().anyMatch(zone -> nowMs - zone.lastReportMs < reportsOverdueMs);
     zones.forEach(
-        (name, z) -> {
-          boolean quiet = nowMs - Math.max(z.heardMs, listeningMs) > quietMs;
-          boolean found = z.silent >= SILENT_LEAST && quiet;
-          boolean known = z.lost >= SILENT_LEAST && z.lost >= LOST_SHARE * (z.lost + z.up);
-          if ((found || known && nowMs - z.heardMs > quietMs) && any) {
-            become(name, z, Light.DARK);
+        (name, zone) -> {
+          boolean reportsOverdue =
+              nowMs - Math.max(zone.lastReportMs, listeningSinceMs) > reportsOverdueMs;
+          boolean observedSilent = zone.silentCount >= MIN_SILENT_MACHINES && reportsOverdue;
+          boolean recordedAsLost =
+              zone.lostCount >= MIN_SILENT_MACHINES
+                  && zone.lostCount >= MIN_LOST_SHARE * (zone.lostCount + zone.upCount);
+          if ((observedSilent || recordedAsLost && nowMs - zone.lastReportMs > reportsOverdueMs)
+              && anyZoneReports) {
+            setReachability(name, zone, Reachability.UNREACHABLE);
           }
-          z.silent = 0;
-          z.up = 0;
-          z.lost = 0;
+          zone.silentCount = 0;
+          zone.upCount = 0;
+          zone.lostCount = 0;
         });
   }
 
-  /** The one function by which a zone's state changes. */
-  private static void become(String name, Zone z, Light next) {
-    if (z.light != next) {
-      z.light = next;
-      LOG.info("zone {} is {}", name, next);
+  /** Changes the state of a zone. No other method does. */
+  private static void setReachability(String name, Zone zone, Reachability next) {
+    if (zone.reachability != next) {
+      zone.reachability = next;
+      LOG.info("zone reachability changed: zone={}, state={}", name, next);
     }
   }
 
-  /** Dark, or so short a time ago that not all of its workers have reported again. */
+  /**
+   * Whether the zone is unreachable, or was until so recently that not all of its workers have had
+   * time to report again.
+   */
   boolean away(String name, long nowMs) {
-    Zone z = zones.get(name);
-    return z != null && (z.light == Light.DARK || nowMs < z.backUntilMs);
+    Zone zone = zones.get(name);
+    return zone != null
+        && (zone.reachability == Reachability.UNREACHABLE || nowMs < zone.recoveringUntilMs);
   }
 
+  /** Whether the zone is unreachable. */
   boolean dark(String name) {
-    Zone z = zones.get(name);
-    return z != null && z.light == Light.DARK;
+    Zone zone = zones.get(name);
+    return zone != null && zone.reachability == Reachability.UNREACHABLE;
   }
 }
