--- a/src/main/java/wickdrift/protocol/Document.java
+++ b/src/main/java/wickdrift/protocol/Document.java
@@ -29,16 +29,16 @@
   }
 
   /** The fields besides those named: what a newer writer added, to survive a rewriting. */
-  public Map<String, Object> without(String... known) {
-    List<String> names = List.of(known);
-    Map<String, Object> out = null;
-    for (Map.Entry<?, ?> e : map.entrySet()) {
-      if (!names.contains(e.getKey())) {
-        out = out == null ? new LinkedHashMap<>() : out;
-        out.put((String) e.getKey(), e.getValue());
+  public Map<String, Object> without(String... excludedKeys) {
+    List<String> excluded = List.of(excludedKeys);
+    Map<String, Object> remaining = null;
+    for (Map.Entry<?, ?> entry : map.entrySet()) {
+      if (!excluded.contains(entry.getKey())) {
+        remaining = remaining == null ? new LinkedHashMap<>() : remaining;
+        remaining.put((String) entry.getKey(), entry.getValue());
       }
     }
-    return out == null ? Map.of() : out;
+    return remaining == null ? Map.of() : remaining;
   }
 
   public Object rawMap() {
@@ -75,9 +75,9 @@
     return asCount(key, v);
   }
 
-  public long count(String key, long otherwise) throws BadMessage {
+  public long count(String key, long defaultValue) throws BadMessage {
     Object v = map.get(key);
-    return v == null ? otherwise : asCount(key, v);
+    return v == null ? defaultValue : asCount(key, v);
   }
 
   private static long asCount(String key, Object v) throws BadMessage {
@@ -96,9 +96,9 @@
     return d;
   }
 
-  public double amount(String key, double otherwise) throws BadMessage {
+  public double amount(String key, double defaultValue) throws BadMessage {
     Double d = amountOrNull(key);
-    return d == null ? otherwise : d;
+    return d == null ? defaultValue : d;
   }
 
   /** A decimal number, or null if it is absent or null. */
@@ -125,8 +125,8 @@
     throw new BadMessage(key + (v == null ? " is missing" : " is not true or false"));
   }
 
-  public boolean flag(String key, boolean otherwise) throws BadMessage {
-    return map.get(key) == null ? otherwise : flag(key);
+  public boolean flag(String key, boolean defaultValue) throws BadMessage {
+    return map.get(key) == null ? defaultValue : flag(key);
   }
 
   /** A list; an empty one if it is absent or null. */
@@ -143,22 +143,22 @@
 
   /** A list of maps; an empty one if it is absent or null. */
   public List<Document> docs(String key) throws BadMessage {
-    List<Document> out = new ArrayList<>();
-    for (Object o : list(key)) {
-      out.add(of(o));
+    List<Document> documents = new ArrayList<>();
+    for (Object element : list(key)) {
+      documents.add(of(element));
     }
-    return out;
+    return documents;
   }
 
   /** A list of texts; an empty one if it is absent or null. */
   public List<String> texts(String key) throws BadMessage {
-    List<String> out = new ArrayList<>();
-    for (Object o : list(key)) {
-      if (!(o instanceof String s)) {
+    List<String> texts = new ArrayList<>();
+    for (Object element : list(key)) {
+      if (!(element instanceof String s)) {
         throw new BadMessage(key + " holds something that is not text");
       }
-      out.add(s);
+      texts.add(s);
     }
-    return out;
+    return texts;
   }
 }
--- a/src/main/java/wickdrift/protocol/JobSpec.java
+++ b/src/main/java/wickdrift/protocol/JobSpec.java
@@ -42,14 +42,14 @@
     GANG("ensemble"),
     SERVICE("daemon");
 
-    private final String wire;
+    private final String wireName;
 
     Shape(String wire) {
-      this.wire = wire;
+      this.wireName = wire;
     }
 
-    public String wire() {
-      return wire;
+    public String wireName() {
+      return wireName;
     }
   }
 
@@ -72,15 +72,15 @@
   }
 
   public static final int MAX_TASKS = 100_000;
-  private static final Pattern ID = Pattern.compile("req-[0-9]{1,18}");
-  private static final int MAX_NAME = 128;
+  private static final Pattern ID_PATTERN = Pattern.compile("req-[0-9]{1,18}");
+  private static final int MAX_NAME_LENGTH = 128;
 
   public static boolean validId(String id) {
-    return ID.matcher(id).matches();
+    return ID_PATTERN.matcher(id).matches();
   }
 
   /** What a submission must have; the others may be null, and so may be left out. */
-  private static final List<String> REQUIRED =
+  private static final List<String> REQUIRED_FIELDS =
       List.of(
           "gpus",
           "pullGb",
@@ -92,60 +92,64 @@
           "flushS");
 
   /** The field that a submission lacks, or null. Stored descriptions of older builds may. */
-  public static String lacks(Document submitted) {
-    return REQUIRED.stream().filter(f -> submitted.raw(f) == null).findFirst().orElse(null);
+  public static String lacks(Document submission) {
+    return REQUIRED_FIELDS.stream()
+        .filter(field -> submission.raw(field) == null)
+        .findFirst()
+        .orElse(null);
   }
 
   /** Reads a submission; what is lacking or out of range is named. */
-  public static JobSpec parse(Document d) throws BadMessage {
-    String id = d.text("ref");
+  public static JobSpec parse(Document submission) throws BadMessage {
+    String id = submission.text("ref");
     if (!validId(id)) {
       throw new BadMessage("ref is not a job id");
     }
-    long tasks = d.count("shards");
+    long tasks = submission.count("shards");
     if (tasks < 1 || tasks > MAX_TASKS) {
       throw new BadMessage("shards is out of range");
     }
-    List<String> types = d.raw("flavours") == null ? null : List.copyOf(d.texts("flavours"));
+    List<String> types =
+        submission.raw("flavours") == null ? null : List.copyOf(submission.texts("flavours"));
     if (types != null && types.size() > 64) {
       throw new BadMessage("flavours is too long");
     }
     return new JobSpec(
         id,
-        name(d, "jobclass"),
-        name(d, "owner"),
-        shape(d.text("shape")),
-        priority(d.text("rank")),
+        name(submission, "jobclass"),
+        name(submission, "owner"),
+        parseShape(submission.text("shape")),
+        parsePriority(submission.text("rank")),
         (int) tasks,
-        d.amount("cores"),
-        d.amount("gpus", 0),
-        d.amount("memoryGb"),
-        name(d, "bundle"),
-        d.amount("pullGb", 0),
+        submission.amount("cores"),
+        submission.amount("gpus", 0),
+        submission.amount("memoryGb"),
+        name(submission, "bundle"),
+        submission.amount("pullGb", 0),
         types,
-        d.textOrNull("region"),
-        d.flag("oneZone", false),
-        d.flag("apart", false),
-        d.flag("reclaimable", false),
-        d.amount("expectS", 0),
-        d.amount("checkpointEveryS", 0),
-        d.amount("flushS", 0),
-        d.amountOrNull("dueS"),
-        awaits(d));
+        submission.textOrNull("region"),
+        submission.flag("oneZone", false),
+        submission.flag("apart", false),
+        submission.flag("reclaimable", false),
+        submission.amount("expectS", 0),
+        submission.amount("checkpointEveryS", 0),
+        submission.amount("flushS", 0),
+        submission.amountOrNull("dueS"),
+        parseAwaits(submission));
   }
 
-  private static List<String> awaits(Document d) throws BadMessage {
-    Set<String> names = new LinkedHashSet<>(d.texts("awaits"));
-    for (String n : names) {
-      if (!validId(n)) {
+  private static List<String> parseAwaits(Document submission) throws BadMessage {
+    Set<String> jobIds = new LinkedHashSet<>(submission.texts("awaits"));
+    for (String jobId : jobIds) {
+      if (!validId(jobId)) {
         throw new BadMessage("awaits holds something that is not a job id");
       }
     }
-    return List.copyOf(names);
+    return List.copyOf(jobIds);
   }
 
   /** The same, awaiting others. */
-  public JobSpec awaiting(List<String> others) {
+  public JobSpec awaiting(List<String> dependencies) {
     return new JobSpec(
         id,
         jobClass,
@@ -167,30 +171,30 @@
         checkpointS,
         saveS,
         deadlineS,
-        others);
+        dependencies);
   }
 
-  private static String name(Document d, String key) throws BadMessage {
-    String s = d.text(key);
-    if (s.isEmpty() || s.length() > MAX_NAME) {
+  private static String name(Document submission, String key) throws BadMessage {
+    String value = submission.text(key);
+    if (value.isEmpty() || value.length() > MAX_NAME_LENGTH) {
       throw new BadMessage(key + " is empty or too long");
     }
-    return s;
+    return value;
   }
 
-  private static Shape shape(String s) throws BadMessage {
-    for (Shape v : Shape.values()) {
-      if (v.wire.equals(s)) {
-        return v;
+  private static Shape parseShape(String wireName) throws BadMessage {
+    for (Shape shape : Shape.values()) {
+      if (shape.wireName.equals(wireName)) {
+        return shape;
       }
     }
     throw new BadMessage("shape is unknown");
   }
 
-  private static Priority priority(String s) throws BadMessage {
-    for (Priority v : Priority.values()) {
-      if (v.wire.equals(s)) {
-        return v;
+  private static Priority parsePriority(String wireName) throws BadMessage {
+    for (Priority priority : Priority.values()) {
+      if (priority.wire.equals(wireName)) {
+        return priority;
       }
     }
     throw new BadMessage("rank is unknown");
@@ -224,37 +228,37 @@
 
   /** The submission as a job's record holds it. */
   public Map<String, Object> toStore() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("ref", id);
-    m.put("jobclass", jobClass);
-    m.put("owner", team);
-    m.put("shape", shape.wire);
-    m.put("rank", priority.wire);
-    m.put("shards", tasks);
-    m.put("cores", cpus);
-    m.put("gpus", gpus);
-    m.put("memoryGb", memoryGb);
-    m.put("bundle", image);
-    m.put("pullGb", imageGb);
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("ref", id);
+    fields.put("jobclass", jobClass);
+    fields.put("owner", team);
+    fields.put("shape", shape.wireName);
+    fields.put("rank", priority.wire);
+    fields.put("shards", tasks);
+    fields.put("cores", cpus);
+    fields.put("gpus", gpus);
+    fields.put("memoryGb", memoryGb);
+    fields.put("bundle", image);
+    fields.put("pullGb", imageGb);
     if (types != null) {
-      m.put("flavours", types);
+      fields.put("flavours", types);
     }
     if (zone != null) {
-      m.put("region", zone);
+      fields.put("region", zone);
     }
-    m.put("oneZone", oneZone);
-    m.put("apart", spread);
-    m.put("reclaimable", spot);
-    m.put("expectS", estimateS);
-    m.put("checkpointEveryS", checkpointS);
-    m.put("flushS", saveS);
+    fields.put("oneZone", oneZone);
+    fields.put("apart", spread);
+    fields.put("reclaimable", spot);
+    fields.put("expectS", estimateS);
+    fields.put("checkpointEveryS", checkpointS);
+    fields.put("flushS", saveS);
     if (deadlineS != null) {
-      m.put("dueS", deadlineS);
+      fields.put("dueS", deadlineS);
     }
     if (!awaits.isEmpty()) {
-      m.put("awaits", awaits);
+      fields.put("awaits", awaits);
     }
-    return m;
+    return fields;
   }
 
   public boolean allowsType(String type) {
--- a/src/main/java/wickdrift/protocol/MalformedMessages.java
+++ b/src/main/java/wickdrift/protocol/MalformedMessages.java
@@ -15,7 +15,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(MalformedMessages.class);
 
   /** Causes that are remembered of one sender: a text may come with ever new values in it. */
-  private static final int CAUSES_MOST = 100;
+  private static final int MAX_LOGGED_CAUSES_PER_SENDER = 100;
 
   /** Who sent a message. */
   public enum Sender {
@@ -25,30 +25,30 @@
     PEER
   }
 
-  private final Map<Sender, Set<String>> told = new EnumMap<>(Sender.class);
-  private final Map<Sender, Long> counts = new EnumMap<>(Sender.class);
+  private final Map<Sender, Set<String>> loggedCausesBySender = new EnumMap<>(Sender.class);
+  private final Map<Sender, Long> countsBySender = new EnumMap<>(Sender.class);
 
   /**
    * Counts a message that could not be read.
    *
-   * @param what it was: an answer to which request, say
+   * @param message it was: an answer to which request, say
    */
-  public void note(Sender from, String what, BadMessage why) {
-    counts.merge(from, 1L, Long::sum);
-    Set<String> causes = told.computeIfAbsent(from, k -> new HashSet<>());
-    String cause = what + ": " + why.getMessage();
-    if (causes.size() < CAUSES_MOST && causes.add(cause)) {
-      LOG.warn("malformed, from {}: {}", from, cause);
+  public void note(Sender sender, String message, BadMessage error) {
+    countsBySender.merge(sender, 1L, Long::sum);
+    Set<String> causes = loggedCausesBySender.computeIfAbsent(sender, k -> new HashSet<>());
+    String cause = message + ": " + error.getMessage();
+    if (causes.size() < MAX_LOGGED_CAUSES_PER_SENDER && causes.add(cause)) {
+      LOG.warn("malformed, from {}: {}", sender, cause);
     }
   }
 
   /** Messages of a sender that could not be read. */
-  public long count(Sender from) {
-    return counts.getOrDefault(from, 0L);
+  public long count(Sender sender) {
+    return countsBySender.getOrDefault(sender, 0L);
   }
 
   /** Causes of a sender that were logged. */
-  public int causes(Sender from) {
-    return told.getOrDefault(from, Set.of()).size();
+  public int causes(Sender sender) {
+    return loggedCausesBySender.getOrDefault(sender, Set.of()).size();
   }
 }
--- a/src/main/java/wickdrift/protocol/MessageCodec.java
+++ b/src/main/java/wickdrift/protocol/MessageCodec.java
@@ -17,7 +17,7 @@
   /**
    * Deeper nesting than any message of the protocol has; guards the stack against hostile input.
    */
-  private static final int MAX_DEPTH = 12;
+  private static final int MAX_NESTING_DEPTH = 12;
 
   private MessageCodec() {}
 
@@ -46,14 +46,14 @@
       packer.packBoolean(b);
     } else if (value instanceof Map<?, ?> m) {
       packer.packMapHeader(m.size());
-      for (Map.Entry<?, ?> e : m.entrySet()) {
-        packer.packString((String) e.getKey());
-        write(packer, e.getValue());
+      for (Map.Entry<?, ?> entry : m.entrySet()) {
+        packer.packString((String) entry.getKey());
+        write(packer, entry.getValue());
       }
     } else if (value instanceof List<?> l) {
       packer.packArrayHeader(l.size());
-      for (Object o : l) {
-        write(packer, o);
+      for (Object element : l) {
+        write(packer, element);
       }
     } else {
       throw new IllegalArgumentException("cannot encode " + value.getClass());
@@ -63,27 +63,27 @@
   /** How long a value is as JSON: the form in which the protocol counts its limits. */
   public static int jsonSize(Object value) {
     if (value instanceof String s) {
-      int n = 2;
+      int size = 2;
       for (int i = 0; i < s.length(); i++) {
         char c = s.charAt(i);
         // Escapes and what is not ASCII, counted at their longest.
-        n += c < ' ' || c > '~' || c == '"' || c == '\\' ? 6 : 1;
+        size += c < ' ' || c > '~' || c == '"' || c == '\\' ? 6 : 1;
       }
-      return n;
+      return size;
     }
     if (value instanceof Map<?, ?> m) {
-      int n = 2;
-      for (Map.Entry<?, ?> e : m.entrySet()) {
-        n += jsonSize(e.getKey()) + 2 + jsonSize(e.getValue());
+      int size = 2;
+      for (Map.Entry<?, ?> entry : m.entrySet()) {
+        size += jsonSize(entry.getKey()) + 2 + jsonSize(entry.getValue());
       }
-      return n;
+      return size;
     }
     if (value instanceof List<?> l) {
-      int n = 2;
-      for (Object o : l) {
-        n += 1 + jsonSize(o);
+      int size = 2;
+      for (Object element : l) {
+        size += 1 + jsonSize(element);
       }
-      return n;
+      return size;
     }
     return String.valueOf(value).length();
   }
@@ -101,55 +101,55 @@
     }
   }
 
-  private static Object read(MessageUnpacker in, int depth, int size)
+  private static Object read(MessageUnpacker unpacker, int depth, int messageBytes)
       throws IOException, BadMessage {
-    if (depth > MAX_DEPTH) {
+    if (depth > MAX_NESTING_DEPTH) {
       throw new BadMessage("nested too deeply");
     }
-    MessageFormat format = in.getNextFormat();
+    MessageFormat format = unpacker.getNextFormat();
     switch (format.getValueType()) {
       case NIL -> {
-        in.unpackNil();
+        unpacker.unpackNil();
         return null;
       }
       case BOOLEAN -> {
-        return in.unpackBoolean();
+        return unpacker.unpackBoolean();
       }
       case INTEGER -> {
         if (format == MessageFormat.UINT64) {
-          return in.unpackBigInteger().longValueExact();
+          return unpacker.unpackBigInteger().longValueExact();
         }
-        return in.unpackLong();
+        return unpacker.unpackLong();
       }
       case FLOAT -> {
-        return in.unpackDouble();
+        return unpacker.unpackDouble();
       }
       case STRING -> {
-        return in.unpackString();
+        return unpacker.unpackString();
       }
       case ARRAY -> {
-        int n = in.unpackArrayHeader();
-        if (n > size) {
+        int n = unpacker.unpackArrayHeader();
+        if (n > messageBytes) {
           throw new BadMessage("list longer than its message");
         }
         List<Object> list = new ArrayList<>(Math.min(n, 1024));
         for (int i = 0; i < n; i++) {
-          list.add(read(in, depth + 1, size));
+          list.add(read(unpacker, depth + 1, messageBytes));
         }
         return list;
       }
       case MAP -> {
-        int n = in.unpackMapHeader();
-        if (n > size) {
+        int n = unpacker.unpackMapHeader();
+        if (n > messageBytes) {
           throw new BadMessage("map longer than its message");
         }
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < n; i++) {
-          Object key = read(in, depth + 1, size);
+          Object key = read(unpacker, depth + 1, messageBytes);
           if (!(key instanceof String s)) {
             throw new BadMessage("a map's key is not text");
           }
-          map.put(s, read(in, depth + 1, size));
+          map.put(s, read(unpacker, depth + 1, messageBytes));
         }
         return map;
       }
--- a/src/main/java/wickdrift/protocol/Order.java
+++ b/src/main/java/wickdrift/protocol/Order.java
@@ -22,13 +22,13 @@
 
   /** The command as it is sent. */
   default Map<String, Object> toWire() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("verb", this instanceof Run ? "run" : this instanceof Halt ? "halt" : "clear");
-    m.put("shard", job() + "/" + index());
-    m.put("try", attempt());
-    if (this instanceof Halt h) {
-      m.put("windDownS", h.graceS());
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("verb", this instanceof Run ? "run" : this instanceof Halt ? "halt" : "clear");
+    fields.put("shard", job() + "/" + index());
+    fields.put("try", attempt());
+    if (this instanceof Halt halt) {
+      fields.put("windDownS", halt.graceS());
     }
-    return m;
+    return fields;
   }
 }
--- a/src/main/java/wickdrift/protocol/PeerFrame.java
+++ b/src/main/java/wickdrift/protocol/PeerFrame.java
@@ -11,18 +11,18 @@
  */
 public sealed interface PeerFrame {
   byte VERSION = 3;
-  byte STANDING = 1;
-  byte REPORT = 2;
+  byte PEER_STATUS = 1;
+  byte RELAYED_REPORT = 2;
   byte ANSWER = 3;
-  byte WITHDRAWN = 4;
+  byte WITHDRAWAL_CONFIRMATION_REQUEST = 4;
   byte OBEYED = 5;
-  int HEAD = 3;
+  int HEADER_BYTES = 3;
 
   /** Added to a kind whose sender's number takes four bytes instead of one. */
-  byte WIDE = 16;
+  byte WIDE_SENDER_KIND_OFFSET = 16;
 
   /** By so many bytes its head is longer. */
-  int WIDER = 3;
+  int WIDE_SENDER_EXTRA_BYTES = 3;
 
   /** The sender's number. */
   int from();
@@ -36,7 +36,7 @@
   record Standing(int from, long epoch, boolean stateOk, int writes) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(STANDING, from, 13)
+      return allocateWithHeader(PEER_STATUS, from, 13)
           .put((byte) (stateOk ? 1 : 0))
           .putLong(epoch)
           .putInt(writes)
@@ -48,7 +48,7 @@
   record Relayed(int from, long id, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(REPORT, from, 8 + body.length).putLong(id).put(body).flip();
+      return allocateWithHeader(RELAYED_REPORT, from, 8 + body.length).putLong(id).put(body).flip();
     }
   }
 
@@ -56,7 +56,7 @@
   record Answered(int from, long id, int status, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(ANSWER, from, 10 + body.length)
+      return allocateWithHeader(ANSWER, from, 10 + body.length)
           .putLong(id)
           .putShort((short) status)
           .put(body)
@@ -75,17 +75,21 @@
       implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      byte[] name = job.getBytes(StandardCharsets.UTF_8);
-      List<byte[]> names = new ArrayList<>();
-      int length = 24 + 2 + name.length + 2;
-      for (String m : machines) {
-        byte[] b = m.getBytes(StandardCharsets.UTF_8);
-        names.add(b);
-        length += 2 + b.length;
+      byte[] jobBytes = job.getBytes(StandardCharsets.UTF_8);
+      List<byte[]> machineNames = new ArrayList<>();
+      int payloadBytes = 24 + 2 + jobBytes.length + 2;
+      for (String machine : machines) {
+        byte[] b = machine.getBytes(StandardCharsets.UTF_8);
+        machineNames.add(b);
+        payloadBytes += 2 + b.length;
       }
-      ByteBuffer b = head(WITHDRAWN, from, length).putLong(id).putLong(epoch).putLong(rev);
-      b.putShort((short) name.length).put(name).putShort((short) names.size());
-      names.forEach(n -> b.putShort((short) n.length).put(n));
+      ByteBuffer b =
+          allocateWithHeader(WITHDRAWAL_CONFIRMATION_REQUEST, from, payloadBytes)
+              .putLong(id)
+              .putLong(epoch)
+              .putLong(rev);
+      b.putShort((short) jobBytes.length).put(jobBytes).putShort((short) machineNames.size());
+      machineNames.forEach(n -> b.putShort((short) n.length).put(n));
       return b.flip();
     }
   }
@@ -99,7 +103,7 @@
   record Obeyed(int from, long id, byte[] places) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(OBEYED, from, 8 + places.length).putLong(id).put(places).flip();
+      return allocateWithHeader(OBEYED, from, 8 + places.length).putLong(id).put(places).flip();
     }
   }
 
@@ -112,81 +116,87 @@
   }
 
   /** Numbers that a byte holds go as every build knows them; larger ones only newer builds have. */
-  private static ByteBuffer head(byte kind, int from, int more) {
-    boolean narrow = from <= Byte.MAX_VALUE;
-    ByteBuffer b = ByteBuffer.allocate(HEAD + (narrow ? 0 : WIDER) + more).put(VERSION);
-    return narrow ? b.put(kind).put((byte) from) : b.put((byte) (kind + WIDE)).putInt(from);
+  private static ByteBuffer allocateWithHeader(byte kind, int from, int payloadBytes) {
+    boolean narrowSender = from <= Byte.MAX_VALUE;
+    ByteBuffer buffer =
+        ByteBuffer.allocate(
+                HEADER_BYTES + (narrowSender ? 0 : WIDE_SENDER_EXTRA_BYTES) + payloadBytes)
+            .put(VERSION);
+    return narrowSender
+        ? buffer.put(kind).put((byte) from)
+        : buffer.put((byte) (kind + WIDE_SENDER_KIND_OFFSET)).putInt(from);
   }
 
   /**
    * @throws BadMessage if a frame of a known kind ends early
    */
-  static PeerFrame decode(ByteBuffer b) throws BadMessage {
-    if (b.remaining() < HEAD) {
+  static PeerFrame decode(ByteBuffer buffer) throws BadMessage {
+    if (buffer.remaining() < HEADER_BYTES) {
       throw new BadMessage("a frame that ends early");
     }
-    byte version = b.get();
-    byte said = b.get();
-    boolean wide = said > WIDE;
-    byte kind = wide ? (byte) (said - WIDE) : said;
-    if (version != VERSION || kind < STANDING || kind > OBEYED) {
+    byte version = buffer.get();
+    byte encodedKind = buffer.get();
+    boolean wideSender = encodedKind > WIDE_SENDER_KIND_OFFSET;
+    byte kind = wideSender ? (byte) (encodedKind - WIDE_SENDER_KIND_OFFSET) : encodedKind;
+    if (version != VERSION || kind < PEER_STATUS || kind > OBEYED) {
       return new Unknown(-1);
     }
-    int least =
+    int minPayloadBytes =
         switch (kind) {
-          case STANDING -> 13;
-          case REPORT, OBEYED -> 8;
-          case WITHDRAWN -> 28;
+          case PEER_STATUS -> 13;
+          case RELAYED_REPORT, OBEYED -> 8;
+          case WITHDRAWAL_CONFIRMATION_REQUEST -> 28;
           default -> 10;
         };
-    if (b.remaining() < least + (wide ? 1 + WIDER : 1)) {
+    if (buffer.remaining() < minPayloadBytes + (wideSender ? 1 + WIDE_SENDER_EXTRA_BYTES : 1)) {
       throw new BadMessage("a frame that ends early");
     }
-    int from = wide ? b.getInt() : b.get();
+    int from = wideSender ? buffer.getInt() : buffer.get();
     return switch (kind) {
-      case STANDING -> {
-        boolean ok = b.get() == 1;
-        yield new Standing(from, b.getLong(), ok, b.getInt());
+      case PEER_STATUS -> {
+        boolean stateServiceReachable = buffer.get() == 1;
+        yield new Standing(from, buffer.getLong(), stateServiceReachable, buffer.getInt());
       }
-      case REPORT -> new Relayed(from, b.getLong(), rest(b));
-      case WITHDRAWN -> withdrawn(from, b);
-      case OBEYED -> new Obeyed(from, b.getLong(), rest(b));
-      default -> new Answered(from, b.getLong(), b.getShort(), rest(b));
+      case RELAYED_REPORT -> new Relayed(from, buffer.getLong(), readRemaining(buffer));
+      case WITHDRAWAL_CONFIRMATION_REQUEST -> decodeConfirmationRequest(from, buffer);
+      case OBEYED -> new Obeyed(from, buffer.getLong(), readRemaining(buffer));
+      default -> new Answered(from, buffer.getLong(), buffer.getShort(), readRemaining(buffer));
     };
   }
 
-  private static Withdrawn withdrawn(int from, ByteBuffer b) throws BadMessage {
-    long id = b.getLong();
-    long epoch = b.getLong();
-    long rev = b.getLong();
-    String job = text(b);
-    int n = length(b);
+  private static Withdrawn decodeConfirmationRequest(int from, ByteBuffer buffer)
+      throws BadMessage {
+    long requestId = buffer.getLong();
+    long epoch = buffer.getLong();
+    long revision = buffer.getLong();
+    String job = readText(buffer);
+    int machineCount = readLength(buffer);
     List<String> machines = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      machines.add(text(b));
+    for (int i = 0; i < machineCount; i++) {
+      machines.add(readText(buffer));
     }
-    return new Withdrawn(from, id, epoch, rev, job, List.copyOf(machines));
+    return new Withdrawn(from, requestId, epoch, revision, job, List.copyOf(machines));
   }
 
-  private static int length(ByteBuffer b) throws BadMessage {
-    if (b.remaining() < Short.BYTES) {
+  private static int readLength(ByteBuffer buffer) throws BadMessage {
+    if (buffer.remaining() < Short.BYTES) {
       throw new BadMessage("a frame that ends early");
     }
-    return Short.toUnsignedInt(b.getShort());
+    return Short.toUnsignedInt(buffer.getShort());
   }
 
-  private static String text(ByteBuffer b) throws BadMessage {
-    byte[] bytes = new byte[length(b)];
-    if (b.remaining() < bytes.length) {
+  private static String readText(ByteBuffer buffer) throws BadMessage {
+    byte[] bytes = new byte[readLength(buffer)];
+    if (buffer.remaining() < bytes.length) {
       throw new BadMessage("a frame that ends early");
     }
-    b.get(bytes);
+    buffer.get(bytes);
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  private static byte[] rest(ByteBuffer b) {
-    byte[] out = new byte[b.remaining()];
-    b.get(out);
-    return out;
+  private static byte[] readRemaining(ByteBuffer buffer) {
+    byte[] bytes = new byte[buffer.remaining()];
+    buffer.get(bytes);
+    return bytes;
   }
 }
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -24,10 +24,10 @@
     SAVING("saving"),
     EXITED("ended");
 
-    private final String wire;
+    private final String wireName;
 
     Phase(String wire) {
-      this.wire = wire;
+      this.wireName = wire;
     }
   }
 
@@ -51,46 +51,46 @@
   }
 
   /** Reads a report; what is lacking or out of range is named. */
-  public static Report parse(Document d) throws BadMessage {
+  public static Report parse(Document report) throws BadMessage {
     List<Entry> tasks = new ArrayList<>();
-    for (Document t : d.docs("shards")) {
-      String name = t.text("shard");
-      int slash = name.lastIndexOf('/');
+    for (Document task : report.docs("shards")) {
+      String taskName = task.text("shard");
+      int slash = taskName.lastIndexOf('/');
       if (slash < 0) {
         throw new BadMessage("shard has no number");
       }
       int index;
       try {
-        index = Integer.parseInt(name.substring(slash + 1));
+        index = Integer.parseInt(taskName.substring(slash + 1));
       } catch (NumberFormatException e) {
         throw new BadMessage("shard has no number");
       }
       tasks.add(
           new Entry(
-              name.substring(0, slash),
+              taskName.substring(0, slash),
               index,
-              (int) t.count("try"),
-              phase(t.text("phase")),
-              t.textOrNull("exitReason"),
-              t.flag("kept", false)));
+              (int) task.count("try"),
+              parsePhase(task.text("phase")),
+              task.textOrNull("exitReason"),
+              task.flag("kept", false)));
     }
     return new Report(
-        d.text("host"),
-        d.text("address"),
-        d.text("flavour"),
-        d.text("region"),
-        d.flag("reclaimable", false),
-        d.count("tenure"),
-        d.count("tick"),
-        d.count("epoch", 0),
-        d.amountOrNull("warningS"),
+        report.text("host"),
+        report.text("address"),
+        report.text("flavour"),
+        report.text("region"),
+        report.flag("reclaimable", false),
+        report.count("tenure"),
+        report.count("tick"),
+        report.count("epoch", 0),
+        report.amountOrNull("warningS"),
         tasks);
   }
 
-  private static Phase phase(String s) throws BadMessage {
-    for (Phase p : Phase.values()) {
-      if (p.wire.equals(s)) {
-        return p;
+  private static Phase parsePhase(String wireName) throws BadMessage {
+    for (Phase phase : Phase.values()) {
+      if (phase.wireName.equals(wireName)) {
+        return phase;
       }
     }
     throw new BadMessage("phase is unknown");
--- a/src/main/java/wickdrift/transport/Caller.java
+++ b/src/main/java/wickdrift/transport/Caller.java
@@ -15,5 +15,5 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Answer> done);
+      Consumer<Answer> onResponse);
 }
--- a/src/main/java/wickdrift/transport/EventLoop.java
+++ b/src/main/java/wickdrift/transport/EventLoop.java
@@ -28,14 +28,14 @@
 
   @Override
   public void after(long delayMs, Runnable action) {
-    group.next().schedule(() -> guarded(action), delayMs, TimeUnit.MILLISECONDS);
+    group.next().schedule(() -> runGuarded(action), delayMs, TimeUnit.MILLISECONDS);
   }
 
   public void run(Runnable action) {
-    group.next().execute(() -> guarded(action));
+    group.next().execute(() -> runGuarded(action));
   }
 
-  private static void guarded(Runnable action) {
+  private static void runGuarded(Runnable action) {
     try {
       action.run();
     } catch (RuntimeException e) {
--- a/src/main/java/wickdrift/transport/HttpClient.java
+++ b/src/main/java/wickdrift/transport/HttpClient.java
@@ -39,35 +39,36 @@
  */
 public final class HttpClient implements Caller {
   /** A watch has no size limit; this bounds what a broken peer may make us hold. */
-  private static final int MAX_RESPONSE = 6 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 6 * 1024 * 1024;
 
-  private static final int MAX_IDLE = 6;
+  private static final int MAX_IDLE_PER_ADDRESS = 6;
 
   /** A machine that is gone says nothing: what is not used for so long is closed. */
-  private static final long IDLE_NS = TimeUnit.SECONDS.toNanos(30);
+  private static final long IDLE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(30);
 
   /** An eighth of the connections is for vital addresses alone. */
-  private static final int VITAL_SHARE = 8;
+  private static final int VITAL_RESERVE_DIVISOR = 8;
 
   private final EventLoopGroup group;
   private final int maxConnections;
-  private final Set<String> vital;
-  private final Map<String, ArrayDeque<Channel>> idle = new HashMap<>();
+  private final Set<String> vitalAddresses;
+  private final Map<String, ArrayDeque<Channel>> idleByAddress = new HashMap<>();
 
   /** All idle connections, the one that has been idle for longest first. */
-  private final LinkedHashMap<Channel, Idle> byAge = new LinkedHashMap<>();
+  private final LinkedHashMap<Channel, IdleConnection> idleByAge = new LinkedHashMap<>();
 
-  private int open;
+  private int openConnections;
 
-  private record Idle(String address, long sinceNs) {}
+  private record IdleConnection(String address, long idleSinceNs) {}
 
   /**
-   * @param vital the addresses that are never left without a connection for the others' sake
+   * @param vitalAddresses the addresses that are never left without a connection for the others'
+   *     sake
    */
-  public HttpClient(EventLoopGroup group, int maxConnections, Set<String> vital) {
+  public HttpClient(EventLoopGroup group, int maxConnections, Set<String> vitalAddresses) {
     this.group = group;
     this.maxConnections = maxConnections;
-    this.vital = vital;
+    this.vitalAddresses = vitalAddresses;
   }
 
   @Override
@@ -77,32 +78,32 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Answer> done) {
-    Call call = new Call(address, done);
-    call.timeout =
+      Consumer<Answer> onResponse) {
+    PendingRequest pending = new PendingRequest(address, onResponse);
+    pending.timeoutTask =
         group
             .next()
-            .schedule(() -> call.finish(Answer.NONE, false), timeoutMs, TimeUnit.MILLISECONDS);
-    FullHttpRequest req =
+            .schedule(() -> pending.finish(Answer.NONE, false), timeoutMs, TimeUnit.MILLISECONDS);
+    FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             HttpMethod.valueOf(method),
             path,
             body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
-    req.headers().set(HttpHeaderNames.HOST, address);
-    req.headers().set(HttpHeaderNames.CONTENT_LENGTH, body == null ? 0 : body.length);
-    req.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
-    Channel ch = takeIdle(address);
-    if (ch != null) {
-      call.send(ch, req);
+    request.headers().set(HttpHeaderNames.HOST, address);
+    request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body == null ? 0 : body.length);
+    request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
+    Channel idleChannel = pollIdle(address);
+    if (idleChannel != null) {
+      pending.send(idleChannel, request);
       return;
     }
-    if (!roomFor(address)) {
-      group.next().execute(() -> call.finish(Answer.NONE, false));
+    if (!ensureCapacityFor(address)) {
+      group.next().execute(() -> pending.finish(Answer.NONE, false));
       return;
     }
-    open++;
-    ChannelFuture f =
+    openConnections++;
+    ChannelFuture connectFuture =
         new Bootstrap()
             .group(group)
             .channel(NioSocketChannel.class)
@@ -115,69 +116,70 @@
                   protected void initChannel(SocketChannel c) {
                     c.pipeline()
                         .addLast(new HttpClientCodec())
-                        .addLast(new HttpObjectAggregator(MAX_RESPONSE))
-                        .addLast(new Responses());
+                        .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
+                        .addLast(new ResponseHandler());
                   }
                 })
             .connect(parse(address));
-    f.channel().closeFuture().addListener(x -> open--);
-    call.channel = f.channel();
-    f.addListener(
+    connectFuture.channel().closeFuture().addListener(x -> openConnections--);
+    pending.channel = connectFuture.channel();
+    connectFuture.addListener(
         x -> {
-          if (f.isSuccess() && !call.finished) {
-            call.send(f.channel(), req);
+          if (connectFuture.isSuccess() && !pending.finished) {
+            pending.send(connectFuture.channel(), request);
           } else {
-            f.channel().close();
-            call.finish(Answer.NONE, false);
+            connectFuture.channel().close();
+            pending.finish(Answer.NONE, false);
           }
         });
   }
 
-  private Channel takeIdle(String address) {
-    ArrayDeque<Channel> q = idle.get(address);
+  private Channel pollIdle(String address) {
+    ArrayDeque<Channel> channels = idleByAddress.get(address);
     Channel found = null;
-    while (found == null && q != null && !q.isEmpty()) {
-      Channel ch = q.pollLast();
-      byAge.remove(ch);
-      found = ch.isActive() ? ch : null;
+    while (found == null && channels != null && !channels.isEmpty()) {
+      Channel candidate = channels.pollLast();
+      idleByAge.remove(candidate);
+      found = candidate.isActive() ? candidate : null;
     }
-    if (q != null && q.isEmpty()) {
-      idle.remove(address);
+    if (channels != null && channels.isEmpty()) {
+      idleByAddress.remove(address);
     }
     return found;
   }
 
-  private void keepIdle(String address, Channel ch) {
-    idle.computeIfAbsent(address, k -> new ArrayDeque<>()).addLast(ch);
-    byAge.put(ch, new Idle(address, System.nanoTime()));
+  private void addIdle(String address, Channel channel) {
+    idleByAddress.computeIfAbsent(address, k -> new ArrayDeque<>()).addLast(channel);
+    idleByAge.put(channel, new IdleConnection(address, System.nanoTime()));
   }
 
-  private void forgetIdle(Channel ch) {
-    Idle was = byAge.remove(ch);
-    if (was != null) {
-      ArrayDeque<Channel> q = idle.get(was.address);
-      q.remove(ch);
-      if (q.isEmpty()) {
-        idle.remove(was.address);
+  private void removeIdle(Channel channel) {
+    IdleConnection removed = idleByAge.remove(channel);
+    if (removed != null) {
+      ArrayDeque<Channel> channels = idleByAddress.get(removed.address);
+      channels.remove(channel);
+      if (channels.isEmpty()) {
+        idleByAddress.remove(removed.address);
       }
     }
   }
 
   /** Whether one more may be opened; closes those that are idle for too long, or longest. */
-  private boolean roomFor(String address) {
-    int spared = vital.contains(address) ? 0 : maxConnections / VITAL_SHARE;
-    long now = System.nanoTime();
-    while (!byAge.isEmpty()) {
-      Map.Entry<Channel, Idle> oldest = byAge.entrySet().iterator().next();
-      if (open < maxConnections - spared && now - oldest.getValue().sinceNs < IDLE_NS) {
+  private boolean ensureCapacityFor(String address) {
+    int reserved = vitalAddresses.contains(address) ? 0 : maxConnections / VITAL_RESERVE_DIVISOR;
+    long nowNs = System.nanoTime();
+    while (!idleByAge.isEmpty()) {
+      Map.Entry<Channel, IdleConnection> oldest = idleByAge.entrySet().iterator().next();
+      if (openConnections < maxConnections - reserved
+          && nowNs - oldest.getValue().idleSinceNs < IDLE_TIMEOUT_NS) {
         break;
       }
-      Channel ch = oldest.getKey();
-      forgetIdle(ch);
+      Channel channel = oldest.getKey();
+      removeIdle(channel);
       // On this loop that is at once, and the count falls with it.
-      ch.close();
+      channel.close();
     }
-    return open < maxConnections - spared;
+    return openConnections < maxConnections - reserved;
   }
 
   public static InetSocketAddress parse(String address) {
@@ -186,72 +188,73 @@
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  private final class Call {
+  private final class PendingRequest {
     private final String address;
-    private final Consumer<Answer> done;
-    private java.util.concurrent.ScheduledFuture<?> timeout;
+    private final Consumer<Answer> onResponse;
+    private java.util.concurrent.ScheduledFuture<?> timeoutTask;
     private Channel channel;
     private boolean finished;
 
-    Call(String address, Consumer<Answer> done) {
+    PendingRequest(String address, Consumer<Answer> onResponse) {
       this.address = address;
-      this.done = done;
+      this.onResponse = onResponse;
     }
 
-    void send(Channel ch, FullHttpRequest req) {
-      channel = ch;
-      ch.pipeline().get(Responses.class).call = this;
-      ch.writeAndFlush(req)
+    void send(Channel connection, FullHttpRequest request) {
+      channel = connection;
+      connection.pipeline().get(ResponseHandler.class).pendingRequest = this;
+      connection
+          .writeAndFlush(request)
           .addListener(
-              w -> {
-                if (!w.isSuccess()) {
+              write -> {
+                if (!write.isSuccess()) {
                   finish(Answer.NONE, false);
                 }
               });
     }
 
-    void finish(Answer answer, boolean reuse) {
+    void finish(Answer response, boolean reusable) {
       if (finished) {
         return;
       }
       finished = true;
-      timeout.cancel(false);
+      timeoutTask.cancel(false);
       if (channel != null) {
-        Responses r = channel.pipeline().get(Responses.class);
-        if (r != null) {
-          r.call = null;
+        ResponseHandler responseHandler = channel.pipeline().get(ResponseHandler.class);
+        if (responseHandler != null) {
+          responseHandler.pendingRequest = null;
         }
-        ArrayDeque<Channel> q = idle.get(address);
-        if (reuse && (q == null || q.size() < MAX_IDLE)) {
-          keepIdle(address, channel);
+        ArrayDeque<Channel> idleChannels = idleByAddress.get(address);
+        if (reusable && (idleChannels == null || idleChannels.size() < MAX_IDLE_PER_ADDRESS)) {
+          addIdle(address, channel);
         } else {
           channel.close();
         }
       }
-      done.accept(answer);
+      onResponse.accept(response);
     }
   }
 
-  private final class Responses extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private Call call;
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private PendingRequest pendingRequest;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse msg) {
-      Call c = call;
-      if (c == null) {
+      PendingRequest request = pendingRequest;
+      if (request == null) {
         ctx.close();
         return;
       }
-      c.finish(
+      request.finish(
           new Answer(msg.status().code(), ByteBufUtil.getBytes(msg.content())),
           HttpUtil.isKeepAlive(msg) && msg.decoderResult().isSuccess());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      forgetIdle(ctx.channel());
-      if (call != null) {
-        call.finish(Answer.NONE, false);
+      removeIdle(ctx.channel());
+      if (pendingRequest != null) {
+        pendingRequest.finish(Answer.NONE, false);
       }
     }
 
--- a/src/main/java/wickdrift/transport/HttpServer.java
+++ b/src/main/java/wickdrift/transport/HttpServer.java
@@ -43,23 +43,23 @@
  */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final int MAX_BODY = 64 * 1024;
-  private static final int IDLE_S = 60;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int IDLE_TIMEOUT_S = 60;
 
   /** Of the connections; above it workers do not keep theirs. */
-  private static final double CROWDED = 0.75;
+  private static final double WORKER_KEEP_ALIVE_THRESHOLD = 0.75;
 
   /** What workers send, and nobody else. */
-  private static final String REPORT = "/hello";
+  private static final String REPORT_PATH = "/hello";
 
   private final EventLoopGroup group;
   private final Consumer<Exchange> handler;
   private final int maxConnections;
 
   /** The workers' connections that wait for their next report, the longest first. */
-  private final Set<Channel> idleWorkers = new LinkedHashSet<>();
+  private final Set<Channel> idleWorkerChannels = new LinkedHashSet<>();
 
-  private int open;
+  private int openConnections;
 
   public HttpServer(EventLoopGroup group, int maxConnections, Consumer<Exchange> handler) {
     this.group = group;
@@ -88,33 +88,35 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel ch) {
-                accept(ch);
+                acceptConnection(ch);
               }
             });
   }
 
-  private void accept(SocketChannel ch) {
-    if (open >= maxConnections && !idleWorkers.isEmpty()) {
-      Channel oldest = idleWorkers.iterator().next();
-      idleWorkers.remove(oldest);
+  private void acceptConnection(SocketChannel channel) {
+    if (openConnections >= maxConnections && !idleWorkerChannels.isEmpty()) {
+      Channel oldest = idleWorkerChannels.iterator().next();
+      idleWorkerChannels.remove(oldest);
       oldest.close();
     }
-    if (open >= maxConnections) {
-      ch.close();
+    if (openConnections >= maxConnections) {
+      channel.close();
       return;
     }
-    open++;
-    ch.closeFuture()
+    openConnections++;
+    channel
+        .closeFuture()
         .addListener(
-            f -> {
-              open--;
-              idleWorkers.remove(ch);
+            closed -> {
+              openConnections--;
+              idleWorkerChannels.remove(channel);
             });
-    ch.pipeline()
-        .addLast(new IdleStateHandler(0, 0, IDLE_S))
+    channel
+        .pipeline()
+        .addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S))
         .addLast(new HttpServerCodec(2048, 8192, 8192))
         .addLast(
-            new HttpObjectAggregator(MAX_BODY, true) {
+            new HttpObjectAggregator(MAX_BODY_BYTES, true) {
               @Override
               protected void handleOversizedMessage(
                   ChannelHandlerContext ctx, io.netty.handler.codec.http.HttpMessage oversized) {
@@ -127,39 +129,46 @@
                 ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
               }
             })
-        .addLast(new Requests());
+        .addLast(new RequestHandler());
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest req) {
-      if (req.decoderResult().isFailure()) {
-        new Http(ctx, "", "", new byte[0], false).reply(400, null);
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+      if (request.decoderResult().isFailure()) {
+        new HttpExchange(ctx, "", "", new byte[0], false).reply(400, null);
         return;
       }
-      boolean worker = req.uri().equals(REPORT);
-      idleWorkers.remove(ctx.channel());
-      boolean keep = HttpUtil.isKeepAlive(req) && !(worker && open > CROWDED * maxConnections);
-      Exchange x =
-          new Http(ctx, req.method().name(), req.uri(), ByteBufUtil.getBytes(req.content()), keep) {
+      boolean fromWorker = request.uri().equals(REPORT_PATH);
+      idleWorkerChannels.remove(ctx.channel());
+      boolean keepConnection =
+          HttpUtil.isKeepAlive(request)
+              && !(fromWorker && openConnections > WORKER_KEEP_ALIVE_THRESHOLD * maxConnections);
+      Exchange exchange =
+          new HttpExchange(
+              ctx,
+              request.method().name(),
+              request.uri(),
+              ByteBufUtil.getBytes(request.content()),
+              keepConnection) {
             @Override
-            void answered() {
-              if (worker && keep && ctx.channel().isActive()) {
-                idleWorkers.add(ctx.channel());
+            void replied() {
+              if (fromWorker && keepConnection && ctx.channel().isActive()) {
+                idleWorkerChannels.add(ctx.channel());
               }
             }
           };
       try {
-        handler.accept(x);
+        handler.accept(exchange);
       } catch (RuntimeException e) {
-        LOG.error("request failed: {} {}", x.method(), x.path(), e);
-        x.reply(503, null, 1);
+        LOG.error("request failed: {} {}", exchange.method(), exchange.path(), e);
+        exchange.reply(503, null, 1);
       }
     }
 
     @Override
-    public void userEventTriggered(ChannelHandlerContext ctx, Object evt) {
-      if (evt instanceof IdleStateEvent) {
+    public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+      if (event instanceof IdleStateEvent) {
         ctx.close();
       }
     }
@@ -171,15 +180,16 @@
     }
   }
 
-  private static class Http implements Exchange {
+  private static class HttpExchange implements Exchange {
     private final ChannelHandlerContext ctx;
     private final String method;
     private final String path;
     private final byte[] body;
     private final boolean keepAlive;
-    private boolean answered;
+    private boolean replied;
 
-    Http(ChannelHandlerContext ctx, String method, String path, byte[] body, boolean keepAlive) {
+    HttpExchange(
+        ChannelHandlerContext ctx, String method, String path, byte[] body, boolean keepAlive) {
       this.ctx = ctx;
       this.method = method;
       this.path = path;
@@ -204,32 +214,32 @@
 
     @Override
     public void reply(int status, Object value, int retryAfterS) {
-      if (answered) {
+      if (replied) {
         return;
       }
-      answered = true;
+      replied = true;
       byte[] bytes = MessageCodec.encode(value == null ? Map.of() : value);
-      FullHttpResponse r =
+      FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
               HttpResponseStatus.valueOf(status),
               Unpooled.wrappedBuffer(bytes));
-      r.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
-      r.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
+      response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
       if (retryAfterS > 0) {
-        r.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
+        response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
       }
       if (!keepAlive) {
-        r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       }
-      var f = ctx.writeAndFlush(r);
+      var writeFuture = ctx.writeAndFlush(response);
       if (!keepAlive) {
-        f.addListener(ChannelFutureListener.CLOSE);
+        writeFuture.addListener(ChannelFutureListener.CLOSE);
       }
-      answered();
+      replied();
     }
 
     /** The connection waits for its next request. */
-    void answered() {}
+    void replied() {}
   }
 }
--- a/src/main/java/wickdrift/transport/PeerLink.java
+++ b/src/main/java/wickdrift/transport/PeerLink.java
@@ -25,18 +25,18 @@
 
 /** Frames between controllers: a length, then bytes laid out by hand. One connection each way. */
 public final class PeerLink {
-  private static final int MAX_FRAME = 80 * 1024;
-  private static final int MAX_INBOUND = 64;
-  private static final int CONNECT_MS = 1000;
-  private static final int IDLE_S = 30;
+  private static final int MAX_FRAME_BYTES = 80 * 1024;
+  private static final int MAX_INBOUND_CONNECTIONS = 64;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
+  private static final int IDLE_TIMEOUT_S = 30;
 
   private final EventLoopGroup group;
-  private final Consumer<ByteBuffer> handler;
-  private int inbound;
+  private final Consumer<ByteBuffer> frameHandler;
+  private int inboundConnections;
 
-  public PeerLink(EventLoopGroup group, Consumer<ByteBuffer> handler) {
+  public PeerLink(EventLoopGroup group, Consumer<ByteBuffer> frameHandler) {
     this.group = group;
-    this.handler = handler;
+    this.frameHandler = frameHandler;
   }
 
   /**
@@ -59,30 +59,30 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel ch) {
-                if (inbound >= MAX_INBOUND) {
+                if (inboundConnections >= MAX_INBOUND_CONNECTIONS) {
                   ch.close();
                   return;
                 }
-                inbound++;
-                ch.closeFuture().addListener(f -> inbound--);
+                inboundConnections++;
+                ch.closeFuture().addListener(f -> inboundConnections--);
                 ch.pipeline()
-                    .addLast(new IdleStateHandler(IDLE_S, 0, 0))
-                    .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4))
-                    .addLast(new Frames());
+                    .addLast(new IdleStateHandler(IDLE_TIMEOUT_S, 0, 0))
+                    .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4))
+                    .addLast(new FrameHandler());
               }
             });
   }
 
   /** A lossy outgoing link: frames are dropped while there is no connection or it is clogged. */
   public Consumer<ByteBuffer> to(String address) {
-    return new Outgoing(HttpClient.parse(address));
+    return new OutgoingLink(HttpClient.parse(address));
   }
 
-  private final class Outgoing implements Consumer<ByteBuffer> {
+  private final class OutgoingLink implements Consumer<ByteBuffer> {
     private final InetSocketAddress address;
     private Channel channel;
 
-    Outgoing(InetSocketAddress address) {
+    OutgoingLink(InetSocketAddress address) {
       this.address = address;
     }
 
@@ -95,10 +95,10 @@
       if (!channel.isActive() || !channel.isWritable()) {
         return;
       }
-      ByteBuf out = Unpooled.buffer(4 + frame.remaining());
-      out.writeInt(frame.remaining());
-      out.writeBytes(frame.duplicate());
-      channel.writeAndFlush(out);
+      ByteBuf message = Unpooled.buffer(4 + frame.remaining());
+      message.writeInt(frame.remaining());
+      message.writeBytes(frame.duplicate());
+      channel.writeAndFlush(message);
     }
 
     private void connect() {
@@ -108,8 +108,8 @@
               .channel(NioSocketChannel.class)
               .option(ChannelOption.TCP_NODELAY, true)
               .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-              .handler(new Sink())
+              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+              .handler(new WriteOnlyHandler())
               .connect(address)
               .channel();
       channel.closeFuture().addListener(f -> channel = null);
@@ -118,7 +118,7 @@
 
   /** The outgoing side reads nothing; an error closes it and the next frame connects anew. */
   @ChannelHandler.Sharable
-  private static final class Sink extends SimpleChannelInboundHandler<ByteBuf> {
+  private static final class WriteOnlyHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf msg) {
       ctx.close();
@@ -130,14 +130,14 @@
     }
   }
 
-  private final class Frames extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf msg) {
-      handler.accept(ByteBuffer.wrap(ByteBufUtil.getBytes(msg)));
+      frameHandler.accept(ByteBuffer.wrap(ByteBufUtil.getBytes(msg)));
     }
 
     @Override
-    public void userEventTriggered(ChannelHandlerContext ctx, Object evt) {
+    public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
       ctx.close();
     }
 
--- a/src/main/java/wickdrift/transport/Ports.java
+++ b/src/main/java/wickdrift/transport/Ports.java
@@ -18,13 +18,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(Ports.class);
 
   /** Between two tries, milliseconds. */
-  private static final long PAUSE_MS = 100;
+  private static final long BIND_RETRY_INTERVAL_MS = 100;
 
   /** So long a port may stay taken, seconds; after that it is taken for a wrong setting. */
-  private static final int TRIES = 300;
+  private static final int MAX_BIND_ATTEMPTS = 300;
 
   /** Waits between two tries. */
-  interface Pause {
+  interface RetryDelay {
     void run() throws InterruptedException;
   }
 
@@ -37,23 +37,29 @@
    */
   static Channel listen(ServerBootstrap server, InetSocketAddress address)
       throws IOException, InterruptedException {
-    return listen(server, address, TRIES, () -> TimeUnit.MILLISECONDS.sleep(PAUSE_MS));
+    return listen(
+        server,
+        address,
+        MAX_BIND_ATTEMPTS,
+        () -> TimeUnit.MILLISECONDS.sleep(BIND_RETRY_INTERVAL_MS));
   }
 
-  static Channel listen(ServerBootstrap server, InetSocketAddress address, int tries, Pause pause)
+  static Channel listen(
+      ServerBootstrap server, InetSocketAddress address, int maxAttempts, RetryDelay retryDelay)
       throws IOException, InterruptedException {
-    for (int n = 1; ; n++) {
-      ChannelFuture f = server.bind(address).await();
-      if (f.isSuccess()) {
-        return f.channel();
+    for (int attempt = 1; ; attempt++) {
+      ChannelFuture bindFuture = server.bind(address).await();
+      if (bindFuture.isSuccess()) {
+        return bindFuture.channel();
       }
-      if (!(f.cause() instanceof BindException) || n >= tries) {
-        throw new IOException("can't listen on " + address + ": " + f.cause().getMessage());
+      if (!(bindFuture.cause() instanceof BindException) || attempt >= maxAttempts) {
+        throw new IOException(
+            "can't listen on " + address + ": " + bindFuture.cause().getMessage());
       }
-      if (n == 1) {
+      if (attempt == 1) {
         LOG.warn("{} is taken; it is tried again", address);
       }
-      pause.run();
+      retryDelay.run();
     }
   }
 }
