--- a/src/main/java/wickdrift/protocol/JobSpec.java
+++ b/src/main/java/wickdrift/protocol/JobSpec.java
@@ -44,8 +44,8 @@
 
     private final String wireName;
 
-    Shape(String wire) {
-      this.wireName = wire;
+    Shape(String wireName) {
+      this.wireName = wireName;
     }
 
     public String wireName() {
@@ -62,8 +62,8 @@
 
     private final String wire;
 
-    Priority(String wire) {
-      this.wire = wire;
+    Priority(String wireName) {
+      this.wire = wireName;
     }
 
     public String wire() {
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -26,8 +26,8 @@
 
     private final String wireName;
 
-    Phase(String wire) {
-      this.wireName = wire;
+    Phase(String wireName) {
+      this.wireName = wireName;
     }
   }
 
