--- a/src/main/java/wickdrift/protocol/Document.java
+++ b/src/main/java/wickdrift/protocol/Document.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed, checked reading of one decoded map. */
+/**
+ * Typed, validating access to the fields of one decoded map. Each accessor throws {@link
+ * BadMessage}, with the name of the field, for a value of the wrong type or out of range.
+ */
 public final class Document {
   private final Map<?, ?> map;
 
@@ -13,6 +16,7 @@
     this.map = map;
   }
 
+  /** Wraps a decoded value, which must be a map. */
   public static Document of(Object value) throws BadMessage {
     if (value instanceof Map<?, ?> m) {
       return new Document(m);
@@ -20,15 +24,20 @@
     throw new BadMessage("not a map");
   }
 
+  /** Decodes a MessagePack body, which must hold a map. */
   public static Document parse(byte[] body) throws BadMessage {
     return of(MessageCodec.decode(body));
   }
 
+  /** Returns the unchecked value of a field, or null if it is absent or null. */
   public Object raw(String key) {
     return map.get(key);
   }
 
-  /** The fields besides those named: what a newer writer added, to survive a rewriting. */
+  /**
+   * Returns all fields except the given ones. The result holds the fields that a newer build added
+   * to a stored record; they are kept when this build rewrites the record.
+   */
   public Map<String, Object> without(String... excludedKeys) {
     List<String> excluded = List.of(excludedKeys);
     Map<String, Object> remaining = null;
@@ -41,11 +50,12 @@
     return remaining == null ? Map.of() : remaining;
   }
 
+  /** Returns the wrapped map. */
   public Object rawMap() {
     return map;
   }
 
-  /** A text that must be there. */
+  /** Returns a required text field. */
   public String text(String key) throws BadMessage {
     String s = textOrNull(key);
     if (s == null) {
@@ -54,7 +64,7 @@
     return s;
   }
 
-  /** A text, or null if it is absent or null. */
+  /** Returns a text field, or null if it is absent or null. */
   public String textOrNull(String key) throws BadMessage {
     Object v = map.get(key);
     if (v == null) {
@@ -66,7 +76,7 @@
     throw new BadMessage(key + " is not text");
   }
 
-  /** A whole number that must be there. */
+  /** Returns a required non-negative integer field. */
   public long count(String key) throws BadMessage {
     Object v = map.get(key);
     if (v == null) {
@@ -75,6 +85,7 @@
     return asCount(key, v);
   }
 
+  /** Returns a non-negative integer field, or the default value if it is absent or null. */
   public long count(String key, long defaultValue) throws BadMessage {
     Object v = map.get(key);
     return v == null ? defaultValue : asCount(key, v);
@@ -87,7 +98,7 @@
     throw new BadMessage(key + " is not a count");
   }
 
-  /** A finite, non-negative amount. */
+  /** Returns a required number field, integer or decimal, in the range 0 to 1e15. */
   public double amount(String key) throws BadMessage {
     Double d = amountOrNull(key);
     if (d == null) {
@@ -96,12 +107,15 @@
     return d;
   }
 
+  /**
+   * Returns a number field in the range 0 to 1e15, or the default value if it is absent or null.
+   */
   public double amount(String key, double defaultValue) throws BadMessage {
     Double d = amountOrNull(key);
     return d == null ? defaultValue : d;
   }
 
-  /** A decimal number, or null if it is absent or null. */
+  /** Returns a number field in the range 0 to 1e15, or null if it is absent or null. */
   public Double amountOrNull(String key) throws BadMessage {
     Object v = map.get(key);
     if (v == null) {
@@ -116,7 +130,7 @@
     throw new BadMessage(key + " is not an amount");
   }
 
-  /** A boolean that must be there. */
+  /** Returns a required boolean field. */
   public boolean flag(String key) throws BadMessage {
     Object v = map.get(key);
     if (v instanceof Boolean b) {
@@ -125,11 +139,12 @@
     throw new BadMessage(key + (v == null ? " is missing" : " is not true or false"));
   }
 
+  /** Returns a boolean field, or the default value if it is absent or null. */
   public boolean flag(String key, boolean defaultValue) throws BadMessage {
     return map.get(key) == null ? defaultValue : flag(key);
   }
 
-  /** A list; an empty one if it is absent or null. */
+  /** Returns a list field; an empty list if it is absent or null. */
   public List<?> list(String key) throws BadMessage {
     Object v = map.get(key);
     if (v == null) {
@@ -141,7 +156,7 @@
     throw new BadMessage(key + " is not a list");
   }
 
-  /** A list of maps; an empty one if it is absent or null. */
+  /** Returns a field that holds a list of maps; an empty list if it is absent or null. */
   public List<Document> docs(String key) throws BadMessage {
     List<Document> documents = new ArrayList<>();
     for (Object element : list(key)) {
@@ -150,7 +165,7 @@
     return documents;
   }
 
-  /** A list of texts; an empty one if it is absent or null. */
+  /** Returns a field that holds a list of texts; an empty list if it is absent or null. */
   public List<String> texts(String key) throws BadMessage {
     List<String> texts = new ArrayList<>();
     for (Object element : list(key)) {
--- a/src/main/java/wickdrift/protocol/JobSpec.java
+++ b/src/main/java/wickdrift/protocol/JobSpec.java
@@ -8,10 +8,20 @@
 import java.util.regex.Pattern;
 
 /**
- * What a user submitted. The wire's names live here only; {@link #toStore} keeps them, so that one
- * parser checks both a submission and a stored record.
+ * The description of a job as its user submitted it. Only this class knows the protocol's names of
+ * the fields. {@link #toStore} uses the same names, so that one parser validates both submissions
+ * and stored records.
  *
- * @param awaits the jobs that must be done before a task of this one starts, each once
+ * @param types the machine types that may run the tasks; null: any
+ * @param zone the zone in which the tasks must run; null: any
+ * @param oneZone whether all tasks must run in the same zone
+ * @param spread whether no zone may hold more than {@link #zoneLimit} tasks
+ * @param spot whether tasks may run on spot machines
+ * @param estimateS the expected run time of a task
+ * @param checkpointS the interval between checkpoints of a task; 0: it makes none
+ * @param saveS the time that a task needs to save a checkpoint when it is stopped
+ * @param deadlineS the time after its acceptance by which the job should be done; null: no deadline
+ * @param awaits the jobs that must be done before a task of this one starts, without duplicates
  */
 public record JobSpec(
     String id,
@@ -36,7 +46,10 @@
     Double deadlineS,
     List<String> awaits) {
 
-  /** How a job's tasks hang together. */
+  /**
+   * The kind of a job: independent tasks, tasks that only run together, or tasks that run until the
+   * job is withdrawn.
+   */
   public enum Shape {
     ARRAY("batch"),
     GANG("ensemble"),
@@ -48,12 +61,13 @@
       this.wireName = wireName;
     }
 
+    /** Returns the name in the protocol and in stored records. */
     public String wireName() {
       return wireName;
     }
   }
 
-  /** Highest first, so that the ordinal sorts. */
+  /** Priorities, highest first: they are compared by ordinal. */
   public enum Priority {
     PRODUCTION("production"),
     HIGH("urgent"),
@@ -66,20 +80,27 @@
       this.wire = wireName;
     }
 
+    /** Returns the name in the protocol and in stored records. */
     public String wire() {
       return wire;
     }
   }
 
+  /** Maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
+
   private static final Pattern ID_PATTERN = Pattern.compile("req-[0-9]{1,18}");
   private static final int MAX_NAME_LENGTH = 128;
 
+  /** Returns whether a text has the format of a job id. */
   public static boolean validId(String id) {
     return ID_PATTERN.matcher(id).matches();
   }
 
-  /** What a submission must have; the others may be null, and so may be left out. */
+  /**
+   * Fields that a submission must contain although {@link #parse} has defaults for them. The
+   * optional fields that are not listed may be null, and so may be absent.
+   */
   private static final List<String> REQUIRED_FIELDS =
       List.of(
           "gpus",
@@ -91,7 +112,10 @@
           "checkpointEveryS",
           "flushS");
 
-  /** The field that a submission lacks, or null. Stored descriptions of older builds may. */
+  /**
+   * Returns the first required field that a submission lacks, or null. {@link #parse} does not
+   * check this, since descriptions that older builds stored may lack these fields.
+   */
   public static String lacks(Document submission) {
     return REQUIRED_FIELDS.stream()
         .filter(field -> submission.raw(field) == null)
@@ -99,7 +123,11 @@
         .orElse(null);
   }
 
-  /** Reads a submission; what is lacking or out of range is named. */
+  /**
+   * Parses a submission or a stored description.
+   *
+   * @throws BadMessage if a field is missing or out of range; the text names it
+   */
   public static JobSpec parse(Document submission) throws BadMessage {
     String id = submission.text("ref");
     if (!validId(id)) {
@@ -148,7 +176,7 @@
     return List.copyOf(jobIds);
   }
 
-  /** The same, awaiting others. */
+  /** Returns a copy that awaits the given jobs instead. */
   public JobSpec awaiting(List<String> dependencies) {
     return new JobSpec(
         id,
@@ -200,7 +228,7 @@
     throw new BadMessage("rank is unknown");
   }
 
-  /** The fields of a stored description that this build does not know. */
+  /** Returns the fields of a stored description that this build does not know. */
   public static Map<String, Object> unknownFields(Document stored) {
     return stored.without(
         "ref",
@@ -226,7 +254,7 @@
         "awaits");
   }
 
-  /** The submission as a job's record holds it. */
+  /** Encodes the description for the job's record. */
   public Map<String, Object> toStore() {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("ref", id);
@@ -261,11 +289,15 @@
     return fields;
   }
 
+  /** Returns whether tasks may run on machines of a type. */
   public boolean allowsType(String type) {
     return types == null || types.contains(type);
   }
 
-  /** The most tasks a zone may hold when the job asks to be spread. */
+  /**
+   * Returns the maximum number of tasks in one zone: half of them, rounded up, for a job that asks
+   * to be spread, otherwise all.
+   */
   public int zoneLimit() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/wickdrift/protocol/MalformedMessages.java
+++ b/src/main/java/wickdrift/protocol/MalformedMessages.java
@@ -8,16 +8,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Messages that could not be read, by who sent them: each is counted, and each cause is logged
- * once.
+ * Counts messages that could not be decoded, by kind of sender, and logs each distinct cause once.
  */
 public final class MalformedMessages {
   private static final Logger LOG = LoggerFactory.getLogger(MalformedMessages.class);
 
-  /** Causes that are remembered of one sender: a text may come with ever new values in it. */
+  /**
+   * Bounds the remembered causes of each kind of sender: a cause may contain values that differ
+   * from message to message. Further causes are counted but not logged.
+   */
   private static final int MAX_LOGGED_CAUSES_PER_SENDER = 100;
 
-  /** Who sent a message. */
+  /** The kinds of senders. */
   public enum Sender {
     STATE_SERVICE,
     CLOUD,
@@ -29,25 +31,25 @@
   private final Map<Sender, Long> countsBySender = new EnumMap<>(Sender.class);
 
   /**
-   * Counts a message that could not be read.
+   * Counts a message that could not be decoded, and logs the cause if it is new.
    *
-   * @param message it was: an answer to which request, say
+   * @param message the kind of message, for example the request that it answers
    */
   public void note(Sender sender, String message, BadMessage error) {
     countsBySender.merge(sender, 1L, Long::sum);
     Set<String> causes = loggedCausesBySender.computeIfAbsent(sender, k -> new HashSet<>());
     String cause = message + ": " + error.getMessage();
     if (causes.size() < MAX_LOGGED_CAUSES_PER_SENDER && causes.add(cause)) {
-      LOG.warn("malformed, from {}: {}", sender, cause);
+      LOG.warn("malformed message: sender={}, cause={}", sender, cause);
     }
   }
 
-  /** Messages of a sender that could not be read. */
+  /** Returns the number of messages of a sender that could not be decoded. */
   public long count(Sender sender) {
     return countsBySender.getOrDefault(sender, 0L);
   }
 
-  /** Causes of a sender that were logged. */
+  /** Returns the number of causes that were logged for a sender. */
   public int causes(Sender sender) {
     return loggedCausesBySender.getOrDefault(sender, Set.of()).size();
   }
--- a/src/main/java/wickdrift/protocol/MessageCodec.java
+++ b/src/main/java/wickdrift/protocol/MessageCodec.java
@@ -12,16 +12,20 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** MessagePack bodies as plain maps, lists, text, numbers, booleans and null. */
+/**
+ * Encodes and decodes MessagePack bodies, represented as maps, lists, strings, numbers, booleans
+ * and null.
+ */
 public final class MessageCodec {
   /**
-   * Deeper nesting than any message of the protocol has; guards the stack against hostile input.
+   * No message of the protocol is nested as deeply as this. The limit protects the stack against
+   * malicious input.
    */
   private static final int MAX_NESTING_DEPTH = 12;
 
   private MessageCodec() {}
 
-  /** A value as MessagePack. */
+  /** Encodes a value as MessagePack. */
   public static byte[] encode(Object value) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       write(packer, value);
@@ -56,17 +60,21 @@
         write(packer, element);
       }
     } else {
-      throw new IllegalArgumentException("cannot encode " + value.getClass());
+      throw new IllegalArgumentException(
+          "value cannot be encoded as MessagePack: " + value.getClass());
     }
   }
 
-  /** How long a value is as JSON: the form in which the protocol counts its limits. */
+  /**
+   * Returns the size of a value as JSON, the encoding in which the protocol defines its size
+   * limits.
+   */
   public static int jsonSize(Object value) {
     if (value instanceof String s) {
       int size = 2;
       for (int i = 0; i < s.length(); i++) {
         char c = s.charAt(i);
-        // Escapes and what is not ASCII, counted at their longest.
+        // Each escaped or non-ASCII character is counted as the longest escape, 6 characters.
         size += c < ' ' || c > '~' || c == '"' || c == '\\' ? 6 : 1;
       }
       return size;
@@ -88,7 +96,12 @@
     return String.valueOf(value).length();
   }
 
-  /** The value that a whole MessagePack body holds. */
+  /**
+   * Decodes a body that holds exactly one value.
+   *
+   * @throws BadMessage if the body is not valid MessagePack, or holds anything that the protocol
+   *     does not use, such as binary data
+   */
   public static Object decode(byte[] body) throws BadMessage {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(body)) {
       Object value = read(unpacker, 0, body.length);
--- a/src/main/java/wickdrift/protocol/Order.java
+++ b/src/main/java/wickdrift/protocol/Order.java
@@ -3,24 +3,27 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One command to a worker. */
+/** A command to a worker about one attempt of a task. */
 public sealed interface Order {
+  /** The id of the job. */
   String job();
 
+  /** The index of the task in its job. */
   int index();
 
+  /** The number of the attempt of the task. */
   int attempt();
 
   /** Starts an attempt of a task. */
   record Run(String job, int index, int attempt) implements Order {}
 
-  /** Stops an attempt, which may save for {@code graceS} seconds. */
+  /** Stops an attempt, which has {@code graceS} seconds to save its state. */
   record Halt(String job, int index, int attempt, double graceS) implements Order {}
 
-  /** Removes an ended attempt from the reports. */
+  /** Removes an exited attempt from the worker's reports. */
   record Clear(String job, int index, int attempt) implements Order {}
 
-  /** The command as it is sent. */
+  /** Encodes the command for the protocol. */
   default Map<String, Object> toWire() {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("verb", this instanceof Run ? "run" : this instanceof Halt ? "halt" : "clear");
--- a/src/main/java/wickdrift/protocol/PeerFrame.java
+++ b/src/main/java/wickdrift/protocol/PeerFrame.java
@@ -6,32 +6,50 @@
 import java.util.List;
 
 /**
- * What controllers say to each other, laid out by hand: version, kind, sender's number, then the
- * kind's own. Bytes after those that a kind is known to have are a newer sender's and are ignored.
+ * The frames that controllers exchange, in a binary encoding: version, kind, number of the sending
+ * node, then the payload of the kind. Bytes after the known payload of a kind were added by a newer
+ * build and are ignored.
  */
 public sealed interface PeerFrame {
+  /** Version of the layout; frames of other versions are {@link Unknown}. */
   byte VERSION = 3;
+
+  /** Kind of {@link Standing}. */
   byte PEER_STATUS = 1;
+
+  /** Kind of {@link Relayed}. */
   byte RELAYED_REPORT = 2;
+
+  /** Kind of {@link Answered}. */
   byte ANSWER = 3;
+
+  /** Kind of {@link Withdrawn}. */
   byte WITHDRAWAL_CONFIRMATION_REQUEST = 4;
+
+  /** Kind of {@link Obeyed}. */
   byte OBEYED = 5;
+
+  /** Length of the header if the number of the sender takes one byte. */
   int HEADER_BYTES = 3;
 
-  /** Added to a kind whose sender's number takes four bytes instead of one. */
+  /** Added to the kind in a frame in which the number of the sender takes four bytes, not one. */
   byte WIDE_SENDER_KIND_OFFSET = 16;
 
-  /** By so many bytes its head is longer. */
+  /** Number of bytes by which the header is longer if the number of the sender takes four bytes. */
   int WIDE_SENDER_EXTRA_BYTES = 3;
 
-  /** The sender's number. */
+  /** The number of the sending node in the node registry. */
   int from();
 
+  /** Encodes the frame, without the length that precedes it on the connection. */
   ByteBuffer encode();
 
   /**
-   * How the sender stands: its epoch, whether the state service serves it, and how many writes a
-   * second it sends there.
+   * The status of the sender, sent periodically to all peers.
+   *
+   * @param epoch the epoch of its view; 0 without a view
+   * @param stateOk whether the state service answers it
+   * @param writes the number of writes per second that it sends to the state service
    */
   record Standing(int from, long epoch, boolean stateOk, int writes) implements PeerFrame {
     @Override
@@ -44,7 +62,12 @@
     }
   }
 
-  /** A worker's report, passed on to the owner of its machine. */
+  /**
+   * A worker's report that the sender received and forwards to the owner of the worker's machine.
+   *
+   * @param id a number by which the sender matches the reply
+   * @param body the report as received
+   */
   record Relayed(int from, long id, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
@@ -52,7 +75,13 @@
     }
   }
 
-  /** The owner's answer to a report passed on. */
+  /**
+   * The owner's reply to a {@link Relayed} report.
+   *
+   * @param id the number in the relayed report
+   * @param status the HTTP status for the worker
+   * @param body the response body for the worker
+   */
   record Answered(int from, long id, int status, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
@@ -65,11 +94,14 @@
   }
 
   /**
-   * A job is withdrawn, durably: the receiver is to stop it, though its tables may not say so yet,
-   * and to answer which of these machines of its own obey it alone ({@link Obeyed}).
+   * Announces that the withdrawal of a job is stored durably. The receiver stops the job, even if
+   * its own tables don't contain the withdrawal yet, and replies which of the listed machines
+   * accept commands from no other controller ({@link Obeyed}).
    *
-   * @param epoch of the view by which the sender holds the receiver for their owner
-   * @param rev of the sender's tables, which say that it is withdrawn
+   * @param id a number by which the sender matches the reply
+   * @param epoch the epoch of the view in which the receiver owns the machines
+   * @param rev the revision of the sender's tables, which contain the withdrawal
+   * @param machines the names of the machines
    */
   record Withdrawn(int from, long id, long epoch, long rev, String job, List<String> machines)
       implements PeerFrame {
@@ -95,10 +127,13 @@
   }
 
   /**
-   * The answer: the receiver knows of the withdrawal, and of the machines that it was asked about
-   * these, by their places, take no order but its own under that epoch, and begin nothing of it.
+   * The reply to {@link Withdrawn}: its sender knows of the withdrawal, and the workers on the
+   * indicated machines accept commands from it alone, under the requested epoch, and start no task
+   * of the job any more.
    *
-   * @param places a bit for each machine, the lowest of the first byte first
+   * @param id the number in the request
+   * @param places a bit for each machine of the request, in its order; the least significant bit of
+   *     the first byte is the first machine
    */
   record Obeyed(int from, long id, byte[] places) implements PeerFrame {
     @Override
@@ -107,15 +142,21 @@
     }
   }
 
-  /** Something that this build does not understand: counted, and taken as a sign of nothing. */
+  /**
+   * A frame of a version or kind that this build does not know. It is counted and otherwise
+   * ignored: it says nothing about the state of its sender.
+   */
   record Unknown(int from) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      throw new UnsupportedOperationException("nobody sends what he does not know");
+      throw new UnsupportedOperationException("a frame of unknown kind cannot be encoded");
     }
   }
 
-  /** Numbers that a byte holds go as every build knows them; larger ones only newer builds have. */
+  /**
+   * Allocates a buffer and writes the header. Sender numbers up to 127 take one byte, as in older
+   * builds, which assign no larger ones; larger numbers take four bytes.
+   */
   private static ByteBuffer allocateWithHeader(byte kind, int from, int payloadBytes) {
     boolean narrowSender = from <= Byte.MAX_VALUE;
     ByteBuffer buffer =
@@ -128,11 +169,13 @@
   }
 
   /**
-   * @throws BadMessage if a frame of a known kind ends early
+   * Decodes a frame; one of another version or kind becomes {@link Unknown}.
+   *
+   * @throws BadMessage if the header or the payload of a known kind is truncated
    */
   static PeerFrame decode(ByteBuffer buffer) throws BadMessage {
     if (buffer.remaining() < HEADER_BYTES) {
-      throw new BadMessage("a frame that ends early");
+      throw new BadMessage("frame is truncated");
     }
     byte version = buffer.get();
     byte encodedKind = buffer.get();
@@ -149,7 +192,7 @@
           default -> 10;
         };
     if (buffer.remaining() < minPayloadBytes + (wideSender ? 1 + WIDE_SENDER_EXTRA_BYTES : 1)) {
-      throw new BadMessage("a frame that ends early");
+      throw new BadMessage("frame is truncated");
     }
     int from = wideSender ? buffer.getInt() : buffer.get();
     return switch (kind) {
@@ -180,7 +223,7 @@
 
   private static int readLength(ByteBuffer buffer) throws BadMessage {
     if (buffer.remaining() < Short.BYTES) {
-      throw new BadMessage("a frame that ends early");
+      throw new BadMessage("frame is truncated");
     }
     return Short.toUnsignedInt(buffer.getShort());
   }
@@ -188,7 +231,7 @@
   private static String readText(ByteBuffer buffer) throws BadMessage {
     byte[] bytes = new byte[readLength(buffer)];
     if (buffer.remaining() < bytes.length) {
-      throw new BadMessage("a frame that ends early");
+      throw new BadMessage("frame is truncated");
     }
     buffer.get(bytes);
     return new String(bytes, StandardCharsets.UTF_8);
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -3,7 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report, as sent to /hello or returned by /orders and /show. */
+/**
+ * A worker's report, sent by the worker to /hello or returned by it from /orders and /show.
+ *
+ * @param address the address at which the worker accepts commands
+ * @param type the machine type
+ * @param tenure the number of the worker's session; it increases with each session of an
+ *     incarnation
+ * @param tick a number that increases with each report of a session
+ * @param epoch the highest epoch that the worker has received; 0: none
+ * @param noticeS the time until the machine is reclaimed; null: no reclaim was announced
+ * @param tasks the attempts on the worker, including exited ones until they are cleared
+ */
 public record Report(
     String machine,
     String address,
@@ -16,7 +27,7 @@
     Double noticeS,
     List<Entry> tasks) {
 
-  /** What a worker says of one task. */
+  /** The phase of an attempt on its worker. */
   public enum Phase {
     FETCHING("pulling"),
     WAITING("gathering"),
@@ -31,26 +42,47 @@
     }
   }
 
-  /** One attempt of a task as its worker shows it. */
+  /**
+   * One attempt of a task as its worker reports it.
+   *
+   * @param why the exit reason; null before the exit
+   * @param saved whether the attempt saved its state
+   */
   public record Entry(String job, int index, int attempt, Phase phase, String why, boolean saved) {
+    /** Returns the name of the task: job and index. */
     public String task() {
       return job + "/" + index;
     }
   }
 
+  /** Exit reason: the task is complete. */
   public static final String DONE = "done";
+
+  /** Exit reason: the task failed. */
   public static final String ERROR = "error";
+
+  /** Exit reason: the other tasks of the gang did not become ready in time. */
   public static final String ALONE = "alone";
+
+  /** Exit reason: the worker refused the attempt for lack of free resources. */
   public static final String FULL = "full";
+
+  /** Exit reason: the worker refused the attempt as busy. */
   public static final String BUSY = "busy";
+
+  /** Exit reason: the worker refused the attempt as unknown. */
   public static final String UNKNOWN = "unknown";
 
-  /** Whether a report of the same worker was made no earlier than this one. */
+  /** Returns whether another report of the same worker is at least as recent as this one. */
   public boolean notNewerThan(Report other) {
     return tenure < other.tenure || tenure == other.tenure && tick <= other.tick;
   }
 
-  /** Reads a report; what is lacking or out of range is named. */
+  /**
+   * Parses a report.
+   *
+   * @throws BadMessage if a field is missing or out of range; the text names it
+   */
   public static Report parse(Document report) throws BadMessage {
     List<Entry> tasks = new ArrayList<>();
     for (Document task : report.docs("shards")) {
--- a/src/main/java/wickdrift/transport/Caller.java
+++ b/src/main/java/wickdrift/transport/Caller.java
@@ -2,13 +2,23 @@
 
 import java.util.function.Consumer;
 
-/** Makes HTTP requests. The answer arrives on the event loop, exactly once. */
+/** Sends HTTP requests. The response callback runs on the event loop, exactly once per request. */
 public interface Caller {
-  /** An HTTP answer. Status 0: none came, and the request may yet be executed. */
+  /**
+   * An HTTP response. Status 0 means that no response arrived; the request may still be executed.
+   */
   record Answer(int status, byte[] body) {
+    /** No response arrived. */
     public static final Answer NONE = new Answer(0, new byte[0]);
   }
 
+  /**
+   * Sends a request.
+   *
+   * @param address host and port
+   * @param body null for an empty body
+   * @param onResponse receives the response, or {@link Answer#NONE} after the timeout or a failure
+   */
   void call(
       String address,
       String method,
--- a/src/main/java/wickdrift/transport/EventLoop.java
+++ b/src/main/java/wickdrift/transport/EventLoop.java
@@ -7,11 +7,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The single thread that owns all state. */
+/** The event loop: the single thread on which all state of the process is read and changed. */
 public final class EventLoop implements Timers {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+
   private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
 
+  /** Returns the Netty group that consists of this event loop's thread. */
   public EventLoopGroup group() {
     return group;
   }
@@ -31,6 +33,7 @@
     group.next().schedule(() -> runGuarded(action), delayMs, TimeUnit.MILLISECONDS);
   }
 
+  /** Queues an action for execution on the event loop. */
   public void run(Runnable action) {
     group.next().execute(() -> runGuarded(action));
   }
@@ -39,7 +42,8 @@
     try {
       action.run();
     } catch (RuntimeException e) {
-      // A bug in one action must not end the service: every loop re-arms itself first.
+      // A bug in one action must not stop the process. Periodic actions schedule their next run
+      // before they do anything else, so they continue after an exception.
       LOG.error("action failed", e);
     }
   }
--- a/src/main/java/wickdrift/transport/HttpClient.java
+++ b/src/main/java/wickdrift/transport/HttpClient.java
@@ -32,21 +32,29 @@
 import java.util.function.Consumer;
 
 /**
- * Keep-alive connections, one request at a time on each. Every method is called on the event loop.
- * Connections are bounded in total, idle ones per address and by time. A fleet has more workers
- * than this process may have sockets: the connection that has been idle for longest makes way for a
- * new one, and the last few are kept for the addresses that nothing works without.
+ * HTTP client with keep-alive connections, each of which carries one request at a time. Every
+ * method is called on the event loop. The total number of connections is limited, and idle
+ * connections are limited per address and in time. The fleet may have more workers than this
+ * process may open sockets: at the limit, a new connection replaces the one that has been idle for
+ * longest, and a part of the connections is reserved for the addresses on which all other work
+ * depends.
  */
 public final class HttpClient implements Caller {
-  /** A watch has no size limit; this bounds what a broken peer may make us hold. */
+  /**
+   * The protocol sets no size limit for the response to a watch. This limit bounds the memory that
+   * a faulty server can make this process use.
+   */
   private static final int MAX_RESPONSE_BYTES = 6 * 1024 * 1024;
 
   private static final int MAX_IDLE_PER_ADDRESS = 6;
 
-  /** A machine that is gone says nothing: what is not used for so long is closed. */
+  /**
+   * Connections that have been idle for longer are closed when a new one is opened. A machine that
+   * has disappeared never closes its side.
+   */
   private static final long IDLE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(30);
 
-  /** An eighth of the connections is for vital addresses alone. */
+  /** One eighth of the connections is reserved for the vital addresses. */
   private static final int VITAL_RESERVE_DIVISOR = 8;
 
   private final EventLoopGroup group;
@@ -62,8 +70,7 @@
   private record IdleConnection(String address, long idleSinceNs) {}
 
   /**
-   * @param vitalAddresses the addresses that are never left without a connection for the others'
-   *     sake
+   * @param vitalAddresses the addresses for which connections are reserved
    */
   public HttpClient(EventLoopGroup group, int maxConnections, Set<String> vitalAddresses) {
     this.group = group;
@@ -164,7 +171,10 @@
     }
   }
 
-  /** Whether one more may be opened; closes those that are idle for too long, or longest. */
+  /**
+   * Returns whether a connection to an address may be opened. Closes connections that have been
+   * idle for too long, and, at the limit, the ones that have been idle for longest.
+   */
   private boolean ensureCapacityFor(String address) {
     int reserved = vitalAddresses.contains(address) ? 0 : maxConnections / VITAL_RESERVE_DIVISOR;
     long nowNs = System.nanoTime();
@@ -176,18 +186,20 @@
       }
       Channel channel = oldest.getKey();
       removeIdle(channel);
-      // On this loop that is at once, and the count falls with it.
+      // On the event loop a close completes immediately and decrements openConnections.
       channel.close();
     }
     return openConnections < maxConnections - reserved;
   }
 
+  /** Parses an address of the form host:port. */
   public static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
+  /** A request whose response callback has not been called yet. */
   private final class PendingRequest {
     private final String address;
     private final Consumer<Answer> onResponse;
@@ -235,6 +247,7 @@
     }
   }
 
+  /** Passes the responses of one connection to its pending request. */
   private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private PendingRequest pendingRequest;
 
--- a/src/main/java/wickdrift/transport/HttpServer.java
+++ b/src/main/java/wickdrift/transport/HttpServer.java
@@ -36,31 +36,37 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * HTTP/1.1 with MessagePack bodies. Bounds bodies, idle time and the number of connections. A fleet
- * has more workers than this process may have sockets, and they would keep users, probes and peers
- * out: when connections run short, a worker's is closed with its answer, and where none is left,
- * the worker's connection that has been idle for longest makes way for the new one.
+ * HTTP/1.1 server with MessagePack bodies. It limits body size, idle time and the number of
+ * connections. The fleet may have more workers than this process may open sockets, and their
+ * connections must not keep out users, health probes and peers: above a threshold, a worker's
+ * connection is closed after the response, and at the limit, a new connection replaces the worker's
+ * connection that has been idle for longest.
  */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int IDLE_TIMEOUT_S = 60;
 
-  /** Of the connections; above it workers do not keep theirs. */
+  /** Fraction of the connection limit above which connections of workers are not kept alive. */
   private static final double WORKER_KEEP_ALIVE_THRESHOLD = 0.75;
 
-  /** What workers send, and nobody else. */
+  /** Path of the reports of workers; no other client uses it. */
   private static final String REPORT_PATH = "/hello";
 
   private final EventLoopGroup group;
   private final Consumer<Exchange> handler;
   private final int maxConnections;
 
-  /** The workers' connections that wait for their next report, the longest first. */
+  /** Connections of workers that wait for the next report, the one idle for longest first. */
   private final Set<Channel> idleWorkerChannels = new LinkedHashSet<>();
 
   private int openConnections;
 
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param handler is called for each request, on the event loop
+   */
   public HttpServer(EventLoopGroup group, int maxConnections, Consumer<Exchange> handler) {
     this.group = group;
     this.maxConnections = maxConnections;
@@ -68,9 +74,9 @@
   }
 
   /**
-   * Serves at an address.
+   * Starts to accept connections at an address.
    *
-   * @throws IOException it can't be had, see {@link Ports}
+   * @throws IOException if the address cannot be bound, see {@link Ports}
    */
   public Channel listen(InetSocketAddress address) throws IOException, InterruptedException {
     return Ports.listen(server(), address);
@@ -120,7 +126,7 @@
               @Override
               protected void handleOversizedMessage(
                   ChannelHandlerContext ctx, io.netty.handler.codec.http.HttpMessage oversized) {
-                // The protocol knows 400 for a body that is too large.
+                // The protocol specifies status 400 for a body that is too large.
                 FullHttpResponse r =
                     new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.BAD_REQUEST);
@@ -132,6 +138,7 @@
         .addLast(new RequestHandler());
   }
 
+  /** Passes the requests of one connection to the handler of the server. */
   private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -161,7 +168,7 @@
       try {
         handler.accept(exchange);
       } catch (RuntimeException e) {
-        LOG.error("request failed: {} {}", exchange.method(), exchange.path(), e);
+        LOG.error("request failed: method={}, path={}", exchange.method(), exchange.path(), e);
         exchange.reply(503, null, 1);
       }
     }
@@ -180,6 +187,7 @@
     }
   }
 
+  /** A request on a connection of this server. */
   private static class HttpExchange implements Exchange {
     private final ChannelHandlerContext ctx;
     private final String method;
@@ -239,7 +247,7 @@
       replied();
     }
 
-    /** The connection waits for its next request. */
+    /** Called after the response is handed to the connection, which may wait for a next request. */
     void replied() {}
   }
 }
--- a/src/main/java/wickdrift/transport/PeerLink.java
+++ b/src/main/java/wickdrift/transport/PeerLink.java
@@ -23,7 +23,10 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** Frames between controllers: a length, then bytes laid out by hand. One connection each way. */
+/**
+ * Links between controllers. Each frame is preceded by its length in four bytes. A link has a
+ * connection of its own for each direction.
+ */
 public final class PeerLink {
   private static final int MAX_FRAME_BYTES = 80 * 1024;
   private static final int MAX_INBOUND_CONNECTIONS = 64;
@@ -34,15 +37,20 @@
   private final Consumer<ByteBuffer> frameHandler;
   private int inboundConnections;
 
+  /**
+   * Creates the links of one controller.
+   *
+   * @param frameHandler is called for each received frame, on the event loop
+   */
   public PeerLink(EventLoopGroup group, Consumer<ByteBuffer> frameHandler) {
     this.group = group;
     this.frameHandler = frameHandler;
   }
 
   /**
-   * Serves at an address.
+   * Starts to accept connections of peers at an address.
    *
-   * @throws IOException it can't be had, see {@link Ports}
+   * @throws IOException if the address cannot be bound, see {@link Ports}
    */
   public Channel listen(InetSocketAddress address) throws IOException, InterruptedException {
     return Ports.listen(server(), address);
@@ -73,11 +81,15 @@
             });
   }
 
-  /** A lossy outgoing link: frames are dropped while there is no connection or it is clogged. */
+  /**
+   * Returns a consumer that sends frames to a peer. Delivery is not guaranteed: frames are dropped
+   * while there is no connection or its write buffer is full.
+   */
   public Consumer<ByteBuffer> to(String address) {
     return new OutgoingLink(HttpClient.parse(address));
   }
 
+  /** Sends frames to one peer, and connects on the next frame when there is no connection. */
   private final class OutgoingLink implements Consumer<ByteBuffer> {
     private final InetSocketAddress address;
     private Channel channel;
@@ -116,7 +128,10 @@
     }
   }
 
-  /** The outgoing side reads nothing; an error closes it and the next frame connects anew. */
+  /**
+   * Handler of an outgoing connection, on which a peer never sends. Received data or an error
+   * closes the connection, and the next frame opens a new one.
+   */
   @ChannelHandler.Sharable
   private static final class WriteOnlyHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
@@ -130,6 +145,7 @@
     }
   }
 
+  /** Passes received frames to the handler; closes the connection when it is idle or fails. */
   private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf msg) {
--- a/src/main/java/wickdrift/transport/Ports.java
+++ b/src/main/java/wickdrift/transport/Ports.java
@@ -11,19 +11,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Listening where the process that ended a moment ago may listen still: a start within a fraction
- * of a second is not to end for that.
+ * Binds server sockets, with retries. The previous process may still listen on the address when its
+ * replacement starts within a fraction of a second; the start must not fail for that.
  */
 public final class Ports {
   private static final Logger LOG = LoggerFactory.getLogger(Ports.class);
 
-  /** Between two tries, milliseconds. */
   private static final long BIND_RETRY_INTERVAL_MS = 100;
 
-  /** So long a port may stay taken, seconds; after that it is taken for a wrong setting. */
+  /**
+   * Attempts are made for 30 s. An address that is still in use then is treated as a wrong setting.
+   */
   private static final int MAX_BIND_ATTEMPTS = 300;
 
-  /** Waits between two tries. */
+  /** Waits between two attempts. */
   interface RetryDelay {
     void run() throws InterruptedException;
   }
@@ -31,9 +32,9 @@
   private Ports() {}
 
   /**
-   * Binds, trying again for 30 s while the port is taken.
+   * Binds, with retries for 30 s while the address is in use.
    *
-   * @throws IOException it can't be had; the message names the address
+   * @throws IOException if the address cannot be bound; the message names it
    */
   static Channel listen(ServerBootstrap server, InetSocketAddress address)
       throws IOException, InterruptedException {
@@ -44,6 +45,7 @@
         () -> TimeUnit.MILLISECONDS.sleep(BIND_RETRY_INTERVAL_MS));
   }
 
+  /** Binds, with retries after a delay, up to the given number of attempts. */
   static Channel listen(
       ServerBootstrap server, InetSocketAddress address, int maxAttempts, RetryDelay retryDelay)
       throws IOException, InterruptedException {
@@ -57,7 +59,7 @@
             "can't listen on " + address + ": " + bindFuture.cause().getMessage());
       }
       if (attempt == 1) {
-        LOG.warn("{} is taken; it is tried again", address);
+        LOG.warn("address in use, bind will be retried: address={}", address);
       }
       retryDelay.run();
     }
--- a/src/main/java/wickdrift/transport/Timers.java
+++ b/src/main/java/wickdrift/transport/Timers.java
@@ -1,12 +1,13 @@
 package wickdrift.transport;
 
-/** The clock and the timers of the one event loop; simulated in tests. */
+/** The clocks and timers of the event loop; tests simulate them. */
 public interface Timers {
-  /** Milliseconds on a steady clock. */
+  /** Returns the time of a monotonic clock, in milliseconds. */
   long nowMs();
 
-  /** Milliseconds of the time of day. */
+  /** Returns the wall-clock time, in milliseconds since the Unix epoch. */
   long wallMs();
 
+  /** Runs an action on the event loop after a delay. */
   void after(long delayMs, Runnable action);
 }
