--- a/src/main/java/wickdrift/protocol/JobSpec.java
+++ b/src/main/java/wickdrift/protocol/JobSpec.java
@@ -8,10 +8,20 @@
 import java.util.regex.Pattern;
 
 /**
- * What a user submitted. The wire's names live here only; {@link #toStore} keeps them, so that one
- * parser checks both a submission and a stored record.
+ * The description of a job as its user submitted it. Only this class knows the protocol's names of
+ * the fields. {@link #toStore} uses the same names, so that one parser validates both submissions
+ * and stored records.
  *
- * @param awaits the jobs that must be done before a task of this one starts, each once
+ * @param types the machine types that may run the tasks; null: any
+ * @param zone the zone in which the tasks must run; null: any
+ * @param oneZone whether all tasks must run in the same zone
+ * @param spread whether no zone may hold more than {@link #zoneLimit} tasks
+ * @param spot whether tasks may run on spot machines
+ * @param estimateS the expected run time of a task
+ * @param checkpointS the interval between checkpoints of a task; 0: it makes none
+ * @param saveS the time that a task needs to save a checkpoint when it is stopped
+ * @param deadlineS the time after its acceptance by which the job should be done; null: no deadline
+ * @param awaits the jobs that must be done before a task of this one starts, without duplicates
  */
 public record JobSpec(
     String id,
@@ -36,24 +46,28 @@
     Double deadlineS,
     List<String> awaits) {
 
-  /** How a job's tasks hang together. */
+  /**
+   * The kind of a job: independent tasks, tasks that only run together, or tasks that run until the
+   * job is withdrawn.
+   */
   public enum Shape {
     ARRAY("batch"),
     GANG("ensemble"),
     SERVICE("daemon");
 
-    private final String wire;
+    private final String wireName;
 
-    Shape(String wire) {
-      this.wire = wire;
+    Shape(String wireName) {
+      this.wireName = wireName;
     }
 
-    public String wire() {
-      return wire;
+    /** Returns the name in the protocol and in stored records. */
+    public String wireName() {
+      return wireName;
     }
   }
 
-  /** Highest first, so that the ordinal sorts. */
+  /** Priorities, highest first: they are compared by ordinal. */
   public enum Priority {
     PRODUCTION("production"),
     HIGH("urgent"),
@@ -62,25 +76,32 @@
 
     private final String wire;
 
-    Priority(String wire) {
-      this.wire = wire;
+    Priority(String wireName) {
+      this.wire = wireName;
     }
 
+    /** Returns the name in the protocol and in stored records. */
     public String wire() {
       return wire;
     }
   }
 
+  /** Maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
-  private static final Pattern ID = Pattern.compile("req-[0-9]{1,18}");
-  private static final int MAX_NAME = 128;
 
+  private static final Pattern ID_PATTERN = Pattern.compile("req-[0-9]{1,18}");
+  private static final int MAX_NAME_LENGTH = 128;
+
+  /** Returns whether a text has the format of a job id. */
   public static boolean validId(String id) {
-    return ID.matcher(id).matches();
+    return ID_PATTERN.matcher(id).matches();
   }
 
-  /** What a submission must have; the others may be null, and so may be left out. */
-  private static final List<String> REQUIRED =
+  /**
+   * Fields that a submission must contain although {@link #parse} has defaults for them. The
+   * optional fields that are not listed may be null, and so may be absent.
+   */
+  private static final List<String> REQUIRED_FIELDS =
       List.of(
           "gpus",
           "pullGb",
@@ -91,61 +112,72 @@
           "checkpointEveryS",
           "flushS");
 
-  /** The field that a submission lacks, or null. Stored descriptions of older builds may. */
-  public static String lacks(Document submitted) {
-    return REQUIRED.stream().filter(f -> submitted.raw(f) == null).findFirst().orElse(null);
+  /**
+   * Returns the first required field that a submission lacks, or null. {@link #parse} does not
+   * check this, since descriptions that older builds stored may lack these fields.
+   */
+  public static String lacks(Document submission) {
+    return REQUIRED_FIELDS.stream()
+        .filter(field -> submission.raw(field) == null)
+        .findFirst()
+        .orElse(null);
   }
 
-  /** Reads a submission; what is lacking or out of range is named. */
-  public static JobSpec parse(Document d) throws BadMessage {
-    String id = d.text("ref");
+  /**
+   * Parses a submission or a stored description.
+   *
+   * @throws BadMessage if a field is missing or out of range; the text names it
+   */
+  public static JobSpec parse(Document submission) throws BadMessage {
+    String id = submission.text("ref");
     if (!validId(id)) {
       throw new BadMessage("ref is not a job id");
     }
-    long tasks = d.count("shards");
+    long tasks = submission.count("shards");
     if (tasks < 1 || tasks > MAX_TASKS) {
       throw new BadMessage("shards is out of range");
     }
-    List<String> types = d.raw("flavours") == null ? null : List.copyOf(d.texts("flavours"));
+    List<String> types =
+        submission.raw("flavours") == null ? null : List.copyOf(submission.texts("flavours"));
     if (types != null && types.size() > 64) {
       throw new BadMessage("flavours is too long");
     }
     return new JobSpec(
         id,
-        name(d, "jobclass"),
-        name(d, "owner"),
-        shape(d.text("shape")),
-        priority(d.text("rank")),
+        name(submission, "jobclass"),
+        name(submission, "owner"),
+        parseShape(submission.text("shape")),
+        parsePriority(submission.text("rank")),
         (int) tasks,
-        d.amount("cores"),
-        d.amount("gpus", 0),
-        d.amount("memoryGb"),
-        name(d, "bundle"),
-        d.amount("pullGb", 0),
+        submission.amount("cores"),
+        submission.amount("gpus", 0),
+        submission.amount("memoryGb"),
+        name(submission, "bundle"),
+        submission.amount("pullGb", 0),
         types,
-        d.textOrNull("region"),
-        d.flag("oneZone", false),
-        d.flag("apart", false),
-        d.flag("reclaimable", false),
-        d.amount("expectS", 0),
-        d.amount("checkpointEveryS", 0),
-        d.amount("flushS", 0),
-        d.amountOrNull("dueS"),
-        awaits(d));
+        submission.textOrNull("region"),
+        submission.flag("oneZone", false),
+        submission.flag("apart", false),
+        submission.flag("reclaimable", false),
+        submission.amount("expectS", 0),
+        submission.amount("checkpointEveryS", 0),
+        submission.amount("flushS", 0),
+        submission.amountOrNull("dueS"),
+        parseAwaits(submission));
   }
 
-  private static List<String> awaits(Document d) throws BadMessage {
-    Set<String> names = new LinkedHashSet<>(d.texts("awaits"));
-    for (String n : names) {
-      if (!validId(n)) {
+  private static List<String> parseAwaits(Document submission) throws BadMessage {
+    Set<String> jobIds = new LinkedHashSet<>(submission.texts("awaits"));
+    for (String jobId : jobIds) {
+      if (!validId(jobId)) {
         throw new BadMessage("awaits holds something that is not a job id");
       }
     }
-    return List.copyOf(names);
+    return List.copyOf(jobIds);
   }
 
-  /** The same, awaiting others. */
-  public JobSpec awaiting(List<String> others) {
+  /** Returns a copy that awaits the given jobs instead. */
+  public JobSpec awaiting(List<String> dependencies) {
     return new JobSpec(
         id,
         jobClass,
@@ -167,36 +199,36 @@
         checkpointS,
         saveS,
         deadlineS,
-        others);
+        dependencies);
   }
 
-  private static String name(Document d, String key) throws BadMessage {
-    String s = d.text(key);
-    if (s.isEmpty() || s.length() > MAX_NAME) {
+  private static String name(Document submission, String key) throws BadMessage {
+    String value = submission.text(key);
+    if (value.isEmpty() || value.length() > MAX_NAME_LENGTH) {
       throw new BadMessage(key + " is empty or too long");
     }
-    return s;
+    return value;
   }
 
-  private static Shape shape(String s) throws BadMessage {
-    for (Shape v : Shape.values()) {
-      if (v.wire.equals(s)) {
-        return v;
+  private static Shape parseShape(String wireName) throws BadMessage {
+    for (Shape shape : Shape.values()) {
+      if (shape.wireName.equals(wireName)) {
+        return shape;
       }
     }
     throw new BadMessage("shape is unknown");
   }
 
-  private static Priority priority(String s) throws BadMessage {
-    for (Priority v : Priority.values()) {
-      if (v.wire.equals(s)) {
-        return v;
+  private static Priority parsePriority(String wireName) throws BadMessage {
+    for (Priority priority : Priority.values()) {
+      if (priority.wire.equals(wireName)) {
+        return priority;
       }
     }
     throw new BadMessage("rank is unknown");
   }
 
-  /** The fields of a stored description that this build does not know. */
+  /** Returns the fields of a stored description that this build does not know. */
   public static Map<String, Object> unknownFields(Document stored) {
     return stored.without(
         "ref",
@@ -222,46 +254,50 @@
         "awaits");
   }
 
-  /** The submission as a job's record holds it. */
+  /** Encodes the description for the job's record. */
   public Map<String, Object> toStore() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("ref", id);
-    m.put("jobclass", jobClass);
-    m.put("owner", team);
-    m.put("shape", shape.wire);
-    m.put("rank", priority.wire);
-    m.put("shards", tasks);
-    m.put("cores", cpus);
-    m.put("gpus", gpus);
-    m.put("memoryGb", memoryGb);
-    m.put("bundle", image);
-    m.put("pullGb", imageGb);
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("ref", id);
+    fields.put("jobclass", jobClass);
+    fields.put("owner", team);
+    fields.put("shape", shape.wireName);
+    fields.put("rank", priority.wire);
+    fields.put("shards", tasks);
+    fields.put("cores", cpus);
+    fields.put("gpus", gpus);
+    fields.put("memoryGb", memoryGb);
+    fields.put("bundle", image);
+    fields.put("pullGb", imageGb);
     if (types != null) {
-      m.put("flavours", types);
+      fields.put("flavours", types);
     }
     if (zone != null) {
-      m.put("region", zone);
+      fields.put("region", zone);
     }
-    m.put("oneZone", oneZone);
-    m.put("apart", spread);
-    m.put("reclaimable", spot);
-    m.put("expectS", estimateS);
-    m.put("checkpointEveryS", checkpointS);
-    m.put("flushS", saveS);
+    fields.put("oneZone", oneZone);
+    fields.put("apart", spread);
+    fields.put("reclaimable", spot);
+    fields.put("expectS", estimateS);
+    fields.put("checkpointEveryS", checkpointS);
+    fields.put("flushS", saveS);
     if (deadlineS != null) {
-      m.put("dueS", deadlineS);
+      fields.put("dueS", deadlineS);
     }
     if (!awaits.isEmpty()) {
-      m.put("awaits", awaits);
+      fields.put("awaits", awaits);
     }
-    return m;
+    return fields;
   }
 
+  /** Returns whether tasks may run on machines of a type. */
   public boolean allowsType(String type) {
     return types == null || types.contains(type);
   }
 
-  /** The most tasks a zone may hold when the job asks to be spread. */
+  /**
+   * Returns the maximum number of tasks in one zone: half of them, rounded up, for a job that asks
+   * to be spread, otherwise all.
+   */
   public int zoneLimit() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/wickdrift/protocol/PeerFrame.java
+++ b/src/main/java/wickdrift/protocol/PeerFrame.java
@@ -6,37 +6,55 @@
 import java.util.List;
 
 /**
- * What controllers say to each other, laid out by hand: version, kind, sender's number, then the
- * kind's own. Bytes after those that a kind is known to have are a newer sender's and are ignored.
+ * The frames that controllers exchange, in a binary encoding: version, kind, number of the sending
+ * node, then the payload of the kind. Bytes after the known payload of a kind were added by a newer
+ * build and are ignored.
  */
 public sealed interface PeerFrame {
+  /** Version of the layout; frames of other versions are {@link Unknown}. */
   byte VERSION = 3;
-  byte STANDING = 1;
-  byte REPORT = 2;
+
+  /** Kind of {@link Standing}. */
+  byte PEER_STATUS = 1;
+
+  /** Kind of {@link Relayed}. */
+  byte RELAYED_REPORT = 2;
+
+  /** Kind of {@link Answered}. */
   byte ANSWER = 3;
-  byte WITHDRAWN = 4;
+
+  /** Kind of {@link Withdrawn}. */
+  byte WITHDRAWAL_CONFIRMATION_REQUEST = 4;
+
+  /** Kind of {@link Obeyed}. */
   byte OBEYED = 5;
-  int HEAD = 3;
 
-  /** Added to a kind whose sender's number takes four bytes instead of one. */
-  byte WIDE = 16;
+  /** Length of the header if the number of the sender takes one byte. */
+  int HEADER_BYTES = 3;
 
-  /** By so many bytes its head is longer. */
-  int WIDER = 3;
+  /** Added to the kind in a frame in which the number of the sender takes four bytes, not one. */
+  byte WIDE_SENDER_KIND_OFFSET = 16;
 
-  /** The sender's number. */
+  /** Number of bytes by which the header is longer if the number of the sender takes four bytes. */
+  int WIDE_SENDER_EXTRA_BYTES = 3;
+
+  /** The number of the sending node in the node registry. */
   int from();
 
+  /** Encodes the frame, without the length that precedes it on the connection. */
   ByteBuffer encode();
 
   /**
-   * How the sender stands: its epoch, whether the state service serves it, and how many writes a
-   * second it sends there.
+   * The status of the sender, sent periodically to all peers.
+   *
+   * @param epoch the epoch of its view; 0 without a view
+   * @param stateOk whether the state service answers it
+   * @param writes the number of writes per second that it sends to the state service
    */
   record Standing(int from, long epoch, boolean stateOk, int writes) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(STANDING, from, 13)
+      return allocateWithHeader(PEER_STATUS, from, 13)
           .put((byte) (stateOk ? 1 : 0))
           .putLong(epoch)
           .putInt(writes)
@@ -44,19 +62,30 @@
     }
   }
 
-  /** A worker's report, passed on to the owner of its machine. */
+  /**
+   * A worker's report that the sender received and forwards to the owner of the worker's machine.
+   *
+   * @param id a number by which the sender matches the reply
+   * @param body the report as received
+   */
   record Relayed(int from, long id, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(REPORT, from, 8 + body.length).putLong(id).put(body).flip();
+      return allocateWithHeader(RELAYED_REPORT, from, 8 + body.length).putLong(id).put(body).flip();
     }
   }
 
-  /** The owner's answer to a report passed on. */
+  /**
+   * The owner's reply to a {@link Relayed} report.
+   *
+   * @param id the number in the relayed report
+   * @param status the HTTP status for the worker
+   * @param body the response body for the worker
+   */
   record Answered(int from, long id, int status, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(ANSWER, from, 10 + body.length)
+      return allocateWithHeader(ANSWER, from, 10 + body.length)
           .putLong(id)
           .putShort((short) status)
           .put(body)
@@ -65,128 +94,152 @@
   }
 
   /**
-   * A job is withdrawn, durably: the receiver is to stop it, though its tables may not say so yet,
-   * and to answer which of these machines of its own obey it alone ({@link Obeyed}).
+   * Announces that the withdrawal of a job is stored durably. The receiver stops the job, even if
+   * its own tables don't contain the withdrawal yet, and replies which of the listed machines
+   * accept commands from no other controller ({@link Obeyed}).
    *
-   * @param epoch of the view by which the sender holds the receiver for their owner
-   * @param rev of the sender's tables, which say that it is withdrawn
+   * @param id a number by which the sender matches the reply
+   * @param epoch the epoch of the view in which the receiver owns the machines
+   * @param rev the revision of the sender's tables, which contain the withdrawal
+   * @param machines the names of the machines
    */
   record Withdrawn(int from, long id, long epoch, long rev, String job, List<String> machines)
       implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      byte[] name = job.getBytes(StandardCharsets.UTF_8);
-      List<byte[]> names = new ArrayList<>();
-      int length = 24 + 2 + name.length + 2;
-      for (String m : machines) {
-        byte[] b = m.getBytes(StandardCharsets.UTF_8);
-        names.add(b);
-        length += 2 + b.length;
+      byte[] jobBytes = job.getBytes(StandardCharsets.UTF_8);
+      List<byte[]> machineNames = new ArrayList<>();
+      int payloadBytes = 24 + 2 + jobBytes.length + 2;
+      for (String machine : machines) {
+        byte[] b = machine.getBytes(StandardCharsets.UTF_8);
+        machineNames.add(b);
+        payloadBytes += 2 + b.length;
       }
-      ByteBuffer b = head(WITHDRAWN, from, length).putLong(id).putLong(epoch).putLong(rev);
-      b.putShort((short) name.length).put(name).putShort((short) names.size());
-      names.forEach(n -> b.putShort((short) n.length).put(n));
+      ByteBuffer b =
+          allocateWithHeader(WITHDRAWAL_CONFIRMATION_REQUEST, from, payloadBytes)
+              .putLong(id)
+              .putLong(epoch)
+              .putLong(rev);
+      b.putShort((short) jobBytes.length).put(jobBytes).putShort((short) machineNames.size());
+      machineNames.forEach(n -> b.putShort((short) n.length).put(n));
       return b.flip();
     }
   }
 
   /**
-   * The answer: the receiver knows of the withdrawal, and of the machines that it was asked about
-   * these, by their places, take no order but its own under that epoch, and begin nothing of it.
+   * The reply to {@link Withdrawn}: its sender knows of the withdrawal, and the workers on the
+   * indicated machines accept commands from it alone, under the requested epoch, and start no task
+   * of the job any more.
    *
-   * @param places a bit for each machine, the lowest of the first byte first
+   * @param id the number in the request
+   * @param places a bit for each machine of the request, in its order; the least significant bit of
+   *     the first byte is the first machine
    */
   record Obeyed(int from, long id, byte[] places) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return head(OBEYED, from, 8 + places.length).putLong(id).put(places).flip();
+      return allocateWithHeader(OBEYED, from, 8 + places.length).putLong(id).put(places).flip();
     }
   }
 
-  /** Something that this build does not understand: counted, and taken as a sign of nothing. */
+  /**
+   * A frame of a version or kind that this build does not know. It is counted and otherwise
+   * ignored: it says nothing about the state of its sender.
+   */
   record Unknown(int from) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      throw new UnsupportedOperationException("nobody sends what he does not know");
+      throw new UnsupportedOperationException("a frame of unknown kind cannot be encoded");
     }
   }
 
-  /** Numbers that a byte holds go as every build knows them; larger ones only newer builds have. */
-  private static ByteBuffer head(byte kind, int from, int more) {
-    boolean narrow = from <= Byte.MAX_VALUE;
-    ByteBuffer b = ByteBuffer.allocate(HEAD + (narrow ? 0 : WIDER) + more).put(VERSION);
-    return narrow ? b.put(kind).put((byte) from) : b.put((byte) (kind + WIDE)).putInt(from);
+  /**
+   * Allocates a buffer and writes the header. Sender numbers up to 127 take one byte, as in older
+   * builds, which assign no larger ones; larger numbers take four bytes.
+   */
+  private static ByteBuffer allocateWithHeader(byte kind, int from, int payloadBytes) {
+    boolean narrowSender = from <= Byte.MAX_VALUE;
+    ByteBuffer buffer =
+        ByteBuffer.allocate(
+                HEADER_BYTES + (narrowSender ? 0 : WIDE_SENDER_EXTRA_BYTES) + payloadBytes)
+            .put(VERSION);
+    return narrowSender
+        ? buffer.put(kind).put((byte) from)
+        : buffer.put((byte) (kind + WIDE_SENDER_KIND_OFFSET)).putInt(from);
   }
 
   /**
-   * @throws BadMessage if a frame of a known kind ends early
+   * Decodes a frame; one of another version or kind becomes {@link Unknown}.
+   *
+   * @throws BadMessage if the header or the payload of a known kind is truncated
    */
-  static PeerFrame decode(ByteBuffer b) throws BadMessage {
-    if (b.remaining() < HEAD) {
-      throw new BadMessage("a frame that ends early");
+  static PeerFrame decode(ByteBuffer buffer) throws BadMessage {
+    if (buffer.remaining() < HEADER_BYTES) {
+      throw new BadMessage("frame is truncated");
     }
-    byte version = b.get();
-    byte said = b.get();
-    boolean wide = said > WIDE;
-    byte kind = wide ? (byte) (said - WIDE) : said;
-    if (version != VERSION || kind < STANDING || kind > OBEYED) {
+    byte version = buffer.get();
+    byte encodedKind = buffer.get();
+    boolean wideSender = encodedKind > WIDE_SENDER_KIND_OFFSET;
+    byte kind = wideSender ? (byte) (encodedKind - WIDE_SENDER_KIND_OFFSET) : encodedKind;
+    if (version != VERSION || kind < PEER_STATUS || kind > OBEYED) {
       return new Unknown(-1);
     }
-    int least =
+    int minPayloadBytes =
         switch (kind) {
-          case STANDING -> 13;
-          case REPORT, OBEYED -> 8;
-          case WITHDRAWN -> 28;
+          case PEER_STATUS -> 13;
+          case RELAYED_REPORT, OBEYED -> 8;
+          case WITHDRAWAL_CONFIRMATION_REQUEST -> 28;
           default -> 10;
         };
-    if (b.remaining() < least + (wide ? 1 + WIDER : 1)) {
-      throw new BadMessage("a frame that ends early");
+    if (buffer.remaining() < minPayloadBytes + (wideSender ? 1 + WIDE_SENDER_EXTRA_BYTES : 1)) {
+      throw new BadMessage("frame is truncated");
     }
-    int from = wide ? b.getInt() : b.get();
+    int from = wideSender ? buffer.getInt() : buffer.get();
     return switch (kind) {
-      case STANDING -> {
-        boolean ok = b.get() == 1;
-        yield new Standing(from, b.getLong(), ok, b.getInt());
+      case PEER_STATUS -> {
+        boolean stateServiceReachable = buffer.get() == 1;
+        yield new Standing(from, buffer.getLong(), stateServiceReachable, buffer.getInt());
       }
-      case REPORT -> new Relayed(from, b.getLong(), rest(b));
-      case WITHDRAWN -> withdrawn(from, b);
-      case OBEYED -> new Obeyed(from, b.getLong(), rest(b));
-      default -> new Answered(from, b.getLong(), b.getShort(), rest(b));
+      case RELAYED_REPORT -> new Relayed(from, buffer.getLong(), readRemaining(buffer));
+      case WITHDRAWAL_CONFIRMATION_REQUEST -> decodeConfirmationRequest(from, buffer);
+      case OBEYED -> new Obeyed(from, buffer.getLong(), readRemaining(buffer));
+      default -> new Answered(from, buffer.getLong(), buffer.getShort(), readRemaining(buffer));
     };
   }
 
-  private static Withdrawn withdrawn(int from, ByteBuffer b) throws BadMessage {
-    long id = b.getLong();
-    long epoch = b.getLong();
-    long rev = b.getLong();
-    String job = text(b);
-    int n = length(b);
+  private static Withdrawn decodeConfirmationRequest(int from, ByteBuffer buffer)
+      throws BadMessage {
+    long requestId = buffer.getLong();
+    long epoch = buffer.getLong();
+    long revision = buffer.getLong();
+    String job = readText(buffer);
+    int machineCount = readLength(buffer);
     List<String> machines = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      machines.add(text(b));
+    for (int i = 0; i < machineCount; i++) {
+      machines.add(readText(buffer));
     }
-    return new Withdrawn(from, id, epoch, rev, job, List.copyOf(machines));
+    return new Withdrawn(from, requestId, epoch, revision, job, List.copyOf(machines));
   }
 
-  private static int length(ByteBuffer b) throws BadMessage {
-    if (b.remaining() < Short.BYTES) {
-      throw new BadMessage("a frame that ends early");
+  private static int readLength(ByteBuffer buffer) throws BadMessage {
+    if (buffer.remaining() < Short.BYTES) {
+      throw new BadMessage("frame is truncated");
     }
-    return Short.toUnsignedInt(b.getShort());
+    return Short.toUnsignedInt(buffer.getShort());
   }
 
-  private static String text(ByteBuffer b) throws BadMessage {
-    byte[] bytes = new byte[length(b)];
-    if (b.remaining() < bytes.length) {
-      throw new BadMessage("a frame that ends early");
+  private static String readText(ByteBuffer buffer) throws BadMessage {
+    byte[] bytes = new byte[readLength(buffer)];
+    if (buffer.remaining() < bytes.length) {
+      throw new BadMessage("frame is truncated");
     }
-    b.get(bytes);
+    buffer.get(bytes);
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  private static byte[] rest(ByteBuffer b) {
-    byte[] out = new byte[b.remaining()];
-    b.get(out);
-    return out;
+  private static byte[] readRemaining(ByteBuffer buffer) {
+    byte[] bytes = new byte[buffer.remaining()];
+    buffer.get(bytes);
+    return bytes;
   }
 }
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -3,7 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report, as sent to /hello or returned by /orders and /show. */
+/**
+ * A worker's report, sent by the worker to /hello or returned by it from /orders and /show.
+ *
+ * @param address the address at which the worker accepts commands
+ * @param type the machine type
+ * @param tenure the number of the worker's session; it increases with each session of an
+ *     incarnation
+ * @param tick a number that increases with each report of a session
+ * @param epoch the highest epoch that the worker has received; 0: none
+ * @param noticeS the time until the machine is reclaimed; null: no reclaim was announced
+ * @param tasks the attempts on the worker, including exited ones until they are cleared
+ */
 public record Report(
     String machine,
     String address,
@@ -16,7 +27,7 @@
     Double noticeS,
     List<Entry> tasks) {
 
-  /** What a worker says of one task. */
+  /** The phase of an attempt on its worker. */
   public enum Phase {
     FETCHING("pulling"),
     WAITING("gathering"),
@@ -24,73 +35,94 @@
     SAVING("saving"),
     EXITED("ended");
 
-    private final String wire;
+    private final String wireName;
 
-    Phase(String wire) {
-      this.wire = wire;
+    Phase(String wireName) {
+      this.wireName = wireName;
     }
   }
 
-  /** One attempt of a task as its worker shows it. */
+  /**
+   * One attempt of a task as its worker reports it.
+   *
+   * @param why the exit reason; null before the exit
+   * @param saved whether the attempt saved its state
+   */
   public record Entry(String job, int index, int attempt, Phase phase, String why, boolean saved) {
+    /** Returns the name of the task: job and index. */
     public String task() {
       return job + "/" + index;
     }
   }
 
+  /** Exit reason: the task is complete. */
   public static final String DONE = "done";
+
+  /** Exit reason: the task failed. */
   public static final String ERROR = "error";
+
+  /** Exit reason: the other tasks of the gang did not become ready in time. */
   public static final String ALONE = "alone";
+
+  /** Exit reason: the worker refused the attempt for lack of free resources. */
   public static final String FULL = "full";
+
+  /** Exit reason: the worker refused the attempt as busy. */
   public static final String BUSY = "busy";
+
+  /** Exit reason: the worker refused the attempt as unknown. */
   public static final String UNKNOWN = "unknown";
 
-  /** Whether a report of the same worker was made no earlier than this one. */
+  /** Returns whether another report of the same worker is at least as recent as this one. */
   public boolean notNewerThan(Report other) {
     return tenure < other.tenure || tenure == other.tenure && tick <= other.tick;
   }
 
-  /** Reads a report; what is lacking or out of range is named. */
-  public static Report parse(Document d) throws BadMessage {
+  /**
+   * Parses a report.
+   *
+   * @throws BadMessage if a field is missing or out of range; the text names it
+   */
+  public static Report parse(Document report) throws BadMessage {
     List<Entry> tasks = new ArrayList<>();
-    for (Document t : d.docs("shards")) {
-      String name = t.text("shard");
-      int slash = name.lastIndexOf('/');
+    for (Document task : report.docs("shards")) {
+      String taskName = task.text("shard");
+      int slash = taskName.lastIndexOf('/');
       if (slash < 0) {
         throw new BadMessage("shard has no number");
       }
       int index;
       try {
-        index = Integer.parseInt(name.substring(slash + 1));
+        index = Integer.parseInt(taskName.substring(slash + 1));
       } catch (NumberFormatException e) {
         throw new BadMessage("shard has no number");
       }
       tasks.add(
           new Entry(
-              name.substring(0, slash),
+              taskName.substring(0, slash),
               index,
-              (int) t.count("try"),
-              phase(t.text("phase")),
-              t.textOrNull("exitReason"),
-              t.flag("kept", false)));
+              (int) task.count("try"),
+              parsePhase(task.text("phase")),
+              task.textOrNull("exitReason"),
+              task.flag("kept", false)));
     }
     return new Report(
-        d.text("host"),
-        d.text("address"),
-        d.text("flavour"),
-        d.text("region"),
-        d.flag("reclaimable", false),
-        d.count("tenure"),
-        d.count("tick"),
-        d.count("epoch", 0),
-        d.amountOrNull("warningS"),
+        report.text("host"),
+        report.text("address"),
+        report.text("flavour"),
+        report.text("region"),
+        report.flag("reclaimable", false),
+        report.count("tenure"),
+        report.count("tick"),
+        report.count("epoch", 0),
+        report.amountOrNull("warningS"),
         tasks);
   }
 
-  private static Phase phase(String s) throws BadMessage {
-    for (Phase p : Phase.values()) {
-      if (p.wire.equals(s)) {
-        return p;
+  private static Phase parsePhase(String wireName) throws BadMessage {
+    for (Phase phase : Phase.values()) {
+      if (phase.wireName.equals(wireName)) {
+        return phase;
       }
     }
     throw new BadMessage("phase is unknown");
--- a/src/main/java/wickdrift/transport/HttpServer.java
+++ b/src/main/java/wickdrift/transport/HttpServer.java
@@ -36,31 +36,37 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * HTTP/1.1 with MessagePack bodies. Bounds bodies, idle time and the number of connections. A fleet
- * has more workers than this process may have sockets, and they would keep users, probes and peers
- * out: when connections run short, a worker's is closed with its answer, and where none is left,
- * the worker's connection that has been idle for longest makes way for the new one.
+ * HTTP/1.1 server with MessagePack bodies. It limits body size, idle time and the number of
+ * connections. The fleet may have more workers than this process may open sockets, and their
+ * connections must not keep out users, health probes and peers: above a threshold, a worker's
+ * connection is closed after the response, and at the limit, a new connection replaces the worker's
+ * connection that has been idle for longest.
  */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final int MAX_BODY = 64 * 1024;
-  private static final int IDLE_S = 60;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int IDLE_TIMEOUT_S = 60;
 
-  /** Of the connections; above it workers do not keep theirs. */
-  private static final double CROWDED = 0.75;
+  /** Fraction of the connection limit above which connections of workers are not kept alive. */
+  private static final double WORKER_KEEP_ALIVE_THRESHOLD = 0.75;
 
-  /** What workers send, and nobody else. */
-  private static final String REPORT = "/hello";
+  /** Path of the reports of workers; no other client uses it. */
+  private static final String REPORT_PATH = "/hello";
 
   private final EventLoopGroup group;
   private final Consumer<Exchange> handler;
   private final int maxConnections;
 
-  /** The workers' connections that wait for their next report, the longest first. */
-  private final Set<Channel> idleWorkers = new LinkedHashSet<>();
+  /** Connections of workers that wait for the next report, the one idle for longest first. */
+  private final Set<Channel> idleWorkerChannels = new LinkedHashSet<>();
 
-  private int open;
+  private int openConnections;
 
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param handler is called for each request, on the event loop
+   */
   public HttpServer(EventLoopGroup group, int maxConnections, Consumer<Exchange> handler) {
     this.group = group;
     this.maxConnections = maxConnections;
@@ -68,9 +74,9 @@
   }
 
   /**
-   * Serves at an address.
+   * Starts to accept connections at an address.
    *
-   * @throws IOException it can't be had, see {@link Ports}
+   * @throws IOException if the address cannot be bound, see {@link Ports}
    */
   public Channel listen(InetSocketAddress address) throws IOException, InterruptedException {
     return Ports.listen(server(), address);
@@ -88,37 +94,39 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel ch) {
-                accept(ch);
+                acceptConnection(ch);
               }
             });
   }
 
-  private void accept(SocketChannel ch) {
-    if (open >= maxConnections && !idleWorkers.isEmpty()) {
-      Channel oldest = idleWorkers.iterator().next();
-      idleWorkers.remove(oldest);
+  private void acceptConnection(SocketChannel channel) {
+    if (openConnections >= maxConnections && !idleWorkerChannels.isEmpty()) {
+      Channel oldest = idleWorkerChannels.iterator().next();
+      idleWorkerChannels.remove(oldest);
       oldest.close();
     }
-    if (open >= maxConnections) {
-      ch.close();
+    if (openConnections >= maxConnections) {
+      channel.close();
       return;
     }
-    open++;
-    ch.closeFuture()
+    openConnections++;
+    channel
+        .closeFuture()
         .addListener(
-            f -> {
-              open--;
-              idleWorkers.remove(ch);
+            closed -> {
+              openConnections--;
+              idleWorkerChannels.remove(channel);
             });
-    ch.pipeline()
-        .addLast(new IdleStateHandler(0, 0, IDLE_S))
+    channel
+        .pipeline()
+        .addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S))
         .addLast(new HttpServerCodec(2048, 8192, 8192))
         .addLast(
-            new HttpObjectAggregator(MAX_BODY, true) {
+            new HttpObjectAggregator(MAX_BODY_BYTES, true) {
               @Override
               protected void handleOversizedMessage(
                   ChannelHandlerContext ctx, io.netty.handler.codec.http.HttpMessage oversized) {
-                // The protocol knows 400 for a body that is too large.
+                // The protocol specifies status 400 for a body that is too large.
                 FullHttpResponse r =
                     new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.BAD_REQUEST);
@@ -127,39 +135,47 @@
                 ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
               }
             })
-        .addLast(new Requests());
+        .addLast(new RequestHandler());
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+  /** Passes the requests of one connection to the handler of the server. */
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest req) {
-      if (req.decoderResult().isFailure()) {
-        new Http(ctx, "", "", new byte[0], false).reply(400, null);
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+      if (request.decoderResult().isFailure()) {
+        new HttpExchange(ctx, "", "", new byte[0], false).reply(400, null);
         return;
       }
-      boolean worker = req.uri().equals(REPORT);
-      idleWorkers.remove(ctx.channel());
-      boolean keep = HttpUtil.isKeepAlive(req) && !(worker && open > CROWDED * maxConnections);
-      Exchange x =
-          new Http(ctx, req.method().name(), req.uri(), ByteBufUtil.getBytes(req.content()), keep) {
+      boolean fromWorker = request.uri().equals(REPORT_PATH);
+      idleWorkerChannels.remove(ctx.channel());
+      boolean keepConnection =
+          HttpUtil.isKeepAlive(request)
+              && !(fromWorker && openConnections > WORKER_KEEP_ALIVE_THRESHOLD * maxConnections);
+      Exchange exchange =
+          new HttpExchange(
+              ctx,
+              request.method().name(),
+              request.uri(),
+              ByteBufUtil.getBytes(request.content()),
+              keepConnection) {
             @Override
-            void answered() {
-              if (worker && keep && ctx.channel().isActive()) {
-                idleWorkers.add(ctx.channel());
+            void replied() {
+              if (fromWorker && keepConnection && ctx.channel().isActive()) {
+                idleWorkerChannels.add(ctx.channel());
               }
             }
           };
       try {
-        handler.accept(x);
+        handler.accept(exchange);
       } catch (RuntimeException e) {
-        LOG.error("request failed: {} {}", x.method(), x.path(), e);
-        x.reply(503, null, 1);
+        LOG.error("request failed: method={}, path={}", exchange.method(), exchange.path(), e);
+        exchange.reply(503, null, 1);
       }
     }
 
     @Override
-    public void userEventTriggered(ChannelHandlerContext ctx, Object evt) {
-      if (evt instanceof IdleStateEvent) {
+    public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+      if (event instanceof IdleStateEvent) {
         ctx.close();
       }
     }
@@ -171,15 +187,17 @@
     }
   }
 
-  private static class Http implements Exchange {
+  /** A request on a connection of this server. */
+  private static class HttpExchange implements Exchange {
     private final ChannelHandlerContext ctx;
     private final String method;
     private final String path;
     private final byte[] body;
     private final boolean keepAlive;
-    private boolean answered;
+    private boolean replied;
 
-    Http(ChannelHandlerContext ctx, String method, String path, byte[] body, boolean keepAlive) {
+    HttpExchange(
+        ChannelHandlerContext ctx, String method, String path, byte[] body, boolean keepAlive) {
       this.ctx = ctx;
       this.method = method;
       this.path = path;
@@ -204,32 +222,32 @@
 
     @Override
     public void reply(int status, Object value, int retryAfterS) {
-      if (answered) {
+      if (replied) {
         return;
       }
-      answered = true;
+      replied = true;
       byte[] bytes = MessageCodec.encode(value == null ? Map.of() : value);
-      FullHttpResponse r =
+      FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
               HttpResponseStatus.valueOf(status),
               Unpooled.wrappedBuffer(bytes));
-      r.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
-      r.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
+      response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
       if (retryAfterS > 0) {
-        r.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
+        response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
       }
       if (!keepAlive) {
-        r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       }
-      var f = ctx.writeAndFlush(r);
+      var writeFuture = ctx.writeAndFlush(response);
       if (!keepAlive) {
-        f.addListener(ChannelFutureListener.CLOSE);
+        writeFuture.addListener(ChannelFutureListener.CLOSE);
       }
-      answered();
+      replied();
     }
 
-    /** The connection waits for its next request. */
-    void answered() {}
+    /** Called after the response is handed to the connection, which may wait for a next request. */
+    void replied() {}
   }
 }
--- a/src/main/java/wickdrift/transport/Ports.java
+++ b/src/main/java/wickdrift/transport/Ports.java
@@ -11,49 +11,57 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Listening where the process that ended a moment ago may listen still: a start within a fraction
- * of a second is not to end for that.
+ * Binds server sockets, with retries. The previous process may still listen on the address when its
+ * replacement starts within a fraction of a second; the start must not fail for that.
  */
 public final class Ports {
   private static final Logger LOG = LoggerFactory.getLogger(Ports.class);
 
-  /** Between two tries, milliseconds. */
-  private static final long PAUSE_MS = 100;
+  private static final long BIND_RETRY_INTERVAL_MS = 100;
 
-  /** So long a port may stay taken, seconds; after that it is taken for a wrong setting. */
-  private static final int TRIES = 300;
+  /**
+   * Attempts are made for 30 s. An address that is still in use then is treated as a wrong setting.
+   */
+  private static final int MAX_BIND_ATTEMPTS = 300;
 
-  /** Waits between two tries. */
-  interface Pause {
+  /** Waits between two attempts. */
+  interface RetryDelay {
     void run() throws InterruptedException;
   }
 
   private Ports() {}
 
   /**
-   * Binds, trying again for 30 s while the port is taken.
+   * Binds, with retries for 30 s while the address is in use.
    *
-   * @throws IOException it can't be had; the message names the address
+   * @throws IOException if the address cannot be bound; the message names it
    */
   static Channel listen(ServerBootstrap server, InetSocketAddress address)
       throws IOException, InterruptedException {
-    return listen(server, address, TRIES, () -> TimeUnit.MILLISECONDS.sleep(PAUSE_MS));
+    return listen(
+        server,
+        address,
+        MAX_BIND_ATTEMPTS,
+        () -> TimeUnit.MILLISECONDS.sleep(BIND_RETRY_INTERVAL_MS));
   }
 
-  static Channel listen(ServerBootstrap server, InetSocketAddress address, int tries, Pause pause)
+  /** Binds, with retries after a delay, up to the given number of attempts. */
+  static Channel listen(
+      ServerBootstrap server, InetSocketAddress address, int maxAttempts, RetryDelay retryDelay)
       throws IOException, InterruptedException {
-    for (int n = 1; ; n++) {
-      ChannelFuture f = server.bind(address).await();
-      if (f.isSuccess()) {
-        return f.channel();
+    for (int attempt = 1; ; attempt++) {
+      ChannelFuture bindFuture = server.bind(address).await();
+      if (bindFuture.isSuccess()) {
+        return bindFuture.channel();
       }
-      if (!(f.cause() instanceof BindException) || n >= tries) {
-        throw new IOException("can't listen on " + address + ": " + f.cause().getMessage());
+      if (!(bindFuture.cause() instanceof BindException) || attempt >= maxAttempts) {
+        throw new IOException(
+            "can't listen on " + address + ": " + bindFuture.cause().getMessage());
       }
-      if (n == 1) {
-        LOG.warn("{} is taken; it is tried again", address);
+      if (attempt == 1) {
+        LOG.warn("address in use, bind will be retried: address={}", address);
       }
-      pause.run();
+      retryDelay.run();
     }
   }
 }
