--- a/src/main/java/wickdrift/coordination/Admission.java
+++ b/src/main/java/wickdrift/coordination/Admission.java
@@ -12,7 +12,7 @@
 public final class Admission {
   private final StateServiceClient stateService;
   private final Tables tables;
-  private final Types types;
+  private final MachineTypes types;
   private final Submissions submissions;
   private final JobStatus status;
   private final Withdrawals withdrawals;
@@ -24,7 +24,7 @@
       Tables tables,
       JobHistory history,
       SchedulingState scheduling,
-      Types types,
+      MachineTypes types,
       Settings settings,
       Tuning tuning,
       PauseDetector pauseDetector,
@@ -53,7 +53,7 @@
   public boolean isReady() {
     return stateService.phase() == StateServiceClient.Phase.FOLLOWING
         && tables.view() != null
-        && types.known();
+        && types.isLoaded();
   }
 
   /** Sets the condition under which submissions are refused. */
--- a/src/main/java/wickdrift/coordination/CapacityIndex.java
+++ b/src/main/java/wickdrift/coordination/CapacityIndex.java
@@ -26,7 +26,7 @@
    */
   static final class MachineGroup {
     final String owner;
-    final TypeInfo type;
+    final MachineType type;
     final String zone;
     final boolean spot;
     private final LoadIndex machines = new LoadIndex();
@@ -36,7 +36,7 @@
     private double freeGpus;
     private double freeMemoryGb;
 
-    MachineGroup(String owner, TypeInfo type, String zone, boolean spot) {
+    MachineGroup(String owner, MachineType type, String zone, boolean spot) {
       this.owner = owner;
       this.type = type;
       this.zone = zone;
@@ -142,7 +142,7 @@
    * Adds or updates a machine from its durable state; returns true if its free capacity or its
    * images may have grown.
    */
-  boolean put(Machine machine, TypeInfo type, String owner, long nowMs) {
+  boolean put(Machine machine, MachineType type, String owner, long nowMs) {
     FreeCapacity old = byMachine.get(machine);
     double loadBefore = Double.MAX_VALUE;
     int imagesBefore = 0;
@@ -171,7 +171,7 @@
     }
   }
 
-  private MachineGroup groupFor(String owner, TypeInfo type, String zone, boolean spot) {
+  private MachineGroup groupFor(String owner, MachineType type, String zone, boolean spot) {
     return groupsByKey.computeIfAbsent(
         new GroupKey(owner, type.name(), zone, spot),
         k -> {
@@ -474,7 +474,7 @@
   }
 
   /** Returns the highest load at which a machine of the type may still hold the task. */
-  private static double maxLoadFor(JobSpec spec, TypeInfo type) {
+  private static double maxLoadFor(JobSpec spec, MachineType type) {
     double neededFraction = 1;
     if (type.cpus() > 0) {
       neededFraction = Math.min(neededFraction, spec.cpus() / type.cpus());
--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -65,7 +65,7 @@
   private final StateServiceClient stateService;
   private final Tables tables;
   private final SchedulingState scheduling;
-  private final Types types;
+  private final MachineTypes types;
   private final Membership membership;
   private final TransactionPipeline pipeline;
   private final Tuning tuning;
@@ -121,7 +121,7 @@
       StateServiceClient stateService,
       Tables tables,
       SchedulingState scheduling,
-      Types types,
+      MachineTypes types,
       Membership membership,
       TransactionPipeline pipeline,
       Tuning tuning,
@@ -155,13 +155,13 @@
   private void tick() {
     timers.after(TICK_INTERVAL_MS, this::tick);
     long now = timers.nowMs();
-    if (now - lastTypesRequestMs > (types.known() ? TYPES_REFRESH_INTERVAL_MS : 1000)) {
+    if (now - lastTypesRequestMs > (types.isLoaded() ? TYPES_REFRESH_INTERVAL_MS : 1000)) {
       refreshTypes();
     }
     if (!membership.isLeader()
         || stateService.phase() != StateServiceClient.Phase.FOLLOWING
         || membership.isViewOutdated()
-        || !types.known()) {
+        || !types.isLoaded()) {
       leaderSinceMs = Long.MIN_VALUE;
       return;
     }
@@ -197,7 +197,7 @@
     int fetchingCount = 0;
     for (Machine machine : tables.machines()) {
       machinesByPhase.merge(machine.phase(), 1, Integer::sum);
-      TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+      MachineType type = machine.info() == null ? null : types.find(machine.info().type());
       if (type != null && machine.phase() == Machine.Phase.UP) {
         machinesByLoadQuarter[
             (int) Math.min(4, new FreeCapacity(machine, type).load() * 4 + FreeCapacity.EPS)]++;
@@ -232,7 +232,7 @@
           }
           try {
             for (Document type : Document.parse(response.body()).docs("flavours")) {
-              types.put(TypeInfo.parse(type));
+              types.put(MachineType.parse(type));
             }
           } catch (BadMessage e) {
             malformedMessages.note(MalformedMessages.Sender.CLOUD, "types", e);
@@ -394,7 +394,7 @@
       long phaseAgeMs = nowWallMs - info.phaseSinceWallMs();
       switch (info.phase()) {
         case BOOTING -> {
-          TypeInfo type = types.find(info.type());
+          MachineType type = types.find(info.type());
           double bootS = type == null ? 60 : type.bootS();
           // A machine that came up in the meantime has reported to its owner, but possibly not yet
           // to this node, so a new leader waits.
@@ -511,7 +511,7 @@
    */
   private long idleTimeoutMs() {
     double maxBootS = 0;
-    for (TypeInfo type : types.all()) {
+    for (MachineType type : types.all()) {
       maxBootS = Math.max(maxBootS, type.bootS());
     }
     for (Settings.Objective objective : settings.objectives()) {
@@ -528,7 +528,7 @@
    */
   private boolean isUsableByWaitingJob(Machine machine) {
     Machine.Info info = machine.info();
-    TypeInfo type = types.find(info.type());
+    MachineType type = types.find(info.type());
     for (Job job : scheduling.queue().waiting()) {
       JobSpec spec = job.spec();
       boolean zoneMatches = spec.zone() == null || spec.zone().equals(info.zone());
@@ -564,7 +564,7 @@
     closedZones.clear();
     List<FreeCapacity> freeCapacities = new ArrayList<>();
     for (Machine machine : tables.machines()) {
-      TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+      MachineType type = machine.info() == null ? null : types.find(machine.info().type());
       boolean exists =
           machine.phase() != Machine.Phase.UNKNOWN && machine.phase() != Machine.Phase.GONE;
       if (exists && zones.dark(machine.info().zone())) {
@@ -653,7 +653,7 @@
     List<RentalDemand.ExpectedMachine> machines = new ArrayList<>();
     countsByKind.forEach(
         (kind, count) -> {
-          TypeInfo type = types.find(kind.type);
+          MachineType type = types.find(kind.type);
           for (int i = 0; type != null && i < count; i++) {
             machines.add(new RentalDemand.ExpectedMachine(type, kind.zone, kind.spot));
           }
@@ -670,7 +670,7 @@
     long now = timers.nowMs();
     MachineKind best = null;
     double bestCost = 0;
-    for (TypeInfo type : types.all()) {
+    for (MachineType type : types.all()) {
       if (!type.canHold(job.spec())) {
         continue;
       }
@@ -794,7 +794,7 @@
   /** Computes the machines to rent for waiting tasks that fit on no existing machine. */
   static final class RentalDemand {
     /** A machine that has been requested or rented but is not in the tables yet. */
-    record ExpectedMachine(TypeInfo type, String zone, boolean spot) {}
+    record ExpectedMachine(MachineType type, String zone, boolean spot) {}
 
     /** Chooses the kind of machine to rent for a job; null if none can be rented now. */
     interface KindChooser {
@@ -823,7 +823,7 @@
         Iterable<Job> waiting,
         long nowMs,
         Settings settings,
-        Types types,
+        MachineTypes types,
         TeamUsage usage,
         List<FreeCapacity> freeCapacities,
         List<ExpectedMachine> expectedMachines,
--- a/src/main/java/wickdrift/coordination/FleetSize.java
+++ b/src/main/java/wickdrift/coordination/FleetSize.java
@@ -15,9 +15,9 @@
   private record MachineKind(String type, String zone, boolean spot) {}
 
   private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
-  private final Types types;
+  private final MachineTypes types;
 
-  FleetSize(Tables tables, Types types) {
+  FleetSize(Tables tables, MachineTypes types) {
     this.types = types;
     for (Machine machine : tables.machines()) {
       Machine.Info info = machine.info();
@@ -53,7 +53,7 @@
   }
 
   private long taskCapacity(JobSpec spec, MachineKind kind, int count) {
-    TypeInfo type = types.find(kind.type);
+    MachineType type = types.find(kind.type);
     boolean isEligible =
         type != null
             && type.canHold(spec)
--- a/src/main/java/wickdrift/coordination/FreeCapacity.java
+++ b/src/main/java/wickdrift/coordination/FreeCapacity.java
@@ -15,7 +15,7 @@
   public static final double EPS = 1e-6;
 
   private final Machine machine;
-  private final TypeInfo type;
+  private final MachineType type;
   private double bookedCpus;
   private double bookedGpus;
   private double bookedMemoryGb;
@@ -35,7 +35,7 @@
    *
    * @param machine null for a machine that does not exist yet
    */
-  public FreeCapacity(Machine machine, TypeInfo type) {
+  public FreeCapacity(Machine machine, MachineType type) {
     this.machine = machine;
     this.type = type;
     reset();
@@ -68,7 +68,7 @@
   }
 
   /** Returns the machine type. */
-  public TypeInfo type() {
+  public MachineType type() {
     return type;
   }
 
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -18,12 +18,12 @@
 
   private final Tables tables;
   private final SchedulingState scheduling;
-  private final Types types;
+  private final MachineTypes types;
   private final Settings settings;
   private final Tuning tuning;
 
   JobRouter(
-      Tables tables, SchedulingState scheduling, Types types, Settings settings, Tuning tuning) {
+      Tables tables, SchedulingState scheduling, MachineTypes types, Settings settings, Tuning tuning) {
     this.tables = tables;
     this.scheduling = scheduling;
     this.types = types;
@@ -130,7 +130,7 @@
 
   private double largestMachineShare(JobSpec spec) {
     double share = 0;
-    for (TypeInfo type : types.all()) {
+    for (MachineType type : types.all()) {
       if (type.canHold(spec)) {
         share =
             Math.max(
--- a/src/main/java/wickdrift/coordination/TypeInfo.java
+++ b/src/main/java/wickdrift/coordination/MachineType.java
@@ -13,7 +13,7 @@
  * @param bootS seconds that a machine usually takes to boot
  * @param zones where machines of the type can be rented
  */
-public record TypeInfo(
+public record MachineType(
     String name,
     double cpus,
     double gpus,
@@ -26,8 +26,8 @@
     List<String> zones) {
 
   /** Parses an entry of the cloud's list of machine types. */
-  public static TypeInfo parse(Document document) throws BadMessage {
-    return new TypeInfo(
+  public static MachineType parse(Document document) throws BadMessage {
+    return new MachineType(
         document.text("sku"),
         document.amount("cores"),
         document.amount("gpus", 0),
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -29,7 +29,7 @@
   private final Tables tables;
   private final SchedulingState scheduling;
   private final CapacityIndex capacityIndex;
-  private final Types types;
+  private final MachineTypes types;
   private final Tuning tuning;
   private final StateServiceLimits limits;
 
@@ -41,7 +41,7 @@
   Reservations(
       Tables tables,
       SchedulingState scheduling,
-      Types types,
+      MachineTypes types,
       Tuning tuning,
       StateServiceLimits limits) {
     this.types = types;
--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -28,7 +28,7 @@
 
   private final Timers timers;
   private final Tables tables;
-  private final Types types;
+  private final MachineTypes types;
   private final String node;
   private final CapacityIndex capacityIndex = new CapacityIndex();
   private final JobQueue queue;
@@ -43,7 +43,7 @@
   private int knownTypeCount;
 
   /** Creates an empty state, which {@link #update} fills. */
-  public SchedulingState(Timers timers, Tables tables, Types types, Settings settings) {
+  public SchedulingState(Timers timers, Tables tables, MachineTypes types, Settings settings) {
     this.timers = timers;
     this.tables = tables;
     this.types = types;
@@ -182,7 +182,7 @@
         goneMachinesWithTasks,
         machine,
         exists && machine.phase() == Machine.Phase.GONE && !machine.slots().isEmpty());
-    TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+    MachineType type = machine.info() == null ? null : types.find(machine.info().type());
     String owner = machine.owner(view);
     boolean usable =
         exists
@@ -221,7 +221,7 @@
 
   /** Adds a reserved machine to the capacity index, while the gang it is reserved for is placed. */
   void exposeReserved(Machine machine) {
-    TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+    MachineType type = machine.info() == null ? null : types.find(machine.info().type());
     if (tables.isReserved(machine)
         && type != null
         && machine.phase() == Machine.Phase.UP
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -101,7 +101,7 @@
       Timers timers,
       Tables tables,
       SchedulingState scheduling,
-      Types types,
+      MachineTypes types,
       Tuning tuning,
       Settings settings,
       StateServiceLimits limits,
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -76,7 +76,7 @@
   private final StateServiceClient stateService;
   private final Tables tables;
   private final SchedulingState scheduling;
-  private final Types types;
+  private final MachineTypes types;
   private final Membership membership;
   private final Tuning tuning;
   private final Settings settings;
@@ -115,7 +115,7 @@
       StateServiceClient stateService,
       Tables tables,
       SchedulingState scheduling,
-      Types types,
+      MachineTypes types,
       Membership membership,
       Tuning tuning,
       Settings settings) {
@@ -370,7 +370,7 @@
     addJobEnds(builder);
     addMachineRecords(builder);
     addGangStops(builder);
-    if (isSettled() && types.known() && stateService.reachable()) {
+    if (isSettled() && types.isLoaded() && stateService.reachable()) {
       taskPlacer.placeWaitingTasks(builder);
       if (taskPlacer.postponedForMs() > 0 && !postponedCycleScheduled) {
         postponedCycleScheduled = true;
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -27,7 +27,7 @@
   private static final int MAX_MACHINES_PER_SCAN = 16;
 
   private final CapacityIndex capacityIndex;
-  private final Types types;
+  private final MachineTypes types;
   private final Reservations reservations;
   private final Tuning tuning;
   private final Settings settings;
@@ -36,7 +36,7 @@
 
   VictimSelection(
       CapacityIndex capacityIndex,
-      Types types,
+      MachineTypes types,
       Reservations reservations,
       Tuning tuning,
       Settings settings) {
@@ -132,7 +132,7 @@
   private void preemptOnReserved(
       TransactionBuilder transaction, Job job, JobSpec.Priority highestVictimPriority, long now) {
     for (Machine machine : reservations.machinesOf(job)) {
-      TypeInfo type = machine.info() == null ? null : types.find(machine.info().type());
+      MachineType type = machine.info() == null ? null : types.find(machine.info().type());
       Preemption.Choice choice =
           type == null
               ? null
@@ -197,7 +197,7 @@
    */
   private long preemptAfterMs(JobSpec spec) {
     double bootMs = 0;
-    for (TypeInfo type : types.all()) {
+    for (MachineType type : types.all()) {
       bootMs = Math.max(bootMs, type.canHold(spec) ? type.bootS() * 1000 : 0);
     }
     // If a newly rented machine will be ready in time, the job waits for it, because preemption
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -20,7 +20,7 @@
 import wickdrift.coordination.SchedulingState;
 import wickdrift.coordination.TransactionPipeline;
 import wickdrift.coordination.Tuning;
-import wickdrift.coordination.Types;
+import wickdrift.coordination.MachineTypes;
 import wickdrift.coordination.WithdrawalConfirmations;
 import wickdrift.coordination.WorkerLinks;
 import wickdrift.coordination.Zones;
@@ -115,7 +115,7 @@
                   pauseDetector.recordActivity();
                   done.accept(response);
                 });
-    Types types = new Types();
+    MachineTypes types = new MachineTypes();
     tables = new Tables(settings.nodeNames(), levels, this::onTablesChanged);
     scheduling = new SchedulingState(timers, tables, types, settings);
     StateServiceLimits limits =
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -45,7 +45,7 @@
     String[] parts = loads.trim().split(" +");
     for (int i = 0; i < parts.length; i++) {
       double gpus = 100 - i;
-      TypeInfo t = new TypeInfo("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
+      MachineType t = new MachineType("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
       Machine m = machine(tables, "m" + (i + 1));
       rooms.put(m, t, "n0", 0);
       rooms.book(rooms.find(m), spec(0, Double.parseDouble(parts[i]) * gpus));
@@ -102,7 +102,7 @@
 
   @Test
   void loadIsTheLargestBookedShare() {
-    TypeInfo t = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
+    MachineType t = new MachineType("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
     FreeCapacity r =
         new FreeCapacity(
             new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
@@ -114,7 +114,7 @@
   @Test
   void aFetchUnderWayIsNotShared() throws BadMessage {
     CapacityIndex rooms = new CapacityIndex();
-    TypeInfo t = new TypeInfo("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
+    MachineType t = new MachineType("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
     Machine m = machine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
     rooms.put(m, t, "n0", 0);
     JobSpec first = spec(1, 1);
@@ -207,7 +207,7 @@
     int kinds = 1 + seed % 3;
     for (int i = 0; i < 60; i++) {
       int kind = random.nextInt(kinds);
-      TypeInfo t = new TypeInfo("t" + kind, 32, 8 - kind, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
+      MachineType t = new MachineType("t" + kind, 32, 8 - kind, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
       Machine.Info info =
           new Machine.Info(t.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
       Machine m = machine(tables, "m" + i, info);
@@ -248,7 +248,7 @@
     for (int k = 0; k < 2; k++) {
       Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
       CapacityIndex rooms = new CapacityIndex();
-      TypeInfo t = new TypeInfo("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
+      MachineType t = new MachineType("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
       for (int i = 0; i < (k == 0 ? 60 : 1200); i++) {
         Machine m = machine(tables, "m" + i);
         m.markImageReady("img", 1, 0);
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -20,8 +20,8 @@
 import wickdrift.sim.SimJobs;
 
 class PreemptionTest {
-  private static final TypeInfo TYPE =
-      new TypeInfo("t", 64, 4, 128, 100, 0.5, 1, 1, 1, List.of("a"));
+  private static final MachineType TYPE =
+      new MachineType("t", 64, 4, 128, 100, 0.5, 1, 1, 1, List.of("a"));
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
   private final Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
