--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/Fleet.java
@@ -72,7 +72,7 @@
   private final Settings settings;
   private final String incarnation;
   private final PauseDetector pauseDetector;
-  private final Zones zones;
+  private final ZoneHealth zones;
   private final MalformedMessages malformedMessages;
   private final TokenBucket cloudCallBudget;
 
@@ -127,7 +127,7 @@
       Tuning tuning,
       Settings settings,
       PauseDetector pauseDetector,
-      Zones zones,
+      ZoneHealth zones,
       String incarnation,
       MalformedMessages malformedMessages) {
     this.timers = timers;
@@ -464,7 +464,7 @@
    */
   private long lostRetentionMs(String zone) {
     boolean mayStillRunTasks =
-        zones.away(zone, timers.nowMs()) && settings.controllerZones().contains(zone);
+        zones.isUnreachableOrRecovering(zone, timers.nowMs()) && settings.controllerZones().contains(zone);
     return mayStillRunTasks ? tuning.graceMs() : tuning.lostMs();
   }
 
@@ -567,7 +567,7 @@
       MachineType type = machine.info() == null ? null : types.find(machine.info().type());
       boolean exists =
           machine.phase() != Machine.Phase.UNKNOWN && machine.phase() != Machine.Phase.GONE;
-      if (exists && zones.dark(machine.info().zone())) {
+      if (exists && zones.isUnreachable(machine.info().zone())) {
         // A machine in an unreachable zone can't receive commands. While machines exist there
         // that would report, no machine is rented to find out whether the zone is reachable.
         closedZones.add(machine.info().zone());
@@ -586,7 +586,7 @@
         rental -> expectedMachines.merge(rental.kind, rental.count, Integer::sum));
     expectedMachines.keySet().stream()
         .map(MachineKind::zone)
-        .filter(zones::dark)
+        .filter(zones::isUnreachable)
         .forEach(closedZones::add);
     // When many machines are found at once, as in the first list that a new leader receives,
     // writing their records takes a while: pending records count as expected machines.
@@ -698,7 +698,7 @@
         }
       }
     }
-    if (best != null && zones.dark(best.zone)) {
+    if (best != null && zones.isUnreachable(best.zone)) {
       // Only one machine is rented in an unreachable zone, to find out when it is reachable again.
       closedZones.add(best.zone);
     }
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -33,7 +33,7 @@
   private final TransactionPipeline pipeline;
   private final Tuning tuning;
   private final PauseDetector pauseDetector;
-  private final Zones zones;
+  private final ZoneHealth zones;
   private final WorkerLinks links;
   private final String node;
   private long epoch;
@@ -46,7 +46,7 @@
       TransactionPipeline pipeline,
       Tuning tuning,
       PauseDetector pauseDetector,
-      Zones zones,
+      ZoneHealth zones,
       WorkerLinks links,
       String node) {
     this.timers = timers;
@@ -83,7 +83,7 @@
       boolean up = machine.phase() == Machine.Phase.UP;
       boolean lost = machine.phase() == Machine.Phase.LOST;
       if (up || lost) {
-        zones.recorded(machine.info().zone(), lost);
+        zones.addRecordedMachine(machine.info().zone(), lost);
       }
       if (node.equals(machine.owner(view))) {
         checkSilence(machine, up, up || lost, now);
@@ -91,7 +91,7 @@
         needsHigherEpoch |= needsHigherEpoch(machine, view, now);
       }
     }
-    zones.judge(pauseDetector.uninterruptedSinceMs(), now);
+    zones.evaluate(pauseDetector.uninterruptedSinceMs(), now);
     if (needsHigherEpoch) {
       // Only a report with a higher epoch proves that a command can no longer reach the worker.
       membership.raiseEpoch();
@@ -104,7 +104,7 @@
     long silentMs = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
     if (known && silentMs > tuning.quietMs()) {
       machine.markReportsOverdue();
-      zones.silent(machine.info().zone());
+      zones.addSilentMachine(machine.info().zone());
     }
     boolean unreachable =
         machine.unreachableForCommandsSinceMs() > 0
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -49,7 +49,7 @@
   private final Tuning tuning;
   private final String node;
   private final ReportRelay reportRelay;
-  private final Zones zones;
+  private final ZoneHealth zones;
   private final MalformedMessages malformed;
   private final WorkerLinks links;
   private final CommandPlanner planner;
@@ -82,7 +82,7 @@
       Caller caller,
       ReportRelay reportRelay,
       PauseDetector pauseDetector,
-      Zones zones,
+      ZoneHealth zones,
       WorkerLinks links,
       long leaseMs,
       String node,
@@ -227,7 +227,7 @@
       exchange.reply(400, Map.of("error", cause.getMessage()));
       return;
     }
-    zones.heard(report.zone(), timers.nowMs());
+    zones.reportReceived(report.zone(), timers.nowMs());
     View view = tables.view();
     if (view == null || stateService.phase() != StateServiceClient.Phase.FOLLOWING) {
       exchange.reply(503, null, 1);
--- a/src/main/java/wickdrift/coordination/Zones.java
+++ b/src/main/java/wickdrift/coordination/ZoneHealth.java
@@ -11,8 +11,8 @@
  * machine rented there can't be used, while the tasks there may keep running, since a controller in
  * that zone continues to answer its workers.
  */
-public final class Zones {
-  private static final Logger LOG = LoggerFactory.getLogger(Zones.class);
+public final class ZoneHealth {
+  private static final Logger LOG = LoggerFactory.getLogger(ZoneHealth.class);
 
   /** Two machines of a zone may have failed independently. */
   private static final int MIN_SILENT_MACHINES = 3;
@@ -55,7 +55,7 @@
    *
    * @param reportsOverdueMs a zone without any report for longer than this may be unreachable
    */
-  public Zones(long reportsOverdueMs) {
+  public ZoneHealth(long reportsOverdueMs) {
     this.reportsOverdueMs = reportsOverdueMs;
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** Notes that a worker of the zone has reported, to this node or to its owner. */
-  void heard(String name, long nowMs) {
+  void reportReceived(String name, long nowMs) {
     Zone zone = getOrCreateZone(name);
     zone.lastReportMs = nowMs;
     if (zone.reachability == Reachability.UNREACHABLE) {
@@ -76,12 +76,12 @@
   }
 
   /** Counts a machine of this node in the zone whose reports are overdue. */
-  void silent(String name) {
+  void addSilentMachine(String name) {
     getOrCreateZone(name).silentCount++;
   }
 
   /** Counts a machine in the zone that is recorded as up, or as lost by its owner. */
-  void recorded(String name, boolean isLost) {
+  void addRecordedMachine(String name, boolean isLost) {
     Zone zone = getOrCreateZone(name);
     zone.lostCount += isLost ? 1 : 0;
     zone.upCount += isLost ? 0 : 1;
@@ -94,7 +94,7 @@
    *
    * @param listeningSinceMs since when this process has received reports without a pause
    */
-  void judge(long listeningSinceMs, long nowMs) {
+  void evaluate(long listeningSinceMs, long nowMs) {
     // If no zone reports, it is this node that is cut off from the workers.
     boolean anyZoneReports =
         zones.values().stream().anyMatch(zone -> nowMs - zone.lastReportMs < reportsOverdueMs);
@@ -128,14 +128,14 @@
    * Whether the zone is unreachable, or was until so recently that not all of its workers have had
    * time to report again.
    */
-  boolean away(String name, long nowMs) {
+  boolean isUnreachableOrRecovering(String name, long nowMs) {
     Zone zone = zones.get(name);
     return zone != null
         && (zone.reachability == Reachability.UNREACHABLE || nowMs < zone.recoveringUntilMs);
   }
 
   /** Whether the zone is unreachable. */
-  boolean dark(String name) {
+  boolean isUnreachable(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.reachability == Reachability.UNREACHABLE;
   }
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -23,7 +23,7 @@
 import wickdrift.coordination.MachineTypes;
 import wickdrift.coordination.WithdrawalConfirmations;
 import wickdrift.coordination.WorkerLinks;
-import wickdrift.coordination.Zones;
+import wickdrift.coordination.ZoneHealth;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MalformedMessages;
@@ -136,7 +136,7 @@
     pipeline =
         new TransactionPipeline(
             timers, stateService, tables, scheduling, types, membership, tuning, settings);
-    Zones zones = new Zones(tuning.quietMs());
+    ZoneHealth zones = new ZoneHealth(tuning.quietMs());
     WorkerLinks links = new WorkerLinks(timers);
     reportHandler =
         new ReportHandler(
--- a/src/test/java/wickdrift/coordination/ZonesTest.java
+++ b/src/test/java/wickdrift/coordination/ZoneHealthTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A zone that is cut off is told from machines that died, and from our own being cut off. */
-class ZonesTest {
+class ZoneHealthTest {
   private static final long QUIET = 1000;
   private static final long NOW = 100_000;
 
@@ -27,37 +27,37 @@
   })
   void aZoneIsDark(
       long heard, int silent, int up, int lost, long listening, long elsewhereAgo, String what) {
-    Zones z = new Zones(QUIET);
+    ZoneHealth z = new ZoneHealth(QUIET);
     if (heard > 0) {
-      z.heard("a", heard);
+      z.reportReceived("a", heard);
     }
     if (elsewhereAgo >= 0) {
-      z.heard("b", NOW - elsewhereAgo);
+      z.reportReceived("b", NOW - elsewhereAgo);
     }
     for (int i = 0; i < silent; i++) {
-      z.silent("a");
+      z.addSilentMachine("a");
     }
     for (int i = 0; i < up + lost; i++) {
-      z.recorded("a", i < lost);
+      z.addRecordedMachine("a", i < lost);
     }
-    z.judge(listening, NOW);
-    assertEquals(what.endsWith("true"), z.dark("a"));
-    assertFalse(z.dark("b"));
+    z.evaluate(listening, NOW);
+    assertEquals(what.endsWith("true"), z.isUnreachable("a"));
+    assertFalse(z.isUnreachable("b"));
   }
 
   /** What is still recorded as silent when the first reports is not given up for that. */
   @Test
   void aZoneThatIsBackHasTimeToReport() {
-    Zones z = new Zones(QUIET);
-    z.heard("b", NOW);
+    ZoneHealth z = new ZoneHealth(QUIET);
+    z.reportReceived("b", NOW);
     for (int i = 0; i < 3; i++) {
-      z.silent("a");
+      z.addSilentMachine("a");
     }
-    z.judge(0, NOW);
-    assertTrue(z.dark("a") && z.away("a", NOW + 50_000));
-    z.heard("a", NOW + 60_000);
-    assertFalse(z.dark("a"));
-    assertTrue(z.away("a", NOW + 61_000));
-    assertFalse(z.away("a", NOW + 62_001));
+    z.evaluate(0, NOW);
+    assertTrue(z.isUnreachable("a") && z.isUnreachableOrRecovering("a", NOW + 50_000));
+    z.reportReceived("a", NOW + 60_000);
+    assertFalse(z.isUnreachable("a"));
+    assertTrue(z.isUnreachableOrRecovering("a", NOW + 61_000));
+    assertFalse(z.isUnreachableOrRecovering("a", NOW + 62_001));
   }
 }
