--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -76,7 +76,7 @@
     }
     nextUpdateMs = now + UPDATE_INTERVAL_MS;
     List<Job> gangs = waitingGangs(transaction);
-    FleetSize fleetSize = gangs.isEmpty() ? null : new FleetSize(tables, types);
+    TotalCapacity fleetSize = gangs.isEmpty() ? null : new TotalCapacity(tables, types);
     Map<String, Job> startable = startableGangs(gangs, fleetSize, quota);
     machinesByGang.keySet().retainAll(startable.keySet());
     for (List<Machine> machines : machinesByGang.values()) {
@@ -130,11 +130,11 @@
    * fleet is too small even if all other tasks were preempted.
    */
   private static Map<String, Job> startableGangs(
-      List<Job> gangs, FleetSize fleetSize, Quota quota) {
+      List<Job> gangs, TotalCapacity fleetSize, Quota quota) {
     Quota.Remainder remainder = quota.new Remainder();
     Map<String, Job> startable = new LinkedHashMap<>();
     for (Job job : gangs) {
-      boolean enoughMachines = fleetSize.holds(job.spec(), job.waitingCount());
+      boolean enoughMachines = fleetSize.canHold(job.spec(), job.waitingCount());
       if (enoughMachines
           && (remainder.tryAllocate(job.spec(), job.waitingCount()) || quota.isHeldFor(job))) {
         startable.put(job.id(), job);
@@ -152,7 +152,7 @@
   }
 
   /** Reserves machines for a gang until it has enough or the limit is reached. */
-  private void reserveMachines(Job job, FleetSize fleetSize, Set<Machine> reserved, long now) {
+  private void reserveMachines(Job job, TotalCapacity fleetSize, Set<Machine> reserved, long now) {
     List<Machine> ownMachines = machinesByGang.computeIfAbsent(job.id(), k -> new ArrayList<>());
     while (ownMachines.size() < job.waitingCount() && reserved.size() < maxReservations()) {
       boolean oneZone = job.spec().oneZone();
@@ -163,7 +163,7 @@
           group ->
               zone != null
                   ? zone.equals(group.zone)
-                  : !oneZone || fleetSize.holds(job.spec(), group.zone, job.waitingCount()),
+                  : !oneZone || fleetSize.canHold(job.spec(), group.zone, job.waitingCount()),
           capacity -> {
             if (!reserved.contains(capacity.machine())) {
               earliest.consider(capacity.machine());
--- a/src/main/java/wickdrift/coordination/FleetSize.java
+++ b/src/main/java/wickdrift/coordination/TotalCapacity.java
@@ -10,14 +10,14 @@
  * The total capacity of all machines that are up, whatever runs on them: what a gang could use if
  * all other tasks were preempted. The machines are counted once, for checks of many gangs.
  */
-final class FleetSize {
+final class TotalCapacity {
   /** Machines of one kind have the same capacity and can be used by the same jobs. */
   private record MachineKind(String type, String zone, boolean spot) {}
 
   private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
   private final MachineTypes types;
 
-  FleetSize(Tables tables, MachineTypes types) {
+  TotalCapacity(Tables tables, MachineTypes types) {
     this.types = types;
     for (Machine machine : tables.machines()) {
       Machine.Info info = machine.info();
@@ -29,7 +29,7 @@
   }
 
   /** Whether the machines of a zone, if empty, could run so many tasks at once. */
-  boolean holds(JobSpec spec, String zone, int tasks) {
+  boolean canHold(JobSpec spec, String zone, int tasks) {
     long capacity = 0;
     for (Map.Entry<MachineKind, Integer> entry : machineCounts.entrySet()) {
       if (entry.getKey().zone.equals(zone)) {
@@ -43,7 +43,7 @@
    * Whether the machines of all zones, if empty, could run so many tasks at once. If the job must
    * stay in one zone, the machines of a single zone must be able to.
    */
-  boolean holds(JobSpec spec, int tasks) {
+  boolean canHold(JobSpec spec, int tasks) {
     Map<String, Long> byZone = new HashMap<>();
     machineCounts.forEach(
         (kind, n) -> byZone.merge(kind.zone, taskCapacity(spec, kind, n), Long::sum));
