--- a/src/main/java/wickdrift/coordination/Fleet.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -34,8 +34,8 @@
  * fit on no machine, deletes idle, lost and failed machines, and reconciles the tables with the
  * cloud's list of machines.
  */
-public final class Fleet {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class FleetManager {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
   private static final long TICK_INTERVAL_MS = 500;
   private static final long STATUS_LOG_INTERVAL_MS = 10_000;
   private static final long CLOUD_CALL_TIMEOUT_MS = 4000;
@@ -115,7 +115,7 @@
   private long lastStatusLogMs;
 
   /** Creates a fleet that does nothing until it is started and this node is the leader. */
-  public Fleet(
+  public FleetManager(
       Timers timers,
       Caller caller,
       StateServiceClient stateService,
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -12,7 +12,7 @@
 import wickdrift.bookkeeping.level.Gate;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.coordination.Admission;
-import wickdrift.coordination.Fleet;
+import wickdrift.coordination.FleetManager;
 import wickdrift.coordination.Membership;
 import wickdrift.coordination.PauseDetector;
 import wickdrift.coordination.ReportHandler;
@@ -60,7 +60,7 @@
   private final ReportHandler reportHandler;
   private final WithdrawalConfirmations confirmations;
   private final Admission admission;
-  private final Fleet fleet;
+  private final FleetManager fleet;
   private final Metrics metrics;
   private long unknownFrameCount;
   private final MalformedMessages malformedMessages = new MalformedMessages();
@@ -172,7 +172,7 @@
             confirmations);
     admission.refuseSubmissionsWhen(membership::isLeaving);
     fleet =
-        new Fleet(
+        new FleetManager(
             timers,
             caller,
             stateService,
