--- a/src/main/java/wickdrift/coordination/FleetManager.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -368,13 +368,13 @@
 
   /**
    * Schedules the machines of withdrawn jobs for deletion if the end of the tasks is not proven
-   * {@link Tuning#overdueMs} after the withdrawal. Such a machine is unreachable from here, but its
+   * {@link Tuning#withdrawalOverdueMs} after the withdrawal. Such a machine is unreachable from here, but its
    * tasks may still run, since a controller that is isolated in the same zone continues to answer
    * its workers. Only the cloud can then end the tasks in time.
    */
   private void scheduleOverdueWithdrawalDeletions(long nowWallMs) {
     for (Job job : scheduling.withdrawnRunningJobs()) {
-      if (job.withdrawnWallMs() == 0 || nowWallMs - job.withdrawnWallMs() < tuning.overdueMs()) {
+      if (job.withdrawnWallMs() == 0 || nowWallMs - job.withdrawnWallMs() < tuning.withdrawalOverdueMs()) {
         continue;
       }
       for (Machine machine : job.machines()) {
@@ -465,12 +465,12 @@
   private long lostRetentionMs(String zone) {
     boolean mayStillRunTasks =
         zones.isUnreachableOrRecovering(zone, timers.nowMs()) && settings.controllerZones().contains(zone);
-    return mayStillRunTasks ? tuning.graceMs() : tuning.lostMs();
+    return mayStillRunTasks ? tuning.leaseGraceMs() : tuning.lostTimeoutMs();
   }
 
   /** Whether this node has been leader long enough for all machines that are up to report. */
   private boolean isSettled() {
-    return timers.nowMs() - leaderSinceMs >= tuning.settleMs();
+    return timers.nowMs() - leaderSinceMs >= tuning.takeoverSettleMs();
   }
 
   /** Drains idle machines that no waiting job can use, except for the configured spares. */
@@ -516,10 +516,10 @@
     }
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait") && objective.withinS() < maxBootS) {
-        return Math.max(tuning.idleMs(), (long) (tuning.idleBootsWait() * maxBootS * 1000));
+        return Math.max(tuning.idleTimeoutMs(), (long) (tuning.idleTimeoutBootFactor() * maxBootS * 1000));
       }
     }
-    return tuning.idleMs();
+    return tuning.idleTimeoutMs();
   }
 
   /**
@@ -634,13 +634,13 @@
     long nowWallMs = timers.wallMs();
     int removable =
         Math.max(
-            MIN_REPLACEABLE_OVERDUE_BOOTS, (int) (freeCapacities.size() * tuning.overdueShare()));
+            MIN_REPLACEABLE_OVERDUE_BOOTS, (int) (freeCapacities.size() * tuning.maxOverdueBootShare()));
     for (Iterator<FreeCapacity> it = freeCapacities.iterator(); it.hasNext() && removable > 0; ) {
       FreeCapacity capacity = it.next();
       Machine.Info info = capacity.machine().info();
       if (info.phase() == Machine.Phase.BOOTING
           && nowWallMs - info.phaseSinceWallMs()
-              > capacity.type().bootS() * 1000 * tuning.overdueBoots()) {
+              > capacity.type().bootS() * 1000 * tuning.bootOverdueFactor()) {
         it.remove();
         removable--;
       }
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -115,7 +115,7 @@
     double totalMachines = capacityIndex.countCapableMachines(spec);
     double machinesPerPartition = totalMachines / view.members().size();
     double wantedMachines = spec.tasks() * largestMachineShare(spec);
-    return totalMachines > 0 && wantedMachines > tuning.largeShare() * machinesPerPartition
+    return totalMachines > 0 && wantedMachines > tuning.largeJobShare() * machinesPerPartition
         ? Job.LEADER_PARTITION
         : best;
   }
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -54,7 +54,7 @@
     this.confirmations = confirmations;
     this.tuning = tuning;
     double readsPerSecond = settings.stateLimits().rps() / (settings.peers().size() + 1);
-    this.readBudget = new TokenBucket(readsPerSecond * tuning.lookUpShare(), timers.nowMs());
+    this.readBudget = new TokenBucket(readsPerSecond * tuning.statusReadShare(), timers.nowMs());
   }
 
   /** Returns the number of requests that were answered 503 because of load or the read budget. */
@@ -68,7 +68,7 @@
    * event loop.
    */
   void poll(Exchange exchange, String jobId) {
-    if (pauseDetector.timerDelayMs() > tuning.busyMs() && tables.terminalState(jobId) == null) {
+    if (pauseDetector.timerDelayMs() > tuning.statusSheddingDelayMs() && tables.terminalState(jobId) == null) {
       shedCount++;
       UserRequests.replyTryAgain(exchange);
     } else {
--- a/src/main/java/wickdrift/coordination/LogCompaction.java
+++ b/src/main/java/wickdrift/coordination/LogCompaction.java
@@ -69,7 +69,7 @@
       var pages = tables.logPages(logNode);
       // This node's log keeps its newest pages: jobs that end before their page becomes the oldest
       // need no compaction.
-      int pagesToKeep = logNode.equals(node) ? tuning.logPages() : 0;
+      int pagesToKeep = logNode.equals(node) ? tuning.maxLogPages() : 0;
       if (pages.size() > (builder.isEmpty() ? pagesToKeep : 2 * pagesToKeep)) {
         compactPage(builder, pages.firstEntry().getValue());
       }
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -102,14 +102,14 @@
     // A view change does not reset the silence of a machine that this node owned before: with a
     // view change every few seconds no machine would ever be found silent.
     long silentMs = now - Math.max(machine.silentSinceMs(), pauseDetector.uninterruptedSinceMs());
-    if (known && silentMs > tuning.quietMs()) {
+    if (known && silentMs > tuning.reportsOverdueMs()) {
       machine.markReportsOverdue();
       zones.addSilentMachine(machine.info().zone());
     }
     boolean unreachable =
         machine.unreachableForCommandsSinceMs() > 0
-            && now - machine.unreachableForCommandsSinceMs() > tuning.lostMs();
-    if (up && (unreachable || silentMs > tuning.lostMs()) && !pipeline.hasPendingRecord(machine)) {
+            && now - machine.unreachableForCommandsSinceMs() > tuning.lostTimeoutMs();
+    if (up && (unreachable || silentMs > tuning.lostTimeoutMs()) && !pipeline.hasPendingRecord(machine)) {
       LOG.info(
           "machine lost: name={}, reason={}",
           machine.name(),
@@ -121,7 +121,7 @@
 
   private void checkLease(Machine machine, View view, long now) {
     long lastRenewalMs = machine.latestLeaseRenewalMs();
-    if (!machine.slots().isEmpty() && lastRenewalMs > 0 && now - lastRenewalMs > tuning.lapseMs()) {
+    if (!machine.slots().isEmpty() && lastRenewalMs > 0 && now - lastRenewalMs > tuning.workerLeaseExpiryMs()) {
       // No controller can have renewed the worker's lease since then, so the worker has killed all
       // its tasks.
       links.recordEvent(
@@ -162,6 +162,6 @@
         return true;
       }
     }
-    return commands.isClearOverdue(epoch, tuning.lapseMs(), now);
+    return commands.isClearOverdue(epoch, tuning.workerLeaseExpiryMs(), now);
   }
 }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -170,7 +170,7 @@
     if (now < leaseDeadlineMs && caughtUp) {
       return Status.MEMBER;
     }
-    return now < leaseDeadlineMs + tuning.graceMs() ? Status.GRACE : Status.OUTSIDE;
+    return now < leaseDeadlineMs + tuning.leaseGraceMs() ? Status.GRACE : Status.OUTSIDE;
   }
 
   /**
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -158,7 +158,7 @@
         if (skippedViews || !ownedInPreviousView(machine)) {
           // The previous owner may go on answering the worker for as long as the grace period
           // allows.
-          machine.resetReports(viewStartedMs + tuning.graceMs(), viewStartedMs);
+          machine.resetReports(viewStartedMs + tuning.leaseGraceMs(), viewStartedMs);
           links.forgetRuns(machine);
         }
         if (machine.report() == null && machine.phase() == Machine.Phase.UP) {
@@ -176,10 +176,10 @@
     // reported, so a node that already had a partition goes on placing on it. A node that had no
     // partition waits, and so does a new leader with the leader's placements.
     if (ownedNothing) {
-      pipeline.holdPlacementsUntil(viewStartedMs + tuning.settleMs());
+      pipeline.holdPlacementsUntil(viewStartedMs + tuning.takeoverSettleMs());
     }
     if (becameLeader) {
-      pipeline.holdLeaderPlacementsUntil(viewStartedMs + tuning.settleMs());
+      pipeline.holdLeaderPlacementsUntil(viewStartedMs + tuning.takeoverSettleMs());
     }
   }
 
@@ -411,7 +411,7 @@
       TaskAttempt attempt = new TaskAttempt(entry.task(), entry.attempt());
       boolean exited = entry.phase() == Report.Phase.EXITED;
       boolean mayStartAgain = exited && commands.gangWaitRestarts(attempt) > 0;
-      boolean mayOutlastCancellation = !tuning.leaseEndsInTime() && !exited;
+      boolean mayOutlastCancellation = !tuning.leaseExpiresBeforeCancelDeadline() && !exited;
       if (entry.job().equals(job)
           && (entry.phase() == Report.Phase.FETCHING || mayStartAgain || mayOutlastCancellation)) {
         return Verdict.ANSWER_UNDER_WAY;
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -85,7 +85,7 @@
     Set<Machine> reserved = new HashSet<>();
     machinesByGang.values().forEach(reserved::addAll);
     for (Job job : startable.values()) {
-      if (now - job.waitingSinceMs(now) >= tuning.markWaitMs()) {
+      if (now - job.waitingSinceMs(now) >= tuning.reservationDelayMs()) {
         reserveMachines(job, fleetSize, reserved, now);
       }
     }
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -323,7 +323,7 @@
    * have lost the machines of other zones since the job was routed to it.
    */
   private boolean shouldHandOver(TransactionBuilder transaction, Job job, long now) {
-    if (now - job.waitingSinceMs(now) < tuning.handoverMs()) {
+    if (now - job.waitingSinceMs(now) < tuning.handoverDelayMs()) {
       return false;
     }
     Map<String, Integer> liveByZone = liveTasksByZone(transaction, job);
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -347,7 +347,7 @@
     // The builder is limited to what the write budget allows. A transaction that the budget refuses
     // would be built again and again, and everything in it would wait.
     int maxChanges = stateService.limits().maxTransactionChanges();
-    int pageBytes = Math.min(tuning.logPageBytes(), stateService.limits().targetValueBytes());
+    int pageBytes = Math.min(tuning.maxLogPageBytes(), stateService.limits().targetValueBytes());
     int affordableChanges = stateService.affordableChanges(maxChanges);
     if (affordableChanges < Math.min(maxChanges, Math.max(MIN_CHANGES, requestedChanges))) {
       cyclesWithoutBudget++;
--- a/src/main/java/wickdrift/coordination/Tuning.java
+++ b/src/main/java/wickdrift/coordination/Tuning.java
@@ -7,67 +7,67 @@
  * file where they depend on the deployment.
  *
  * @param memberLeaseMs lease of a controller's membership
- * @param stillMs a gap between events that is longer than this is a pause of the process
- * @param busyMs status requests are shed while timers are late by more than this
- * @param lookUpShare share of a controller's request rate at the state service for status requests
- * @param graceMs how long a controller whose lease has expired continues to answer its workers
- * @param quietMs without a report for longer than this, the reports of a machine are overdue
- * @param lostMs a machine without reports, or unreachable for commands, for longer than this is
+ * @param pauseThresholdMs a gap between events that is longer than this is a pause of the process
+ * @param statusSheddingDelayMs status requests are shed while timers are late by more than this
+ * @param statusReadShare share of a controller's request rate at the state service for status requests
+ * @param leaseGraceMs how long a controller whose lease has expired continues to answer its workers
+ * @param reportsOverdueMs without a report for longer than this, the reports of a machine are overdue
+ * @param lostTimeoutMs a machine without reports, or unreachable for commands, for longer than this is
  *     recorded as lost
- * @param lapseMs time after the last renewal by which a worker's lease has certainly expired
- * @param leaseEndsInTime whether a worker's lease that is not renewed expires before the deadline
+ * @param workerLeaseExpiryMs time after the last renewal by which a worker's lease has certainly expired
+ * @param leaseExpiresBeforeCancelDeadline whether a worker's lease that is not renewed expires before the deadline
  *     by which the tasks of a cancelled job must have ended
- * @param overdueMs time after a withdrawal at which the machines of tasks that have not provably
+ * @param withdrawalOverdueMs time after a withdrawal at which the machines of tasks that have not provably
  *     ended are deleted
- * @param settleMs time for the reports of all machines to arrive after a controller takes over
+ * @param takeoverSettleMs time for the reports of all machines to arrive after a controller takes over
  *     machines or the leadership
- * @param handoverMs how long a job waits in a partition without free capacity for it before it is
+ * @param handoverDelayMs how long a job waits in a partition without free capacity for it before it is
  *     handed over to the leader
- * @param markWaitMs how long a gang waits before machines are reserved for it
- * @param preemptLowMs how long a job waits before it preempts tasks of the lowest priority
- * @param preemptMs how long a job waits at least before it preempts other tasks, unless an
+ * @param reservationDelayMs how long a gang waits before machines are reserved for it
+ * @param lowPriorityPreemptionDelayMs how long a job waits before it preempts tasks of the lowest priority
+ * @param preemptionDelayMs how long a job waits at least before it preempts other tasks, unless an
  *     objective demands an earlier start
- * @param preemptShare share of an objective's time after which a job preempts other tasks, where a
+ * @param preemptionObjectiveShare share of an objective's time after which a job preempts other tasks, where a
  *     rented machine would come too late
- * @param preemptBoots how long a job waits for a rented machine before it preempts other tasks, as
+ * @param preemptionBootFactor how long a job waits for a rented machine before it preempts other tasks, as
  *     a multiple of the boot time
- * @param idleMs how long an idle machine is kept
- * @param idleBootsWait how long an idle machine is kept, as a multiple of the boot time, if an
+ * @param idleTimeoutMs how long an idle machine is kept
+ * @param idleTimeoutBootFactor how long an idle machine is kept, as a multiple of the boot time, if an
  *     objective demands a start sooner than a machine boots
- * @param overdueBoots a boot that takes longer than this multiple of the boot time is overdue
- * @param overdueShare share of the machines that are replaced at most because their boot is overdue
- * @param largeShare a job that needs more than this share of a partition's machines is assigned to
+ * @param bootOverdueFactor a boot that takes longer than this multiple of the boot time is overdue
+ * @param maxOverdueBootShare share of the machines that are replaced at most because their boot is overdue
+ * @param largeJobShare a job that needs more than this share of a partition's machines is assigned to
  *     the leader
  * @param spareMachines number of idle machines that are always kept
- * @param logPages number of pages of a controller's own log that compaction keeps
- * @param logPageBytes largest size of a page of the log
+ * @param maxLogPages number of pages of a controller's own log that compaction keeps
+ * @param maxLogPageBytes largest size of a page of the log
  */
 public record Tuning(
     long memberLeaseMs,
-    long stillMs,
-    long busyMs,
-    double lookUpShare,
-    long graceMs,
-    long quietMs,
-    long lostMs,
-    long lapseMs,
-    boolean leaseEndsInTime,
-    long overdueMs,
-    long settleMs,
-    long handoverMs,
-    long markWaitMs,
-    long preemptLowMs,
-    long preemptMs,
-    double preemptShare,
-    double preemptBoots,
-    long idleMs,
-    double idleBootsWait,
-    double overdueBoots,
-    double overdueShare,
-    double largeShare,
+    long pauseThresholdMs,
+    long statusSheddingDelayMs,
+    double statusReadShare,
+    long leaseGraceMs,
+    long reportsOverdueMs,
+    long lostTimeoutMs,
+    long workerLeaseExpiryMs,
+    boolean leaseExpiresBeforeCancelDeadline,
+    long withdrawalOverdueMs,
+    long takeoverSettleMs,
+    long handoverDelayMs,
+    long reservationDelayMs,
+    long lowPriorityPreemptionDelayMs,
+    long preemptionDelayMs,
+    double preemptionObjectiveShare,
+    double preemptionBootFactor,
+    long idleTimeoutMs,
+    double idleTimeoutBootFactor,
+    double bootOverdueFactor,
+    double maxOverdueBootShare,
+    double largeJobShare,
     int spareMachines,
-    int logPages,
-    int logPageBytes) {
+    int maxLogPages,
+    int maxLogPageBytes) {
 
   /** Clocks drift by at most 0.05%. This is doubled, since two clocks measure a lease. */
   private static final double MAX_CLOCK_DRIFT = 0.001;
@@ -116,30 +116,30 @@
   }
 
   /** Returns a copy with other limits for a controller's log. */
-  public Tuning withLog(int pages, int pageBytes) {
+  public Tuning withLogSize(int pages, int pageBytes) {
     return new Tuning(
         memberLeaseMs,
-        stillMs,
-        busyMs,
-        lookUpShare,
-        graceMs,
-        quietMs,
-        lostMs,
-        lapseMs,
-        leaseEndsInTime,
-        overdueMs,
-        settleMs,
-        handoverMs,
-        markWaitMs,
-        preemptLowMs,
-        preemptMs,
-        preemptShare,
-        preemptBoots,
-        idleMs,
-        idleBootsWait,
-        overdueBoots,
-        overdueShare,
-        largeShare,
+        pauseThresholdMs,
+        statusSheddingDelayMs,
+        statusReadShare,
+        leaseGraceMs,
+        reportsOverdueMs,
+        lostTimeoutMs,
+        workerLeaseExpiryMs,
+        leaseExpiresBeforeCancelDeadline,
+        withdrawalOverdueMs,
+        takeoverSettleMs,
+        handoverDelayMs,
+        reservationDelayMs,
+        lowPriorityPreemptionDelayMs,
+        preemptionDelayMs,
+        preemptionObjectiveShare,
+        preemptionBootFactor,
+        idleTimeoutMs,
+        idleTimeoutBootFactor,
+        bootOverdueFactor,
+        maxOverdueBootShare,
+        largeJobShare,
         spareMachines,
         pages,
         pageBytes);
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -101,7 +101,7 @@
       Metrics metrics,
       LevelRange levels) {
     this.metrics = metrics;
-    pauseDetector = new PauseDetector(unmonitoredTimers, tuning.stillMs());
+    pauseDetector = new PauseDetector(unmonitoredTimers, tuning.pauseThresholdMs());
     Timers timers = pauseDetector.monitoredTimers();
     Caller caller =
         (address, method, path, body, timeoutMs, done) ->
@@ -136,7 +136,7 @@
     pipeline =
         new TransactionPipeline(
             timers, stateService, tables, scheduling, types, membership, tuning, settings);
-    ZoneHealth zones = new ZoneHealth(tuning.quietMs());
+    ZoneHealth zones = new ZoneHealth(tuning.reportsOverdueMs());
     WorkerLinks links = new WorkerLinks(timers);
     reportHandler =
         new ReportHandler(
--- a/src/test/java/wickdrift/sim/SimSetup.java
+++ b/src/test/java/wickdrift/sim/SimSetup.java
@@ -14,7 +14,7 @@
   private double cancelS = 36;
   private double leaseS = 16;
   private double reportS = 2.5;
-  private UnaryOperator<Tuning> tuning = t -> t.withLog(2, 900);
+  private UnaryOperator<Tuning> tuning = t -> t.withLogSize(2, 900);
   private int txnOps;
   private double writeRps = SimState.WRITES;
 
