--- a/src/main/java/wickdrift/coordination/FleetManager.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -144,7 +144,7 @@
     this.pauseDetector = pauseDetector;
     this.zones = zones;
     this.malformedMessages = malformedMessages;
-    this.cloudCallBudget = new TokenBucket(settings.cloudLimits().rps() * 0.8, timers.nowMs());
+    this.cloudCallBudget = new TokenBucket(settings.cloudLimits().maxRequestsPerSecond() * 0.8, timers.nowMs());
   }
 
   /** Starts the periodic check of the machines. */
@@ -220,7 +220,7 @@
     typesRequestInProgress = true;
     lastTypesRequestMs = timers.nowMs();
     caller.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "GET",
         "/flavors",
         null,
@@ -262,7 +262,7 @@
             + MACHINES_PER_LIST_PAGE
             + (startAfter.isEmpty() ? "" : "&from=" + startAfter);
     caller.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "GET",
         path,
         null,
@@ -433,7 +433,7 @@
     }
     deletionInProgress = true;
     caller.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "POST",
         "/hosts/delete",
         MessageCodec.encode(Map.of("hosts", names)),
@@ -719,7 +719,7 @@
       return;
     }
     caller.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "POST",
         "/hosts",
         MessageCodec.encode(
@@ -906,8 +906,8 @@
     /** Returns what a team may use beyond its present usage; infinite where it has no limit. */
     private static QuotaShare remainingQuota(Settings.Team team, QuotaShare used) {
       return new QuotaShare(
-          team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.POSITIVE_INFINITY,
-          team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.POSITIVE_INFINITY);
+          team.maxCpus() > 0 ? team.maxCpus() - used.cpus() : Double.POSITIVE_INFINITY,
+          team.maxGpus() > 0 ? team.maxGpus() - used.gpus() : Double.POSITIVE_INFINITY);
     }
   }
 }
--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -68,7 +68,7 @@
 
     /** Whether the team has a guarantee for any resource. */
     boolean hasGuarantee() {
-      return settings.cpus() > 0 || settings.gpus() > 0;
+      return settings.guaranteedCpus() > 0 || settings.guaranteedGpus() > 0;
     }
 
     /**
@@ -76,8 +76,8 @@
      * resource.
      */
     boolean covers(double neededCpus, double neededGpus) {
-      return (settings.cpus() == 0 || neededCpus <= settings.cpus() + FreeCapacity.EPS)
-          && (settings.gpus() == 0 || neededGpus <= settings.gpus() + FreeCapacity.EPS);
+      return (settings.guaranteedCpus() == 0 || neededCpus <= settings.guaranteedCpus() + FreeCapacity.EPS)
+          && (settings.guaranteedGpus() == 0 || neededGpus <= settings.guaranteedGpus() + FreeCapacity.EPS);
     }
   }
 
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -45,8 +45,8 @@
         && (spec.oneZone() || spec.zone() != null || countEligibleZones(spec) < 2)) {
       return "its tasks must be in several zones, and may be in one only";
     }
-    if (team.cpusMax() > 0 && tasksAtOnce * spec.cpus() > team.cpusMax() + FreeCapacity.EPS
-        || team.gpusMax() > 0 && tasksAtOnce * spec.gpus() > team.gpusMax() + FreeCapacity.EPS) {
+    if (team.maxCpus() > 0 && tasksAtOnce * spec.cpus() > team.maxCpus() + FreeCapacity.EPS
+        || team.maxGpus() > 0 && tasksAtOnce * spec.gpus() > team.maxGpus() + FreeCapacity.EPS) {
       return "more than the team's limit";
     }
     return null;
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -64,7 +64,7 @@
     this.tables = tables;
     this.node = settings.node();
     for (Settings.Team t : settings.teams()) {
-      if (t.cpusMax() > 0 || t.gpusMax() > 0) {
+      if (t.maxCpus() > 0 || t.maxGpus() > 0) {
         limitedTeams.put(t.name(), t);
       }
     }
@@ -94,7 +94,7 @@
   private static QuotaShare initialShare(NodeRegistry registry, Settings.Team team, String owner) {
     double initialNodeCount = registry.initialNames().size();
     return registry.initialNames().contains(owner)
-        ? new QuotaShare(team.cpusMax() / initialNodeCount, team.gpusMax() / initialNodeCount)
+        ? new QuotaShare(team.maxCpus() / initialNodeCount, team.maxGpus() / initialNodeCount)
         : QuotaShare.NONE;
   }
 
@@ -107,7 +107,7 @@
     Map<String, QuotaShare> differences = new LinkedHashMap<>();
     for (Settings.Team team : settings.teams()) {
       QuotaShare share = partition.quotaShares().get(team.name());
-      if (share != null && (team.cpusMax() > 0 || team.gpusMax() > 0)) {
+      if (share != null && (team.maxCpus() > 0 || team.maxGpus() > 0)) {
         differences.put(team.name(), share.minus(initialShare(registry, team, owner)));
       }
     }
@@ -169,7 +169,7 @@
   /** Returns a team's limit. */
   private QuotaShare limit(String team) {
     Settings.Team teamSettings = limitedTeams.get(team);
-    return new QuotaShare(teamSettings.cpusMax(), teamSettings.gpusMax());
+    return new QuotaShare(teamSettings.maxCpus(), teamSettings.maxGpus());
   }
 
   /**
@@ -242,8 +242,8 @@
    * limited.
    */
   private static boolean covers(Settings.Team team, QuotaShare remaining, QuotaShare demand) {
-    return (team.cpusMax() == 0 || demand.cpus() <= remaining.cpus() + FreeCapacity.EPS)
-        && (team.gpusMax() == 0 || demand.gpus() <= remaining.gpus() + FreeCapacity.EPS);
+    return (team.maxCpus() == 0 || demand.cpus() <= remaining.cpus() + FreeCapacity.EPS)
+        && (team.maxGpus() == 0 || demand.gpus() <= remaining.gpus() + FreeCapacity.EPS);
   }
 
   /** Counts one task against this node's share for the current round. */
--- a/src/main/java/wickdrift/coordination/Tuning.java
+++ b/src/main/java/wickdrift/coordination/Tuning.java
@@ -78,8 +78,8 @@
   /** Returns the defaults for a deployment. */
   public static Tuning defaults(Settings settings) {
     long leaseMs = (long) (settings.workers().leaseS() * 1000);
-    double cancelMs = settings.workers().cancelS() * 1000;
-    long reportMs = (long) (settings.workers().reportS() * 1000);
+    double cancelMs = settings.workers().cancelDeadlineS() * 1000;
+    long reportMs = (long) (settings.workers().reportIntervalS() * 1000);
     return new Tuning(
         MEMBER_LEASE_MS,
         // A process on a fraction of a core is occasionally late by some hundred milliseconds,
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -125,7 +125,7 @@
         new StateServiceClient(
             timers,
             caller,
-            settings.state(),
+            settings.stateServiceAddress(),
             limits,
             settings.peers().size() + 1,
             tables,
--- a/src/main/java/wickdrift/daemon/ServeCommand.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -57,7 +57,7 @@
     Settings settings;
     try {
       settings = Settings.load(config);
-    } catch (Settings.Invalid e) {
+    } catch (Settings.InvalidSettingsException e) {
       System.err.println("wickdrift: " + e.getMessage());
       return EXIT_BAD_SETTINGS;
     }
@@ -67,7 +67,7 @@
     // a reserve.
     HttpClient client =
         new HttpClient(
-            loop.group(), settings.sockets() / 4, Set.of(settings.state(), settings.cloud()));
+            loop.group(), settings.maxSockets() / 4, Set.of(settings.stateServiceAddress(), settings.cloudAddress()));
     Controller[] controllerHolder = new Controller[1];
     PeerLink link = new PeerLink(loop.group(), frame -> controllerHolder[0].peerFrame(frame));
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
@@ -78,16 +78,16 @@
             settings, Tuning.defaults(settings), loop, client, peers, incarnation, new Metrics());
     controllerHolder[0] = controller;
     try {
-      link.listen(HttpClient.parse(settings.back()));
-      new HttpServer(loop.group(), settings.sockets() / 2, controller::handle)
-          .listen(HttpClient.parse(settings.serveOn()));
+      link.listen(HttpClient.parse(settings.peerListenAddress()));
+      new HttpServer(loop.group(), settings.maxSockets() / 2, controller::handle)
+          .listen(HttpClient.parse(settings.listenAddress()));
     } catch (IOException e) {
       System.err.println("wickdrift: " + e.getMessage());
       return EXIT_BAD_SETTINGS;
     }
     loop.run(controller::start);
     Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(loop, controller), "leave"));
-    log.info("controller started: node={}, address={}", settings.node(), settings.serveOn());
+    log.info("controller started: node={}, address={}", settings.node(), settings.listenAddress());
     return KEEP_RUNNING;
   }
 }
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -18,19 +18,19 @@
  * The settings from the platform's settings file. Unknown keys are ignored; an error names the key
  * that is missing or invalid.
  *
- * @param back address for the connections of other controllers
+ * @param peerListenAddress address for the connections of other controllers
  * @param nextLimits announced limits of the state service that will replace {@code stateLimits};
  *     null if none are announced
- * @param sockets number of file descriptors that the process may use
+ * @param maxSockets number of file descriptors that the process may use
  */
 public record Settings(
     String node,
     String zone,
-    String serveOn,
-    String back,
+    String listenAddress,
+    String peerListenAddress,
     List<Peer> peers,
-    String cloud,
-    String state,
+    String cloudAddress,
+    String stateServiceAddress,
     List<String> zones,
     List<Team> teams,
     List<Objective> objectives,
@@ -38,7 +38,7 @@
     StateServiceLimits.Bounds stateLimits,
     StateServiceLimits.Bounds nextLimits,
     CloudLimits cloudLimits,
-    int sockets) {
+    int maxSockets) {
 
   /** Another controller. Its zone is empty if the settings file does not contain it. */
   public record Peer(String node, String zone, String address) {}
@@ -47,17 +47,17 @@
    * A team with its guaranteed resources and its limits. A limit of 0 means that there is no limit,
    * a guarantee of 0 that nothing is guaranteed.
    */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
   /** A service objective for a class of jobs. */
   public record Objective(String kind, String jobClass, double withinS, double share) {}
 
   /** The times of the worker protocol, in seconds. */
   public record Workers(
-      double reportS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {}
+      double reportIntervalS, double leaseS, double gangWaitS, double gangPeerS, double cancelDeadlineS) {}
 
   /** The cloud's limit of requests per second, and the lag of its list of machines in seconds. */
-  public record CloudLimits(double rps, double listLagS) {}
+  public record CloudLimits(double maxRequestsPerSecond, double listLagS) {}
 
   /**
    * A change of the view that admits a controller writes four keys in one transaction: the view,
@@ -69,9 +69,9 @@
   private static final double MIN_VALUE_KB = 1;
 
   /** Invalid settings, with which the service can't start. The message names the key. */
-  public static final class Invalid extends Exception {
+  public static final class InvalidSettingsException extends Exception {
     /** Creates an exception whose message names the setting. */
-    public Invalid(String message) {
+    public InvalidSettingsException(String message) {
       super(message);
     }
   }
@@ -100,20 +100,20 @@
   }
 
   /** Reads the platform's settings file. */
-  public static Settings load(Path file) throws Invalid {
+  public static Settings load(Path file) throws InvalidSettingsException {
     UnmodifiableConfig config;
     try (Reader reader = Files.newBufferedReader(file)) {
       config = new TomlParser().parse(reader);
     } catch (IOException e) {
-      throw new Invalid("cannot read " + file + ": " + e.getMessage());
+      throw new InvalidSettingsException("cannot read " + file + ": " + e.getMessage());
     } catch (ParsingException e) {
-      throw new Invalid(file + " is not TOML: " + e.getMessage());
+      throw new InvalidSettingsException(file + " is not TOML: " + e.getMessage());
     }
     return parse(config);
   }
 
   /** Parses the settings. The exception names the first key that is missing or invalid. */
-  public static Settings parse(UnmodifiableConfig config) throws Invalid {
+  public static Settings parse(UnmodifiableConfig config) throws InvalidSettingsException {
     String node = requiredText(config, "host_name");
     List<Peer> peers = new ArrayList<>();
     for (UnmodifiableConfig peer : tablesOrEmpty(config, "peers")) {
@@ -124,12 +124,12 @@
     Set<String> names = new HashSet<>(List.of(node));
     for (Peer peer : peers) {
       if (!names.add(peer.node())) {
-        throw new Invalid("peers: host_name " + peer.node() + " is used twice");
+        throw new InvalidSettingsException("peers: host_name " + peer.node() + " is used twice");
       }
     }
     long nodeCount = (long) requiredNumber(config, "cluster.nodes");
     if (nodeCount != names.size()) {
-      throw new Invalid(
+      throw new InvalidSettingsException(
           "cluster.nodes is " + nodeCount + ", but host_name and peers name " + names.size());
     }
     List<Team> teams = new ArrayList<>();
@@ -141,9 +141,9 @@
               numberOrDefault(teamTable, "cpus_max", 0),
               numberOrDefault(teamTable, "gpus", 0),
               numberOrDefault(teamTable, "gpus_max", 0));
-      if (team.cpusMax > 0 && team.cpus > team.cpusMax
-          || team.gpusMax > 0 && team.gpus > team.gpusMax) {
-        throw new Invalid("cluster.teams: " + team.name + " is guaranteed more than its limit");
+      if (team.maxCpus > 0 && team.guaranteedCpus > team.maxCpus
+          || team.maxGpus > 0 && team.guaranteedGpus > team.maxGpus) {
+        throw new InvalidSettingsException("cluster.teams: " + team.name + " is guaranteed more than its limit");
       }
       teams.add(team);
     }
@@ -163,15 +163,15 @@
             requiredPositive(config, "cluster.workers.gang_wait_s"),
             requiredPositive(config, "cluster.workers.gang_peer_s"),
             requiredPositive(config, "cluster.workers.cancel_s"));
-    if (workers.leaseS <= workers.reportS) {
-      throw new Invalid("cluster.workers.lease_s is not longer than report_s");
+    if (workers.leaseS <= workers.reportIntervalS) {
+      throw new InvalidSettingsException("cluster.workers.lease_s is not longer than report_s");
     }
     StateServiceLimits.Bounds stateLimits = parseBounds(config, "cluster.state", null);
     StateServiceLimits.Bounds nextLimits = null;
     if (config.get("cluster.state.next") instanceof UnmodifiableConfig) {
       nextLimits = parseBounds(config, "cluster.state.next", stateLimits);
     } else if (config.get("cluster.state.next") != null) {
-      throw new Invalid("cluster.state.next is not a table");
+      throw new InvalidSettingsException("cluster.state.next is not a table");
     }
     return new Settings(
         node,
@@ -199,7 +199,7 @@
    * @param defaults values for missing keys; null if all keys are required
    */
   private static StateServiceLimits.Bounds parseBounds(
-      UnmodifiableConfig config, String key, StateServiceLimits.Bounds defaults) throws Invalid {
+      UnmodifiableConfig config, String key, StateServiceLimits.Bounds defaults) throws InvalidSettingsException {
     boolean allRequired = defaults == null;
     StateServiceLimits.Bounds bounds =
         new StateServiceLimits.Bounds(
@@ -210,47 +210,47 @@
                 positiveOrDefault(
                     config, key + ".txn_ops", allRequired ? null : (double) defaults.txnOps()));
     if (bounds.txnOps() < MIN_TRANSACTION_OPS) {
-      throw new Invalid(
+      throw new InvalidSettingsException(
           key + ".txn_ops is too small to end a job or change a view: " + bounds.txnOps());
     }
     if (bounds.valueKb() < MIN_VALUE_KB) {
-      throw new Invalid(key + ".value_kb is too small to hold a job: " + bounds.valueKb());
+      throw new InvalidSettingsException(key + ".value_kb is too small to hold a job: " + bounds.valueKb());
     }
     return bounds;
   }
 
   private static double positiveOrDefault(
-      UnmodifiableConfig config, String key, Double defaultValue) throws Invalid {
+      UnmodifiableConfig config, String key, Double defaultValue) throws InvalidSettingsException {
     return defaultValue != null && config.get(key) == null
         ? defaultValue
         : requiredPositive(config, key);
   }
 
-  private static String requiredText(UnmodifiableConfig config, String key) throws Invalid {
+  private static String requiredText(UnmodifiableConfig config, String key) throws InvalidSettingsException {
     Object value = config.get(key);
     if (value instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw new Invalid(key + (value == null ? " is missing" : " is not text"));
+    throw new InvalidSettingsException(key + (value == null ? " is missing" : " is not text"));
   }
 
-  private static String requiredAddress(UnmodifiableConfig config, String key) throws Invalid {
+  private static String requiredAddress(UnmodifiableConfig config, String key) throws InvalidSettingsException {
     String address = requiredText(config, key);
     if (!address.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
-      throw new Invalid(key + " is not an address of the form 10.0.0.1:8080");
+      throw new InvalidSettingsException(key + " is not an address of the form 10.0.0.1:8080");
     }
     return address;
   }
 
-  private static double requiredNumber(UnmodifiableConfig config, String key) throws Invalid {
+  private static double requiredNumber(UnmodifiableConfig config, String key) throws InvalidSettingsException {
     if (config.get(key) == null) {
-      throw new Invalid(key + " is missing");
+      throw new InvalidSettingsException(key + " is missing");
     }
     return numberOrDefault(config, key, 0);
   }
 
   private static double numberOrDefault(UnmodifiableConfig config, String key, double defaultValue)
-      throws Invalid {
+      throws InvalidSettingsException {
     Object value = config.get(key);
     if (value == null) {
       return defaultValue;
@@ -258,35 +258,35 @@
     if (value instanceof Number n && n.doubleValue() >= 0 && n.doubleValue() < 1e12) {
       return n.doubleValue();
     }
-    throw new Invalid(key + " is not a number of 0 or more");
+    throw new InvalidSettingsException(key + " is not a number of 0 or more");
   }
 
-  private static double requiredPositive(UnmodifiableConfig config, String key) throws Invalid {
+  private static double requiredPositive(UnmodifiableConfig config, String key) throws InvalidSettingsException {
     double number = requiredNumber(config, key);
     if (number <= 0) {
-      throw new Invalid(key + " is not above 0");
+      throw new InvalidSettingsException(key + " is not above 0");
     }
     return number;
   }
 
   private static List<UnmodifiableConfig> tablesOrEmpty(UnmodifiableConfig config, String key)
-      throws Invalid {
+      throws InvalidSettingsException {
     Object value = config.get(key);
     List<UnmodifiableConfig> tables = new ArrayList<>();
     if (value instanceof List<?> l) {
       for (Object o : l) {
         if (!(o instanceof UnmodifiableConfig t)) {
-          throw new Invalid(key + " is not a list of tables");
+          throw new InvalidSettingsException(key + " is not a list of tables");
         }
         tables.add(t);
       }
     } else if (value != null) {
-      throw new Invalid(key + " is not a list of tables");
+      throw new InvalidSettingsException(key + " is not a list of tables");
     }
     return tables;
   }
 
-  private static List<String> requiredTexts(UnmodifiableConfig config, String key) throws Invalid {
+  private static List<String> requiredTexts(UnmodifiableConfig config, String key) throws InvalidSettingsException {
     List<String> texts = new ArrayList<>();
     if (config.get(key) instanceof List<?> l) {
       for (Object o : l) {
@@ -294,6 +294,6 @@
       }
       return texts;
     }
-    throw new Invalid(key + " is missing");
+    throw new InvalidSettingsException(key + " is missing");
   }
 }
--- a/src/test/java/wickdrift/settings/SettingsTest.java
+++ b/src/test/java/wickdrift/settings/SettingsTest.java
@@ -54,16 +54,16 @@
       fd_limit = 1500
       """;
 
-  private static Settings parse(String toml) throws Settings.Invalid {
+  private static Settings parse(String toml) throws Settings.InvalidSettingsException {
     return Settings.parse(new TomlParser().parse(toml));
   }
 
   @Test
-  void unknownFieldsAreIgnored() throws Settings.Invalid {
+  void unknownFieldsAreIgnored() throws Settings.InvalidSettingsException {
     Settings s = parse(GOOD);
     assertEquals("a", s.node());
     assertEquals(16, s.stateLimits().txnOps());
-    assertEquals(8.0, s.teams().get(0).gpusMax());
+    assertEquals(8.0, s.teams().get(0).maxGpus());
     // What the next limits do not name stays as it is; without them nothing changes.
     assertEquals(new StateServiceLimits.Bounds(250, 70, 2, 5), s.nextLimits());
     assertNull(parse(GOOD.replace("[cluster.state.next]", "[cluster.later]")).nextLimits());
@@ -92,7 +92,7 @@
       })
   void theFieldAtFaultIsNamed(String from, String to, String field) {
     String toml = GOOD.replace(from, to.replace("\\n", "\n"));
-    Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> parse(toml));
+    Settings.InvalidSettingsException e = assertThrows(Settings.InvalidSettingsException.class, () -> parse(toml));
     assertTrue(e.getMessage().contains(field), e.getMessage());
   }
 }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -328,7 +328,7 @@
   private Settings settings(String node) {
     try {
       return Settings.parse(new TomlParser().parse(settingsText(node, STATE)));
-    } catch (Settings.Invalid e) {
+    } catch (Settings.InvalidSettingsException e) {
       throw new AssertionError(e);
     }
   }
