--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -259,7 +259,7 @@
    * @param timeoutMs the shutdown completes after this time even if work is still pending
    * @param done called once, on completion
    */
-  public void leave(long timeoutMs, Runnable done) {
+  public void shutDown(long timeoutMs, Runnable done) {
     membership.leave();
     awaitIdle(pauseDetector.monitoredTimers().nowMs() + timeoutMs, done);
   }
@@ -293,7 +293,7 @@
   }
 
   /** Handles a frame from another controller. */
-  public void peerFrame(ByteBuffer bytes) {
+  public void handlePeerFrame(ByteBuffer bytes) {
     pauseDetector.recordActivity();
     PeerFrame frame;
     try {
--- a/src/main/java/wickdrift/daemon/RehearseCommand.java
+++ b/src/main/java/wickdrift/daemon/RehearseCommand.java
@@ -60,7 +60,7 @@
     Channel httpChannel =
         new HttpServer(loop.group(), 16, exchange -> controller[0].handle(exchange))
             .listen(loopback);
-    PeerLink link = new PeerLink(loop.group(), frame -> controller[0].peerFrame(frame));
+    PeerLink link = new PeerLink(loop.group(), frame -> controller[0].handlePeerFrame(frame));
     Channel peerChannel = link.listen(loopback);
     Settings settings =
         Settings.parse(
--- a/src/main/java/wickdrift/daemon/ServeCommand.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -44,7 +44,7 @@
   /** Waits on SIGTERM until pending work has ended. On SIGKILL this does not run. */
   private static void shutDown(EventLoop loop, Controller controller) {
     CountDownLatch finished = new CountDownLatch(1);
-    loop.run(() -> controller.leave(SHUTDOWN_TIMEOUT_MS, finished::countDown));
+    loop.run(() -> controller.shutDown(SHUTDOWN_TIMEOUT_MS, finished::countDown));
     try {
       finished.await(SHUTDOWN_TIMEOUT_MS + SHUTDOWN_SLACK_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
@@ -69,7 +69,7 @@
         new HttpClient(
             loop.group(), settings.maxSockets() / 4, Set.of(settings.stateServiceAddress(), settings.cloudAddress()));
     Controller[] controllerHolder = new Controller[1];
-    PeerLink link = new PeerLink(loop.group(), frame -> controllerHolder[0].peerFrame(frame));
+    PeerLink link = new PeerLink(loop.group(), frame -> controllerHolder[0].handlePeerFrame(frame));
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
     settings.peers().forEach(peer -> peers.put(peer.node(), link.to(peer.address())));
     String incarnation = Long.toString(new SecureRandom().nextLong() >>> 24, 36);
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -376,7 +376,7 @@
         "peer:" + name,
         (from, m, p, body, done) -> {
           if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.ANSWER) {
-            n.message(() -> n.controller.peerFrame(ByteBuffer.wrap(body)));
+            n.message(() -> n.controller.handlePeerFrame(ByteBuffer.wrap(body)));
           }
         });
     net.listen(
@@ -440,12 +440,12 @@
 
   /** Tells a process to end, as an operator does; it is started again so long after its end. */
   public void restart(String name, long withinMs, long forMs) {
-    running.get(name).controller.leave(withinMs, () -> crash(name, forMs));
+    running.get(name).controller.shutDown(withinMs, () -> crash(name, forMs));
   }
 
   /** Tells a process to end that then does not: what it is by then matters, not that it is gone. */
   public void leave(String name, long withinMs) {
-    running.get(name).controller.leave(withinMs, () -> {});
+    running.get(name).controller.shutDown(withinMs, () -> {});
   }
 
   /** A node's tables; what it holds for durable. */
