--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -794,7 +794,7 @@
       return;
     }
     ByteBuffer frame =
-        new PeerFrame.Standing(
+        new PeerFrame.PeerStatus(
                 number,
                 epoch,
                 stateService.reachable(),
@@ -804,9 +804,9 @@
   }
 
   /** Handles the status message of a peer. */
-  public void handlePeerStatus(PeerFrame.Standing status) {
+  public void handlePeerStatus(PeerFrame.PeerStatus status) {
     peerStatuses.put(
-        status.from(), new PeerStatus(status.stateOk(), timers.nowMs(), status.writes()));
+        status.from(), new PeerStatus(status.stateServiceReachable(), timers.nowMs(), status.writesPerSecond()));
     highestPeerEpoch = Math.max(highestPeerEpoch, status.epoch());
   }
 }
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -55,7 +55,7 @@
     }
     long requestId = ++lastRequestId;
     pendingExchanges.put(requestId, exchange);
-    peer.accept(new PeerFrame.Relayed(number, requestId, exchange.body()).encode());
+    peer.accept(new PeerFrame.RelayedReport(number, requestId, exchange.body()).encode());
     timers.after(
         REPLY_TIMEOUT_MS,
         () -> {
@@ -67,8 +67,8 @@
   }
 
   /** Handles a peer's reply to a forwarded report. */
-  public void handleReply(PeerFrame.Answered answer) {
-    Exchange exchange = pendingExchanges.remove(answer.id());
+  public void handleReply(PeerFrame.RelayedReply answer) {
+    Exchange exchange = pendingExchanges.remove(answer.requestId());
     if (exchange == null) {
       return;
     }
@@ -80,7 +80,7 @@
   }
 
   /** Returns an exchange for a report that a peer forwarded; its reply goes back to that peer. */
-  public Exchange exchangeFor(PeerFrame.Relayed relayed) {
+  public Exchange exchangeFor(PeerFrame.RelayedReport relayed) {
     return new Exchange() {
       @Override
       public String method() {
@@ -104,7 +104,7 @@
         int number = registry.numberOf(node);
         if (peer != null && number >= 0) {
           byte[] body = MessageCodec.encode(value == null ? Map.of() : value);
-          peer.accept(new PeerFrame.Answered(number, relayed.id(), status, body).encode());
+          peer.accept(new PeerFrame.RelayedReply(number, relayed.requestId(), status, body).encode());
         }
       }
     };
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -223,24 +223,24 @@
             long requestId = ++lastRequestId;
             requests.put(requestId, new Request(jobId, owner, batch, now));
             peer.accept(
-                new PeerFrame.Withdrawn(number, requestId, epoch, tables.appliedRev(), jobId, batch)
+                new PeerFrame.WithdrawalConfirmationRequest(number, requestId, epoch, tables.appliedRev(), jobId, batch)
                     .encode());
           }
         });
   }
 
   /** Handles an owner's answer. An answer from a controller that was not asked is ignored. */
-  public void handleConfirmation(PeerFrame.Obeyed answer) {
-    Request request = requests.get(answer.id());
+  public void handleConfirmation(PeerFrame.WithdrawalConfirmation answer) {
+    Request request = requests.get(answer.requestId());
     if (request == null || !request.owner.equals(tables.registry().name(answer.from()))) {
       return;
     }
-    requests.remove(answer.id());
+    requests.remove(answer.requestId());
     TrackedJob tracked = trackedJobs.get(request.job);
     if (tracked == null) {
       return;
     }
-    BitSet positions = BitSet.valueOf(answer.places());
+    BitSet positions = BitSet.valueOf(answer.confirmedMachines());
     for (int i = positions.nextSetBit(0);
         i >= 0 && i < request.machines.size();
         i = positions.nextSetBit(i + 1)) {
@@ -254,10 +254,10 @@
    * accept the token of this node only. The node knows of the withdrawal from now on, even if it
    * can't reach the state service. A request whose withdrawal can't be remembered is not answered.
    */
-  public void handleConfirmationRequest(PeerFrame.Withdrawn request) {
+  public void handleConfirmationRequest(PeerFrame.WithdrawalConfirmationRequest request) {
     boolean alreadyKnown =
-        tables.isWithdrawalAnnounced(request.job()) || request.rev() <= tables.appliedRev();
-    if (!tables.announceWithdrawal(request.job(), request.rev())) {
+        tables.isWithdrawalAnnounced(request.job()) || request.revision() <= tables.appliedRev();
+    if (!tables.announceWithdrawal(request.job(), request.revision())) {
       LOG.error("too many announced withdrawals, announcement ignored: job={}", request.job());
       return;
     }
@@ -281,7 +281,7 @@
       positions.set(
           i, machine != null && reportHandler.canConfirmWithdrawal(machine, request.job()));
     }
-    peer.accept(new PeerFrame.Obeyed(number, request.id(), positions.toByteArray()).encode());
+    peer.accept(new PeerFrame.WithdrawalConfirmation(number, request.requestId(), positions.toByteArray()).encode());
   }
 
   /**
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -302,15 +302,15 @@
       malformedMessages.note(MalformedMessages.Sender.PEER, "frame", e);
       return;
     }
-    if (frame instanceof PeerFrame.Standing s) {
+    if (frame instanceof PeerFrame.PeerStatus s) {
       membership.handlePeerStatus(s);
-    } else if (frame instanceof PeerFrame.Relayed r) {
+    } else if (frame instanceof PeerFrame.RelayedReport r) {
       reportHandler.handleRelayedReport(reportRelay.exchangeFor(r));
-    } else if (frame instanceof PeerFrame.Answered a) {
+    } else if (frame instanceof PeerFrame.RelayedReply a) {
       reportRelay.handleReply(a);
-    } else if (frame instanceof PeerFrame.Withdrawn w) {
+    } else if (frame instanceof PeerFrame.WithdrawalConfirmationRequest w) {
       confirmations.handleConfirmationRequest(w);
-    } else if (frame instanceof PeerFrame.Obeyed o) {
+    } else if (frame instanceof PeerFrame.WithdrawalConfirmation o) {
       confirmations.handleConfirmation(o);
     } else if (unknownFrameCount++ == 0) {
       LOG.info("ignoring peer frames of a type that this build does not know");
--- a/src/main/java/wickdrift/protocol/PeerFrame.java
+++ b/src/main/java/wickdrift/protocol/PeerFrame.java
@@ -14,20 +14,20 @@
   /** Version of the layout; frames of other versions are {@link Unknown}. */
   byte VERSION = 3;
 
-  /** Kind of {@link Standing}. */
+  /** Kind of {@link PeerStatus}. */
   byte PEER_STATUS = 1;
 
-  /** Kind of {@link Relayed}. */
+  /** Kind of {@link RelayedReport}. */
   byte RELAYED_REPORT = 2;
 
-  /** Kind of {@link Answered}. */
-  byte ANSWER = 3;
+  /** Kind of {@link RelayedReply}. */
+  byte RELAYED_REPLY = 3;
 
-  /** Kind of {@link Withdrawn}. */
+  /** Kind of {@link WithdrawalConfirmationRequest}. */
   byte WITHDRAWAL_CONFIRMATION_REQUEST = 4;
 
-  /** Kind of {@link Obeyed}. */
-  byte OBEYED = 5;
+  /** Kind of {@link WithdrawalConfirmation}. */
+  byte WITHDRAWAL_CONFIRMATION = 5;
 
   /** Length of the header if the number of the sender takes one byte. */
   int HEADER_BYTES = 3;
@@ -48,16 +48,16 @@
    * The status of the sender, sent periodically to all peers.
    *
    * @param epoch the epoch of its view; 0 without a view
-   * @param stateOk whether the state service answers it
-   * @param writes the number of writes per second that it sends to the state service
+   * @param stateServiceReachable whether the state service answers it
+   * @param writesPerSecond the number of writes per second that it sends to the state service
    */
-  record Standing(int from, long epoch, boolean stateOk, int writes) implements PeerFrame {
+  record PeerStatus(int from, long epoch, boolean stateServiceReachable, int writesPerSecond) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
       return allocateWithHeader(PEER_STATUS, from, 13)
-          .put((byte) (stateOk ? 1 : 0))
+          .put((byte) (stateServiceReachable ? 1 : 0))
           .putLong(epoch)
-          .putInt(writes)
+          .putInt(writesPerSecond)
           .flip();
     }
   }
@@ -65,28 +65,28 @@
   /**
    * A worker's report that the sender received and forwards to the owner of the worker's machine.
    *
-   * @param id a number by which the sender matches the reply
+   * @param requestId a number by which the sender matches the reply
    * @param body the report as received
    */
-  record Relayed(int from, long id, byte[] body) implements PeerFrame {
+  record RelayedReport(int from, long requestId, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return allocateWithHeader(RELAYED_REPORT, from, 8 + body.length).putLong(id).put(body).flip();
+      return allocateWithHeader(RELAYED_REPORT, from, 8 + body.length).putLong(requestId).put(body).flip();
     }
   }
 
   /**
-   * The owner's reply to a {@link Relayed} report.
+   * The owner's reply to a {@link RelayedReport} report.
    *
-   * @param id the number in the relayed report
+   * @param requestId the number in the relayed report
    * @param status the HTTP status for the worker
    * @param body the response body for the worker
    */
-  record Answered(int from, long id, int status, byte[] body) implements PeerFrame {
+  record RelayedReply(int from, long requestId, int status, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return allocateWithHeader(ANSWER, from, 10 + body.length)
-          .putLong(id)
+      return allocateWithHeader(RELAYED_REPLY, from, 10 + body.length)
+          .putLong(requestId)
           .putShort((short) status)
           .put(body)
           .flip();
@@ -96,14 +96,14 @@
   /**
    * Announces that the withdrawal of a job is stored durably. The receiver stops the job, even if
    * its own tables don't contain the withdrawal yet, and replies which of the listed machines
-   * accept commands from no other controller ({@link Obeyed}).
+   * accept commands from no other controller ({@link WithdrawalConfirmation}).
    *
-   * @param id a number by which the sender matches the reply
+   * @param requestId a number by which the sender matches the reply
    * @param epoch the epoch of the view in which the receiver owns the machines
-   * @param rev the revision of the sender's tables, which contain the withdrawal
+   * @param revision the revision of the sender's tables, which contain the withdrawal
    * @param machines the names of the machines
    */
-  record Withdrawn(int from, long id, long epoch, long rev, String job, List<String> machines)
+  record WithdrawalConfirmationRequest(int from, long requestId, long epoch, long revision, String job, List<String> machines)
       implements PeerFrame {
     @Override
     public ByteBuffer encode() {
@@ -117,9 +117,9 @@
       }
       ByteBuffer b =
           allocateWithHeader(WITHDRAWAL_CONFIRMATION_REQUEST, from, payloadBytes)
-              .putLong(id)
+              .putLong(requestId)
               .putLong(epoch)
-              .putLong(rev);
+              .putLong(revision);
       b.putShort((short) jobBytes.length).put(jobBytes).putShort((short) machineNames.size());
       machineNames.forEach(n -> b.putShort((short) n.length).put(n));
       return b.flip();
@@ -127,18 +127,18 @@
   }
 
   /**
-   * The reply to {@link Withdrawn}: its sender knows of the withdrawal, and the workers on the
+   * The reply to {@link WithdrawalConfirmationRequest}: its sender knows of the withdrawal, and the workers on the
    * indicated machines accept commands from it alone, under the requested epoch, and start no task
    * of the job any more.
    *
-   * @param id the number in the request
-   * @param places a bit for each machine of the request, in its order; the least significant bit of
+   * @param requestId the number in the request
+   * @param confirmedMachines a bit for each machine of the request, in its order; the least significant bit of
    *     the first byte is the first machine
    */
-  record Obeyed(int from, long id, byte[] places) implements PeerFrame {
+  record WithdrawalConfirmation(int from, long requestId, byte[] confirmedMachines) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return allocateWithHeader(OBEYED, from, 8 + places.length).putLong(id).put(places).flip();
+      return allocateWithHeader(WITHDRAWAL_CONFIRMATION, from, 8 + confirmedMachines.length).putLong(requestId).put(confirmedMachines).flip();
     }
   }
 
@@ -181,13 +181,13 @@
     byte encodedKind = buffer.get();
     boolean wideSender = encodedKind > WIDE_SENDER_KIND_OFFSET;
     byte kind = wideSender ? (byte) (encodedKind - WIDE_SENDER_KIND_OFFSET) : encodedKind;
-    if (version != VERSION || kind < PEER_STATUS || kind > OBEYED) {
+    if (version != VERSION || kind < PEER_STATUS || kind > WITHDRAWAL_CONFIRMATION) {
       return new Unknown(-1);
     }
     int minPayloadBytes =
         switch (kind) {
           case PEER_STATUS -> 13;
-          case RELAYED_REPORT, OBEYED -> 8;
+          case RELAYED_REPORT, WITHDRAWAL_CONFIRMATION -> 8;
           case WITHDRAWAL_CONFIRMATION_REQUEST -> 28;
           default -> 10;
         };
@@ -198,16 +198,16 @@
     return switch (kind) {
       case PEER_STATUS -> {
         boolean stateServiceReachable = buffer.get() == 1;
-        yield new Standing(from, buffer.getLong(), stateServiceReachable, buffer.getInt());
+        yield new PeerStatus(from, buffer.getLong(), stateServiceReachable, buffer.getInt());
       }
-      case RELAYED_REPORT -> new Relayed(from, buffer.getLong(), readRemaining(buffer));
+      case RELAYED_REPORT -> new RelayedReport(from, buffer.getLong(), readRemaining(buffer));
       case WITHDRAWAL_CONFIRMATION_REQUEST -> decodeConfirmationRequest(from, buffer);
-      case OBEYED -> new Obeyed(from, buffer.getLong(), readRemaining(buffer));
-      default -> new Answered(from, buffer.getLong(), buffer.getShort(), readRemaining(buffer));
+      case WITHDRAWAL_CONFIRMATION -> new WithdrawalConfirmation(from, buffer.getLong(), readRemaining(buffer));
+      default -> new RelayedReply(from, buffer.getLong(), buffer.getShort(), readRemaining(buffer));
     };
   }
 
-  private static Withdrawn decodeConfirmationRequest(int from, ByteBuffer buffer)
+  private static WithdrawalConfirmationRequest decodeConfirmationRequest(int from, ByteBuffer buffer)
       throws BadMessage {
     long requestId = buffer.getLong();
     long epoch = buffer.getLong();
@@ -218,7 +218,7 @@
     for (int i = 0; i < machineCount; i++) {
       machines.add(readText(buffer));
     }
-    return new Withdrawn(from, requestId, epoch, revision, job, List.copyOf(machines));
+    return new WithdrawalConfirmationRequest(from, requestId, epoch, revision, job, List.copyOf(machines));
   }
 
   private static int readLength(ByteBuffer buffer) throws BadMessage {
--- a/src/test/java/wickdrift/protocol/PeerFrameTest.java
+++ b/src/test/java/wickdrift/protocol/PeerFrameTest.java
@@ -22,7 +22,7 @@
   /** The bytes that dc24b21 writes, and reads, for the numbers that it has. */
   @Test
   void theLayoutIsThatOfTheBuildBefore() throws BadMessage {
-    PeerFrame.Standing s = new PeerFrame.Standing(2, 41, true, 7);
+    PeerFrame.PeerStatus s = new PeerFrame.PeerStatus(2, 41, true, 7);
     ByteBuffer bytes = hex("0301020100000000000000" + "29" + "00000007");
     assertEquals(bytes, s.encode());
     assertEquals(s, PeerFrame.decode(bytes));
@@ -32,39 +32,39 @@
   @Test
   void whatANewerSenderAddsIsIgnored() throws BadMessage {
     ByteBuffer longer =
-        ByteBuffer.allocate(32).put(new PeerFrame.Standing(1, 5, false, 0).encode());
-    assertEquals(new PeerFrame.Standing(1, 5, false, 0), PeerFrame.decode(longer.rewind()));
+        ByteBuffer.allocate(32).put(new PeerFrame.PeerStatus(1, 5, false, 0).encode());
+    assertEquals(new PeerFrame.PeerStatus(1, 5, false, 0), PeerFrame.decode(longer.rewind()));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 127, 128, 300, 65_535})
   void anyNumberIsCarried(int from) throws BadMessage {
-    assertEquals(from, PeerFrame.decode(new PeerFrame.Standing(from, 1, true, 2).encode()).from());
+    assertEquals(from, PeerFrame.decode(new PeerFrame.PeerStatus(from, 1, true, 2).encode()).from());
     byte[] body = {1, 2, 3};
-    PeerFrame.Relayed r =
-        (PeerFrame.Relayed) PeerFrame.decode(new PeerFrame.Relayed(from, 9, body).encode());
-    assertEquals(from + " 9 [1, 2, 3]", r.from() + " " + r.id() + " " + Arrays.toString(r.body()));
-    PeerFrame.Answered a =
-        (PeerFrame.Answered) PeerFrame.decode(new PeerFrame.Answered(from, 9, 421, body).encode());
+    PeerFrame.RelayedReport r =
+        (PeerFrame.RelayedReport) PeerFrame.decode(new PeerFrame.RelayedReport(from, 9, body).encode());
+    assertEquals(from + " 9 [1, 2, 3]", r.from() + " " + r.requestId() + " " + Arrays.toString(r.body()));
+    PeerFrame.RelayedReply a =
+        (PeerFrame.RelayedReply) PeerFrame.decode(new PeerFrame.RelayedReply(from, 9, 421, body).encode());
     assertEquals(from + " 421", a.from() + " " + a.status());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 127, 128, 65_535})
   void aWithdrawalAndWhoObeysAreCarried(int from) throws BadMessage {
-    PeerFrame.Withdrawn w =
-        new PeerFrame.Withdrawn(from, 7, 41, 900, "req-000001", List.of("i-000001", "i-\u00e9"));
+    PeerFrame.WithdrawalConfirmationRequest w =
+        new PeerFrame.WithdrawalConfirmationRequest(from, 7, 41, 900, "req-000001", List.of("i-000001", "i-\u00e9"));
     assertEquals(w, PeerFrame.decode(w.encode()));
-    PeerFrame.Obeyed o =
-        (PeerFrame.Obeyed) PeerFrame.decode(new PeerFrame.Obeyed(from, 7, new byte[] {5}).encode());
-    assertEquals(from + " 7 [5]", o.from() + " " + o.id() + " " + Arrays.toString(o.places()));
+    PeerFrame.WithdrawalConfirmation o =
+        (PeerFrame.WithdrawalConfirmation) PeerFrame.decode(new PeerFrame.WithdrawalConfirmation(from, 7, new byte[] {5}).encode());
+    assertEquals(from + " 7 [5]", o.from() + " " + o.requestId() + " " + Arrays.toString(o.confirmedMachines()));
   }
 
   /** However early it ends, it is malformed, and nothing is read past its end. */
   @Test
   void aWithdrawalThatEndsEarlyIsMalformed() {
     ByteBuffer whole =
-        new PeerFrame.Withdrawn(1, 7, 41, 900, "req-000001", List.of("i-000001")).encode();
+        new PeerFrame.WithdrawalConfirmationRequest(1, 7, 41, 900, "req-000001", List.of("i-000001")).encode();
     for (int n = 0; n < whole.limit(); n++) {
       ByteBuffer cut = ByteBuffer.wrap(Arrays.copyOf(whole.array(), n));
       assertThrows(BadMessage.class, () -> PeerFrame.decode(cut), n + " bytes");
--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -349,7 +349,7 @@
       byte[] all = {-1, -1, -1, -1};
       for (int from : new int[] {0, 1, 2, 77}) {
         for (long question = 0; from != number(w, leader) && question < 200; question++) {
-          w.frame(confirmer, new PeerFrame.Obeyed(from, question, all));
+          w.frame(confirmer, new PeerFrame.WithdrawalConfirmation(from, question, all));
         }
       }
     }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -375,7 +375,7 @@
     net.listen(
         "peer:" + name,
         (from, m, p, body, done) -> {
-          if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.ANSWER) {
+          if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.RELAYED_REPLY) {
             n.message(() -> n.controller.handlePeerFrame(ByteBuffer.wrap(body)));
           }
         });
