--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -18,7 +18,7 @@
 import wickdrift.coordination.commands.TaskAttempt;
 import wickdrift.coordination.commands.Verdict;
 import wickdrift.coordination.commands.WorkerCommands;
-import wickdrift.protocol.Order;
+import wickdrift.protocol.Command;
 import wickdrift.protocol.Report;
 import wickdrift.transport.Timers;
 
@@ -75,7 +75,7 @@
     final Scope scope;
     final WorkerCommands commands;
     final Map<String, Report.Entry> reportedTasks = new HashMap<>();
-    final List<Order> orders = new ArrayList<>();
+    final List<Command> orders = new ArrayList<>();
 
     Pass(Machine machine, Report report, Scope scope) {
       this.machine = machine;
@@ -94,7 +94,7 @@
   }
 
   /** Returns the commands that follow from a report. */
-  List<Order> plan(Machine machine, Report report, Scope scope) {
+  List<Command> plan(Machine machine, Report report, Scope scope) {
     Pass pass = new Pass(machine, report, scope);
     for (Report.Entry entry : report.tasks()) {
       pass.reportedTasks.put(entry.task(), entry);
@@ -111,9 +111,9 @@
    * that is not the newest one. That answer renews the worker's lease too, and a renewal without
    * the halts would let a cancelled task run for another lease.
    */
-  List<Order> planHaltsOfCancelledJobs(Machine machine) {
+  List<Command> planHaltsOfCancelledJobs(Machine machine) {
     return plan(machine, machine.report(), new Scope(false, false)).stream()
-        .filter(order -> order instanceof Order.Halt)
+        .filter(order -> order instanceof Command.Halt)
         .toList();
   }
 
@@ -169,8 +169,8 @@
         // the images they are fetching. The attempt is wanted, so a run that is still outstanding
         // does no harm after the clear.
         pass.commands.gangWaitRestarted(attemptOf(entry));
-        pass.orders.add(new Order.Clear(entry.job(), entry.index(), entry.attempt()));
-        pass.orders.add(new Order.Run(entry.job(), entry.index(), entry.attempt()));
+        pass.orders.add(new Command.Clear(entry.job(), entry.index(), entry.attempt()));
+        pass.orders.add(new Command.Run(entry.job(), entry.index(), entry.attempt()));
       }
       return;
     }
@@ -341,12 +341,12 @@
     }
     Report report = pass.report;
     pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
-    pass.orders.add(new Order.Run(slot.job().id(), slot.index(), attempt.attempt()));
+    pass.orders.add(new Command.Run(slot.job().id(), slot.index(), attempt.attempt()));
     links.record(event);
   }
 
   private void addHalt(Pass pass, Report.Entry entry, double graceS, String reason) {
-    pass.orders.add(new Order.Halt(entry.job(), entry.index(), entry.attempt(), graceS));
+    pass.orders.add(new Command.Halt(entry.job(), entry.index(), entry.attempt(), graceS));
     pass.recordEvent(CommandEvent.Kind.HALT, attemptOf(entry), reason);
   }
 
@@ -355,7 +355,7 @@
     CommandEvent event = pass.newEvent(CommandEvent.Kind.CLEAR, attempt, verdict.name());
     boolean nothingArrives = !pass.commands.isRunOutstanding(attempt);
     if (monitor.check(Invariant.NO_CLEAR_WHILE_A_RUN_MAY_ARRIVE, nothingArrives, event)) {
-      pass.orders.add(new Order.Clear(entry.job(), entry.index(), entry.attempt()));
+      pass.orders.add(new Command.Clear(entry.job(), entry.index(), entry.attempt()));
       links.record(event);
     }
   }
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -14,7 +14,7 @@
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MalformedMessages;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.protocol.Order;
+import wickdrift.protocol.Command;
 import wickdrift.protocol.Report;
 import wickdrift.transport.Caller;
 import wickdrift.transport.Timers;
@@ -81,16 +81,16 @@
         || machine.phase() == Machine.Phase.LOST) {
       return;
     }
-    List<Order> orders = new ArrayList<>();
+    List<Command> orders = new ArrayList<>();
     List<TaskAttempt> runs = new ArrayList<>();
-    for (Order order :
+    for (Command order :
         planner.plan(machine, report, new CommandPlanner.Scope(hasAuthority, false))) {
       TaskAttempt attempt = new TaskAttempt(order.job() + "/" + order.index(), order.attempt());
       boolean isRepeatedHalt =
-          order instanceof Order.Halt && !link.tryRecordHalt(attempt, timers.nowMs());
+          order instanceof Command.Halt && !link.tryRecordHalt(attempt, timers.nowMs());
       if (orders.size() < MAX_ORDERS_PER_MESSAGE && !isRepeatedHalt) {
         orders.add(order);
-        if (order instanceof Order.Run) {
+        if (order instanceof Command.Run) {
           runs.add(attempt);
         }
       }
@@ -115,14 +115,14 @@
   }
 
   private void sendCommand(
-      Machine machine, WorkerLink link, long session, List<Order> orders, List<TaskAttempt> runs) {
+      Machine machine, WorkerLink link, long session, List<Command> orders, List<TaskAttempt> runs) {
     long epoch = tables.view().epoch();
     WorkerCommands.DirectRuns command =
         new WorkerCommands.DirectRuns(epoch, session, timers.nowMs(), List.copyOf(runs));
     Map<String, Object> body = new LinkedHashMap<>();
     body.put("epoch", epoch);
     body.put("tenure", session);
-    body.put("orders", orders.stream().map(Order::toWire).toList());
+    body.put("orders", orders.stream().map(Command::toWire).toList());
     link.commandSent(machine.report());
     link.commands.directCommandSent(command);
     caller.call(
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -19,7 +19,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MalformedMessages;
-import wickdrift.protocol.Order;
+import wickdrift.protocol.Command;
 import wickdrift.protocol.Report;
 import wickdrift.transport.Caller;
 import wickdrift.transport.Exchange;
@@ -278,7 +278,7 @@
     Report lastReport = machine.report();
     boolean isOutdated =
         lastReport != null && machine.provedAlive() && report.notNewerThan(lastReport);
-    List<Order> orders;
+    List<Command> orders;
     if (!isOutdated) {
       long now = timers.nowMs();
       boolean provesAlive = machine.receiveReport(report, view.epoch(), now);
@@ -312,7 +312,7 @@
     body.put("epoch", view.epoch());
     body.put(
         "orders",
-        orders.stream().limit(DirectCommands.MAX_ORDERS_PER_MESSAGE).map(Order::toWire).toList());
+        orders.stream().limit(DirectCommands.MAX_ORDERS_PER_MESSAGE).map(Command::toWire).toList());
     exchange.reply(200, body);
   }
 
--- a/src/main/java/wickdrift/protocol/Order.java
+++ b/src/main/java/wickdrift/protocol/Command.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** A command to a worker about one attempt of a task. */
-public sealed interface Order {
+public sealed interface Command {
   /** The id of the job. */
   String job();
 
@@ -15,13 +15,13 @@
   int attempt();
 
   /** Starts an attempt of a task. */
-  record Run(String job, int index, int attempt) implements Order {}
+  record Run(String job, int index, int attempt) implements Command {}
 
   /** Stops an attempt, which has {@code graceS} seconds to save its state. */
-  record Halt(String job, int index, int attempt, double graceS) implements Order {}
+  record Halt(String job, int index, int attempt, double graceS) implements Command {}
 
   /** Removes an exited attempt from the worker's reports. */
-  record Clear(String job, int index, int attempt) implements Order {}
+  record Clear(String job, int index, int attempt) implements Command {}
 
   /** Encodes the command for the protocol. */
   default Map<String, Object> toWire() {
