--- a/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
+++ b/src/main/java/wickdrift/bookkeeping/DependencyGraph.java
@@ -195,11 +195,11 @@
             ? Long.MAX_VALUE
             : dependent.acceptedWallMs() + (long) (spec.deadlineS() * 1000);
     long startByWallMs =
-        Math.min(minusSeconds(endByWallMs, spec.estimateS()), dependent.startByWallMs());
+        Math.min(minusSeconds(endByWallMs, spec.estimatedRunS()), dependent.startByWallMs());
     return new Job.InheritedUrgency(
         dependent.effectivePriority(),
         sameTeam ? dependent.preemptionPriority() : JobSpec.Priority.LOW,
-        minusSeconds(startByWallMs, awaitedJob.spec().estimateS()));
+        minusSeconds(startByWallMs, awaitedJob.spec().estimatedRunS()));
   }
 
   private static long minusSeconds(long wallMs, double seconds) {
--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -200,7 +200,7 @@
 
   /** The stored specification, without the ids of awaited jobs if they are in overflow records. */
   private static Map<String, Object> specToStore(JobSpec spec, AwaitsOverflow overflow) {
-    return (overflow == null ? spec : spec.awaiting(List.of())).toStore();
+    return (overflow == null ? spec : spec.withAwaits(List.of())).toStore();
   }
 
   /**
--- a/src/main/java/wickdrift/bookkeeping/Machine.java
+++ b/src/main/java/wickdrift/bookkeeping/Machine.java
@@ -104,7 +104,7 @@
      * for an attempt that outlives its estimate.
      */
     public double estimatedRemainingMs(long nowMs) {
-      double estimateMs = job.spec().estimateS() * 1000;
+      double estimateMs = job.spec().estimatedRunS() * 1000;
       if (job.spec().shape() == JobSpec.Shape.SERVICE) {
         return Double.MAX_VALUE;
       }
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -208,7 +208,7 @@
     } else if (state.stop() == TaskState.Stop.KILL) {
       addHalt(pass, entry, 0, "stop requested");
     } else if (state.stop() == TaskState.Stop.SAVE && entry.phase() != Report.Phase.SAVING) {
-      addHalt(pass, entry, job.spec().saveS() + 1, "save and stop requested");
+      addHalt(pass, entry, job.spec().checkpointSaveS() + 1, "save and stop requested");
     }
   }
 
--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -118,7 +118,7 @@
    */
   private static JobTime startByOf(Job job) {
     Double deadlineS = job.spec().deadlineS();
-    double slackS = deadlineS == null ? 0 : Math.max(0, deadlineS - job.spec().estimateS());
+    double slackS = deadlineS == null ? 0 : Math.max(0, deadlineS - job.spec().estimatedRunS());
     long ownStartByMs =
         deadlineS == null ? job.readyWallMs() : job.acceptedWallMs() + (long) (slackS * 1000);
     return new JobTime(Math.min(ownStartByMs, job.startByWallMs()), job.id());
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -41,7 +41,7 @@
       return "a task fits no allowed machine type";
     }
     int tasksAtOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
-    if (tasksAtOnce > spec.zoneLimit()
+    if (tasksAtOnce > spec.maxTasksPerZone()
         && (spec.oneZone() || spec.zone() != null || countEligibleZones(spec) < 2)) {
       return "its tasks must be in several zones, and may be in one only";
     }
--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -127,7 +127,7 @@
   private static double lostWork(Machine.Slot slot, long nowMs) {
     JobSpec spec = slot.job().spec();
     double ageMs = slot.ageMs(nowMs);
-    double lostMs = spec.checkpointS() > 0 ? Math.min(ageMs, spec.saveS() * 1000) : ageMs;
+    double lostMs = spec.checkpointIntervalS() > 0 ? Math.min(ageMs, spec.checkpointSaveS() * 1000) : ageMs;
     return (1 + lostMs)
         * Math.max(1, spec.gpus())
         * Math.max(1, spec.shape() == JobSpec.Shape.GANG ? spec.tasks() : 1);
@@ -135,6 +135,6 @@
 
   /** Returns how a victim is stopped: a task that makes checkpoints saves its state first. */
   static TaskState.Stop stopMode(JobSpec victim) {
-    return victim.checkpointS() > 0 ? TaskState.Stop.SAVE : TaskState.Stop.KILL;
+    return victim.checkpointIntervalS() > 0 ? TaskState.Stop.SAVE : TaskState.Stop.KILL;
   }
 }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -109,7 +109,7 @@
     try {
       Document document = Document.parse(exchange.body());
       spec = JobSpec.parse(document);
-      missingField = JobSpec.lacks(document);
+      missingField = JobSpec.missingField(document);
     } catch (BadMessage e) {
       exchange.reply(400, Map.of("error", e.getMessage()));
       return;
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -361,7 +361,7 @@
         && !(liveByZone.size() == 1 && liveByZone.containsKey(zone))) {
       return false;
     }
-    return !spec.spread() || liveByZone.getOrDefault(zone, 0) + unknown < spec.zoneLimit();
+    return !spec.spread() || liveByZone.getOrDefault(zone, 0) + unknown < spec.maxTasksPerZone();
   }
 
   /** Places as many waiting tasks of the job as possible, one by one. */
--- a/src/main/java/wickdrift/protocol/JobSpec.java
+++ b/src/main/java/wickdrift/protocol/JobSpec.java
@@ -15,11 +15,11 @@
  * @param types the machine types that may run the tasks; null: any
  * @param zone the zone in which the tasks must run; null: any
  * @param oneZone whether all tasks must run in the same zone
- * @param spread whether no zone may hold more than {@link #zoneLimit} tasks
+ * @param spread whether no zone may hold more than {@link #maxTasksPerZone} tasks
  * @param spot whether tasks may run on spot machines
- * @param estimateS the expected run time of a task
- * @param checkpointS the interval between checkpoints of a task; 0: it makes none
- * @param saveS the time that a task needs to save a checkpoint when it is stopped
+ * @param estimatedRunS the expected run time of a task
+ * @param checkpointIntervalS the interval between checkpoints of a task; 0: it makes none
+ * @param checkpointSaveS the time that a task needs to save a checkpoint when it is stopped
  * @param deadlineS the time after its acceptance by which the job should be done; null: no deadline
  * @param awaits the jobs that must be done before a task of this one starts, without duplicates
  */
@@ -40,9 +40,9 @@
     boolean oneZone,
     boolean spread,
     boolean spot,
-    double estimateS,
-    double checkpointS,
-    double saveS,
+    double estimatedRunS,
+    double checkpointIntervalS,
+    double checkpointSaveS,
     Double deadlineS,
     List<String> awaits) {
 
@@ -74,15 +74,15 @@
     NORMAL("standard"),
     LOW("idle");
 
-    private final String wire;
+    private final String wireName;
 
     Priority(String wireName) {
-      this.wire = wireName;
+      this.wireName = wireName;
     }
 
     /** Returns the name in the protocol and in stored records. */
-    public String wire() {
-      return wire;
+    public String wireName() {
+      return wireName;
     }
   }
 
@@ -116,7 +116,7 @@
    * Returns the first required field that a submission lacks, or null. {@link #parse} does not
    * check this, since descriptions that older builds stored may lack these fields.
    */
-  public static String lacks(Document submission) {
+  public static String missingField(Document submission) {
     return REQUIRED_FIELDS.stream()
         .filter(field -> submission.raw(field) == null)
         .findFirst()
@@ -177,7 +177,7 @@
   }
 
   /** Returns a copy that awaits the given jobs instead. */
-  public JobSpec awaiting(List<String> dependencies) {
+  public JobSpec withAwaits(List<String> dependencies) {
     return new JobSpec(
         id,
         jobClass,
@@ -195,9 +195,9 @@
         oneZone,
         spread,
         spot,
-        estimateS,
-        checkpointS,
-        saveS,
+        estimatedRunS,
+        checkpointIntervalS,
+        checkpointSaveS,
         deadlineS,
         dependencies);
   }
@@ -221,7 +221,7 @@
 
   private static Priority parsePriority(String wireName) throws BadMessage {
     for (Priority priority : Priority.values()) {
-      if (priority.wire.equals(wireName)) {
+      if (priority.wireName.equals(wireName)) {
         return priority;
       }
     }
@@ -261,7 +261,7 @@
     fields.put("jobclass", jobClass);
     fields.put("owner", team);
     fields.put("shape", shape.wireName);
-    fields.put("rank", priority.wire);
+    fields.put("rank", priority.wireName);
     fields.put("shards", tasks);
     fields.put("cores", cpus);
     fields.put("gpus", gpus);
@@ -277,9 +277,9 @@
     fields.put("oneZone", oneZone);
     fields.put("apart", spread);
     fields.put("reclaimable", spot);
-    fields.put("expectS", estimateS);
-    fields.put("checkpointEveryS", checkpointS);
-    fields.put("flushS", saveS);
+    fields.put("expectS", estimatedRunS);
+    fields.put("checkpointEveryS", checkpointIntervalS);
+    fields.put("flushS", checkpointSaveS);
     if (deadlineS != null) {
       fields.put("dueS", deadlineS);
     }
@@ -298,7 +298,7 @@
    * Returns the maximum number of tasks in one zone: half of them, rounded up, for a job that asks
    * to be spread, otherwise all.
    */
-  public int zoneLimit() {
+  public int maxTasksPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -85,7 +85,7 @@
 
   private static int rank(String wire) {
     for (JobSpec.Priority p : JobSpec.Priority.values()) {
-      if (p.wire().equals(wire)) {
+      if (p.wireName().equals(wire)) {
         return p.ordinal();
       }
     }
--- a/src/test/java/wickdrift/protocol/MessagesTest.java
+++ b/src/test/java/wickdrift/protocol/MessagesTest.java
@@ -117,7 +117,7 @@
     try {
       Document d = Document.parse(body);
       JobSpec.parse(d);
-      return JobSpec.lacks(d) == null ? "" : JobSpec.lacks(d);
+      return JobSpec.missingField(d) == null ? "" : JobSpec.missingField(d);
     } catch (BadMessage e) {
       return e.getMessage();
     }
@@ -145,6 +145,6 @@
     m.put("dueS", 9.5);
     JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
     assertEquals(s, JobSpec.parse(Document.parse(MessageCodec.encode(s.toStore()))));
-    assertEquals(5, s.zoneLimit());
+    assertEquals(5, s.maxTasksPerZone());
   }
 }
--- a/src/test/java/wickdrift/sim/SimGang.java
+++ b/src/test/java/wickdrift/sim/SimGang.java
@@ -37,7 +37,7 @@
     }
     started = true;
     members.forEach(m -> m.phase = "running");
-    finishLater((long) (spec.estimateS() * 1000));
+    finishLater((long) (spec.estimatedRunS() * 1000));
   }
 
   private void finishLater(long ms) {
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -74,7 +74,7 @@
     if (overLimit(t.spec.team(), gpus)) {
       broke("quota " + t.spec.team() + " " + gpus);
     }
-    if (t.spec.oneZone() && zones.size() > 1 || t.spec.spread() && sameZone > t.spec.zoneLimit()) {
+    if (t.spec.oneZone() && zones.size() > 1 || t.spec.spread() && sameZone > t.spec.maxTasksPerZone()) {
       broke("wrong_place " + t.id);
     }
   }
@@ -272,7 +272,7 @@
     Map<String, Integer> room = new HashMap<>();
     for (SimWorker m : world.workers()) {
       held += m.gpusOf(spec.team());
-      boolean full = spec.spread() && inZone.getOrDefault(m.zone, 0) >= spec.zoneLimit();
+      boolean full = spec.spread() && inZone.getOrDefault(m.zone, 0) >= spec.maxTasksPerZone();
       boolean elsewhere = spec.oneZone() && !inZone.isEmpty() && !inZone.containsKey(m.zone);
       room.merge(m.zone, full || elsewhere ? 0 : m.room(spec), Integer::sum);
     }
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -402,7 +402,7 @@
     }
     t.phase = "running";
     if (t.spec.shape() != JobSpec.Shape.SERVICE) {
-      finishLater(t, (long) (t.spec.estimateS() * 1000 * world.pace.applyAsDouble(t.id)));
+      finishLater(t, (long) (t.spec.estimatedRunS() * 1000 * world.pace.applyAsDouble(t.id)));
     }
   }
 
