--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -506,7 +506,7 @@
       return false;
     }
     Machine machine = state.machine();
-    setTask(index, state.exited(outcome == LogEntry.EXIT_DONE ? Report.DONE : null));
+    setTask(index, state.exited(outcome == LogEntry.EXIT_DONE ? Report.EXIT_DONE : null));
     if (outcome == LogEntry.EXIT_DONE) {
       machine.recordSuccess();
       recordOutcome(null);
--- a/src/main/java/wickdrift/bookkeeping/TaskState.java
+++ b/src/main/java/wickdrift/bookkeeping/TaskState.java
@@ -74,7 +74,7 @@
     if (phase != Phase.LIVE) {
       throw new IllegalStateException("cannot end the attempt of a task in state " + this);
     }
-    return Report.DONE.equals(exitReason) ? FINISHED : waiting(attempt);
+    return Report.EXIT_DONE.equals(exitReason) ? FINISHED : waiting(attempt);
   }
 
   /**
--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -162,7 +162,7 @@
   }
 
   private void planExited(Pass pass, Job job, TaskState state, Report.Entry entry) {
-    boolean gaveUpGangWait = Report.ALONE.equals(entry.why());
+    boolean gaveUpGangWait = Report.EXIT_ALONE.equals(entry.exitReason());
     if (gaveUpGangWait && pass.scope.hasAuthority && mayRestartGangWait(pass, job, state, entry)) {
       if (pass.scope.workerInitiated) {
         // The wait restarts with the same attempt on the same machine, so the other members keep
@@ -213,22 +213,22 @@
   }
 
   private void handleExit(Pass pass, Job job, Report.Entry entry) {
-    if (!pipeline.recordExit(job, entry.index(), entry.attempt(), pass.machine, entry.why())) {
+    if (!pipeline.recordExit(job, entry.index(), entry.attempt(), pass.machine, entry.exitReason())) {
       // The worker reports the exit until it is cleared, but the failure counts only once.
       return;
     }
     pass.recordEvent(
-        CommandEvent.Kind.ATTEMPT_ENDED, attemptOf(entry), "reported as " + entry.why());
+        CommandEvent.Kind.ATTEMPT_ENDED, attemptOf(entry), "reported as " + entry.exitReason());
     String machine = pass.machine.name();
-    if (Report.ERROR.equals(entry.why())) {
+    if (Report.EXIT_ERROR.equals(entry.exitReason())) {
       // For a suspected job, the failures of all its tasks are logged together once per round.
       if (!job.isSuspected()) {
         LOG.info("task failed: task={}, machine={}", entry.task(), machine);
       }
-    } else if (Report.FULL.equals(entry.why())
-        || Report.UNKNOWN.equals(entry.why())
-        || Report.BUSY.equals(entry.why())) {
-      LOG.info("task refused: machine={}, task={}, reason={}", machine, entry.task(), entry.why());
+    } else if (Report.EXIT_FULL.equals(entry.exitReason())
+        || Report.EXIT_UNKNOWN.equals(entry.exitReason())
+        || Report.EXIT_BUSY.equals(entry.exitReason())) {
+      LOG.info("task refused: machine={}, task={}, reason={}", machine, entry.task(), entry.exitReason());
       job.backOffAfterRefusal(timers.nowMs());
     }
   }
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -325,7 +325,7 @@
       return;
     }
     Machine.Phase wantedPhase =
-        report.noticeS() != null ? Machine.Phase.DRAINING : Machine.Phase.UP;
+        report.reclaimNoticeS() != null ? Machine.Phase.DRAINING : Machine.Phase.UP;
     Machine.Phase currentPhase = machine.phase();
     boolean needsUpdate =
         switch (currentPhase) {
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -235,7 +235,7 @@
    */
   void endAttempt(Job job, int index, String exitReason) {
     changeTask(job, index, task -> task.exited(exitReason));
-    if (Report.ERROR.equals(exitReason)) {
+    if (Report.EXIT_ERROR.equals(exitReason)) {
       failedTasks.computeIfAbsent(job, k -> new HashSet<>()).add(index);
     }
   }
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -571,7 +571,7 @@
    * are stopped.
    */
   private void addGangExit(TransactionBuilder builder, Job job, int index, String exitReason) {
-    boolean gangDone = Report.DONE.equals(exitReason) || builder.doneTaskCount(job) > 0;
+    boolean gangDone = Report.EXIT_DONE.equals(exitReason) || builder.doneTaskCount(job) > 0;
     TaskState before = builder.taskState(job, index);
     if (!gangDone && job.taskCount() > 1 && before.stop() == TaskState.Stop.NONE) {
       LOG.info(
@@ -583,7 +583,7 @@
           exitReason,
           before.machine().ageMs(job, index, timers.nowMs()) / 1000);
     }
-    builder.endAttempt(job, index, gangDone ? Report.DONE : exitReason);
+    builder.endAttempt(job, index, gangDone ? Report.EXIT_DONE : exitReason);
     for (int i = 0; i < job.taskCount(); i++) {
       TaskState state = builder.taskState(job, i);
       if (i == index || !builder.fitsInPage(job, 1)) {
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -12,7 +12,7 @@
  *     incarnation
  * @param tick a number that increases with each report of a session
  * @param epoch the highest epoch that the worker has received; 0: none
- * @param noticeS the time until the machine is reclaimed; null: no reclaim was announced
+ * @param reclaimNoticeS the time until the machine is reclaimed; null: no reclaim was announced
  * @param tasks the attempts on the worker, including exited ones until they are cleared
  */
 public record Report(
@@ -24,7 +24,7 @@
     long tenure,
     long tick,
     long epoch,
-    Double noticeS,
+    Double reclaimNoticeS,
     List<Entry> tasks) {
 
   /** The phase of an attempt on its worker. */
@@ -45,10 +45,10 @@
   /**
    * One attempt of a task as its worker reports it.
    *
-   * @param why the exit reason; null before the exit
+   * @param exitReason the exit reason; null before the exit
    * @param saved whether the attempt saved its state
    */
-  public record Entry(String job, int index, int attempt, Phase phase, String why, boolean saved) {
+  public record Entry(String job, int index, int attempt, Phase phase, String exitReason, boolean saved) {
     /** Returns the name of the task: job and index. */
     public String task() {
       return job + "/" + index;
@@ -56,22 +56,22 @@
   }
 
   /** Exit reason: the task is complete. */
-  public static final String DONE = "done";
+  public static final String EXIT_DONE = "done";
 
   /** Exit reason: the task failed. */
-  public static final String ERROR = "error";
+  public static final String EXIT_ERROR = "error";
 
   /** Exit reason: the other tasks of the gang did not become ready in time. */
-  public static final String ALONE = "alone";
+  public static final String EXIT_ALONE = "alone";
 
   /** Exit reason: the worker refused the attempt for lack of free resources. */
-  public static final String FULL = "full";
+  public static final String EXIT_FULL = "full";
 
   /** Exit reason: the worker refused the attempt as busy. */
-  public static final String BUSY = "busy";
+  public static final String EXIT_BUSY = "busy";
 
   /** Exit reason: the worker refused the attempt as unknown. */
-  public static final String UNKNOWN = "unknown";
+  public static final String EXIT_UNKNOWN = "unknown";
 
   /** Returns whether another report of the same worker is at least as recent as this one. */
   public boolean notNewerThan(Report other) {
