--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -875,6 +875,6 @@
   }
 
   private void noteMalformed(String request, BadMessage e) {
-    malformed.note(MalformedMessages.Sender.STATE_SERVICE, "answer to " + request, e);
+    malformed.record(MalformedMessages.Sender.STATE_SERVICE, "answer to " + request, e);
   }
 }
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -154,7 +154,7 @@
     try {
       applyReport(machine, link, Report.parse(Document.parse(answer.body())), view);
     } catch (BadMessage cause) {
-      malformed.note(MalformedMessages.Sender.WORKER, "answer to orders", cause);
+      malformed.record(MalformedMessages.Sender.WORKER, "answer to orders", cause);
     }
   }
 
--- a/src/main/java/wickdrift/coordination/FleetManager.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -235,7 +235,7 @@
               types.put(MachineType.parse(type));
             }
           } catch (BadMessage e) {
-            malformedMessages.note(MalformedMessages.Sender.CLOUD, "types", e);
+            malformedMessages.record(MalformedMessages.Sender.CLOUD, "types", e);
           }
         });
   }
@@ -291,7 +291,7 @@
               return;
             }
           } catch (BadMessage e) {
-            malformedMessages.note(MalformedMessages.Sender.CLOUD, "list", e);
+            malformedMessages.record(MalformedMessages.Sender.CLOUD, "list", e);
             listInProgress = false;
             return;
           }
@@ -767,7 +767,7 @@
     try {
       names = Document.parse(body).texts("hosts");
     } catch (BadMessage e) {
-      malformedMessages.note(MalformedMessages.Sender.CLOUD, "answer to a rental", e);
+      malformedMessages.record(MalformedMessages.Sender.CLOUD, "answer to a rental", e);
       return;
     }
     LOG.info(
--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -223,7 +223,7 @@
     try {
       report = Report.parse(Document.parse(exchange.body()));
     } catch (BadMessage cause) {
-      malformed.note(MalformedMessages.Sender.WORKER, "report", cause);
+      malformed.record(MalformedMessages.Sender.WORKER, "report", cause);
       exchange.reply(400, Map.of("error", cause.getMessage()));
       return;
     }
--- a/src/main/java/wickdrift/daemon/Controller.java
+++ b/src/main/java/wickdrift/daemon/Controller.java
@@ -299,7 +299,7 @@
     try {
       frame = PeerFrame.decode(bytes);
     } catch (BadMessage e) {
-      malformedMessages.note(MalformedMessages.Sender.PEER, "frame", e);
+      malformedMessages.record(MalformedMessages.Sender.PEER, "frame", e);
       return;
     }
     if (frame instanceof PeerFrame.PeerStatus s) {
--- a/src/main/java/wickdrift/protocol/MalformedMessages.java
+++ b/src/main/java/wickdrift/protocol/MalformedMessages.java
@@ -35,7 +35,7 @@
    *
    * @param message the kind of message, for example the request that it answers
    */
-  public void note(Sender sender, String message, BadMessage error) {
+  public void record(Sender sender, String message, BadMessage error) {
     countsBySender.merge(sender, 1L, Long::sum);
     Set<String> causes = loggedCausesBySender.computeIfAbsent(sender, k -> new HashSet<>());
     String cause = message + ": " + error.getMessage();
@@ -50,7 +50,7 @@
   }
 
   /** Returns the number of causes that were logged for a sender. */
-  public int causes(Sender sender) {
+  public int loggedCauses(Sender sender) {
     return loggedCausesBySender.getOrDefault(sender, Set.of()).size();
   }
 }
--- a/src/test/java/wickdrift/sim/MalformedAnswersTest.java
+++ b/src/test/java/wickdrift/sim/MalformedAnswersTest.java
@@ -55,13 +55,13 @@
   void eachCauseIsToldOnceAndNotWithoutEnd() {
     MalformedMessages messages = new MalformedMessages();
     for (int i = 0; i < 1000; i++) {
-      messages.note(Sender.CLOUD, "list", new BadMessage("no field"));
-      messages.note(Sender.WORKER, "report", new BadMessage("value " + i));
+      messages.record(Sender.CLOUD, "list", new BadMessage("no field"));
+      messages.record(Sender.WORKER, "report", new BadMessage("value " + i));
     }
     assertEquals(1000, messages.count(Sender.CLOUD));
-    assertEquals(1, messages.causes(Sender.CLOUD));
+    assertEquals(1, messages.loggedCauses(Sender.CLOUD));
     assertEquals(1000, messages.count(Sender.WORKER));
-    assertEquals(100, messages.causes(Sender.WORKER));
+    assertEquals(100, messages.loggedCauses(Sender.WORKER));
     assertEquals(0, messages.count(Sender.PEER));
   }
 }
