--- a/src/main/java/wickdrift/bookkeeping/Job.java
+++ b/src/main/java/wickdrift/bookkeeping/Job.java
@@ -249,7 +249,7 @@
     }
     acceptedWallMs = document.count("at");
     partition = document.text("part");
-    unknownFields = document.without("spec", "more", "at", "part", "off", "offAt");
+    unknownFields = document.fieldsExcept("spec", "more", "at", "part", "off", "offAt");
     boolean nowWithdrawn = document.flag("off");
     if (nowWithdrawn && !withdrawn) {
       machines().forEach(Machine::markChanged);
@@ -439,7 +439,7 @@
     }
     chunkStamps[chunk] = newStamp;
     Map<String, Object> unknown =
-        document == null ? Map.of() : document.without("rev", "done", "live", "tried");
+        document == null ? Map.of() : document.fieldsExcept("rev", "done", "live", "tried");
     if (!unknown.isEmpty()) {
       unknownChunkFields = new HashMap<>(unknownChunkFields);
       unknownChunkFields.put(chunk, unknown);
--- a/src/main/java/wickdrift/bookkeeping/LogPage.java
+++ b/src/main/java/wickdrift/bookkeeping/LogPage.java
@@ -87,7 +87,7 @@
     int encoding = Encoding.versionOf(value);
     int bytes = MessageCodec.jsonSize(value);
     return new LogPage(
-        node(key), number(key), stamp, runs, bytes, encoding, document.without(RUNS_FIELD));
+        node(key), number(key), stamp, runs, bytes, encoding, document.fieldsExcept(RUNS_FIELD));
   }
 
   public String key() {
--- a/src/main/java/wickdrift/bookkeeping/Partition.java
+++ b/src/main/java/wickdrift/bookkeeping/Partition.java
@@ -119,6 +119,6 @@
         quotaShares,
         stamp,
         Encoding.versionOf(value),
-        document.without("epoch", "taken", "shares"));
+        document.fieldsExcept("epoch", "taken", "shares"));
   }
 }
--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -503,7 +503,7 @@
     try {
       Document document = Document.parse(body);
       newRev = document.count("ledgerRev");
-      for (Document e : document.docs("news")) {
+      for (Document e : document.documents("news")) {
         long stamp = e.count("stamp");
         String written = e.textOrNull("write");
         if (stamp <= rev) {
@@ -703,7 +703,7 @@
 
   private static ListResult parseListing(Document document) throws BadMessage {
     List<Change> entries = new ArrayList<>();
-    for (Document e : document.docs("entries")) {
+    for (Document e : document.documents("entries")) {
       entries.add(new Change(e.text("key"), e.raw("v"), e.count("stamp")));
     }
     return new ListResult(entries, document.flag("truncated", false));
--- a/src/main/java/wickdrift/bookkeeping/Tables.java
+++ b/src/main/java/wickdrift/bookkeeping/Tables.java
@@ -913,7 +913,7 @@
       return;
     }
     archiveBuckets.put(
-        bucket, new ArchiveBucket(stamp, document.count("rev"), document.without("rev", "m")));
+        bucket, new ArchiveBucket(stamp, document.count("rev"), document.fieldsExcept("rev", "m")));
     if (whole) {
       machinesInBucket(bucket).forEach(m -> m.restore(null));
       for (Object o : document.list("m")) {
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -111,7 +111,7 @@
         zones,
         (int) level,
         document.count(SINCE_FIELD, 0),
-        document.without(LEVEL_FIELD, SINCE_FIELD, "epoch", "members", "leader", "zones"));
+        document.fieldsExcept(LEVEL_FIELD, SINCE_FIELD, "epoch", "members", "leader", "zones"));
   }
 
   private static Map<String, String> texts(Object map) throws BadMessage {
--- a/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
+++ b/src/main/java/wickdrift/bookkeeping/level/NodeRecord.java
@@ -60,7 +60,7 @@
         LevelRange.parse(document),
         List.copyOf(document.texts("peers")),
         stamp,
-        document.without("name", "least", "most", "peers"));
+        document.fieldsExcept("name", "least", "most", "peers"));
   }
 
   private static int number(String text) throws BadMessage {
--- a/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
+++ b/src/main/java/wickdrift/bookkeeping/level/OperatorOverrides.java
@@ -40,7 +40,7 @@
         List.copyOf(document.texts("held")),
         List.copyOf(document.texts("without")),
         stamp,
-        document.without("held", "without"));
+        document.fieldsExcept("held", "without"));
   }
 
   /** Returns the same overrides with a gate held back or released. */
--- a/src/main/java/wickdrift/coordination/FleetManager.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -231,7 +231,7 @@
             return;
           }
           try {
-            for (Document type : Document.parse(response.body()).docs("flavours")) {
+            for (Document type : Document.parse(response.body()).documents("flavours")) {
               types.put(MachineType.parse(type));
             }
           } catch (BadMessage e) {
@@ -275,7 +275,7 @@
           try {
             Document page = Document.parse(response.body());
             String lastName = startAfter;
-            for (Document host : page.docs("hosts")) {
+            for (Document host : page.documents("hosts")) {
               lastName = host.text("ref");
               listed.put(
                   lastName,
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -50,7 +50,7 @@
         String path = "/store?prefix=" + StateServiceClient.PREFIX + "&most=" + PAGE;
         Document d = answer(store.call("GET", from == null ? path : path + "&from=" + from, null));
         rev = Math.min(rev, d.count("ledgerRev"));
-        for (Document e : d.docs("entries")) {
+        for (Document e : d.documents("entries")) {
           from = e.text("key");
           all.put(from, new Item(e.raw("v"), e.count("stamp")));
         }
@@ -62,7 +62,7 @@
         return null;
       }
       Document d = answer(a);
-      List<Document> news = new ArrayList<>(d.docs("news"));
+      List<Document> news = new ArrayList<>(d.documents("news"));
       List<Long> stamps = new ArrayList<>();
       for (Document n : news) {
         stamps.add(n.count("stamp"));
--- a/src/main/java/wickdrift/protocol/Document.java
+++ b/src/main/java/wickdrift/protocol/Document.java
@@ -38,7 +38,7 @@
    * Returns all fields except the given ones. The result holds the fields that a newer build added
    * to a stored record; they are kept when this build rewrites the record.
    */
-  public Map<String, Object> without(String... excludedKeys) {
+  public Map<String, Object> fieldsExcept(String... excludedKeys) {
     List<String> excluded = List.of(excludedKeys);
     Map<String, Object> remaining = null;
     for (Map.Entry<?, ?> entry : map.entrySet()) {
@@ -157,7 +157,7 @@
   }
 
   /** Returns a field that holds a list of maps; an empty list if it is absent or null. */
-  public List<Document> docs(String key) throws BadMessage {
+  public List<Document> documents(String key) throws BadMessage {
     List<Document> documents = new ArrayList<>();
     for (Object element : list(key)) {
       documents.add(of(element));
--- a/src/main/java/wickdrift/protocol/JobSpec.java
+++ b/src/main/java/wickdrift/protocol/JobSpec.java
@@ -230,7 +230,7 @@
 
   /** Returns the fields of a stored description that this build does not know. */
   public static Map<String, Object> unknownFields(Document stored) {
-    return stored.without(
+    return stored.fieldsExcept(
         "ref",
         "jobclass",
         "owner",
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -85,7 +85,7 @@
    */
   public static Report parse(Document report) throws BadMessage {
     List<Entry> tasks = new ArrayList<>();
-    for (Document task : report.docs("shards")) {
+    for (Document task : report.documents("shards")) {
       String taskName = task.text("shard");
       int slash = taskName.lastIndexOf('/');
       if (slash < 0) {
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -58,7 +58,7 @@
 
   private static boolean runsTheTask(byte[] body) {
     try {
-      for (Document order : Document.parse(body).docs("orders")) {
+      for (Document order : Document.parse(body).documents("orders")) {
         if (order.text("verb").equals("run") && order.text("shard").equals(TASK)) {
           return true;
         }
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -230,7 +230,7 @@
           world.state().fate =
               (from, d) -> {
                 try {
-                  for (var t : d.docs("then")) {
+                  for (var t : d.documents("then")) {
                     String key = t.textOrNull("write");
                     if (key != null && key.equals("w/m/n1")) {
                       wrote.add(key);
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -147,7 +147,7 @@
     for (Map.Entry<String, Object> e : records.entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue()).raw("spec"));
-        w.users.describe(new TreeMap<>(spec.without()));
+        w.users.describe(new TreeMap<>(spec.fieldsExcept()));
         if (!spec.text("shape").equals("daemon") && !Document.of(e.getValue()).flag("off")) {
           open.add(spec.text("ref"));
         }
@@ -198,10 +198,10 @@
     Set<String> all = into.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
     all.add("form " + Encoding.versionOf(value));
     Document d = Encoding.decode(value, 9);
-    for (Map.Entry<String, Object> e : d.without().entrySet()) {
+    for (Map.Entry<String, Object> e : d.fieldsExcept().entrySet()) {
       all.add(e.getKey());
       if (e.getKey().equals("spec")) {
-        Document.of(e.getValue()).without().keySet().forEach(f -> all.add("spec." + f));
+        Document.of(e.getValue()).fieldsExcept().keySet().forEach(f -> all.add("spec." + f));
       }
       for (Object run : e.getKey().equals("g") ? (List<?>) e.getValue() : List.of()) {
         for (Object entry : (List<?>) ((List<?>) run).get(1)) {
@@ -307,7 +307,7 @@
     for (Map.Entry<String, Records.Item> e : r.all().entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue().value()).raw("spec"));
-        w.users.describe(new TreeMap<>(spec.without()));
+        w.users.describe(new TreeMap<>(spec.fieldsExcept()));
         open++;
       }
     }
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -428,7 +428,7 @@
 
   private static boolean endsOne(Document txn, String... ids) {
     try {
-      for (Document t : txn.docs("then")) {
+      for (Document t : txn.documents("then")) {
         String key = t.textOrNull("write");
         boolean end = t.raw("v") instanceof Map<?, ?> m && m.containsKey("over");
         if (end && Arrays.stream(ids).anyMatch(i -> key.equals("w/j/" + i))) {
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -189,7 +189,7 @@
 
     boolean is(Document txn) {
       try {
-        for (Document t : txn.docs("then")) {
+        for (Document t : txn.documents("then")) {
           String key = t.textOrNull("write");
           boolean newForm = t.raw("v") instanceof List<?>;
           if (key != null && key.startsWith(prefix)) {
@@ -344,7 +344,7 @@
 
   private static boolean places(Document txn) {
     try {
-      for (Document t : txn.docs("then")) {
+      for (Document t : txn.documents("then")) {
         String key = t.textOrNull("write");
         if (key != null && key.startsWith("w/l/")) {
           List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
@@ -743,9 +743,9 @@
       more.putAll(
           v == null
               ? OperatorOverrides.NONE.toStore()
-              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(v)), form).without());
+              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(v)), form).fieldsExcept());
       if (key.startsWith("w/j/")) {
-        Map<String, Object> spec = new TreeMap<>(Document.of(more.get("spec")).without());
+        Map<String, Object> spec = new TreeMap<>(Document.of(more.get("spec")).fieldsExcept());
         spec.put("later", 8L);
         more.put("spec", spec);
       }
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -453,10 +453,10 @@
   /** What every transaction that is applied must have been conditional on. */
   private void fencing(Document d) throws BadMessage {
     Set<String> when = new HashSet<>();
-    for (Document w : d.docs("when")) {
+    for (Document w : d.documents("when")) {
       when.add(w.text("key"));
     }
-    for (Document t : d.docs("then")) {
+    for (Document t : d.documents("then")) {
       String key = t.textOrNull("write") == null ? t.text("delete") : t.text("write");
       if (key.startsWith("w/j/") && !when.contains(key)) {
         unfenced.add(key + " without its own stamp");
@@ -512,10 +512,10 @@
 
   /** What of a transaction is larger than it may be, or null. */
   private String oversized(Document d) throws BadMessage {
-    if (d.docs("when").size() > 4 * txnOps || d.docs("then").size() > txnOps) {
-      return d.docs("when").size() + " conditions, " + d.docs("then").size() + " changes";
+    if (d.documents("when").size() > 4 * txnOps || d.documents("then").size() > txnOps) {
+      return d.documents("when").size() + " conditions, " + d.documents("then").size() + " changes";
     }
-    for (Document t : d.docs("then")) {
+    for (Document t : d.documents("then")) {
       if (MessageCodec.jsonSize(t.raw("v")) > valueBytes) {
         return t.text("write");
       }
@@ -559,17 +559,17 @@
       return d;
     }
     List<Object> when = new ArrayList<>();
-    for (Document w : d.docs("when")) {
+    for (Document w : d.documents("when")) {
       if (!w.text("key").startsWith("w/c/")) {
         when.add(w.rawMap());
       }
     }
     List<Object> then = new ArrayList<>();
-    for (Document t : d.docs("then")) {
+    for (Document t : d.documents("then")) {
       String key = t.textOrNull("write") == null ? t.text("delete") : t.text("write");
       if (key.startsWith("w/m/")) {
-        Map<String, Object> op = new LinkedHashMap<>(t.without());
-        op.put("v", Document.of(t.raw("v")).without("least", "most"));
+        Map<String, Object> op = new LinkedHashMap<>(t.fieldsExcept());
+        op.put("v", Document.of(t.raw("v")).fieldsExcept("least", "most"));
         then.add(op);
       } else if (!key.startsWith("w/c/")) {
         then.add(t.rawMap());
@@ -599,15 +599,15 @@
 
   private Answer commit(Document d) throws BadMessage {
     commits++;
-    count(d.docs("then").size());
+    count(d.documents("then").size());
     List<Object> failed = new ArrayList<>();
-    for (Document w : d.docs("when")) {
+    for (Document w : d.documents("when")) {
       Entry e = entries.get(w.text("key"));
       if ((e == null ? 0 : e.stamp) != w.count("stamp")) {
         failed.add(w.text("key"));
       }
     }
-    for (Document t : d.docs("then")) {
+    for (Document t : d.documents("then")) {
       long lease = t.count("tether", 0);
       if (lease > 0 && !leaseEnds.containsKey(lease)) {
         return answer(400, Map.of("error", "no such lease"));
@@ -626,7 +626,7 @@
     }
     fencing(d);
     rev++;
-    for (Document t : d.docs("then")) {
+    for (Document t : d.documents("then")) {
       String key = t.textOrNull("write");
       if (key != null) {
         put(key, t.raw("v"), t.count("tether", 0));
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -325,7 +325,7 @@
   }
 
   private void orders(Document d) throws BadMessage {
-    for (Document o : d.docs("orders")) {
+    for (Document o : d.documents("orders")) {
       String id = o.text("shard");
       int attempt = (int) o.count("try");
       Task t = tasks.get(id);
--- a/src/test/java/wickdrift/sim/TakesTest.java
+++ b/src/test/java/wickdrift/sim/TakesTest.java
@@ -53,7 +53,7 @@
     w.state().fate =
         (from, d) -> {
           try {
-            for (Document t : d.docs("then")) {
+            for (Document t : d.documents("then")) {
               String key = t.textOrNull("write");
               if (key != null && (key.startsWith("w/p/") || key.equals(Tables.CLAIMS_KEY))) {
                 records[0]++;
