--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -768,7 +768,7 @@
     }
   }
 
-  private CommitResult toCommitResult(Transaction transaction, Caller.Answer answer) {
+  private CommitResult toCommitResult(Transaction transaction, Caller.Response answer) {
     try {
       switch (answer.status()) {
         case 200:
@@ -842,7 +842,7 @@
   // ---- calls ----
 
   private void call(
-      String method, String path, byte[] body, long timeoutMs, Consumer<Caller.Answer> done) {
+      String method, String path, byte[] body, long timeoutMs, Consumer<Caller.Response> done) {
     boolean unthrottled = path.startsWith("/grants") || path.startsWith("/commit");
     if (!requests.tryAcquire(1, unthrottled ? -1e9 : requestReserve, timers.nowMs())) {
       timers.after(20, () -> call(method, path, body, timeoutMs, done));
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -135,7 +135,7 @@
   }
 
   private void handleAnswer(
-      Machine machine, WorkerLink link, WorkerCommands.DirectRuns command, Caller.Answer answer) {
+      Machine machine, WorkerLink link, WorkerCommands.DirectRuns command, Caller.Response answer) {
     link.inFlight = false;
     if (answer.status() != HTTP_OK && answer.status() != HTTP_CONFLICT) {
       // The command may still arrive. The answers to reports repeat its content.
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -9,7 +9,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /**
  * All records as of one revision.
@@ -57,7 +57,7 @@
         more = d.flag("truncated", false);
       }
       String path = "/follow?prefix=" + StateServiceClient.PREFIX + "&from=" + rev + "&holdMs=0";
-      Answer a = store.call("GET", path, null);
+      Response a = store.call("GET", path, null);
       if (a.status() == 410) {
         return null;
       }
@@ -87,7 +87,7 @@
     }
   }
 
-  private static Document answer(Answer a) throws Store.Away, BadMessage {
+  private static Document answer(Response a) throws Store.Away, BadMessage {
     if (a.status() != 200) {
       throw new Store.Away("the state service answers " + a.status());
     }
@@ -103,7 +103,7 @@
 
   /** One transaction; true if its conditions held. */
   static boolean commit(Store store, Transaction txn) throws Store.Away {
-    Answer a = store.call("POST", "/commit", MessageCodec.encode(txn.toRequest()));
+    Response a = store.call("POST", "/commit", MessageCodec.encode(txn.toRequest()));
     if (a.status() != 200 && a.status() != 409) {
       throw new Store.Away("the state service refuses a change with " + a.status());
     }
--- a/src/main/java/wickdrift/operator/StateClient.java
+++ b/src/main/java/wickdrift/operator/StateClient.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 import wickdrift.transport.EventLoop;
 import wickdrift.transport.HttpClient;
 
@@ -33,14 +33,14 @@
   }
 
   @Override
-  public Answer call(String method, String path, byte[] body) throws Away {
+  public Response call(String method, String path, byte[] body) throws Away {
     long until = loop.nowMs() + limitMs;
     try {
       while (true) {
         Thread.sleep(paceMs);
-        CompletableFuture<Answer> got = new CompletableFuture<>();
+        CompletableFuture<Response> got = new CompletableFuture<>();
         loop.run(() -> client.call(address, method, path, body, CALL_MS, got::complete));
-        Answer a = got.get(CALL_MS + AGAIN_MS, TimeUnit.MILLISECONDS);
+        Response a = got.get(CALL_MS + AGAIN_MS, TimeUnit.MILLISECONDS);
         boolean write = path.equals("/commit");
         if (a.status() == 0 && write) {
           // It may have been applied, or may yet be: to send it again is for who knows better.
--- a/src/main/java/wickdrift/operator/Store.java
+++ b/src/main/java/wickdrift/operator/Store.java
@@ -1,6 +1,6 @@
 package wickdrift.operator;
 
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /** The state service as a person's command meets it: one request at a time, waiting for each. */
 public interface Store {
@@ -19,5 +19,5 @@
    * @return any answer but 429 and 503, which are waited out
    * @throws Away if there was none in bounded time
    */
-  Answer call(String method, String path, byte[] body) throws Away;
+  Response call(String method, String path, byte[] body) throws Away;
 }
--- a/src/main/java/wickdrift/transport/Caller.java
+++ b/src/main/java/wickdrift/transport/Caller.java
@@ -7,9 +7,9 @@
   /**
    * An HTTP response. Status 0 means that no response arrived; the request may still be executed.
    */
-  record Answer(int status, byte[] body) {
+  record Response(int status, byte[] body) {
     /** No response arrived. */
-    public static final Answer NONE = new Answer(0, new byte[0]);
+    public static final Response NO_RESPONSE = new Response(0, new byte[0]);
   }
 
   /**
@@ -17,7 +17,7 @@
    *
    * @param address host and port
    * @param body null for an empty body
-   * @param onResponse receives the response, or {@link Answer#NONE} after the timeout or a failure
+   * @param onResponse receives the response, or {@link Response#NO_RESPONSE} after the timeout or a failure
    */
   void call(
       String address,
@@ -25,5 +25,5 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Answer> onResponse);
+      Consumer<Response> onResponse);
 }
--- a/src/main/java/wickdrift/transport/HttpClient.java
+++ b/src/main/java/wickdrift/transport/HttpClient.java
@@ -85,12 +85,12 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Answer> onResponse) {
+      Consumer<Response> onResponse) {
     PendingRequest pending = new PendingRequest(address, onResponse);
     pending.timeoutTask =
         group
             .next()
-            .schedule(() -> pending.finish(Answer.NONE, false), timeoutMs, TimeUnit.MILLISECONDS);
+            .schedule(() -> pending.finish(Response.NO_RESPONSE, false), timeoutMs, TimeUnit.MILLISECONDS);
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -106,7 +106,7 @@
       return;
     }
     if (!ensureCapacityFor(address)) {
-      group.next().execute(() -> pending.finish(Answer.NONE, false));
+      group.next().execute(() -> pending.finish(Response.NO_RESPONSE, false));
       return;
     }
     openConnections++;
@@ -136,7 +136,7 @@
             pending.send(connectFuture.channel(), request);
           } else {
             connectFuture.channel().close();
-            pending.finish(Answer.NONE, false);
+            pending.finish(Response.NO_RESPONSE, false);
           }
         });
   }
@@ -202,12 +202,12 @@
   /** A request whose response callback has not been called yet. */
   private final class PendingRequest {
     private final String address;
-    private final Consumer<Answer> onResponse;
+    private final Consumer<Response> onResponse;
     private java.util.concurrent.ScheduledFuture<?> timeoutTask;
     private Channel channel;
     private boolean finished;
 
-    PendingRequest(String address, Consumer<Answer> onResponse) {
+    PendingRequest(String address, Consumer<Response> onResponse) {
       this.address = address;
       this.onResponse = onResponse;
     }
@@ -220,12 +220,12 @@
           .addListener(
               write -> {
                 if (!write.isSuccess()) {
-                  finish(Answer.NONE, false);
+                  finish(Response.NO_RESPONSE, false);
                 }
               });
     }
 
-    void finish(Answer response, boolean reusable) {
+    void finish(Response response, boolean reusable) {
       if (finished) {
         return;
       }
@@ -259,7 +259,7 @@
         return;
       }
       request.finish(
-          new Answer(msg.status().code(), ByteBufUtil.getBytes(msg.content())),
+          new Response(msg.status().code(), ByteBufUtil.getBytes(msg.content())),
           HttpUtil.isKeepAlive(msg) && msg.decoderResult().isSuccess());
     }
 
@@ -267,7 +267,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
       removeIdle(ctx.channel());
       if (pendingRequest != null) {
-        pendingRequest.finish(Answer.NONE, false);
+        pendingRequest.finish(Response.NO_RESPONSE, false);
       }
     }
 
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /**
  * Whole days of three controllers on a simulated clock; every event is checked against the rules.
@@ -386,7 +386,7 @@
     w.run(2520);
     assertEquals(old, w.epoch("n1"), "n1 has read the news already");
     assertTrue(w.epoch("n0") > old, "the view has not changed");
-    Answer[] got = w.report("n1", machine, old);
+    Response[] got = w.report("n1", machine, old);
     w.run(3000);
     boolean stale = got[0].status() == 200 && Document.parse(got[0].body()).count("epoch") == old;
     assertFalse(stale, "answered under epoch " + old);
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.protocol.BadMessage;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /**
  * Real controller processes of two builds on loopback, against this project's own state service,
@@ -119,7 +119,7 @@
   }
 
   private int status(String node, String method, String path, byte[] body) throws Exception {
-    CompletableFuture<Answer> got = new CompletableFuture<>();
+    CompletableFuture<Response> got = new CompletableFuture<>();
     stage.loop.run(
         () -> world.net.outside.get(node).call(node, method, path, body, 3000, got::complete));
     return got.get(5, TimeUnit.SECONDS).status();
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -21,7 +21,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Caller;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 import wickdrift.transport.EventLoop;
 import wickdrift.transport.Exchange;
 import wickdrift.transport.HttpClient;
@@ -176,7 +176,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      java.util.function.Consumer<Answer> done) {
+      java.util.function.Consumer<Response> done) {
     boolean ofUser = path.startsWith("/api/");
     client.call(
         addresses.get(node),
@@ -229,7 +229,7 @@
     caller.call(address, x.method(), x.path(), x.body(), REQUEST_MS, answer -> reply(x, answer));
   }
 
-  private static void reply(Exchange x, Answer answer) {
+  private static void reply(Exchange x, Response answer) {
     if (answer.status() == 0) {
       return;
     }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -48,7 +48,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 import wickdrift.transport.EventLoop;
 import wickdrift.transport.Exchange;
 import wickdrift.transport.HttpServer;
@@ -58,7 +58,7 @@
   /** The simulated state service, asked from outside. */
   private static Store store(SimState state) {
     return (method, path, body) -> {
-      Answer[] got = new Answer[1];
+      Response[] got = new Response[1];
       state.serve("operator", method, path, body, a -> got[0] = a);
       return got[0];
     };
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -26,7 +26,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /**
  * Jobs that await others, with troubles. Beside the rules of every event, what a job was called
@@ -238,7 +238,7 @@
   // ---- acceptance ----
 
   private static int submit(SimWorld w, String node, Map<String, Object> job) {
-    Answer a = w.users.ask(node, "POST", "/api/jobs", w.users.describe(job));
+    Response a = w.users.ask(node, "POST", "/api/jobs", w.users.describe(job));
     return a == null ? 0 : a.status();
   }
 
@@ -343,7 +343,7 @@
     return phase(w.users.ask(node, "GET", "/api/jobs/" + id(job), null));
   }
 
-  private static String phase(Answer a) {
+  private static String phase(Response a) {
     try {
       return Document.parse(a.body()).text("phase");
     } catch (BadMessage e) {
@@ -367,7 +367,7 @@
     w.run(25_000);
     assertEquals(100, w.users.accepted.size());
     w.users.asked.add(id(0));
-    Answer a = w.users.ask("n0", "POST", "/api/jobs/" + id(0) + "/withdraw", null);
+    Response a = w.users.ask("n0", "POST", "/api/jobs/" + id(0) + "/withdraw", null);
     assertEquals(200, a.status());
     w.rules.withdrawn(id(0));
     switch (trouble) {
@@ -417,7 +417,7 @@
     w.state().slowFinalsMs = 8000;
     w.crash("n2", 300);
     w.run(3000);
-    Answer a = w.users.ask("n2", "GET", "/api/jobs/" + id(3), null);
+    Response a = w.users.ask("n2", "GET", "/api/jobs/" + id(3), null);
     assertTrue(a.status() == 503 || "withdrawn".equals(phase(a)), "older than what was told");
     w.run(8000);
     assertEquals("withdrawn", phase(w, "n2", 3));
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -28,7 +28,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /**
  * Controllers are replaced one after the other by those of a newer build while jobs run. In place
@@ -819,7 +819,7 @@
     w.run(60);
     // The others have not changed the view yet.
     assertEquals(epoch, w.epoch("n1"));
-    Answer[] got = w.report("n0", mine, epoch);
+    Response[] got = w.report("n0", mine, epoch);
     w.state().writers.clear();
     w.run(1500);
     assertNotEquals(200, got[0].status());
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /** A stand-in for the cloud: rents machines, boots them, and lists them late. */
 final class SimCloud implements SimNet.Server {
@@ -99,7 +99,7 @@
   }
 
   @Override
-  public void serve(String from, String method, String path, byte[] body, Consumer<Answer> done) {
+  public void serve(String from, String method, String path, byte[] body, Consumer<Response> done) {
     try {
       if (path.equals("/flavors")) {
         done.accept(
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -15,7 +15,7 @@
 public final class SimNet {
   /** What listens at an address. */
   public interface Server {
-    void serve(String from, String method, String path, byte[] body, Consumer<Caller.Answer> done);
+    void serve(String from, String method, String path, byte[] body, Consumer<Caller.Response> done);
 
     /** Grows when what listens begins anew: what was on its way to the one before is lost. */
     default long life() {
@@ -169,7 +169,7 @@
       String method,
       String path,
       byte[] body,
-      Consumer<Caller.Answer> done) {
+      Consumer<Caller.Response> done) {
     Caller process = outside.get(to);
     Server server = servers.get(to);
     if (process != null) {
@@ -262,14 +262,14 @@
   public Caller caller(String from, BooleanSupplier alive) {
     return (address, method, path, body, timeoutMs, done) -> {
       boolean[] finished = {false};
-      Consumer<Caller.Answer> once =
+      Consumer<Caller.Response> once =
           a -> {
             if (!finished[0] && alive.getAsBoolean()) {
               finished[0] = true;
               done.accept(a);
             }
           };
-      clock.after(timeoutMs, () -> once.accept(Caller.Answer.NONE));
+      clock.after(timeoutMs, () -> once.accept(Caller.Response.NO_RESPONSE));
       if (mute.contains(from)) {
         return;
       }
@@ -282,7 +282,7 @@
       switch (fate) {
         case HELD -> hold(from, address, method, path, body);
         case LATE -> deliverLate(from, address, method, path, body);
-        case RESET -> clock.after(1, () -> once.accept(Caller.Answer.NONE));
+        case RESET -> clock.after(1, () -> once.accept(Caller.Response.NO_RESPONSE));
         default -> {}
       }
       boolean arrives =
@@ -295,10 +295,10 @@
           address,
           () -> {
             if (outside.containsKey(address)) {
-              Consumer<Caller.Answer> got =
+              Consumer<Caller.Response> got =
                   switch (fate) {
                     case ANSWER_LOST -> a -> {};
-                    case ANSWER_RESET -> a -> once.accept(Caller.Answer.NONE);
+                    case ANSWER_RESET -> a -> once.accept(Caller.Response.NO_RESPONSE);
                     default -> once;
                   };
               outside.get(address).call(address, method, path, body, timeoutMs, got);
@@ -306,7 +306,7 @@
             }
             Server s = servers.get(address);
             if (s == null) {
-              send(address, from, () -> once.accept(Caller.Answer.NONE));
+              send(address, from, () -> once.accept(Caller.Response.NO_RESPONSE));
               return;
             }
             s.serve(
@@ -319,7 +319,7 @@
                     return;
                   }
                   boolean garble = garbled.contains(address) && a.body() != null;
-                  Caller.Answer got = garble ? new Caller.Answer(a.status(), GARBLED) : a;
+                  Caller.Response got = garble ? new Caller.Response(a.status(), GARBLED) : a;
                   send(address, from, () -> once.accept(got));
                 });
           });
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -20,7 +20,7 @@
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /** A stand-in for the state service: stamps, conditions, leases, watches, outages. */
 public final class SimState implements SimNet.Server {
@@ -28,7 +28,7 @@
 
   private record Change(String key, Object value, long stamp) {}
 
-  private record Watch(String from, String prefix, long rev, Consumer<Answer> done, long until) {}
+  private record Watch(String from, String prefix, long rev, Consumer<Response> done, long until) {}
 
   private static final int KEPT = 10_000;
   private static final int VALUE_BYTES = 4096;
@@ -313,13 +313,13 @@
     w.done.accept(answer(200, Map.of("ledgerRev", rev, "news", news)));
   }
 
-  static Answer answer(int status, Object body) {
-    return new Answer(status, MessageCodec.encode(body));
+  static Response answer(int status, Object body) {
+    return new Response(status, MessageCodec.encode(body));
   }
 
   @Override
-  public void serve(String from, String method, String path, byte[] body, Consumer<Answer> done) {
-    Consumer<Answer> answer =
+  public void serve(String from, String method, String path, byte[] body, Consumer<Response> done) {
+    Consumer<Response> answer =
         a -> {
           read += a.body() == null ? 0 : a.body().length;
           done.accept(a);
@@ -328,7 +328,7 @@
   }
 
   private void serveInTime(
-      String from, String method, String path, byte[] body, Consumer<Answer> done) {
+      String from, String method, String path, byte[] body, Consumer<Response> done) {
     long readLate =
         path.startsWith("/follow")
             ? slowReads.getOrDefault(from, 0L)
@@ -350,7 +350,7 @@
   }
 
   private void serveNow(
-      String from, String method, String path, byte[] body, Consumer<Answer> done) {
+      String from, String method, String path, byte[] body, Consumer<Response> done) {
     requests++;
     written += path.equals("/commit") ? body.length : 0;
     if (out || refused.contains(from)) {
@@ -369,7 +369,7 @@
       } else if (path.equals("/commit")) {
         Document d = asBuilt(from, Document.parse(body));
         Fate f = fate.apply(from, d);
-        Answer a = f == Fate.LOST ? null : commit(d);
+        Response a = f == Fate.LOST ? null : commit(d);
         if (f == Fate.APPLIED) {
           done.accept(a);
         }
@@ -429,7 +429,7 @@
     return q;
   }
 
-  private Answer list(String path) {
+  private Response list(String path) {
     Map<String, String> q = query(path);
     List<Object> out = new ArrayList<>();
     int most = Integer.parseInt(q.get("most"));
@@ -597,7 +597,7 @@
     wake();
   }
 
-  private Answer commit(Document d) throws BadMessage {
+  private Response commit(Document d) throws BadMessage {
     commits++;
     count(d.documents("then").size());
     List<Object> failed = new ArrayList<>();
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -13,7 +13,7 @@
 import wickdrift.protocol.Document;
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /**
  * Stand-ins for users: they submit with retries, poll, cancel, and tell the rules what they hear.
@@ -178,7 +178,7 @@
   }
 
   /** One poll by itself. */
-  public void poll(String node, String id, long timeoutMs, Consumer<Answer> done) {
+  public void poll(String node, String id, long timeoutMs, Consumer<Response> done) {
     world
         .net
         .caller("user", () -> true)
@@ -190,7 +190,7 @@
     world.clock.after(5000, () -> poll(id));
   }
 
-  private static String phase(Answer a) {
+  private static String phase(Response a) {
     try {
       return Document.parse(a.body()).text("phase");
     } catch (BadMessage e) {
@@ -233,8 +233,8 @@
   }
 
   /** One request as it is, for tests of single answers; null if none comes within five seconds. */
-  public Answer ask(String node, String method, String path, byte[] body) {
-    Answer[] got = new Answer[1];
+  public Response ask(String node, String method, String path, byte[] body) {
+    Response[] got = new Response[1];
     world.net.caller("user", () -> true).call(node, method, path, body, 5000, a -> got[0] = a);
     world.run(5001);
     return got[0];
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -13,7 +13,7 @@
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Caller;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 
 /** A stand-in for a worker, as the protocol describes it. */
 final class SimWorker implements SimNet.Server {
@@ -285,7 +285,7 @@
         a -> answered(a, sent, session));
   }
 
-  private void answered(Answer a, long sent, long session) {
+  private void answered(Response a, long sent, long session) {
     if (hung) {
       // The machine stands still; it sees the answer too late to use it.
       again(200);
@@ -428,7 +428,7 @@
   }
 
   @Override
-  public void serve(String from, String method, String path, byte[] body, Consumer<Answer> done) {
+  public void serve(String from, String method, String path, byte[] body, Consumer<Response> done) {
     if (dead) {
       return;
     }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -31,7 +31,7 @@
 import wickdrift.protocol.PeerFrame;
 import wickdrift.settings.Settings;
 import wickdrift.transport.Caller;
-import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.Caller.Response;
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
@@ -457,7 +457,7 @@
     return running.containsKey(node) && running.get(node).alive;
   }
 
-  private static Exchange exchange(String m, String p, byte[] body, Consumer<Answer> done) {
+  private static Exchange exchange(String m, String p, byte[] body, Consumer<Response> done) {
     return new Exchange() {
       @Override
       public String method() {
@@ -603,7 +603,7 @@
   }
 
   /** A report of an empty machine; the answer is in the array once it has come. */
-  public Answer[] report(String node, String machine, long epoch) {
+  public Response[] report(String node, String machine, long epoch) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("host", machine);
     m.put("address", "10.1.9.9:1");
@@ -613,7 +613,7 @@
     m.put("tick", 1);
     m.put("epoch", epoch);
     m.put("shards", List.of());
-    Answer[] got = new Answer[1];
+    Response[] got = new Response[1];
     net.caller("10.1.9.9:1", () -> true)
         .call(node, "POST", "/hello", MessageCodec.encode(m), 4000, a -> got[0] = a);
     return got;
@@ -633,7 +633,7 @@
   /** A figure of a node's metrics, as they are now. */
   public double metric(String node, String name) {
     try {
-      Answer[] got = new Answer[1];
+      Response[] got = new Response[1];
       running.get(node).controller.handle(exchange("GET", "/metrics", null, a -> got[0] = a));
       Object v = Document.parse(got[0].body()).raw(name + ".VALUE");
       return ((Number) v).doubleValue();
