--- a/src/main/java/wickdrift/daemon/ServeCommand.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -71,16 +71,16 @@
     Controller[] controllerHolder = new Controller[1];
     PeerLink link = new PeerLink(loop.group(), frame -> controllerHolder[0].handlePeerFrame(frame));
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
-    settings.peers().forEach(peer -> peers.put(peer.node(), link.to(peer.address())));
+    settings.peers().forEach(peer -> peers.put(peer.node(), link.outgoingLink(peer.address())));
     String incarnation = Long.toString(new SecureRandom().nextLong() >>> 24, 36);
     Controller controller =
         new Controller(
             settings, Tuning.defaults(settings), loop, client, peers, incarnation, new Metrics());
     controllerHolder[0] = controller;
     try {
-      link.listen(HttpClient.parse(settings.peerListenAddress()));
+      link.listen(HttpClient.parseAddress(settings.peerListenAddress()));
       new HttpServer(loop.group(), settings.maxSockets() / 2, controller::handle)
-          .listen(HttpClient.parse(settings.listenAddress()));
+          .listen(HttpClient.parseAddress(settings.listenAddress()));
     } catch (IOException e) {
       System.err.println("wickdrift: " + e.getMessage());
       return EXIT_BAD_SETTINGS;
--- a/src/main/java/wickdrift/transport/HttpClient.java
+++ b/src/main/java/wickdrift/transport/HttpClient.java
@@ -127,7 +127,7 @@
                         .addLast(new ResponseHandler());
                   }
                 })
-            .connect(parse(address));
+            .connect(parseAddress(address));
     connectFuture.channel().closeFuture().addListener(x -> openConnections--);
     pending.channel = connectFuture.channel();
     connectFuture.addListener(
@@ -193,7 +193,7 @@
   }
 
   /** Parses an address of the form host:port. */
-  public static InetSocketAddress parse(String address) {
+  public static InetSocketAddress parseAddress(String address) {
     int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
--- a/src/main/java/wickdrift/transport/HttpServer.java
+++ b/src/main/java/wickdrift/transport/HttpServer.java
@@ -76,10 +76,10 @@
   /**
    * Starts to accept connections at an address.
    *
-   * @throws IOException if the address cannot be bound, see {@link Ports}
+   * @throws IOException if the address cannot be bound, see {@link PortBinder}
    */
   public Channel listen(InetSocketAddress address) throws IOException, InterruptedException {
-    return Ports.listen(server(), address);
+    return PortBinder.bindWithRetry(server(), address);
   }
 
   private ServerBootstrap server() {
--- a/src/main/java/wickdrift/transport/PeerLink.java
+++ b/src/main/java/wickdrift/transport/PeerLink.java
@@ -50,10 +50,10 @@
   /**
    * Starts to accept connections of peers at an address.
    *
-   * @throws IOException if the address cannot be bound, see {@link Ports}
+   * @throws IOException if the address cannot be bound, see {@link PortBinder}
    */
   public Channel listen(InetSocketAddress address) throws IOException, InterruptedException {
-    return Ports.listen(server(), address);
+    return PortBinder.bindWithRetry(server(), address);
   }
 
   private ServerBootstrap server() {
@@ -85,8 +85,8 @@
    * Returns a consumer that sends frames to a peer. Delivery is not guaranteed: frames are dropped
    * while there is no connection or its write buffer is full.
    */
-  public Consumer<ByteBuffer> to(String address) {
-    return new OutgoingLink(HttpClient.parse(address));
+  public Consumer<ByteBuffer> outgoingLink(String address) {
+    return new OutgoingLink(HttpClient.parseAddress(address));
   }
 
   /** Sends frames to one peer, and connects on the next frame when there is no connection. */
--- a/src/main/java/wickdrift/transport/Ports.java
+++ b/src/main/java/wickdrift/transport/PortBinder.java
@@ -14,8 +14,8 @@
  * Binds server sockets, with retries. The previous process may still listen on the address when its
  * replacement starts within a fraction of a second; the start must not fail for that.
  */
-public final class Ports {
-  private static final Logger LOG = LoggerFactory.getLogger(Ports.class);
+public final class PortBinder {
+  private static final Logger LOG = LoggerFactory.getLogger(PortBinder.class);
 
   private static final long BIND_RETRY_INTERVAL_MS = 100;
 
@@ -29,16 +29,16 @@
     void run() throws InterruptedException;
   }
 
-  private Ports() {}
+  private PortBinder() {}
 
   /**
    * Binds, with retries for 30 s while the address is in use.
    *
    * @throws IOException if the address cannot be bound; the message names it
    */
-  static Channel listen(ServerBootstrap server, InetSocketAddress address)
+  static Channel bindWithRetry(ServerBootstrap server, InetSocketAddress address)
       throws IOException, InterruptedException {
-    return listen(
+    return bindWithRetry(
         server,
         address,
         MAX_BIND_ATTEMPTS,
@@ -46,7 +46,7 @@
   }
 
   /** Binds, with retries after a delay, up to the given number of attempts. */
-  static Channel listen(
+  static Channel bindWithRetry(
       ServerBootstrap server, InetSocketAddress address, int maxAttempts, RetryDelay retryDelay)
       throws IOException, InterruptedException {
     for (int attempt = 1; ; attempt++) {
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -85,8 +85,8 @@
               link(from, to),
               new TcpProxy(
                   loop.group(),
-                  HttpClient.parse(address),
-                  HttpClient.parse(addresses.get(back(to)))));
+                  HttpClient.parseAddress(address),
+                  HttpClient.parseAddress(addresses.get(back(to)))));
         }
       }
     }
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -153,11 +153,11 @@
             .childHandler(new ChannelInboundHandlerAdapter());
     int[] pauses = {0};
     IOException e =
-        assertThrows(IOException.class, () -> Ports.listen(server, address, 3, () -> pauses[0]++));
+        assertThrows(IOException.class, () -> PortBinder.bindWithRetry(server, address, 3, () -> pauses[0]++));
     assertEquals(2, pauses[0]);
     assertTrue(e.getMessage().contains(String.valueOf(address.getPort())), e.getMessage());
     Channel c =
-        Ports.listen(
+        PortBinder.bindWithRetry(
             server,
             address,
             9,
