--- a/src/main/java/wickdrift/daemon/RehearseCommand.java
+++ b/src/main/java/wickdrift/daemon/RehearseCommand.java
@@ -73,7 +73,7 @@
     controller[0] =
         new Controller(
             settings, Tuning.defaults(settings), loop, client, peers, "i", new Metrics());
-    loop.run(controller[0]::start);
+    loop.execute(controller[0]::start);
     List<Object[]> requests =
         List.of(
             new Object[] {"GET", "/up", null},
@@ -84,7 +84,7 @@
             new Object[] {"GET", "/metrics", null});
     CountDownLatch outstanding = new CountDownLatch(requests.size() + 1);
     for (Object[] request : requests) {
-      loop.run(
+      loop.execute(
           () ->
               client.call(
                   addressOf(httpChannel),
--- a/src/main/java/wickdrift/daemon/ServeCommand.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -44,7 +44,7 @@
   /** Waits on SIGTERM until pending work has ended. On SIGKILL this does not run. */
   private static void shutDown(EventLoop loop, Controller controller) {
     CountDownLatch finished = new CountDownLatch(1);
-    loop.run(() -> controller.shutDown(SHUTDOWN_TIMEOUT_MS, finished::countDown));
+    loop.execute(() -> controller.shutDown(SHUTDOWN_TIMEOUT_MS, finished::countDown));
     try {
       finished.await(SHUTDOWN_TIMEOUT_MS + SHUTDOWN_SLACK_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
@@ -85,7 +85,7 @@
       System.err.println("wickdrift: " + e.getMessage());
       return EXIT_BAD_SETTINGS;
     }
-    loop.run(controller::start);
+    loop.execute(controller::start);
     Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(loop, controller), "leave"));
     log.info("controller started: node={}, address={}", settings.node(), settings.listenAddress());
     return KEEP_RUNNING;
--- a/src/main/java/wickdrift/operator/StateClient.java
+++ b/src/main/java/wickdrift/operator/StateClient.java
@@ -39,7 +39,7 @@
       while (true) {
         Thread.sleep(paceMs);
         CompletableFuture<Response> got = new CompletableFuture<>();
-        loop.run(() -> client.call(address, method, path, body, CALL_MS, got::complete));
+        loop.execute(() -> client.call(address, method, path, body, CALL_MS, got::complete));
         Response a = got.get(CALL_MS + AGAIN_MS, TimeUnit.MILLISECONDS);
         boolean write = path.equals("/commit");
         if (a.status() == 0 && write) {
--- a/src/main/java/wickdrift/transport/EventLoop.java
+++ b/src/main/java/wickdrift/transport/EventLoop.java
@@ -34,7 +34,7 @@
   }
 
   /** Queues an action for execution on the event loop. */
-  public void run(Runnable action) {
+  public void execute(Runnable action) {
     group.next().execute(() -> runGuarded(action));
   }
 
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -120,7 +120,7 @@
 
   private int status(String node, String method, String path, byte[] body) throws Exception {
     CompletableFuture<Response> got = new CompletableFuture<>();
-    stage.loop.run(
+    stage.loop.execute(
         () -> world.net.outside.get(node).call(node, method, path, body, 3000, got::complete));
     return got.get(5, TimeUnit.SECONDS).status();
   }
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -66,7 +66,7 @@
     this.folder = Files.createDirectories(folder);
     world = ask(() -> new SimWorld(setup));
     ask(this::connect);
-    loop.run(this::turn);
+    loop.execute(this::turn);
   }
 
   private Void connect() {
@@ -123,7 +123,7 @@
   /** Runs something on the loop that owns the stand-ins, and waits for it. */
   <T> T ask(Supplier<T> what) throws Exception {
     CompletableFuture<T> got = new CompletableFuture<>();
-    loop.run(
+    loop.execute(
         () -> {
           try {
             got.complete(what.get());
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -116,7 +116,7 @@
     // All at once: more than may be open, and none idle to make way.
     List<CompletableFuture<Integer>> all = new ArrayList<>();
     CompletableFuture<CompletableFuture<Integer>> last = new CompletableFuture<>();
-    loop.run(
+    loop.execute(
         () -> {
           workers.forEach(w -> all.add(callNow(client, w)));
           last.complete(callNow(client, store));
@@ -131,7 +131,7 @@
 
   private CompletableFuture<Integer> call(HttpClient c, String address) {
     CompletableFuture<Integer> f = new CompletableFuture<>();
-    loop.run(() -> callNow(c, address).thenAccept(f::complete));
+    loop.execute(() -> callNow(c, address).thenAccept(f::complete));
     return f;
   }
 
