--- a/src/main/java/wickdrift/coordination/SchedulingState.java
+++ b/src/main/java/wickdrift/coordination/SchedulingState.java
@@ -209,7 +209,7 @@
   }
 
   /** Allows placements again on machines whose quarantine has ended. */
-  void readmitAvoidedMachines() {
+  void releaseQuarantinedMachines() {
     long now = timers.nowMs();
     for (Machine machine : new ArrayList<>(quarantinedMachines)) {
       if (machine.quarantinedUntilMs(now) <= now) {
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -184,7 +184,7 @@
 
   private void idleTick() {
     timers.after(IDLE_TICK_MS, this::idleTick);
-    scheduling.readmitAvoidedMachines();
+    scheduling.releaseQuarantinedMachines();
     scheduleCycle();
   }
 
