--- a/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
+++ b/src/main/java/wickdrift/bookkeeping/StateServiceClient.java
@@ -383,7 +383,7 @@
   }
 
   /** True unless the latest calls show that the state service does not serve this node. */
-  public boolean reachable() {
+  public boolean isReachable() {
     return lastCallOk;
   }
 
--- a/src/main/java/wickdrift/bookkeeping/View.java
+++ b/src/main/java/wickdrift/bookkeeping/View.java
@@ -167,7 +167,7 @@
   }
 
   /** The node that places a job's tasks, given the partition that the job was routed to. */
-  public String placer(String partition, String jobId) {
+  public String placingNode(String partition, String jobId) {
     if (partition.equals(Job.LEADER_PARTITION)) {
       return leader;
     }
@@ -194,7 +194,7 @@
    * @param live incarnations of the live members
    * @param zones zones of the live members
    */
-  public static View next(View current, Map<String, String> live, Map<String, String> zones) {
+  public static View nextView(View current, Map<String, String> live, Map<String, String> zones) {
     if (live.isEmpty() || current != null && current.members.equals(live)) {
       return null;
     }
--- a/src/main/java/wickdrift/coordination/FleetManager.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -185,7 +185,7 @@
     recordRentedMachines();
     drainIdleMachines();
     deleteUnwantedMachines();
-    if ((pipeline.isLeaderSettled() || startedWithoutMachines) && stateService.reachable()) {
+    if ((pipeline.isLeaderSettled() || startedWithoutMachines) && stateService.isReachable()) {
       rentForWaitingJobs();
     }
   }
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -232,7 +232,7 @@
    * controller serves users better. A controller without peers is never isolated.
    */
   public boolean isIsolated() {
-    if (stateService.reachable()) {
+    if (stateService.isReachable()) {
       return false;
     }
     long now = timers.nowMs();
@@ -517,7 +517,7 @@
 
   private void evaluateView() {
     View current = tables.view();
-    View next = View.next(current, tables.members(), tables.memberZones());
+    View next = View.nextView(current, tables.members(), tables.memberZones());
     View base = next != null ? next : current == null ? null : current.withNextEpoch();
     long nowMs = timers.nowMs();
     if (base == null || proposalInFlight || nowMs >= leaseDeadlineMs || !mayPropose()) {
@@ -797,7 +797,7 @@
         new PeerFrame.PeerStatus(
                 number,
                 epoch,
-                stateService.reachable(),
+                stateService.isReachable(),
                 (int) Math.ceil(stateService.recentWriteRate()))
             .encode();
     peers.values().forEach(peer -> peer.accept(frame.duplicate()));
--- a/src/main/java/wickdrift/coordination/Quota.java
+++ b/src/main/java/wickdrift/coordination/Quota.java
@@ -275,7 +275,7 @@
       // While quota is held for a gang, the other jobs of the team may not start and need no share.
       if (limitedTeams.containsKey(team) && gangWithHeldQuota.getOrDefault(team, job) == job) {
         neededByNode.merge(
-            new TeamNode(team, view.placer(job.partition(), job.id())),
+            new TeamNode(team, view.placingNode(job.partition(), job.id())),
             demandOf(job.spec()).times(job.waitingCount()),
             QuotaShare::plus);
       }
--- a/src/main/java/wickdrift/coordination/Reservations.java
+++ b/src/main/java/wickdrift/coordination/Reservations.java
@@ -100,7 +100,7 @@
       if (partition != null
           && !partition.reserved().equals(names)
           && transaction.canAddWrites()
-          && !transaction.touches(Partition.key(member))) {
+          && !transaction.changesKey(Partition.key(member))) {
         transaction.write(
             Partition.key(member), partition.withReserved(names).toStore(), partition.stamp());
       }
--- a/src/main/java/wickdrift/coordination/Submissions.java
+++ b/src/main/java/wickdrift/coordination/Submissions.java
@@ -118,7 +118,7 @@
       status.replyStatus(exchange, spec.id());
       return;
     }
-    if (!ready.getAsBoolean() || !stateService.reachable() || stopCondition.getAsBoolean()) {
+    if (!ready.getAsBoolean() || !stateService.isReachable() || stopCondition.getAsBoolean()) {
       UserRequests.replyTryAgain(exchange);
       return;
     }
@@ -199,7 +199,7 @@
           if (result.outcome() == StateServiceClient.Outcome.OK) {
             writeOverflow(submission, overflow, remaining.subList(count, remaining.size()));
           } else if (result.outcome() == StateServiceClient.Outcome.REFUSED
-              && stateService.reachable()
+              && stateService.isReachable()
               && timers.nowMs() - submission.receivedMs() < SUBMISSION_TIMEOUT_MS) {
             timers.after(
                 UserRequests.RETRY_DELAY_MS, () -> writeOverflow(submission, overflow, remaining));
@@ -376,7 +376,7 @@
                 }
               });
       case REFUSED -> {
-        if (stateService.reachable()) {
+        if (stateService.isReachable()) {
           requeue(batch);
           nextBatchBlocked = true;
           timers.after(
@@ -397,7 +397,7 @@
       // The batch is sent again. If both transactions are applied, only one finds the job's record
       // absent; a submission whose record exists is answered from it.
       case UNKNOWN -> {
-        if (stateService.reachable()) {
+        if (stateService.isReachable()) {
           requeue(batch);
         } else {
           batch
--- a/src/main/java/wickdrift/coordination/TaskPlacer.java
+++ b/src/main/java/wickdrift/coordination/TaskPlacer.java
@@ -181,7 +181,7 @@
           || triedJobs >= MAX_JOBS_TRIED_PER_ROUND) {
         break;
       }
-      if (!node.equals(view.placer(job.partition(), job.id()))
+      if (!node.equals(view.placingNode(job.partition(), job.id()))
           || job.partition().equals(Job.LEADER_PARTITION) && !leaderSettled.getAsBoolean()) {
         continue;
       }
@@ -258,12 +258,12 @@
     if (leader && leaderSettled.getAsBoolean()) {
       reservations.update(transaction, quota, view, now);
     }
-    if (transaction.touches(Tables.CLAIMS_KEY)) {
+    if (transaction.changesKey(Tables.CLAIMS_KEY)) {
       lastSharedClaimMs = now;
     }
     if (anyPlaced) {
       transaction.requireCurrentView();
-      if (!transaction.touches(Partition.key(node))) {
+      if (!transaction.changesKey(Partition.key(node))) {
         transaction.addCondition(Partition.key(node), ownPartition.stamp());
       }
     }
--- a/src/main/java/wickdrift/coordination/TransactionBuilder.java
+++ b/src/main/java/wickdrift/coordination/TransactionBuilder.java
@@ -325,7 +325,7 @@
     otherWrites++;
   }
 
-  boolean touches(String key) {
+  boolean changesKey(String key) {
     return transaction.changesKey(key);
   }
 
--- a/src/main/java/wickdrift/coordination/TransactionPipeline.java
+++ b/src/main/java/wickdrift/coordination/TransactionPipeline.java
@@ -370,7 +370,7 @@
     addJobEnds(builder);
     addMachineRecords(builder);
     addGangStops(builder);
-    if (isSettled() && types.isLoaded() && stateService.reachable()) {
+    if (isSettled() && types.isLoaded() && stateService.isReachable()) {
       taskPlacer.placeWaitingTasks(builder);
       if (taskPlacer.postponedForMs() > 0 && !postponedCycleScheduled) {
         postponedCycleScheduled = true;
@@ -560,7 +560,7 @@
     if (ownPartition == null || ownPartition.epoch() != tables.view().epoch()) {
       return false;
     }
-    if (!builder.touches(Partition.key(node))) {
+    if (!builder.changesKey(Partition.key(node))) {
       builder.addCondition(Partition.key(node), ownPartition.stamp());
     }
     return true;
@@ -606,7 +606,7 @@
       if (!builder.canEndJob()) {
         return;
       }
-      boolean isPlacer = node.equals(tables.view().placer(job.partition(), job.id()));
+      boolean isPlacer = node.equals(tables.view().placingNode(job.partition(), job.id()));
       if (builder.changedJobs().contains(job) || isPlacer) {
         if (job.withdrawn()) {
           if (builder.liveTaskCount(job) == 0) {
--- a/src/main/java/wickdrift/coordination/Withdrawals.java
+++ b/src/main/java/wickdrift/coordination/Withdrawals.java
@@ -77,7 +77,7 @@
                     });
             case CONDITION_FAILED -> withdraw(exchange, job.id(), attemptsLeft - 1);
             case REFUSED -> {
-              if (stateService.reachable()) {
+              if (stateService.isReachable()) {
                 timers.after(
                     UserRequests.RETRY_DELAY_MS,
                     () -> withdraw(exchange, job.id(), attemptsLeft - 1));
--- a/src/test/java/wickdrift/bookkeeping/RecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/RecordsTest.java
@@ -357,7 +357,7 @@
   })
   void theNextView(String now, String leader, String live, String expected) {
     View v = new View(7, members(now), leader);
-    View n = View.next(v, members(live), Map.of());
+    View n = View.nextView(v, members(live), Map.of());
     assertEquals(expected, n == null ? "-" : n.epoch() + n.leader());
   }
 
