--- a/src/main/java/wickdrift/coordination/ReportHandler.java
+++ b/src/main/java/wickdrift/coordination/ReportHandler.java
@@ -414,7 +414,7 @@
       boolean mayOutlastCancellation = !tuning.leaseExpiresBeforeCancelDeadline() && !exited;
       if (entry.job().equals(job)
           && (entry.phase() == Report.Phase.FETCHING || mayStartAgain || mayOutlastCancellation)) {
-        return Verdict.ANSWER_UNDER_WAY;
+        return Verdict.ANSWER_IN_FLIGHT;
       }
     }
     return Verdict.PROVEN;
--- a/src/main/java/wickdrift/coordination/commands/Verdict.java
+++ b/src/main/java/wickdrift/coordination/commands/Verdict.java
@@ -10,16 +10,16 @@
   /** A run that was sent directly has no answer: it may arrive at any time. */
   DIRECT_RUN_UNANSWERED,
   /** The answer to a report carries a run, and no later worker-initiated report has arrived. */
-  ANSWER_UNDER_WAY,
+  ANSWER_IN_FLIGHT,
   /**
    * The worker did not send the report on its own initiative: answers to earlier reports may still
    * be in flight.
    */
-  NOT_WORKER_INITIATED,
+  NOT_UNSOLICITED,
   /** The worker has not shown the current epoch: a command of an earlier owner may still arrive. */
   EPOCH_NOT_REPORTED,
   /** The session in which the run was sent continues. */
-  SESSION_GOES_ON,
+  SESSION_CONTINUES,
   /**
    * The attempt was reported in this session and is now missing without an exit: the worker
    * restarted.
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -211,7 +211,7 @@
    */
   public Verdict mayClear(TaskAttempt attempt, boolean workerInitiated, boolean epochReported) {
     if (!workerInitiated) {
-      return Verdict.NOT_WORKER_INITIATED;
+      return Verdict.NOT_UNSOLICITED;
     }
     if (!epochReported) {
       return Verdict.EPOCH_NOT_REPORTED;
@@ -226,7 +226,7 @@
   /** Whether an attempt that a report does not show is over. */
   public Verdict mayEnd(TaskAttempt attempt, AbsenceEvidence absence) {
     if (!absence.workerInitiated) {
-      return Verdict.NOT_WORKER_INITIATED;
+      return Verdict.NOT_UNSOLICITED;
     }
     LastRun lastRun = lastRun(attempt);
     if (lastRun != null
@@ -249,7 +249,7 @@
     if ((absence.endRequested || absence.unreachable) && sentEarlier) {
       return Verdict.PROVEN;
     }
-    return absence.endRequested ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_GOES_ON;
+    return absence.endRequested ? Verdict.EPOCH_NOT_REPORTED : Verdict.SESSION_CONTINUES;
   }
 
   /** Whether no run of any task of the job may still arrive. */
@@ -262,7 +262,7 @@
     for (Map.Entry<String, LastRun> entry : lastRuns.entrySet()) {
       boolean ofJob = new TaskAttempt(entry.getKey(), entry.getValue().attempt).belongsToJob(job);
       if (ofJob && !entry.getValue().reported) {
-        return Verdict.ANSWER_UNDER_WAY;
+        return Verdict.ANSWER_IN_FLIGHT;
       }
     }
     return Verdict.PROVEN;
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -99,7 +99,7 @@
   @Test
   void aClearIsRefusedWithoutAnOwnReportOrTheEpoch() {
     WorkerCommands commands = new WorkerCommands();
-    assertEquals(Verdict.NOT_WORKER_INITIATED, commands.mayClear(ATTEMPT, false, true));
+    assertEquals(Verdict.NOT_UNSOLICITED, commands.mayClear(ATTEMPT, false, true));
     assertEquals(Verdict.EPOCH_NOT_REPORTED, commands.mayClear(ATTEMPT, true, false));
   }
 
