--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -25,7 +25,7 @@
   @ParameterizedTest(name = "{0}: clear {1}, end {2}, confirm {3}")
   @CsvSource({
     "-,     PROVEN,                PROVEN,                PROVEN",
-    "r,     PROVEN,                PROVEN,                ANSWER_UNDER_WAY",
+    "r,     PROVEN,                PROVEN,                ANSWER_IN_FLIGHT",
     "rs,    PROVEN,                WORKER_RESTARTED,      PROVEN",
     "rsn,   PROVEN,                PROVEN,                PROVEN",
     "rsR,   PROVEN,                PROVEN,                PROVEN",
@@ -77,13 +77,13 @@
   /** What a report proves of an attempt that was sent with an answer in session 3 and not seen. */
   @ParameterizedTest
   @CsvSource({
-    "false, true,  3, false, true,  NOT_WORKER_INITIATED",
+    "false, true,  3, false, true,  NOT_UNSOLICITED",
     "true,  true,  3, false, true,  PROVEN",
     "true,  false, 3, false, true,  EPOCH_NOT_REPORTED",
     "true,  false, 4, false, true,  PROVEN",
-    "true,  true,  3, false, false, SESSION_GOES_ON",
-    "true,  true,  4, false, false, SESSION_GOES_ON",
-    "true,  true,  3, true,  false, SESSION_GOES_ON",
+    "true,  true,  3, false, false, SESSION_CONTINUES",
+    "true,  true,  4, false, false, SESSION_CONTINUES",
+    "true,  true,  3, true,  false, SESSION_CONTINUES",
     "true,  true,  4, true,  false, PROVEN"
   })
   void whatAbsenceProves(
