--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -213,7 +213,8 @@
   }
 
   private void handleExit(Pass pass, Job job, Report.Entry entry) {
-    if (!pipeline.recordExit(job, entry.index(), entry.attempt(), pass.machine, entry.exitReason())) {
+    if (!pipeline.recordExit(
+        job, entry.index(), entry.attempt(), pass.machine, entry.exitReason())) {
       // The worker reports the exit until it is cleared, but the failure counts only once.
       return;
     }
@@ -228,7 +229,11 @@
     } else if (Report.EXIT_FULL.equals(entry.exitReason())
         || Report.EXIT_UNKNOWN.equals(entry.exitReason())
         || Report.EXIT_BUSY.equals(entry.exitReason())) {
-      LOG.info("task refused: machine={}, task={}, reason={}", machine, entry.task(), entry.exitReason());
+      LOG.info(
+          "task refused: machine={}, task={}, reason={}",
+          machine,
+          entry.task(),
+          entry.exitReason());
       job.backOffAfterRefusal(timers.nowMs());
     }
   }
--- a/src/main/java/wickdrift/coordination/DirectCommands.java
+++ b/src/main/java/wickdrift/coordination/DirectCommands.java
@@ -11,10 +11,10 @@
 import wickdrift.coordination.commands.TaskAttempt;
 import wickdrift.coordination.commands.WorkerCommands;
 import wickdrift.protocol.BadMessage;
+import wickdrift.protocol.Command;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MalformedMessages;
 import wickdrift.protocol.MessageCodec;
-import wickdrift.protocol.Command;
 import wickdrift.protocol.Report;
 import wickdrift.transport.Caller;
 import wickdrift.transport.Timers;
@@ -115,7 +115,11 @@
   }
 
   private void sendCommand(
-      Machine machine, WorkerLink link, long session, List<Command> orders, List<TaskAttempt> runs) {
+      Machine machine,
+      WorkerLink link,
+      long session,
+      List<Command> orders,
+      List<TaskAttempt> runs) {
     long epoch = tables.view().epoch();
     WorkerCommands.DirectRuns command =
         new WorkerCommands.DirectRuns(epoch, session, timers.nowMs(), List.copyOf(runs));
--- a/src/main/java/wickdrift/coordination/DominantShareOrder.java
+++ b/src/main/java/wickdrift/coordination/DominantShareOrder.java
@@ -72,7 +72,9 @@
 
   /** Returns a team's guaranteed GPUs, or its guaranteed CPUs if it has no GPU guarantee. */
   private static double guarantee(Settings.Team team) {
-    return team == null ? 0 : team.guaranteedGpus() > 0 ? team.guaranteedGpus() : team.guaranteedCpus();
+    return team == null
+        ? 0
+        : team.guaranteedGpus() > 0 ? team.guaranteedGpus() : team.guaranteedCpus();
   }
 
   /** Returns a team's dominant share divided by its weight. */
--- a/src/main/java/wickdrift/coordination/FleetManager.java
+++ b/src/main/java/wickdrift/coordination/FleetManager.java
@@ -144,7 +144,8 @@
     this.pauseDetector = pauseDetector;
     this.zones = zones;
     this.malformedMessages = malformedMessages;
-    this.cloudCallBudget = new TokenBucket(settings.cloudLimits().maxRequestsPerSecond() * 0.8, timers.nowMs());
+    this.cloudCallBudget =
+        new TokenBucket(settings.cloudLimits().maxRequestsPerSecond() * 0.8, timers.nowMs());
   }
 
   /** Starts the periodic check of the machines. */
@@ -368,13 +369,14 @@
 
   /**
    * Schedules the machines of withdrawn jobs for deletion if the end of the tasks is not proven
-   * {@link Tuning#withdrawalOverdueMs} after the withdrawal. Such a machine is unreachable from here, but its
-   * tasks may still run, since a controller that is isolated in the same zone continues to answer
-   * its workers. Only the cloud can then end the tasks in time.
+   * {@link Tuning#withdrawalOverdueMs} after the withdrawal. Such a machine is unreachable from
+   * here, but its tasks may still run, since a controller that is isolated in the same zone
+   * continues to answer its workers. Only the cloud can then end the tasks in time.
    */
   private void scheduleOverdueWithdrawalDeletions(long nowWallMs) {
     for (Job job : scheduling.withdrawnRunningJobs()) {
-      if (job.withdrawnWallMs() == 0 || nowWallMs - job.withdrawnWallMs() < tuning.withdrawalOverdueMs()) {
+      if (job.withdrawnWallMs() == 0
+          || nowWallMs - job.withdrawnWallMs() < tuning.withdrawalOverdueMs()) {
         continue;
       }
       for (Machine machine : job.machines()) {
@@ -464,7 +466,8 @@
    */
   private long lostRetentionMs(String zone) {
     boolean mayStillRunTasks =
-        zones.isUnreachableOrRecovering(zone, timers.nowMs()) && settings.controllerZones().contains(zone);
+        zones.isUnreachableOrRecovering(zone, timers.nowMs())
+            && settings.controllerZones().contains(zone);
     return mayStillRunTasks ? tuning.leaseGraceMs() : tuning.lostTimeoutMs();
   }
 
@@ -516,7 +519,8 @@
     }
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait") && objective.withinS() < maxBootS) {
-        return Math.max(tuning.idleTimeoutMs(), (long) (tuning.idleTimeoutBootFactor() * maxBootS * 1000));
+        return Math.max(
+            tuning.idleTimeoutMs(), (long) (tuning.idleTimeoutBootFactor() * maxBootS * 1000));
       }
     }
     return tuning.idleTimeoutMs();
@@ -634,7 +638,8 @@
     long nowWallMs = timers.wallMs();
     int removable =
         Math.max(
-            MIN_REPLACEABLE_OVERDUE_BOOTS, (int) (freeCapacities.size() * tuning.maxOverdueBootShare()));
+            MIN_REPLACEABLE_OVERDUE_BOOTS,
+            (int) (freeCapacities.size() * tuning.maxOverdueBootShare()));
     for (Iterator<FreeCapacity> it = freeCapacities.iterator(); it.hasNext() && removable > 0; ) {
       FreeCapacity capacity = it.next();
       Machine.Info info = capacity.machine().info();
--- a/src/main/java/wickdrift/coordination/JobQueue.java
+++ b/src/main/java/wickdrift/coordination/JobQueue.java
@@ -76,8 +76,10 @@
      * resource.
      */
     boolean covers(double neededCpus, double neededGpus) {
-      return (settings.guaranteedCpus() == 0 || neededCpus <= settings.guaranteedCpus() + FreeCapacity.EPS)
-          && (settings.guaranteedGpus() == 0 || neededGpus <= settings.guaranteedGpus() + FreeCapacity.EPS);
+      return (settings.guaranteedCpus() == 0
+              || neededCpus <= settings.guaranteedCpus() + FreeCapacity.EPS)
+          && (settings.guaranteedGpus() == 0
+              || neededGpus <= settings.guaranteedGpus() + FreeCapacity.EPS);
     }
   }
 
--- a/src/main/java/wickdrift/coordination/JobRouter.java
+++ b/src/main/java/wickdrift/coordination/JobRouter.java
@@ -23,7 +23,11 @@
   private final Tuning tuning;
 
   JobRouter(
-      Tables tables, SchedulingState scheduling, MachineTypes types, Settings settings, Tuning tuning) {
+      Tables tables,
+      SchedulingState scheduling,
+      MachineTypes types,
+      Settings settings,
+      Tuning tuning) {
     this.tables = tables;
     this.scheduling = scheduling;
     this.types = types;
--- a/src/main/java/wickdrift/coordination/JobStatus.java
+++ b/src/main/java/wickdrift/coordination/JobStatus.java
@@ -68,7 +68,8 @@
    * event loop.
    */
   void poll(Exchange exchange, String jobId) {
-    if (pauseDetector.timerDelayMs() > tuning.statusSheddingDelayMs() && tables.terminalState(jobId) == null) {
+    if (pauseDetector.timerDelayMs() > tuning.statusSheddingDelayMs()
+        && tables.terminalState(jobId) == null) {
       shedCount++;
       UserRequests.replyTryAgain(exchange);
     } else {
--- a/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
+++ b/src/main/java/wickdrift/coordination/MachineHealthMonitor.java
@@ -109,7 +109,9 @@
     boolean unreachable =
         machine.unreachableForCommandsSinceMs() > 0
             && now - machine.unreachableForCommandsSinceMs() > tuning.lostTimeoutMs();
-    if (up && (unreachable || silentMs > tuning.lostTimeoutMs()) && !pipeline.hasPendingRecord(machine)) {
+    if (up
+        && (unreachable || silentMs > tuning.lostTimeoutMs())
+        && !pipeline.hasPendingRecord(machine)) {
       LOG.info(
           "machine lost: name={}, reason={}",
           machine.name(),
@@ -121,7 +123,9 @@
 
   private void checkLease(Machine machine, View view, long now) {
     long lastRenewalMs = machine.latestLeaseRenewalMs();
-    if (!machine.slots().isEmpty() && lastRenewalMs > 0 && now - lastRenewalMs > tuning.workerLeaseExpiryMs()) {
+    if (!machine.slots().isEmpty()
+        && lastRenewalMs > 0
+        && now - lastRenewalMs > tuning.workerLeaseExpiryMs()) {
       // No controller can have renewed the worker's lease since then, so the worker has killed all
       // its tasks.
       links.recordEvent(
--- a/src/main/java/wickdrift/coordination/Membership.java
+++ b/src/main/java/wickdrift/coordination/Membership.java
@@ -806,7 +806,8 @@
   /** Handles the status message of a peer. */
   public void handlePeerStatus(PeerFrame.PeerStatus status) {
     peerStatuses.put(
-        status.from(), new PeerStatus(status.stateServiceReachable(), timers.nowMs(), status.writesPerSecond()));
+        status.from(),
+        new PeerStatus(status.stateServiceReachable(), timers.nowMs(), status.writesPerSecond()));
     highestPeerEpoch = Math.max(highestPeerEpoch, status.epoch());
   }
 }
--- a/src/main/java/wickdrift/coordination/Preemption.java
+++ b/src/main/java/wickdrift/coordination/Preemption.java
@@ -127,7 +127,8 @@
   private static double lostWork(Machine.Slot slot, long nowMs) {
     JobSpec spec = slot.job().spec();
     double ageMs = slot.ageMs(nowMs);
-    double lostMs = spec.checkpointIntervalS() > 0 ? Math.min(ageMs, spec.checkpointSaveS() * 1000) : ageMs;
+    double lostMs =
+        spec.checkpointIntervalS() > 0 ? Math.min(ageMs, spec.checkpointSaveS() * 1000) : ageMs;
     return (1 + lostMs)
         * Math.max(1, spec.gpus())
         * Math.max(1, spec.shape() == JobSpec.Shape.GANG ? spec.tasks() : 1);
--- a/src/main/java/wickdrift/coordination/ReportRelay.java
+++ b/src/main/java/wickdrift/coordination/ReportRelay.java
@@ -104,7 +104,8 @@
         int number = registry.numberOf(node);
         if (peer != null && number >= 0) {
           byte[] body = MessageCodec.encode(value == null ? Map.of() : value);
-          peer.accept(new PeerFrame.RelayedReply(number, relayed.requestId(), status, body).encode());
+          peer.accept(
+              new PeerFrame.RelayedReply(number, relayed.requestId(), status, body).encode());
         }
       }
     };
--- a/src/main/java/wickdrift/coordination/Tuning.java
+++ b/src/main/java/wickdrift/coordination/Tuning.java
@@ -9,35 +9,40 @@
  * @param memberLeaseMs lease of a controller's membership
  * @param pauseThresholdMs a gap between events that is longer than this is a pause of the process
  * @param statusSheddingDelayMs status requests are shed while timers are late by more than this
- * @param statusReadShare share of a controller's request rate at the state service for status requests
+ * @param statusReadShare share of a controller's request rate at the state service for status
+ *     requests
  * @param leaseGraceMs how long a controller whose lease has expired continues to answer its workers
- * @param reportsOverdueMs without a report for longer than this, the reports of a machine are overdue
- * @param lostTimeoutMs a machine without reports, or unreachable for commands, for longer than this is
- *     recorded as lost
- * @param workerLeaseExpiryMs time after the last renewal by which a worker's lease has certainly expired
- * @param leaseExpiresBeforeCancelDeadline whether a worker's lease that is not renewed expires before the deadline
- *     by which the tasks of a cancelled job must have ended
- * @param withdrawalOverdueMs time after a withdrawal at which the machines of tasks that have not provably
- *     ended are deleted
- * @param takeoverSettleMs time for the reports of all machines to arrive after a controller takes over
- *     machines or the leadership
- * @param handoverDelayMs how long a job waits in a partition without free capacity for it before it is
- *     handed over to the leader
+ * @param reportsOverdueMs without a report for longer than this, the reports of a machine are
+ *     overdue
+ * @param lostTimeoutMs a machine without reports, or unreachable for commands, for longer than this
+ *     is recorded as lost
+ * @param workerLeaseExpiryMs time after the last renewal by which a worker's lease has certainly
+ *     expired
+ * @param leaseExpiresBeforeCancelDeadline whether a worker's lease that is not renewed expires
+ *     before the deadline by which the tasks of a cancelled job must have ended
+ * @param withdrawalOverdueMs time after a withdrawal at which the machines of tasks that have not
+ *     provably ended are deleted
+ * @param takeoverSettleMs time for the reports of all machines to arrive after a controller takes
+ *     over machines or the leadership
+ * @param handoverDelayMs how long a job waits in a partition without free capacity for it before it
+ *     is handed over to the leader
  * @param reservationDelayMs how long a gang waits before machines are reserved for it
- * @param lowPriorityPreemptionDelayMs how long a job waits before it preempts tasks of the lowest priority
+ * @param lowPriorityPreemptionDelayMs how long a job waits before it preempts tasks of the lowest
+ *     priority
  * @param preemptionDelayMs how long a job waits at least before it preempts other tasks, unless an
  *     objective demands an earlier start
- * @param preemptionObjectiveShare share of an objective's time after which a job preempts other tasks, where a
- *     rented machine would come too late
- * @param preemptionBootFactor how long a job waits for a rented machine before it preempts other tasks, as
- *     a multiple of the boot time
+ * @param preemptionObjectiveShare share of an objective's time after which a job preempts other
+ *     tasks, where a rented machine would come too late
+ * @param preemptionBootFactor how long a job waits for a rented machine before it preempts other
+ *     tasks, as a multiple of the boot time
  * @param idleTimeoutMs how long an idle machine is kept
- * @param idleTimeoutBootFactor how long an idle machine is kept, as a multiple of the boot time, if an
- *     objective demands a start sooner than a machine boots
+ * @param idleTimeoutBootFactor how long an idle machine is kept, as a multiple of the boot time, if
+ *     an objective demands a start sooner than a machine boots
  * @param bootOverdueFactor a boot that takes longer than this multiple of the boot time is overdue
- * @param maxOverdueBootShare share of the machines that are replaced at most because their boot is overdue
- * @param largeJobShare a job that needs more than this share of a partition's machines is assigned to
- *     the leader
+ * @param maxOverdueBootShare share of the machines that are replaced at most because their boot is
+ *     overdue
+ * @param largeJobShare a job that needs more than this share of a partition's machines is assigned
+ *     to the leader
  * @param spareMachines number of idle machines that are always kept
  * @param maxLogPages number of pages of a controller's own log that compaction keeps
  * @param maxLogPageBytes largest size of a page of the log
--- a/src/main/java/wickdrift/coordination/VictimSelection.java
+++ b/src/main/java/wickdrift/coordination/VictimSelection.java
@@ -69,7 +69,8 @@
       return;
     }
     long preemptAfterMs = preemptAfterMs(spec);
-    if (waitedMs < Math.min(preemptAfterMs, tuning.lowPriorityPreemptionDelayMs()) || !quota.allows(spec)) {
+    if (waitedMs < Math.min(preemptAfterMs, tuning.lowPriorityPreemptionDelayMs())
+        || !quota.allows(spec)) {
       return;
     }
     scansThisRound++;
@@ -202,12 +203,15 @@
     }
     // If a newly rented machine will be ready in time, the job waits for it, because preemption
     // wastes work.
-    long waitMs = Math.max(tuning.preemptionDelayMs(), (long) (bootMs * tuning.preemptionBootFactor()));
+    long waitMs =
+        Math.max(tuning.preemptionDelayMs(), (long) (bootMs * tuning.preemptionBootFactor()));
     for (Settings.Objective objective : settings.objectives()) {
       boolean appliesToJob =
           objective.kind().equals("wait") && spec.jobClass().equals(objective.jobClass());
       if (appliesToJob && objective.withinS() * 1000 < bootMs * tuning.preemptionBootFactor()) {
-        waitMs = Math.min(waitMs, (long) (objective.withinS() * 1000 * tuning.preemptionObjectiveShare()));
+        waitMs =
+            Math.min(
+                waitMs, (long) (objective.withinS() * 1000 * tuning.preemptionObjectiveShare()));
       }
     }
     return waitMs;
--- a/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
+++ b/src/main/java/wickdrift/coordination/WithdrawalConfirmations.java
@@ -223,7 +223,8 @@
             long requestId = ++lastRequestId;
             requests.put(requestId, new Request(jobId, owner, batch, now));
             peer.accept(
-                new PeerFrame.WithdrawalConfirmationRequest(number, requestId, epoch, tables.appliedRev(), jobId, batch)
+                new PeerFrame.WithdrawalConfirmationRequest(
+                        number, requestId, epoch, tables.appliedRev(), jobId, batch)
                     .encode());
           }
         });
@@ -281,7 +282,9 @@
       positions.set(
           i, machine != null && reportHandler.canConfirmWithdrawal(machine, request.job()));
     }
-    peer.accept(new PeerFrame.WithdrawalConfirmation(number, request.requestId(), positions.toByteArray()).encode());
+    peer.accept(
+        new PeerFrame.WithdrawalConfirmation(number, request.requestId(), positions.toByteArray())
+            .encode());
   }
 
   /**
--- a/src/main/java/wickdrift/daemon/RehearseCommand.java
+++ b/src/main/java/wickdrift/daemon/RehearseCommand.java
@@ -69,7 +69,8 @@
                     settingsToml(
                         addressOf(stubChannel), addressOf(httpChannel), addressOf(peerChannel))));
     HttpClient client = new HttpClient(loop.group(), 16, Set.of());
-    Map<String, Consumer<ByteBuffer>> peers = Map.of("p", link.outgoingLink(addressOf(peerChannel)));
+    Map<String, Consumer<ByteBuffer>> peers =
+        Map.of("p", link.outgoingLink(addressOf(peerChannel)));
     controller[0] =
         new Controller(
             settings, Tuning.defaults(settings), loop, client, peers, "i", new Metrics());
--- a/src/main/java/wickdrift/daemon/ServeCommand.java
+++ b/src/main/java/wickdrift/daemon/ServeCommand.java
@@ -67,7 +67,9 @@
     // a reserve.
     HttpClient client =
         new HttpClient(
-            loop.group(), settings.maxSockets() / 4, Set.of(settings.stateServiceAddress(), settings.cloudAddress()));
+            loop.group(),
+            settings.maxSockets() / 4,
+            Set.of(settings.stateServiceAddress(), settings.cloudAddress()));
     Controller[] controllerHolder = new Controller[1];
     PeerLink link = new PeerLink(loop.group(), frame -> controllerHolder[0].handlePeerFrame(frame));
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
--- a/src/main/java/wickdrift/operator/Tool.java
+++ b/src/main/java/wickdrift/operator/Tool.java
@@ -60,7 +60,8 @@
     }
     // A fifth of what the state service takes: the controllers need the rest.
     double perSecond = Math.max(1, settings.stateLimits().rps() / 5);
-    try (StateClient store = new StateClient(settings.stateServiceAddress(), perSecond, (long) (waitS * 1000))) {
+    try (StateClient store =
+        new StateClient(settings.stateServiceAddress(), perSecond, (long) (waitS * 1000))) {
       return run(store, settings);
     } catch (Store.Away e) {
       return fail(AWAY, e.getMessage());
--- a/src/main/java/wickdrift/protocol/PeerFrame.java
+++ b/src/main/java/wickdrift/protocol/PeerFrame.java
@@ -51,7 +51,8 @@
    * @param stateServiceReachable whether the state service answers it
    * @param writesPerSecond the number of writes per second that it sends to the state service
    */
-  record PeerStatus(int from, long epoch, boolean stateServiceReachable, int writesPerSecond) implements PeerFrame {
+  record PeerStatus(int from, long epoch, boolean stateServiceReachable, int writesPerSecond)
+      implements PeerFrame {
     @Override
     public ByteBuffer encode() {
       return allocateWithHeader(PEER_STATUS, from, 13)
@@ -71,7 +72,10 @@
   record RelayedReport(int from, long requestId, byte[] body) implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return allocateWithHeader(RELAYED_REPORT, from, 8 + body.length).putLong(requestId).put(body).flip();
+      return allocateWithHeader(RELAYED_REPORT, from, 8 + body.length)
+          .putLong(requestId)
+          .put(body)
+          .flip();
     }
   }
 
@@ -103,7 +107,8 @@
    * @param revision the revision of the sender's tables, which contain the withdrawal
    * @param machines the names of the machines
    */
-  record WithdrawalConfirmationRequest(int from, long requestId, long epoch, long revision, String job, List<String> machines)
+  record WithdrawalConfirmationRequest(
+      int from, long requestId, long epoch, long revision, String job, List<String> machines)
       implements PeerFrame {
     @Override
     public ByteBuffer encode() {
@@ -127,18 +132,22 @@
   }
 
   /**
-   * The reply to {@link WithdrawalConfirmationRequest}: its sender knows of the withdrawal, and the workers on the
-   * indicated machines accept commands from it alone, under the requested epoch, and start no task
-   * of the job any more.
+   * The reply to {@link WithdrawalConfirmationRequest}: its sender knows of the withdrawal, and the
+   * workers on the indicated machines accept commands from it alone, under the requested epoch, and
+   * start no task of the job any more.
    *
    * @param requestId the number in the request
-   * @param confirmedMachines a bit for each machine of the request, in its order; the least significant bit of
-   *     the first byte is the first machine
+   * @param confirmedMachines a bit for each machine of the request, in its order; the least
+   *     significant bit of the first byte is the first machine
    */
-  record WithdrawalConfirmation(int from, long requestId, byte[] confirmedMachines) implements PeerFrame {
+  record WithdrawalConfirmation(int from, long requestId, byte[] confirmedMachines)
+      implements PeerFrame {
     @Override
     public ByteBuffer encode() {
-      return allocateWithHeader(WITHDRAWAL_CONFIRMATION, from, 8 + confirmedMachines.length).putLong(requestId).put(confirmedMachines).flip();
+      return allocateWithHeader(WITHDRAWAL_CONFIRMATION, from, 8 + confirmedMachines.length)
+          .putLong(requestId)
+          .put(confirmedMachines)
+          .flip();
     }
   }
 
@@ -202,13 +211,14 @@
       }
       case RELAYED_REPORT -> new RelayedReport(from, buffer.getLong(), readRemaining(buffer));
       case WITHDRAWAL_CONFIRMATION_REQUEST -> decodeConfirmationRequest(from, buffer);
-      case WITHDRAWAL_CONFIRMATION -> new WithdrawalConfirmation(from, buffer.getLong(), readRemaining(buffer));
+      case WITHDRAWAL_CONFIRMATION ->
+          new WithdrawalConfirmation(from, buffer.getLong(), readRemaining(buffer));
       default -> new RelayedReply(from, buffer.getLong(), buffer.getShort(), readRemaining(buffer));
     };
   }
 
-  private static WithdrawalConfirmationRequest decodeConfirmationRequest(int from, ByteBuffer buffer)
-      throws BadMessage {
+  private static WithdrawalConfirmationRequest decodeConfirmationRequest(
+      int from, ByteBuffer buffer) throws BadMessage {
     long requestId = buffer.getLong();
     long epoch = buffer.getLong();
     long revision = buffer.getLong();
@@ -218,7 +228,8 @@
     for (int i = 0; i < machineCount; i++) {
       machines.add(readText(buffer));
     }
-    return new WithdrawalConfirmationRequest(from, requestId, epoch, revision, job, List.copyOf(machines));
+    return new WithdrawalConfirmationRequest(
+        from, requestId, epoch, revision, job, List.copyOf(machines));
   }
 
   private static int readLength(ByteBuffer buffer) throws BadMessage {
--- a/src/main/java/wickdrift/protocol/Report.java
+++ b/src/main/java/wickdrift/protocol/Report.java
@@ -48,7 +48,8 @@
    * @param exitReason the exit reason; null before the exit
    * @param saved whether the attempt saved its state
    */
-  public record Entry(String job, int index, int attempt, Phase phase, String exitReason, boolean saved) {
+  public record Entry(
+      String job, int index, int attempt, Phase phase, String exitReason, boolean saved) {
     /** Returns the name of the task: job and index. */
     public String task() {
       return job + "/" + index;
--- a/src/main/java/wickdrift/settings/Settings.java
+++ b/src/main/java/wickdrift/settings/Settings.java
@@ -47,14 +47,19 @@
    * A team with its guaranteed resources and its limits. A limit of 0 means that there is no limit,
    * a guarantee of 0 that nothing is guaranteed.
    */
-  public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
+  public record Team(
+      String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
   /** A service objective for a class of jobs. */
   public record Objective(String kind, String jobClass, double withinS, double share) {}
 
   /** The times of the worker protocol, in seconds. */
   public record Workers(
-      double reportIntervalS, double leaseS, double gangWaitS, double gangPeerS, double cancelDeadlineS) {}
+      double reportIntervalS,
+      double leaseS,
+      double gangWaitS,
+      double gangPeerS,
+      double cancelDeadlineS) {}
 
   /** The cloud's limit of requests per second, and the lag of its list of machines in seconds. */
   public record CloudLimits(double maxRequestsPerSecond, double listLagS) {}
@@ -143,7 +148,8 @@
               numberOrDefault(teamTable, "gpus_max", 0));
       if (team.maxCpus > 0 && team.guaranteedCpus > team.maxCpus
           || team.maxGpus > 0 && team.guaranteedGpus > team.maxGpus) {
-        throw new InvalidSettingsException("cluster.teams: " + team.name + " is guaranteed more than its limit");
+        throw new InvalidSettingsException(
+            "cluster.teams: " + team.name + " is guaranteed more than its limit");
       }
       teams.add(team);
     }
@@ -199,7 +205,8 @@
    * @param defaults values for missing keys; null if all keys are required
    */
   private static StateServiceLimits.Bounds parseBounds(
-      UnmodifiableConfig config, String key, StateServiceLimits.Bounds defaults) throws InvalidSettingsException {
+      UnmodifiableConfig config, String key, StateServiceLimits.Bounds defaults)
+      throws InvalidSettingsException {
     boolean allRequired = defaults == null;
     StateServiceLimits.Bounds bounds =
         new StateServiceLimits.Bounds(
@@ -214,7 +221,8 @@
           key + ".txn_ops is too small to end a job or change a view: " + bounds.txnOps());
     }
     if (bounds.valueKb() < MIN_VALUE_KB) {
-      throw new InvalidSettingsException(key + ".value_kb is too small to hold a job: " + bounds.valueKb());
+      throw new InvalidSettingsException(
+          key + ".value_kb is too small to hold a job: " + bounds.valueKb());
     }
     return bounds;
   }
@@ -226,7 +234,8 @@
         : requiredPositive(config, key);
   }
 
-  private static String requiredText(UnmodifiableConfig config, String key) throws InvalidSettingsException {
+  private static String requiredText(UnmodifiableConfig config, String key)
+      throws InvalidSettingsException {
     Object value = config.get(key);
     if (value instanceof String text && !text.isEmpty()) {
       return text;
@@ -234,7 +243,8 @@
     throw new InvalidSettingsException(key + (value == null ? " is missing" : " is not text"));
   }
 
-  private static String requiredAddress(UnmodifiableConfig config, String key) throws InvalidSettingsException {
+  private static String requiredAddress(UnmodifiableConfig config, String key)
+      throws InvalidSettingsException {
     String address = requiredText(config, key);
     if (!address.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
       throw new InvalidSettingsException(key + " is not an address of the form 10.0.0.1:8080");
@@ -242,7 +252,8 @@
     return address;
   }
 
-  private static double requiredNumber(UnmodifiableConfig config, String key) throws InvalidSettingsException {
+  private static double requiredNumber(UnmodifiableConfig config, String key)
+      throws InvalidSettingsException {
     if (config.get(key) == null) {
       throw new InvalidSettingsException(key + " is missing");
     }
@@ -261,7 +272,8 @@
     throw new InvalidSettingsException(key + " is not a number of 0 or more");
   }
 
-  private static double requiredPositive(UnmodifiableConfig config, String key) throws InvalidSettingsException {
+  private static double requiredPositive(UnmodifiableConfig config, String key)
+      throws InvalidSettingsException {
     double number = requiredNumber(config, key);
     if (number <= 0) {
       throw new InvalidSettingsException(key + " is not above 0");
@@ -286,7 +298,8 @@
     return tables;
   }
 
-  private static List<String> requiredTexts(UnmodifiableConfig config, String key) throws InvalidSettingsException {
+  private static List<String> requiredTexts(UnmodifiableConfig config, String key)
+      throws InvalidSettingsException {
     List<String> texts = new ArrayList<>();
     if (config.get(key) instanceof List<?> l) {
       for (Object o : l) {
--- a/src/main/java/wickdrift/transport/Caller.java
+++ b/src/main/java/wickdrift/transport/Caller.java
@@ -17,7 +17,8 @@
    *
    * @param address host and port
    * @param body null for an empty body
-   * @param onResponse receives the response, or {@link Response#NO_RESPONSE} after the timeout or a failure
+   * @param onResponse receives the response, or {@link Response#NO_RESPONSE} after the timeout or a
+   *     failure
    */
   void call(
       String address,
--- a/src/main/java/wickdrift/transport/HttpClient.java
+++ b/src/main/java/wickdrift/transport/HttpClient.java
@@ -90,7 +90,10 @@
     pending.timeoutTask =
         group
             .next()
-            .schedule(() -> pending.finish(Response.NO_RESPONSE, false), timeoutMs, TimeUnit.MILLISECONDS);
+            .schedule(
+                () -> pending.finish(Response.NO_RESPONSE, false),
+                timeoutMs,
+                TimeUnit.MILLISECONDS);
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -207,7 +207,8 @@
     int kinds = 1 + seed % 3;
     for (int i = 0; i < 60; i++) {
       int kind = random.nextInt(kinds);
-      MachineType t = new MachineType("t" + kind, 32, 8 - kind, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
+      MachineType t =
+          new MachineType("t" + kind, 32, 8 - kind, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
       Machine.Info info =
           new Machine.Info(t.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
       Machine m = machine(tables, "m" + i, info);
--- a/src/test/java/wickdrift/protocol/PeerFrameTest.java
+++ b/src/test/java/wickdrift/protocol/PeerFrameTest.java
@@ -39,13 +39,17 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 127, 128, 300, 65_535})
   void anyNumberIsCarried(int from) throws BadMessage {
-    assertEquals(from, PeerFrame.decode(new PeerFrame.PeerStatus(from, 1, true, 2).encode()).from());
+    assertEquals(
+        from, PeerFrame.decode(new PeerFrame.PeerStatus(from, 1, true, 2).encode()).from());
     byte[] body = {1, 2, 3};
     PeerFrame.RelayedReport r =
-        (PeerFrame.RelayedReport) PeerFrame.decode(new PeerFrame.RelayedReport(from, 9, body).encode());
-    assertEquals(from + " 9 [1, 2, 3]", r.from() + " " + r.requestId() + " " + Arrays.toString(r.body()));
+        (PeerFrame.RelayedReport)
+            PeerFrame.decode(new PeerFrame.RelayedReport(from, 9, body).encode());
+    assertEquals(
+        from + " 9 [1, 2, 3]", r.from() + " " + r.requestId() + " " + Arrays.toString(r.body()));
     PeerFrame.RelayedReply a =
-        (PeerFrame.RelayedReply) PeerFrame.decode(new PeerFrame.RelayedReply(from, 9, 421, body).encode());
+        (PeerFrame.RelayedReply)
+            PeerFrame.decode(new PeerFrame.RelayedReply(from, 9, 421, body).encode());
     assertEquals(from + " 421", a.from() + " " + a.status());
   }
 
@@ -53,18 +57,25 @@
   @ValueSource(ints = {0, 127, 128, 65_535})
   void aWithdrawalAndWhoObeysAreCarried(int from) throws BadMessage {
     PeerFrame.WithdrawalConfirmationRequest w =
-        new PeerFrame.WithdrawalConfirmationRequest(from, 7, 41, 900, "req-000001", List.of("i-000001", "i-\u00e9"));
+        new PeerFrame.WithdrawalConfirmationRequest(
+            from, 7, 41, 900, "req-000001", List.of("i-000001", "i-\u00e9"));
     assertEquals(w, PeerFrame.decode(w.encode()));
     PeerFrame.WithdrawalConfirmation o =
-        (PeerFrame.WithdrawalConfirmation) PeerFrame.decode(new PeerFrame.WithdrawalConfirmation(from, 7, new byte[] {5}).encode());
-    assertEquals(from + " 7 [5]", o.from() + " " + o.requestId() + " " + Arrays.toString(o.confirmedMachines()));
+        (PeerFrame.WithdrawalConfirmation)
+            PeerFrame.decode(
+                new PeerFrame.WithdrawalConfirmation(from, 7, new byte[] {5}).encode());
+    assertEquals(
+        from + " 7 [5]",
+        o.from() + " " + o.requestId() + " " + Arrays.toString(o.confirmedMachines()));
   }
 
   /** However early it ends, it is malformed, and nothing is read past its end. */
   @Test
   void aWithdrawalThatEndsEarlyIsMalformed() {
     ByteBuffer whole =
-        new PeerFrame.WithdrawalConfirmationRequest(1, 7, 41, 900, "req-000001", List.of("i-000001")).encode();
+        new PeerFrame.WithdrawalConfirmationRequest(
+                1, 7, 41, 900, "req-000001", List.of("i-000001"))
+            .encode();
     for (int n = 0; n < whole.limit(); n++) {
       ByteBuffer cut = ByteBuffer.wrap(Arrays.copyOf(whole.array(), n));
       assertThrows(BadMessage.class, () -> PeerFrame.decode(cut), n + " bytes");
--- a/src/test/java/wickdrift/settings/SettingsTest.java
+++ b/src/test/java/wickdrift/settings/SettingsTest.java
@@ -92,7 +92,8 @@
       })
   void theFieldAtFaultIsNamed(String from, String to, String field) {
     String toml = GOOD.replace(from, to.replace("\\n", "\n"));
-    Settings.InvalidSettingsException e = assertThrows(Settings.InvalidSettingsException.class, () -> parse(toml));
+    Settings.InvalidSettingsException e =
+        assertThrows(Settings.InvalidSettingsException.class, () -> parse(toml));
     assertTrue(e.getMessage().contains(field), e.getMessage());
   }
 }
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -96,14 +96,20 @@
     int[] answers = new int[1];
     w.net.listen(
         "peer:" + asker,
-        (from, m, p, body, done) -> answers[0] += body[1] == PeerFrame.WITHDRAWAL_CONFIRMATION ? 1 : 0);
+        (from, m, p, body, done) ->
+            answers[0] += body[1] == PeerFrame.WITHDRAWAL_CONFIRMATION ? 1 : 0);
     List<String> machines = w.workers().stream().map(x -> x.name).toList();
     for (long asked : new long[] {epoch - 1, epoch + 1}) {
-      w.frame(owner, new PeerFrame.WithdrawalConfirmationRequest(number, 1, asked, rev, "req-000001", machines));
+      w.frame(
+          owner,
+          new PeerFrame.WithdrawalConfirmationRequest(
+              number, 1, asked, rev, "req-000001", machines));
       w.run(300);
       assertEquals(0, answers[0], "answered under epoch " + asked);
     }
-    w.frame(owner, new PeerFrame.WithdrawalConfirmationRequest(number, 2, epoch, rev, "req-000001", machines));
+    w.frame(
+        owner,
+        new PeerFrame.WithdrawalConfirmationRequest(number, 2, epoch, rev, "req-000001", machines));
     w.run(300);
     assertEquals(1, answers[0], "not answered under its own epoch");
   }
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -15,7 +15,8 @@
 public final class SimNet {
   /** What listens at an address. */
   public interface Server {
-    void serve(String from, String method, String path, byte[] body, Consumer<Caller.Response> done);
+    void serve(
+        String from, String method, String path, byte[] body, Consumer<Caller.Response> done);
 
     /** Grows when what listens begins anew: what was on its way to the one before is lost. */
     default long life() {
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -74,7 +74,8 @@
     if (overLimit(t.spec.team(), gpus)) {
       broke("quota " + t.spec.team() + " " + gpus);
     }
-    if (t.spec.oneZone() && zones.size() > 1 || t.spec.spread() && sameZone > t.spec.maxTasksPerZone()) {
+    if (t.spec.oneZone() && zones.size() > 1
+        || t.spec.spread() && sameZone > t.spec.maxTasksPerZone()) {
       broke("wrong_place " + t.id);
     }
   }
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -153,7 +153,9 @@
             .childHandler(new ChannelInboundHandlerAdapter());
     int[] pauses = {0};
     IOException e =
-        assertThrows(IOException.class, () -> PortBinder.bindWithRetry(server, address, 3, () -> pauses[0]++));
+        assertThrows(
+            IOException.class,
+            () -> PortBinder.bindWithRetry(server, address, 3, () -> pauses[0]++));
     assertEquals(2, pauses[0]);
     assertTrue(e.getMessage().contains(String.valueOf(address.getPort())), e.getMessage());
     Channel c =
