--- a/src/main/java/wickdrift/lab/Day.java
+++ b/src/main/java/wickdrift/lab/Day.java
@@ -26,19 +26,20 @@
  * well.
  */
 final class Day {
-  private static final Set<String> FIELDS =
+  private static final Set<String> KNOWN_FIELDS =
       Set.of("name", "slot", "light", "seed", "vary", "jobs", "faults");
 
   /** Of these the bench takes a share itself. */
-  private static final Set<String> OF_WHAT_IS_THERE = Set.of("machine_deaf", "machine_mute");
+  private static final Set<String> KINDS_WITH_SHARE_IN_BENCH =
+      Set.of("machine_deaf", "machine_mute");
 
   private final Config spec;
   private final String name;
 
   Day(Config spec) throws BadInput {
     this.spec = spec;
-    this.name = Toml.text(spec, "name", "day");
-    Toml.only(spec, FIELDS, "day " + name);
+    this.name = Toml.requireText(spec, "name", "day");
+    Toml.rejectUnknownFields(spec, KNOWN_FIELDS, "day " + name);
   }
 
   String name() {
@@ -58,38 +59,41 @@
       day.set("seed", 100L);
     }
     List<Config> faults = new ArrayList<>();
-    for (Config f : Toml.tables(spec, "faults")) {
-      Config fault = Toml.copy(f);
-      String at = "day " + name + ", fault " + f.get("kind");
-      double first =
-          f.contains("at")
-              ? Toml.number(f, "at", 0, at) * Toml.number(site, "duration_s", 0, "site")
-              : Toml.number(f, "at_s", 0, at);
-      first += Toml.number(f, "plus_s", 0, at);
+    for (Config faultSpec : Toml.tables(spec, "faults")) {
+      Config fault = Toml.copy(faultSpec);
+      String location = "day " + name + ", fault " + faultSpec.get("kind");
+      double firstAtS =
+          faultSpec.contains("at")
+              ? Toml.numberOrDefault(faultSpec, "at", 0, location)
+                  * Toml.numberOrDefault(site, "duration_s", 0, "site")
+              : Toml.numberOrDefault(faultSpec, "at_s", 0, location);
+      firstAtS += Toml.numberOrDefault(faultSpec, "plus_s", 0, location);
       fault.remove("plus_s");
-      place(fault, site, at);
-      last(fault, "for_leases", "workers.lease_s", site, at);
-      last(fault, "for_cancels", "workers.cancel_s", site, at);
-      long times = (long) Toml.number(f, "times", 1, at);
-      double every = Toml.number(f, "every_s", 0, at);
+      resolveTargets(fault, site, location);
+      resolveDuration(fault, "for_leases", "workers.lease_s", site, location);
+      resolveDuration(fault, "for_cancels", "workers.cancel_s", site, location);
+      long times = (long) Toml.numberOrDefault(faultSpec, "times", 1, location);
+      double intervalS = Toml.numberOrDefault(faultSpec, "every_s", 0, location);
       fault.remove("at");
       fault.remove("times");
       if (times > 1) {
         fault.remove("every_s");
       }
-      for (int n = 0; n < times; n++) {
-        Config one = Toml.copy(fault);
-        one.set("at_s", Math.round((first + n * every) * 1000) / 1000.0);
-        faults.add(one);
+      for (int occurrenceIndex = 0; occurrenceIndex < times; occurrenceIndex++) {
+        Config occurrence = Toml.copy(fault);
+        occurrence.set(
+            "at_s", Math.round((firstAtS + occurrenceIndex * intervalS) * 1000) / 1000.0);
+        faults.add(occurrence);
       }
     }
     faults.sort((a, b) -> Double.compare(a.<Double>get("at_s"), b.<Double>get("at_s")));
     day.set("faults", faults);
     List<Config> jobs = new ArrayList<>();
-    for (Config j : Toml.tables(spec, "jobs")) {
-      Config job = Toml.copy(j);
-      String of = "day " + name + ", jobs";
-      job.set("name", className(Toml.text(j, "name", of), site, of));
+    for (Config jobSpec : Toml.tables(spec, "jobs")) {
+      Config job = Toml.copy(jobSpec);
+      String jobsLocation = "day " + name + ", jobs";
+      job.set(
+          "name", className(Toml.requireText(jobSpec, "name", jobsLocation), site, jobsLocation));
       jobs.add(job);
     }
     if (!jobs.isEmpty()) {
@@ -99,57 +103,61 @@
   }
 
   /** How long a fault lasts, as a multiple of one of the site's own times. */
-  private static void last(Config fault, String field, String of, Config site, String at)
-      throws BadInput {
+  private static void resolveDuration(
+      Config fault, String field, String siteField, Config site, String location) throws BadInput {
     if (fault.contains(field)) {
-      double times = Toml.number(fault, field, 0, at);
-      fault.set("for_s", Math.round(times * Toml.number(site, of, 0, "site") * 10) / 10.0);
+      double factor = Toml.numberOrDefault(fault, field, 0, location);
+      fault.set(
+          "for_s",
+          Math.round(factor * Toml.numberOrDefault(site, siteField, 0, "site") * 10) / 10.0);
       fault.remove(field);
     }
   }
 
-  private static String className(String name, Config site, String at) throws BadInput {
+  private static String className(String name, Config site, String location) throws BadInput {
     return name.startsWith("@")
-        ? named(site, "jobs", "kind", name.substring(1), at).<String>get("name")
-        : named(site, "jobs", "name", name, at).<String>get("name");
+        ? findTable(site, "jobs", "kind", name.substring(1), location).<String>get("name")
+        : findTable(site, "jobs", "name", name, location).<String>get("name");
   }
 
-  private static void place(Config fault, Config site, String at) throws BadInput {
-    String kind = Toml.text(fault, "kind", at);
+  private static void resolveTargets(Config fault, Config site, String location) throws BadInput {
+    String kind = Toml.requireText(fault, "kind", location);
     if (fault.get("class") instanceof String c && c.startsWith("@")) {
-      fault.set("class", className(c, site, at));
+      fault.set("class", className(c, site, location));
     }
-    if (fault.get("zone") instanceof String z && z.startsWith("@")) {
+    if (fault.get("zone") instanceof String zone && zone.startsWith("@")) {
       List<Config> zones = Toml.tables(site, "capacity");
-      if (!z.matches("@\\d{1,4}") || Integer.parseInt(z.substring(1)) >= zones.size()) {
-        throw new BadInput(at + ": the site has no zone " + z);
+      if (!zone.matches("@\\d{1,4}") || Integer.parseInt(zone.substring(1)) >= zones.size()) {
+        throw new BadInput(location + ": the site has no zone " + zone);
       }
-      fault.set("zone", zones.get(Integer.parseInt(z.substring(1))).<String>get("zone"));
+      fault.set("zone", zones.get(Integer.parseInt(zone.substring(1))).<String>get("zone"));
     }
     boolean ofControllers = kind.startsWith("node_");
-    boolean counted =
-        ofControllers || kind.startsWith("machine_") && !OF_WHAT_IS_THERE.contains(kind);
-    if (fault.contains("share") && counted) {
-      double all = 0;
+    boolean sharesToCount =
+        ofControllers || kind.startsWith("machine_") && !KINDS_WITH_SHARE_IN_BENCH.contains(kind);
+    if (fault.contains("share") && sharesToCount) {
+      double total = 0;
       if (ofControllers) {
-        all = Toml.number(site, "nodes.count", 0, "site");
+        total = Toml.numberOrDefault(site, "nodes.count", 0, "site");
       } else {
         for (Config c : Toml.tables(site, "capacity")) {
-          all += Variant.had(c);
+          total += Variant.rentableMachines(c);
         }
       }
-      fault.set("count", Math.max(1, Math.round(Toml.number(fault, "share", 0, at) * all)));
+      fault.set(
+          "count",
+          Math.max(1, Math.round(Toml.numberOrDefault(fault, "share", 0, location) * total)));
       fault.remove("share");
     }
   }
 
-  private static Config named(Config site, String table, String field, String value, String at)
-      throws BadInput {
-    for (Config c : Toml.tables(site, table)) {
-      if (value.equals(c.get(field))) {
-        return c;
+  private static Config findTable(
+      Config site, String table, String field, String value, String location) throws BadInput {
+    for (Config candidate : Toml.tables(site, table)) {
+      if (value.equals(candidate.get(field))) {
+        return candidate;
       }
     }
-    throw new BadInput(at + ": the site has no " + table + " of " + field + " " + value);
+    throw new BadInput(location + ": the site has no " + table + " of " + field + " " + value);
   }
 }
--- a/src/main/java/wickdrift/lab/Served.java
+++ b/src/main/java/wickdrift/lab/Served.java
@@ -19,21 +19,22 @@
  * <p>Served is the share of the jobs asked for of which at least one task was started (of a gang:
  * all), as the users' bench counts {@code started}. The shares of jobs accepted and done stand
  * beside it; replicas are never done, and what came late in the day had no time to be. Of a class
- * of largest jobs ({@link Variant#LARGEST}) the share of tasks that began within {@link
- * Variant#LARGEST_S} is told too; a day fails if that is less than half.
+ * of largest jobs ({@link Variant#LARGEST_SUFFIX}) the share of tasks that began within {@link
+ * Variant#LARGEST_START_LIMIT_S} is told too; a day fails if that is less than half.
  */
 public final class Served {
   /** A day on which less than this is served of any class or team counts as failed. */
-  public static final double FAILED_BELOW = 0.5;
+  public static final double MIN_SERVED_SHARE = 0.5;
 
   /**
    * One class or team. Counts are of jobs; {@code accepted} and {@code done} are -1 where the
    * report does not tell them (it does not for teams).
    */
-  public record Row(String name, boolean team, long asked, long accepted, long started, long done) {
+  public record Row(
+      String name, boolean team, long requested, long accepted, long started, long done) {
     /** From 0 to 1; 1 where nothing was asked for. */
-    public double share() {
-      return asked == 0 ? 1 : Math.min(1, (double) started / asked);
+    public double servedShare() {
+      return requested == 0 ? 1 : Math.min(1, (double) started / requested);
     }
 
     String text() {
@@ -42,8 +43,8 @@
           "%s %s: served %.3f (asked %d, accepted %s, started %d, done %s)",
           team ? "team" : "class",
           name,
-          share(),
-          asked,
+          servedShare(),
+          requested,
           accepted < 0 ? "-" : accepted,
           started,
           done < 0 ? "-" : done);
@@ -52,16 +53,17 @@
 
   private final String day;
   private final List<Row> rows;
-  private final long brokenRules;
+  private final long brokenRuleCount;
 
   /** By class of largest jobs, the share that began in time. */
-  private final Map<String, Double> inTime;
+  private final Map<String, Double> startedInTimeByClass;
 
-  private Served(String day, List<Row> rows, long brokenRules, Map<String, Double> inTime) {
-    this.inTime = inTime;
+  private Served(
+      String day, List<Row> rows, long brokenRuleCount, Map<String, Double> startedInTimeByClass) {
+    this.startedInTimeByClass = startedInTimeByClass;
     this.day = day;
     this.rows = rows;
-    this.brokenRules = brokenRules;
+    this.brokenRuleCount = brokenRuleCount;
   }
 
   /**
@@ -70,94 +72,110 @@
    * @throws BadInput it is no JSON or lacks a field, which the message names
    */
   public static Served read(String json) throws BadInput {
-    JsonElement all;
+    JsonElement root;
     try {
-      all = JsonParser.parseString(json);
+      root = JsonParser.parseString(json);
     } catch (JsonParseException e) {
       throw new BadInput("not JSON: " + e.getMessage());
     }
-    if (!all.isJsonObject()) {
+    if (!root.isJsonObject()) {
       throw new BadInput("not a JSON object");
     }
-    JsonObject report = all.getAsJsonObject();
+    JsonObject report = root.getAsJsonObject();
     List<Row> rows = new ArrayList<>();
-    for (Map.Entry<String, JsonElement> e : object(report, "classes", "classes").entrySet()) {
-      String at = "classes." + e.getKey();
-      JsonObject c = object(e.getValue(), at);
+    for (Map.Entry<String, JsonElement> e :
+        requireObject(report, "classes", "classes").entrySet()) {
+      String location = "classes." + e.getKey();
+      JsonObject jobClass = requireObject(e.getValue(), location);
       rows.add(
           new Row(
               e.getKey(),
               false,
-              count(c, "jobs", at),
-              count(c, "accepted", at),
-              count(c, "started", at),
-              count(c, "done", at)));
+              requireCount(jobClass, "jobs", location),
+              requireCount(jobClass, "accepted", location),
+              requireCount(jobClass, "started", location),
+              requireCount(jobClass, "done", location)));
     }
-    for (Map.Entry<String, JsonElement> e : object(report, "teams", "teams").entrySet()) {
-      String at = "teams." + e.getKey();
-      JsonObject t = object(e.getValue(), at);
-      rows.add(new Row(e.getKey(), true, count(t, "jobs", at), -1, count(t, "started", at), -1));
+    for (Map.Entry<String, JsonElement> e : requireObject(report, "teams", "teams").entrySet()) {
+      String location = "teams." + e.getKey();
+      JsonObject team = requireObject(e.getValue(), location);
+      rows.add(
+          new Row(
+              e.getKey(),
+              true,
+              requireCount(team, "jobs", location),
+              -1,
+              requireCount(team, "started", location),
+              -1));
     }
     if (rows.isEmpty()) {
       throw new BadInput("classes and teams are empty");
     }
     rows.sort(
-        Comparator.comparingDouble(Row::share).thenComparing(Row::team).thenComparing(Row::name));
+        Comparator.comparingDouble(Row::servedShare)
+            .thenComparing(Row::team)
+            .thenComparing(Row::name));
     JsonElement scenario = report.get("scenario");
     if (scenario == null || !scenario.isJsonPrimitive()) {
       throw new BadInput("scenario is missing");
     }
-    long broken = count(object(report, "rules_broken", "rules_broken"), "total", "rules_broken");
-    return new Served(scenario.getAsString(), rows, broken, inTime(report));
+    long brokenRuleCount =
+        requireCount(
+            requireObject(report, "rules_broken", "rules_broken"), "total", "rules_broken");
+    return new Served(scenario.getAsString(), rows, brokenRuleCount, parseStartedInTime(report));
   }
 
   /** From the aims that a variant gives to its classes of largest jobs. */
-  private static Map<String, Double> inTime(JsonObject report) throws BadInput {
-    Map<String, Double> out = new TreeMap<>();
+  private static Map<String, Double> parseStartedInTime(JsonObject report) throws BadInput {
+    Map<String, Double> shareByClass = new TreeMap<>();
     if (!(report.get("targets") instanceof JsonArray targets)) {
-      return out;
+      return shareByClass;
     }
-    for (JsonElement e : targets) {
-      JsonObject t = object(e, "targets");
-      if (t.get("class") instanceof JsonPrimitive c
-          && c.getAsString().endsWith(Variant.LARGEST)
+    for (JsonElement element : targets) {
+      JsonObject target = requireObject(element, "targets");
+      if (target.get("class") instanceof JsonPrimitive className
+          && className.getAsString().endsWith(Variant.LARGEST_SUFFIX)
           // Of none that counts, nothing is told.
-          && !(t.get("of") instanceof JsonPrimitive n && n.isNumber() && n.getAsLong() == 0)
-          && t.get("value") instanceof JsonPrimitive v
-          && v.isNumber()) {
-        out.put(c.getAsString(), v.getAsDouble());
+          && !(target.get("of") instanceof JsonPrimitive count
+              && count.isNumber()
+              && count.getAsLong() == 0)
+          && target.get("value") instanceof JsonPrimitive value
+          && value.isNumber()) {
+        shareByClass.put(className.getAsString(), value.getAsDouble());
       }
     }
-    return out;
+    return shareByClass;
   }
 
-  private static JsonObject object(JsonObject of, String field, String at) throws BadInput {
-    JsonElement e = of.get(field);
-    if (e == null) {
-      throw new BadInput(at + " is missing");
+  private static JsonObject requireObject(JsonObject parent, String field, String location)
+      throws BadInput {
+    JsonElement element = parent.get(field);
+    if (element == null) {
+      throw new BadInput(location + " is missing");
     }
-    return object(e, at);
+    return requireObject(element, location);
   }
 
-  private static JsonObject object(JsonElement e, String at) throws BadInput {
-    if (!e.isJsonObject()) {
-      throw new BadInput(at + " is not an object");
+  private static JsonObject requireObject(JsonElement element, String location) throws BadInput {
+    if (!element.isJsonObject()) {
+      throw new BadInput(location + " is not an object");
     }
-    return e.getAsJsonObject();
+    return element.getAsJsonObject();
   }
 
-  private static long count(JsonObject of, String field, String at) throws BadInput {
-    JsonElement e = of.get(field);
-    if (e == null) {
-      throw new BadInput(at + "." + field + " is missing");
+  private static long requireCount(JsonObject parent, String field, String location)
+      throws BadInput {
+    JsonElement element = parent.get(field);
+    if (element == null) {
+      throw new BadInput(location + "." + field + " is missing");
     }
-    if (e.isJsonPrimitive() && e.getAsJsonPrimitive().isNumber()) {
-      double n = e.getAsDouble();
-      if (n >= 0 && n == Math.rint(n)) {
-        return (long) n;
+    if (element.isJsonPrimitive() && element.getAsJsonPrimitive().isNumber()) {
+      double count = element.getAsDouble();
+      if (count >= 0 && count == Math.rint(count)) {
+        return (long) count;
       }
     }
-    throw new BadInput(at + "." + field + " is not a count");
+    throw new BadInput(location + "." + field + " is not a count");
   }
 
   public String day() {
@@ -169,47 +187,53 @@
     return rows;
   }
 
-  public long brokenRules() {
-    return brokenRules;
+  public long brokenRuleCount() {
+    return brokenRuleCount;
   }
 
   /** Whether the day fails by what was served, or by a rule. */
-  public boolean failed() {
-    return brokenRules > 0
-        || rows.get(0).share() < FAILED_BELOW
-        || inTime.values().stream().anyMatch(s -> s < FAILED_BELOW);
+  public boolean hasFailed() {
+    return brokenRuleCount > 0
+        || rows.get(0).servedShare() < MIN_SERVED_SHARE
+        || startedInTimeByClass.values().stream().anyMatch(share -> share < MIN_SERVED_SHARE);
   }
 
   /** The one line that a round's commit carries. */
   public String line() {
-    Row least = rows.get(0);
+    Row leastServed = rows.get(0);
     return String.format(
         Locale.ROOT,
         "%s: least served %s %s %.3f%s%s%s",
         day,
-        least.team() ? "team" : "class",
-        least.name(),
-        least.share(),
-        inTime.isEmpty() ? "" : ", largest in time " + least(inTime),
-        brokenRules > 0 ? ", " + brokenRules + " times a rule was broken" : "",
-        failed() ? ", FAILED" : "");
+        leastServed.team() ? "team" : "class",
+        leastServed.name(),
+        leastServed.servedShare(),
+        startedInTimeByClass.isEmpty()
+            ? ""
+            : ", largest in time " + formatLowest(startedInTimeByClass),
+        brokenRuleCount > 0 ? ", " + brokenRuleCount + " times a rule was broken" : "",
+        hasFailed() ? ", FAILED" : "");
   }
 
-  private static String least(Map<String, Double> shares) {
-    Map.Entry<String, Double> e =
+  private static String formatLowest(Map<String, Double> shares) {
+    Map.Entry<String, Double> lowest =
         shares.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow();
-    return String.format(Locale.ROOT, "%.3f %s", e.getValue(), e.getKey());
+    return String.format(Locale.ROOT, "%.3f %s", lowest.getValue(), lowest.getKey());
   }
 
   /** The line, then a row for each class and team. */
   public String text() {
-    StringBuilder b = new StringBuilder(line());
-    rows.forEach(r -> b.append('\n').append("  ").append(r.text()));
-    inTime.forEach(
-        (c, s) ->
-            b.append(
+    StringBuilder text = new StringBuilder(line());
+    rows.forEach(row -> text.append('\n').append("  ").append(row.text()));
+    startedInTimeByClass.forEach(
+        (className, share) ->
+            text.append(
                 String.format(
-                    Locale.ROOT, "\n  %s: %.3f began within %.0f s", c, s, Variant.LARGEST_S)));
-    return b.toString();
+                    Locale.ROOT,
+                    "\n  %s: %.3f began within %.0f s",
+                    className,
+                    share,
+                    Variant.LARGEST_START_LIMIT_S)));
+    return text.toString();
   }
 }
--- a/src/main/java/wickdrift/lab/ServedCommand.java
+++ b/src/main/java/wickdrift/lab/ServedCommand.java
@@ -25,21 +25,21 @@
   private List<Path> reports;
 
   @CommandLine.Option(names = "--line", description = "One line a day, for a commit.")
-  private boolean line;
+  private boolean summaryOnly;
 
   @Override
   public Integer call() {
-    int code = 0;
-    for (Path p : reports) {
+    int exitCode = 0;
+    for (Path report : reports) {
       try {
-        Served s = Served.read(Files.readString(p));
-        spec.commandLine().getOut().println(line ? s.line() : s.text());
-        code = Math.max(code, s.failed() ? 1 : 0);
+        Served shares = Served.read(Files.readString(report));
+        spec.commandLine().getOut().println(summaryOnly ? shares.line() : shares.text());
+        exitCode = Math.max(exitCode, shares.hasFailed() ? 1 : 0);
       } catch (IOException | BadInput e) {
-        spec.commandLine().getErr().println("wickdrift-lab: " + p + ": " + e.getMessage());
+        spec.commandLine().getErr().println("wickdrift-lab: " + report + ": " + e.getMessage());
         return 2;
       }
     }
-    return code;
+    return exitCode;
   }
 }
--- a/src/main/java/wickdrift/lab/Toml.java
+++ b/src/main/java/wickdrift/lab/Toml.java
@@ -18,80 +18,82 @@
 final class Toml {
   private Toml() {}
 
-  static Config fresh() {
+  static Config newConfig() {
     return TomlFormat.newConfig(LinkedHashMap::new);
   }
 
-  static Config load(Path p) throws BadInput {
+  static Config load(Path file) throws BadInput {
     try {
-      Config c = fresh();
-      new TomlParser().parse(Files.readString(p), c, ParsingMode.REPLACE);
-      return c;
+      Config config = newConfig();
+      new TomlParser().parse(Files.readString(file), config, ParsingMode.REPLACE);
+      return config;
     } catch (IOException | ParsingException e) {
-      throw new BadInput(p + ": " + e.getMessage());
+      throw new BadInput(file + ": " + e.getMessage());
     }
   }
 
-  static String text(Config c) {
-    return new TomlWriter().writeToString(c);
+  static String serialize(Config config) {
+    return new TomlWriter().writeToString(config);
   }
 
   /** A copy all the way down. */
-  static Config copy(Config c) {
-    Config out = fresh();
-    for (Config.Entry e : c.entrySet()) {
-      out.set(List.of(e.getKey()), value(e.getValue()));
+  static Config copy(Config config) {
+    Config copy = newConfig();
+    for (Config.Entry entry : config.entrySet()) {
+      copy.set(List.of(entry.getKey()), copyValue(entry.getValue()));
     }
-    return out;
+    return copy;
   }
 
-  private static Object value(Object v) {
-    if (v instanceof Config c) {
-      return copy(c);
+  private static Object copyValue(Object value) {
+    if (value instanceof Config config) {
+      return copy(config);
     }
-    if (v instanceof List<?> l) {
-      List<Object> out = new ArrayList<>();
-      l.forEach(x -> out.add(value(x)));
-      return out;
+    if (value instanceof List<?> list) {
+      List<Object> copy = new ArrayList<>();
+      list.forEach(element -> copy.add(copyValue(element)));
+      return copy;
     }
-    return v;
+    return value;
   }
 
   /** The tables of a list, which may be missing. */
-  static List<Config> tables(Config c, String field) {
-    List<Config> out = new ArrayList<>();
-    if (c.get(field) instanceof List<?> l) {
-      for (Object o : l) {
-        if (o instanceof Config t) {
-          out.add(t);
+  static List<Config> tables(Config config, String field) {
+    List<Config> tables = new ArrayList<>();
+    if (config.get(field) instanceof List<?> list) {
+      for (Object element : list) {
+        if (element instanceof Config table) {
+          tables.add(table);
         }
       }
     }
-    return out;
+    return tables;
   }
 
-  static String text(Config c, String field, String at) throws BadInput {
-    if (c.get(field) instanceof String s && !s.isEmpty()) {
-      return s;
+  static String requireText(Config config, String field, String location) throws BadInput {
+    if (config.get(field) instanceof String text && !text.isEmpty()) {
+      return text;
     }
-    throw new BadInput(at + ": " + field + " is missing or no text");
+    throw new BadInput(location + ": " + field + " is missing or no text");
   }
 
-  static double number(Config c, String field, double otherwise, String at) throws BadInput {
-    Object v = c.get(field);
-    if (v == null) {
-      return otherwise;
+  static double numberOrDefault(Config config, String field, double defaultValue, String location)
+      throws BadInput {
+    Object value = config.get(field);
+    if (value == null) {
+      return defaultValue;
     }
-    if (v instanceof Number n && n.doubleValue() >= 0) {
-      return n.doubleValue();
+    if (value instanceof Number number && number.doubleValue() >= 0) {
+      return number.doubleValue();
     }
-    throw new BadInput(at + ": " + field + " is no number of at least 0");
+    throw new BadInput(location + ": " + field + " is no number of at least 0");
   }
 
-  static void only(Config c, Set<String> fields, String at) throws BadInput {
-    for (Config.Entry e : c.entrySet()) {
-      if (!fields.contains(e.getKey())) {
-        throw new BadInput(at + ": " + e.getKey() + " is not known");
+  static void rejectUnknownFields(Config config, Set<String> fields, String location)
+      throws BadInput {
+    for (Config.Entry entry : config.entrySet()) {
+      if (!fields.contains(entry.getKey())) {
+        throw new BadInput(location + ": " + entry.getKey() + " is not known");
       }
     }
   }
--- a/src/main/java/wickdrift/lab/Variant.java
+++ b/src/main/java/wickdrift/lab/Variant.java
@@ -18,8 +18,9 @@
  *   <li>{@code machines}: factor on the machines that are up and that can be had
  *   <li>{@code load}: factor on the jobs at the start and on the rates of arrival
  *   <li>{@code largest}: from 0 to 1, the share of each class's arrivals that are jobs of its
- *       largest size, as a class of their own, called as {@link #LARGEST} says; a report tells of
- *       classes only. How many of them begin within {@link #LARGEST_S} is a target of the site's
+ *       largest size, as a class of their own, called as {@link #LARGEST_SUFFIX} says; a report
+ *       tells of classes only. How many of them begin within {@link #LARGEST_START_LIMIT_S} is a
+ *       target of the site's
  *   <li>{@code limits}: factor on the teams' guarantees and limits
  *   <li>{@code faults}: factor on how many machines a fault of the site's days strikes (default: as
  *       {@code machines})
@@ -35,12 +36,12 @@
  */
 final class Variant {
   /** What a class of the largest jobs is called beside its class. */
-  static final String LARGEST = "-largest";
+  static final String LARGEST_SUFFIX = "-largest";
 
   /** Seconds within which the users want the largest to begin. */
-  static final double LARGEST_S = 240;
+  static final double LARGEST_START_LIMIT_S = 240;
 
-  private static final Set<String> FIELDS =
+  private static final Set<String> KNOWN_FIELDS =
       Set.of(
           "name",
           "machines",
@@ -60,16 +61,16 @@
 
   Variant(Config spec) throws BadInput {
     this.spec = spec;
-    this.name = Toml.text(spec, "name", "variant");
-    Toml.only(spec, FIELDS, "variant " + name);
+    this.name = Toml.requireText(spec, "name", "variant");
+    Toml.rejectUnknownFields(spec, KNOWN_FIELDS, "variant " + name);
   }
 
   String name() {
     return name;
   }
 
-  private double factor(String field, double otherwise) throws BadInput {
-    return Toml.number(spec, field, otherwise, "variant " + name);
+  private double factor(String field, double defaultValue) throws BadInput {
+    return Toml.numberOrDefault(spec, field, defaultValue, "variant " + name);
   }
 
   /** Changes a site in place. */
@@ -77,49 +78,51 @@
     double machines = factor("machines", 1);
     double load = factor("load", 1);
     double limits = factor("limits", 1);
-    for (Config c : Toml.tables(site, "capacity")) {
-      scale(c, "count", machines);
-      scale(c, "spot", machines);
+    for (Config row : Toml.tables(site, "capacity")) {
+      scaleCount(row, "count", machines);
+      scaleCount(row, "spot", machines);
     }
-    for (Config c : Toml.tables(site, "machines")) {
-      scale(c, "count", machines);
+    for (Config row : Toml.tables(site, "machines")) {
+      scaleCount(row, "count", machines);
     }
-    for (Config j : Toml.tables(site, "jobs")) {
-      scale(j, "initial", load);
-      if (j.get("arrivals") instanceof Config a && a.get("rate") instanceof Number r) {
-        a.set("rate", r.doubleValue() * load);
+    for (Config job : Toml.tables(site, "jobs")) {
+      scaleCount(job, "initial", load);
+      if (job.get("arrivals") instanceof Config arrivals
+          && arrivals.get("rate") instanceof Number rate) {
+        arrivals.set("rate", rate.doubleValue() * load);
       }
     }
-    for (Config p : Toml.tables(site, "pipelines")) {
-      if (p.get("arrivals") instanceof Config a && a.get("rate") instanceof Number r) {
-        a.set("rate", r.doubleValue() * load);
+    for (Config pipeline : Toml.tables(site, "pipelines")) {
+      if (pipeline.get("arrivals") instanceof Config arrivals
+          && arrivals.get("rate") instanceof Number rate) {
+        arrivals.set("rate", rate.doubleValue() * load);
       }
     }
-    largest(site, factor("largest", 0));
-    for (Config t : Toml.tables(site, "teams")) {
-      for (String f : List.of("cpus", "cpus_max", "gpus", "gpus_max")) {
-        if (t.get(f) instanceof Number n) {
-          t.set(f, n.doubleValue() * limits);
+    addLargestClasses(site, factor("largest", 0));
+    for (Config team : Toml.tables(site, "teams")) {
+      for (String field : List.of("cpus", "cpus_max", "gpus", "gpus_max")) {
+        if (team.get(field) instanceof Number amount) {
+          team.set(field, amount.doubleValue() * limits);
         }
       }
     }
     double faults = factor("faults", machines);
-    for (Config d : Toml.tables(site, "day")) {
-      for (Config f : Toml.tables(d, "faults")) {
-        if (f.get("kind") instanceof String kind && kind.startsWith("machine_")) {
-          scale(f, "count", faults);
+    for (Config day : Toml.tables(site, "day")) {
+      for (Config fault : Toml.tables(day, "faults")) {
+        if (fault.get("kind") instanceof String kind && kind.startsWith("machine_")) {
+          scaleCount(fault, "count", faults);
         }
       }
     }
     if (spec.contains("controllers")) {
-      long n = (long) factor("controllers", 0);
-      if (n < 1) {
+      long controllers = (long) factor("controllers", 0);
+      if (controllers < 1) {
         throw new BadInput("variant " + name + ": controllers is less than 1");
       }
-      double before = Toml.number(site, "nodes.count", 0, "site");
-      site.set("nodes.count", n);
-      for (Config d : Toml.tables(site, "day")) {
-        crashes(d, before, n);
+      double controllersBefore = Toml.numberOrDefault(site, "nodes.count", 0, "site");
+      site.set("nodes.count", controllers);
+      for (Config day : Toml.tables(site, "day")) {
+        adjustControllerFaults(day, controllersBefore, controllers);
       }
     }
     if (spec.contains("restart_delay_s")) {
@@ -127,18 +130,18 @@
     }
     if (spec.contains("boot_s")) {
       double bootSeconds = factor("boot_s", 0);
-      Toml.tables(site, "machine_types").forEach(t -> t.set("boot_s", bootSeconds));
+      Toml.tables(site, "machine_types").forEach(type -> type.set("boot_s", bootSeconds));
     }
-    skew(site, factor("skew", 0));
+    moveToFirstZone(site, factor("skew", 0));
     if (spec.contains("zone")) {
-      addZone(site, Toml.text(spec, "zone", "variant " + name));
+      addZone(site, Toml.requireText(spec, "zone", "variant " + name));
     }
     if (spec.contains("teams")) {
-      teams(site);
+      replaceTeams(site);
     }
   }
 
-  private void largest(Config site, double share) throws BadInput {
+  private void addLargestClasses(Config site, double share) throws BadInput {
     if (share > 1) {
       throw new BadInput("variant " + name + ": largest is above 1");
     }
@@ -147,88 +150,91 @@
     }
     List<Config> jobs = new ArrayList<>(Toml.tables(site, "jobs"));
     List<Config> targets = new ArrayList<>(Toml.tables(site, "targets"));
-    for (Config j : List.copyOf(jobs)) {
-      if (!(j.get("arrivals") instanceof Config a) || !(j.get("tasks") instanceof Config tasks)) {
+    for (Config job : List.copyOf(jobs)) {
+      if (!(job.get("arrivals") instanceof Config arrivals)
+          || !(job.get("tasks") instanceof Config tasks)) {
         continue;
       }
-      Config big = Toml.copy(j);
-      String bigName = j.<String>get("name") + LARGEST;
-      big.set("name", bigName);
-      big.remove("initial");
-      big.set("arrivals.rate", Toml.number(a, "rate", 0, "arrivals") * share);
-      a.set("rate", Toml.number(a, "rate", 0, "arrivals") * (1 - share));
-      Config size = Toml.fresh();
+      Config largestClass = Toml.copy(job);
+      String largestName = job.<String>get("name") + LARGEST_SUFFIX;
+      largestClass.set("name", largestName);
+      largestClass.remove("initial");
+      largestClass.set(
+          "arrivals.rate", Toml.numberOrDefault(arrivals, "rate", 0, "arrivals") * share);
+      arrivals.set("rate", Toml.numberOrDefault(arrivals, "rate", 0, "arrivals") * (1 - share));
+      Config size = Toml.newConfig();
       if (tasks.get("sizes") instanceof List<?> sizes) {
         size.set("sizes", List.of(sizes.get(sizes.size() - 1)));
         size.set("weights", List.of(1.0));
       } else {
-        double most = Toml.number(tasks, "max", 1, "tasks");
-        for (String f : List.of("median", "p95", "max")) {
-          size.set(f, most);
+        double maxTasks = Toml.numberOrDefault(tasks, "max", 1, "tasks");
+        for (String field : List.of("median", "p95", "max")) {
+          size.set(field, maxTasks);
         }
       }
-      big.set("tasks", size);
-      jobs.add(big);
-      Config t = Toml.fresh();
-      t.set("kind", "wait");
-      t.set("class", bigName);
-      t.set("within_s", LARGEST_S);
-      t.set("share", Served.FAILED_BELOW);
-      t.set("weight", 1.0);
-      t.set("best", 0.01);
-      t.set("worst", 1.0);
-      targets.add(t);
+      largestClass.set("tasks", size);
+      jobs.add(largestClass);
+      Config target = Toml.newConfig();
+      target.set("kind", "wait");
+      target.set("class", largestName);
+      target.set("within_s", LARGEST_START_LIMIT_S);
+      target.set("share", Served.MIN_SERVED_SHARE);
+      target.set("weight", 1.0);
+      target.set("best", 0.01);
+      target.set("worst", 1.0);
+      targets.add(target);
     }
     site.set("jobs", jobs);
     site.set("targets", targets);
     // A day's own aims go by the site's targets, of which there are more now.
-    Toml.tables(site, "day").forEach(d -> d.remove("aims"));
+    Toml.tables(site, "day").forEach(day -> day.remove("aims"));
   }
 
   /** What struck all controllers of the site strikes all of these. */
-  private static void crashes(Config day, double all, long n) {
-    for (Config f : Toml.tables(day, "faults")) {
-      if ("node_crash".equals(f.get("kind"))
-          && f.get("count") instanceof Number c
-          && c.doubleValue() == all) {
-        f.set("count", n);
+  private static void adjustControllerFaults(
+      Config day, double controllersBefore, long controllers) {
+    for (Config fault : Toml.tables(day, "faults")) {
+      if ("node_crash".equals(fault.get("kind"))
+          && fault.get("count") instanceof Number count
+          && count.doubleValue() == controllersBefore) {
+        fault.set("count", controllers);
       }
       // A roll that goes through all takes as long as it did: what follows it goes by its end.
-      if ("node_roll".equals(f.get("kind")) && f.get("every_s") instanceof Number e) {
-        f.set("every_s", e.doubleValue() * all / n);
+      if ("node_roll".equals(fault.get("kind")) && fault.get("every_s") instanceof Number everyS) {
+        fault.set("every_s", everyS.doubleValue() * controllersBefore / controllers);
       }
     }
   }
 
   /** How many machines of a row of the capacity can be had, of both kinds. */
-  static double had(Config capacity) throws BadInput {
-    return Toml.number(capacity, "count", 0, "capacity")
-        + Toml.number(capacity, "spot", 0, "capacity");
+  static double rentableMachines(Config capacity) throws BadInput {
+    return Toml.numberOrDefault(capacity, "count", 0, "capacity")
+        + Toml.numberOrDefault(capacity, "spot", 0, "capacity");
   }
 
-  private static void scale(Config c, String field, double factor) {
-    if (c.get(field) instanceof Number n) {
-      c.set(field, Math.round(n.doubleValue() * factor));
+  private static void scaleCount(Config table, String field, double factor) {
+    if (table.get(field) instanceof Number count) {
+      table.set(field, Math.round(count.doubleValue() * factor));
     }
   }
 
-  private static void skew(Config site, double share) {
+  private static void moveToFirstZone(Config site, double share) {
     if (share == 0) {
       return;
     }
     for (String table : List.of("capacity", "machines")) {
       for (String field : List.of("count", "spot")) {
         Config first = null;
-        for (Config c : Toml.tables(site, table)) {
-          if (!(c.get(field) instanceof Number n)) {
+        for (Config row : Toml.tables(site, table)) {
+          if (!(row.get(field) instanceof Number count)) {
             continue;
           }
           if (first == null) {
-            first = c;
+            first = row;
             continue;
           }
-          long moved = Math.round(n.doubleValue() * share);
-          c.set(field, n.longValue() - moved);
+          long moved = Math.round(count.doubleValue() * share);
+          row.set(field, count.longValue() - moved);
           first.set(field, first.<Number>get(field).longValue() + moved);
         }
       }
@@ -237,53 +243,53 @@
 
   private static void addZone(Config site, String zone) {
     for (String table : List.of("capacity", "machines")) {
-      List<Config> all = new ArrayList<>(Toml.tables(site, table));
-      if (all.isEmpty()) {
+      List<Config> rows = new ArrayList<>(Toml.tables(site, table));
+      if (rows.isEmpty()) {
         continue;
       }
-      Config last = Toml.copy(all.get(all.size() - 1));
-      last.set("zone", zone);
+      Config zoneRow = Toml.copy(rows.get(rows.size() - 1));
+      zoneRow.set("zone", zone);
       for (String field : List.of("count", "spot")) {
         long sum = 0;
-        for (Config c : all) {
-          sum += c.get(field) instanceof Number n ? n.longValue() : 0;
+        for (Config row : rows) {
+          sum += row.get(field) instanceof Number count ? count.longValue() : 0;
         }
-        for (Config c : all) {
-          scale(c, field, all.size() / (all.size() + 1.0));
+        for (Config row : rows) {
+          scaleCount(row, field, rows.size() / (rows.size() + 1.0));
         }
-        if (last.get(field) instanceof Number) {
-          last.set(field, sum / (all.size() + 1));
+        if (zoneRow.get(field) instanceof Number) {
+          zoneRow.set(field, sum / (rows.size() + 1));
         }
       }
-      all.add(last);
-      site.set(table, all);
+      rows.add(zoneRow);
+      site.set(table, rows);
     }
   }
 
-  private void teams(Config site) throws BadInput {
-    Map<String, Double> gpus = new LinkedHashMap<>();
-    for (Config t : Toml.tables(site, "machine_types")) {
-      gpus.put(t.get("name"), Toml.number(t, "gpus", 0, "machine_types"));
+  private void replaceTeams(Config site) throws BadInput {
+    Map<String, Double> gpusByType = new LinkedHashMap<>();
+    for (Config table : Toml.tables(site, "machine_types")) {
+      gpusByType.put(table.get("name"), Toml.numberOrDefault(table, "gpus", 0, "machine_types"));
     }
-    double all = 0;
-    for (Config c : Toml.tables(site, "capacity")) {
-      all += had(c) * gpus.getOrDefault(c.<String>get("type"), 0.0);
+    double totalGpus = 0;
+    for (Config row : Toml.tables(site, "capacity")) {
+      totalGpus += rentableMachines(row) * gpusByType.getOrDefault(row.<String>get("type"), 0.0);
     }
-    List<Config> out = new ArrayList<>();
-    for (Config t : Toml.tables(spec, "teams")) {
-      String at = "variant " + name + ", team";
-      Config team = Toml.fresh();
-      team.set("name", Toml.text(t, "name", at));
-      team.set("weight", Toml.number(t, "weight", 1, at));
-      for (var f : Map.of("gpus", "guaranteed", "gpus_max", "most").entrySet()) {
-        double share = Toml.number(t, f.getValue(), 0, at);
+    List<Config> teams = new ArrayList<>();
+    for (Config table : Toml.tables(spec, "teams")) {
+      String location = "variant " + name + ", team";
+      Config team = Toml.newConfig();
+      team.set("name", Toml.requireText(table, "name", location));
+      team.set("weight", Toml.numberOrDefault(table, "weight", 1, location));
+      for (var field : Map.of("gpus", "guaranteed", "gpus_max", "most").entrySet()) {
+        double share = Toml.numberOrDefault(table, field.getValue(), 0, location);
         if (share > 0) {
-          team.set(f.getKey(), (double) Math.round(share * all));
+          team.set(field.getKey(), (double) Math.round(share * totalGpus));
         }
       }
-      out.add(team);
+      teams.add(team);
     }
-    site.set("teams", out);
-    Toml.tables(site, "jobs").forEach(j -> j.remove("teams"));
+    site.set("teams", teams);
+    Toml.tables(site, "jobs").forEach(job -> job.remove("teams"));
   }
 }
--- a/src/main/java/wickdrift/lab/VariantCommand.java
+++ b/src/main/java/wickdrift/lab/VariantCommand.java
@@ -22,21 +22,21 @@
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @CommandLine.Parameters(index = "0", paramLabel = "DESCRIPTION", description = "As lab/days.toml")
-  private Path description;
+  private Path descriptionFile;
 
   @CommandLine.Parameters(index = "1", paramLabel = "DIR", description = "Where to write")
-  private Path dir;
+  private Path outputDir;
 
   @CommandLine.Parameters(index = "2..*", arity = "1..*", paramLabel = "SITE")
-  private Path[] sites;
+  private Path[] siteFiles;
 
   @Override
   public Integer call() {
     try {
-      Config all = Toml.load(description);
-      Toml.only(all, Set.of("variant", "day"), description.toString());
-      for (Path p : sites) {
-        write(all, p);
+      Config description = Toml.load(descriptionFile);
+      Toml.rejectUnknownFields(description, Set.of("variant", "day"), descriptionFile.toString());
+      for (Path siteFile : siteFiles) {
+        writeVariants(description, siteFile);
       }
       return 0;
     } catch (BadInput | IOException e) {
@@ -45,26 +45,30 @@
     }
   }
 
-  private void write(Config all, Path p) throws BadInput, IOException {
-    Set<String> names = new HashSet<>();
-    for (Config v : Toml.tables(all, "variant")) {
-      Variant variant = new Variant(v);
-      if (!names.add(variant.name())) {
+  private void writeVariants(Config description, Path siteFile) throws BadInput, IOException {
+    Set<String> variantNames = new HashSet<>();
+    for (Config variantTable : Toml.tables(description, "variant")) {
+      Variant variant = new Variant(variantTable);
+      if (!variantNames.add(variant.name())) {
         throw new BadInput("two variants are called " + variant.name());
       }
-      Config site = Toml.load(p);
-      String name = Toml.text(site, "name", p.toString()) + "-" + variant.name();
+      Config site = Toml.load(siteFile);
+      String siteName = Toml.requireText(site, "name", siteFile.toString()) + "-" + variant.name();
       variant.apply(site);
-      site.set("name", name);
-      Path days = dir.resolve(name + ".days");
-      Files.createDirectories(days);
-      Files.writeString(dir.resolve(name + ".toml"), Toml.text(site));
-      if (site.get("wire") instanceof String wire && Files.exists(p.resolveSibling(wire))) {
-        Files.copy(p.resolveSibling(wire), dir.resolve(wire), StandardCopyOption.REPLACE_EXISTING);
+      site.set("name", siteName);
+      Path daysDir = outputDir.resolve(siteName + ".days");
+      Files.createDirectories(daysDir);
+      Files.writeString(outputDir.resolve(siteName + ".toml"), Toml.serialize(site));
+      if (site.get("wire") instanceof String wireFile
+          && Files.exists(siteFile.resolveSibling(wireFile))) {
+        Files.copy(
+            siteFile.resolveSibling(wireFile),
+            outputDir.resolve(wireFile),
+            StandardCopyOption.REPLACE_EXISTING);
       }
-      for (Config d : Toml.tables(all, "day")) {
-        Day day = new Day(d);
-        Files.writeString(days.resolve(day.name() + ".toml"), Toml.text(day.on(site)));
+      for (Config dayTable : Toml.tables(description, "day")) {
+        Day day = new Day(dayTable);
+        Files.writeString(daysDir.resolve(day.name() + ".toml"), Toml.serialize(day.on(site)));
       }
     }
   }
--- /dev/null
+++ b/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
@@ -0,0 +1,74 @@
+package wickdrift.operator;
+
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import wickdrift.transport.Caller.Answer;
+import wickdrift.transport.EventLoop;
+import wickdrift.transport.HttpClient;
+
+/** Calls the state service over the network, slowly enough to leave it to the controllers. */
+public final class HttpStateServiceCaller implements Store, AutoCloseable {
+  private static final long CALL_TIMEOUT_MS = 3000;
+  private static final long RETRY_INTERVAL_MS = 250;
+
+  private final EventLoop eventLoop = new EventLoop();
+  private final HttpClient httpClient;
+  private final String address;
+  private final long unavailableAfterMs;
+  private final long requestIntervalMs;
+
+  /**
+   * @param address of the state service, as in the settings
+   * @param maxRequestsPerSecond at most so many requests
+   * @param unavailableAfterMs after so long without an answer to one request it counts as away
+   */
+  public HttpStateServiceCaller(
+      String address, double maxRequestsPerSecond, long unavailableAfterMs) {
+    this.address = address;
+    this.unavailableAfterMs = unavailableAfterMs;
+    this.requestIntervalMs = (long) (1000 / maxRequestsPerSecond);
+    this.httpClient = new HttpClient(eventLoop.group(), 2, Set.of(address));
+  }
+
+  @Override
+  public Answer call(String method, String path, byte[] body) throws Away {
+    long deadlineMs = eventLoop.nowMs() + unavailableAfterMs;
+    try {
+      while (true) {
+        Thread.sleep(requestIntervalMs);
+        CompletableFuture<Answer> pendingResponse = new CompletableFuture<>();
+        eventLoop.run(
+            () ->
+                httpClient.call(
+                    address, method, path, body, CALL_TIMEOUT_MS, pendingResponse::complete));
+        Answer response =
+            pendingResponse.get(CALL_TIMEOUT_MS + RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        boolean isWrite = path.equals("/commit");
+        if (response.status() == 0 && isWrite) {
+          // It may have been applied, or may yet be: to send it again is for who knows better.
+          throw new Away("no answer to a change: it may have been made, or may yet be");
+        }
+        if (response.status() != 0 && response.status() != 429 && response.status() != 503) {
+          return response;
+        }
+        if (eventLoop.nowMs() >= deadlineMs) {
+          throw new Away("the state service at " + address + " does not answer");
+        }
+        Thread.sleep(RETRY_INTERVAL_MS);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new Away("interrupted");
+    } catch (ExecutionException | TimeoutException e) {
+      throw new Away("the state service at " + address + " does not answer");
+    }
+  }
+
+  @Override
+  public void close() {
+    eventLoop.group().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+  }
+}
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -22,10 +22,10 @@
     name = "level",
     description = "Show and steer the level of stored state.",
     subcommands = {
-      LevelCommand.Show.class,
-      LevelCommand.Hold.class,
-      LevelCommand.Release.class,
-      LevelCommand.Without.class,
+      LevelCommand.ShowCommand.class,
+      LevelCommand.HoldCommand.class,
+      LevelCommand.ReleaseCommand.class,
+      LevelCommand.WithoutCommand.class,
       CommandLine.HelpCommand.class
     })
 public final class LevelCommand implements Runnable {
@@ -37,166 +37,190 @@
   }
 
   /** What the commands read; barred if this build does not understand the stored state. */
-  private static Tables tables(Store store, Settings settings) throws Store.Away {
-    Records r = Records.read(store);
-    Tables t = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
-    t.load(r.changes(), r.rev());
-    return t;
+  private static Tables loadTables(Store store, Settings settings) throws Store.Away {
+    Records records = Records.read(store);
+    Tables tables = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
+    tables.load(records.changes(), records.rev());
+    return tables;
   }
 
-  private static TreeSet<String> controllers(Tables t, Settings settings) {
+  private static TreeSet<String> knownControllers(Tables tables, Settings settings) {
     TreeSet<String> names = new TreeSet<>(settings.nodeNames());
-    names.addAll(t.registry().names());
-    names.addAll(t.memberLevels().keySet());
-    t.registry().nodeRecords().forEach(a -> names.addAll(a.peers()));
+    names.addAll(tables.registry().names());
+    names.addAll(tables.memberLevels().keySet());
+    tables.registry().nodeRecords().forEach(nodeRecord -> names.addAll(nodeRecord.peers()));
     return names;
   }
 
   /** {@code level show}. */
   @CommandLine.Command(name = "show", description = "The level in force, and why it does not rise.")
-  static final class Show extends Tool {
+  static final class ShowCommand extends OperatorCommand {
     @Override
     int run(Store store, Settings settings) throws Store.Away {
-      Tables t = tables(store, settings);
-      if (t.blockedReason() != null) {
-        return fail(NO, t.blockedReason());
+      Tables tables = loadTables(store, settings);
+      if (tables.blockedReason() != null) {
+        return fail(EXIT_FINDINGS_OR_REFUSED, tables.blockedReason());
       }
-      LevelUpgrade rise =
+      LevelUpgrade upgrade =
           LevelUpgrade.evaluate(
-              t.level(), LevelRange.BUILD, t.memberLevels(), settings.nodeNames(), t.registry());
-      List<Map<String, Object>> list = new ArrayList<>();
-      for (String name : controllers(t, settings)) {
-        NodeRecord a = t.registry().nodeRecord(name);
-        boolean live = t.memberLevels().containsKey(name);
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("name", name);
-        m.put("number", t.registry().numberOf(name));
-        m.put("there", live);
-        m.put("member", t.view() != null && t.view().members().containsKey(name));
-        m.put(
+              tables.level(),
+              LevelRange.BUILD,
+              tables.memberLevels(),
+              settings.nodeNames(),
+              tables.registry());
+      List<Map<String, Object>> controllerList = new ArrayList<>();
+      for (String name : knownControllers(tables, settings)) {
+        NodeRecord nodeRecord = tables.registry().nodeRecord(name);
+        boolean isLive = tables.memberLevels().containsKey(name);
+        Map<String, Object> controller = new LinkedHashMap<>();
+        controller.put("name", name);
+        controller.put("number", tables.registry().numberOf(name));
+        controller.put("there", isLive);
+        controller.put(
+            "member", tables.view() != null && tables.view().members().containsKey(name));
+        controller.put(
             "levels",
-            live ? t.memberLevels().get(name).toString() : a == null ? "" : a.levels().toString());
-        m.put("waitedFor", !t.registry().overrides().ignoredNodes().contains(name));
-        list.add(m);
+            isLive
+                ? tables.memberLevels().get(name).toString()
+                : nodeRecord == null ? "" : nodeRecord.levels().toString());
+        controller.put("waitedFor", !tables.registry().overrides().ignoredNodes().contains(name));
+        controllerList.add(controller);
       }
-      Map<String, Object> all = new LinkedHashMap<>();
-      all.put("level", t.level());
-      all.put("build", LevelRange.BUILD.toString());
-      all.put("epoch", t.view() == null ? 0 : t.view().epoch());
-      all.put("gates", LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides()));
-      all.put("waitsFor", rise.blockers());
-      all.put("oldForms", t.keysInOldEncoding().size());
-      all.put("converted", t.level() > 1 && t.registry().convertedLevel() >= t.level());
-      all.put("controllers", list);
-      if (json) {
-        print(all);
-        return OK;
+      Map<String, Object> output = new LinkedHashMap<>();
+      output.put("level", tables.level());
+      output.put("build", LevelRange.BUILD.toString());
+      output.put("epoch", tables.view() == null ? 0 : tables.view().epoch());
+      output.put(
+          "gates", LevelUpgrade.closedGateReasons(tables.level(), tables.registry().overrides()));
+      output.put("waitsFor", upgrade.blockers());
+      output.put("oldForms", tables.keysInOldEncoding().size());
+      output.put(
+          "converted", tables.level() > 1 && tables.registry().convertedLevel() >= tables.level());
+      output.put("controllers", controllerList);
+      if (jsonOutput) {
+        printJson(output);
+        return EXIT_OK;
       }
-      out().println("level " + t.level() + " is in force; this build speaks " + LevelRange.BUILD);
-      LevelUpgrade.closedGateReasons(t.level(), t.registry().overrides())
-          .forEach((g, why) -> out().println("gate " + g + ": " + (why.isEmpty() ? "open" : why)));
-      for (String why : rise.blockers()) {
-        out().println("level " + (t.level() + 1) + " waits: " + why);
+      out()
+          .println(
+              "level " + tables.level() + " is in force; this build speaks " + LevelRange.BUILD);
+      LevelUpgrade.closedGateReasons(tables.level(), tables.registry().overrides())
+          .forEach(
+              (gate, reason) ->
+                  out().println("gate " + gate + ": " + (reason.isEmpty() ? "open" : reason)));
+      for (String reason : upgrade.blockers()) {
+        out().println("level " + (tables.level() + 1) + " waits: " + reason);
       }
-      if (t.level() > 1) {
+      if (tables.level() > 1) {
         out()
             .println(
-                t.keysInOldEncoding().size()
+                tables.keysInOldEncoding().size()
                     + " records of an older form are left"
-                    + (t.registry().convertedLevel() >= t.level() ? "; all was converted" : ""));
+                    + (tables.registry().convertedLevel() >= tables.level()
+                        ? "; all was converted"
+                        : ""));
       }
-      for (Map<String, Object> m : list) {
+      for (Map<String, Object> controller : controllerList) {
         out()
             .printf(
                 "%-24s number %-4s %-8s levels %-8s%s%n",
-                m.get("name"),
-                m.get("number"),
-                (boolean) m.get("member") ? "member" : (boolean) m.get("there") ? "there" : "down",
-                m.get("levels").equals("") ? "unknown" : m.get("levels"),
-                (boolean) m.get("waitedFor") ? "" : "  not waited for");
+                controller.get("name"),
+                controller.get("number"),
+                (boolean) controller.get("member")
+                    ? "member"
+                    : (boolean) controller.get("there") ? "there" : "down",
+                controller.get("levels").equals("") ? "unknown" : controller.get("levels"),
+                (boolean) controller.get("waitedFor") ? "" : "  not waited for");
       }
       out().flush();
-      return OK;
+      return EXIT_OK;
     }
   }
 
   /** Those that change what the operators have said. */
-  abstract static class Saying extends Tool {
+  abstract static class OverrideCommand extends OperatorCommand {
     /** What is to be said now, or null with a reason given by {@link #fail}. */
-    abstract OperatorOverrides next(Tables t, Settings settings);
+    abstract OperatorOverrides nextOverrides(Tables tables, Settings settings);
 
-    private int code;
+    private int exitCode;
 
-    OperatorOverrides refuse(int exit, String why) {
-      code = fail(exit, why);
+    OperatorOverrides refuse(int code, String message) {
+      exitCode = fail(code, message);
       return null;
     }
 
     @Override
     int run(Store store, Settings settings) throws Store.Away {
-      Tables t = tables(store, settings);
-      if (t.blockedReason() != null) {
-        return fail(NO, t.blockedReason());
+      Tables tables = loadTables(store, settings);
+      if (tables.blockedReason() != null) {
+        return fail(EXIT_FINDINGS_OR_REFUSED, tables.blockedReason());
       }
-      OperatorOverrides next = next(t, settings);
-      if (next == null) {
-        return code;
+      OperatorOverrides overrides = nextOverrides(tables, settings);
+      if (overrides == null) {
+        return exitCode;
       }
-      long stamp = t.registry().overrides().stamp();
+      long overridesStamp = tables.registry().overrides().stamp();
       // On condition of the view too: a level that rises meanwhile makes this come too late.
-      Transaction txn =
+      Transaction transaction =
           new Transaction()
-              .requireStamp(OperatorOverrides.KEY, stamp)
-              .requireStamp(View.KEY, t.viewStamp())
-              .write(OperatorOverrides.KEY, next.toStore());
-      if (!Records.commit(store, txn)) {
-        return fail(NO, "the state has just changed; nothing was done, try again");
+              .requireStamp(OperatorOverrides.KEY, overridesStamp)
+              .requireStamp(View.KEY, tables.viewStamp())
+              .write(OperatorOverrides.KEY, overrides.toStore());
+      if (!Records.commit(store, transaction)) {
+        return fail(
+            EXIT_FINDINGS_OR_REFUSED, "the state has just changed; nothing was done, try again");
       }
-      if (json) {
-        print(Map.of("held", next.heldGates(), "without", next.ignoredNodes()));
+      if (jsonOutput) {
+        printJson(Map.of("held", overrides.heldGates(), "without", overrides.ignoredNodes()));
       } else {
-        out().println("held: " + next.heldGates() + ", not waited for: " + next.ignoredNodes());
+        out()
+            .println(
+                "held: " + overrides.heldGates() + ", not waited for: " + overrides.ignoredNodes());
       }
-      return OK;
+      return EXIT_OK;
     }
   }
 
-  private static String gates() {
+  private static String gateLabels() {
     return String.join(", ", Arrays.stream(Gate.values()).map(Gate::label).toList());
   }
 
   /** {@code level hold}. */
   @CommandLine.Command(name = "hold", description = "Keep a gate closed, and the level below it.")
-  static final class Hold extends Saying {
+  static final class HoldCommand extends OverrideCommand {
     @CommandLine.Parameters(paramLabel = "GATE")
-    private String gate;
+    private String gateLabel;
 
     @Override
-    OperatorOverrides next(Tables t, Settings settings) {
-      Gate g = Gate.byLabel(gate);
-      if (g == null) {
-        return refuse(BAD_INPUT, "no gate " + gate + "; there are: " + gates());
+    OperatorOverrides nextOverrides(Tables tables, Settings settings) {
+      Gate heldGate = Gate.byLabel(gateLabel);
+      if (heldGate == null) {
+        return refuse(EXIT_BAD_INPUT, "no gate " + gateLabel + "; there are: " + gateLabels());
       }
-      if (t.isOpen(g)) {
-        return refuse(NO, "gate " + gate + " is open, and can't be closed again");
+      if (tables.isOpen(heldGate)) {
+        return refuse(
+            EXIT_FINDINGS_OR_REFUSED, "gate " + gateLabel + " is open, and can't be closed again");
       }
-      return t.registry().overrides().withGateHeld(gate, true);
+      return tables.registry().overrides().withGateHeld(gateLabel, true);
     }
   }
 
   /** {@code level release}. */
   @CommandLine.Command(name = "release", description = "Let a gate open when all are ready.")
-  static final class Release extends Saying {
+  static final class ReleaseCommand extends OverrideCommand {
     @CommandLine.Parameters(paramLabel = "GATE")
-    private String gate;
+    private String gateLabel;
 
     @Override
-    OperatorOverrides next(Tables t, Settings settings) {
-      return t.registry().overrides().heldGates().contains(gate)
-          ? t.registry().overrides().withGateHeld(gate, false)
+    OperatorOverrides nextOverrides(Tables tables, Settings settings) {
+      return tables.registry().overrides().heldGates().contains(gateLabel)
+          ? tables.registry().overrides().withGateHeld(gateLabel, false)
           : refuse(
-              BAD_INPUT,
-              "gate " + gate + " is not held back; held: " + t.registry().overrides().heldGates());
+              EXIT_BAD_INPUT,
+              "gate "
+                  + gateLabel
+                  + " is not held back; held: "
+                  + tables.registry().overrides().heldGates());
     }
   }
 
@@ -204,29 +228,35 @@
   @CommandLine.Command(
       name = "without",
       description = "Do not wait for a controller that is down and will not come back as it was.")
-  static final class Without extends Saying {
+  static final class WithoutCommand extends OverrideCommand {
     @CommandLine.Parameters(paramLabel = "CONTROLLER")
-    private String name;
+    private String controllerName;
 
     @CommandLine.Option(names = "--undo", description = "Wait for it again.")
     private boolean undo;
 
     @Override
-    OperatorOverrides next(Tables t, Settings settings) {
-      OperatorOverrides word = t.registry().overrides();
+    OperatorOverrides nextOverrides(Tables tables, Settings settings) {
+      OperatorOverrides overrides = tables.registry().overrides();
       if (undo) {
-        return word.ignoredNodes().contains(name)
-            ? word.withNodeIgnored(name, false)
-            : refuse(BAD_INPUT, name + " is waited for; not so: " + word.ignoredNodes());
+        return overrides.ignoredNodes().contains(controllerName)
+            ? overrides.withNodeIgnored(controllerName, false)
+            : refuse(
+                EXIT_BAD_INPUT,
+                controllerName + " is waited for; not so: " + overrides.ignoredNodes());
       }
-      if (!controllers(t, settings).contains(name)) {
+      if (!knownControllers(tables, settings).contains(controllerName)) {
         return refuse(
-            BAD_INPUT, "no controller " + name + "; there are: " + controllers(t, settings));
+            EXIT_BAD_INPUT,
+            "no controller "
+                + controllerName
+                + "; there are: "
+                + knownControllers(tables, settings));
       }
-      if (t.memberLevels().containsKey(name)) {
-        return refuse(NO, name + " is there: end it first");
+      if (tables.memberLevels().containsKey(controllerName)) {
+        return refuse(EXIT_FINDINGS_OR_REFUSED, controllerName + " is there: end it first");
       }
-      return word.withNodeIgnored(name, true);
+      return overrides.withNodeIgnored(controllerName, true);
     }
   }
 }
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -21,8 +21,8 @@
   /** What is stored under one key. */
   public record Item(Object value, long stamp) {}
 
-  private static final int PAGE = 400;
-  private static final int TRIES = 5;
+  private static final int ENTRIES_PER_PAGE = 400;
+  private static final int MAX_READ_ATTEMPTS = 5;
 
   /**
    * Reads everything page by page, each of another revision, then all changes since the first: so
@@ -31,82 +31,86 @@
    * @throws Store.Away if the state service does not answer, or changes faster than it can be read
    */
   public static Records read(Store store) throws Store.Away {
-    for (int i = 0; i < TRIES; i++) {
-      Records r = tryRead(store);
-      if (r != null) {
-        return r;
+    for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
+      Records records = tryRead(store);
+      if (records != null) {
+        return records;
       }
     }
     throw new Store.Away("the stored state changes faster than it can be read");
   }
 
   private static Records tryRead(Store store) throws Store.Away {
-    TreeMap<String, Item> all = new TreeMap<>();
-    long rev = Long.MAX_VALUE;
-    String from = null;
+    TreeMap<String, Item> byKey = new TreeMap<>();
+    long firstRevision = Long.MAX_VALUE;
+    String lastKey = null;
     try {
-      boolean more = true;
-      while (more) {
-        String path = "/store?prefix=" + StateServiceClient.PREFIX + "&most=" + PAGE;
-        Document d = answer(store.call("GET", from == null ? path : path + "&from=" + from, null));
-        rev = Math.min(rev, d.count("ledgerRev"));
-        for (Document e : d.docs("entries")) {
-          from = e.text("key");
-          all.put(from, new Item(e.raw("v"), e.count("stamp")));
+      boolean hasMorePages = true;
+      while (hasMorePages) {
+        String path = "/store?prefix=" + StateServiceClient.PREFIX + "&most=" + ENTRIES_PER_PAGE;
+        Document body =
+            parseBody(store.call("GET", lastKey == null ? path : path + "&from=" + lastKey, null));
+        firstRevision = Math.min(firstRevision, body.count("ledgerRev"));
+        for (Document e : body.docs("entries")) {
+          lastKey = e.text("key");
+          byKey.put(lastKey, new Item(e.raw("v"), e.count("stamp")));
         }
-        more = d.flag("truncated", false);
+        hasMorePages = body.flag("truncated", false);
       }
-      String path = "/follow?prefix=" + StateServiceClient.PREFIX + "&from=" + rev + "&holdMs=0";
-      Answer a = store.call("GET", path, null);
-      if (a.status() == 410) {
+      String path =
+          "/follow?prefix=" + StateServiceClient.PREFIX + "&from=" + firstRevision + "&holdMs=0";
+      Answer response = store.call("GET", path, null);
+      if (response.status() == 410) {
         return null;
       }
-      Document d = answer(a);
-      List<Document> news = new ArrayList<>(d.docs("news"));
+      Document body = parseBody(response);
+      List<Document> changes = new ArrayList<>(body.docs("news"));
       List<Long> stamps = new ArrayList<>();
-      for (Document n : news) {
-        stamps.add(n.count("stamp"));
+      for (Document change : changes) {
+        stamps.add(change.count("stamp"));
       }
       List<Integer> order = new ArrayList<>();
-      for (int i = 0; i < news.size(); i++) {
+      for (int i = 0; i < changes.size(); i++) {
         order.add(i);
       }
       order.sort(Comparator.comparing(stamps::get));
       for (int i : order) {
-        Document n = news.get(i);
-        String written = n.textOrNull("write");
-        if (written == null) {
-          all.remove(n.text("delete"));
+        Document change = changes.get(i);
+        String writtenKey = change.textOrNull("write");
+        if (writtenKey == null) {
+          byKey.remove(change.text("delete"));
         } else {
-          all.put(written, new Item(n.raw("v"), stamps.get(i)));
+          byKey.put(writtenKey, new Item(change.raw("v"), stamps.get(i)));
         }
       }
-      return new Records(d.count("ledgerRev"), all);
+      return new Records(body.count("ledgerRev"), byKey);
     } catch (BadMessage e) {
       throw new Store.Away("the state service answers what can't be read: " + e.getMessage());
     }
   }
 
-  private static Document answer(Answer a) throws Store.Away, BadMessage {
-    if (a.status() != 200) {
-      throw new Store.Away("the state service answers " + a.status());
+  private static Document parseBody(Answer response) throws Store.Away, BadMessage {
+    if (response.status() != 200) {
+      throw new Store.Away("the state service answers " + response.status());
     }
-    return Document.parse(a.body());
+    return Document.parse(response.body());
   }
 
   /** The same as the controllers' tables take them. */
   public List<StateServiceClient.Change> changes() {
-    List<StateServiceClient.Change> out = new ArrayList<>();
-    all.forEach((k, i) -> out.add(new StateServiceClient.Change(k, i.value, i.stamp)));
-    return out;
+    List<StateServiceClient.Change> changes = new ArrayList<>();
+    all.forEach(
+        (key, stored) ->
+            changes.add(new StateServiceClient.Change(key, stored.value, stored.stamp)));
+    return changes;
   }
 
   /** One transaction; true if its conditions held. */
-  static boolean commit(Store store, Transaction txn) throws Store.Away {
-    Answer a = store.call("POST", "/commit", MessageCodec.encode(txn.toRequest()));
-    if (a.status() != 200 && a.status() != 409) {
-      throw new Store.Away("the state service refuses a change with " + a.status());
+  static boolean commit(Store store, Transaction transaction) throws Store.Away {
+    Answer response = store.call("POST", "/commit", MessageCodec.encode(transaction.toRequest()));
+    if (response.status() != 200 && response.status() != 409) {
+      throw new Store.Away("the state service refuses a change with " + response.status());
     }
-    return a.status() == 200;
+    return response.status() == 200;
   }
 }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -36,10 +36,10 @@
   }
 
   /** More than a controller could have raised the epoch since, at several a second for a week. */
-  private static final long EPOCHS = 10_000_000;
+  private static final long EPOCH_INCREMENT = 10_000_000;
 
   /** With one more value of the largest kind, a transaction stays below what it may be. */
-  private static final int MOST_BYTES = 24 * 1024;
+  private static final int TRANSACTION_FLUSH_BYTES = 24 * 1024;
 
   private final Store store;
   private final StateServiceLimits limits;
@@ -57,110 +57,126 @@
    * @throws Refused if the store is not empty, or the snapshot holds what this build can't read
    */
   public int run(Records snapshot) throws Refused, Store.Away {
-    Map<String, Object> plan = plan(snapshot, limits.targetValueBytes());
-    String mark = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
-    Records there = Records.read(store);
-    Records.Item view = there.all().get(View.KEY);
-    if (view == null && !there.all().isEmpty() || view != null && !mark.equals(view.value())) {
+    Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
+    String restoreMarker = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
+    Records existing = Records.read(store);
+    Records.Item existingView = existing.all().get(View.KEY);
+    if (existingView == null && !existing.all().isEmpty()
+        || existingView != null && !restoreMarker.equals(existingView.value())) {
       throw new Refused(
           "the store is not empty: it holds "
-              + there.all().size()
+              + existing.all().size()
               + " records, as "
-              + there.all().firstKey());
+              + existing.all().firstKey());
     }
-    if (view == null
+    if (existingView == null
         && !Records.commit(
-            store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, mark))) {
+            store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, restoreMarker))) {
       throw new Refused("the store has just been written to by another");
     }
-    Object last = plan.remove(View.KEY);
-    Transaction txn = new Transaction();
-    for (Map.Entry<String, Object> e : plan.entrySet()) {
-      Records.Item is = there.all().get(e.getKey());
-      if (is != null && same(is.value(), e.getValue())) {
+    Object restoredView = plannedWrites.remove(View.KEY);
+    Transaction transaction = new Transaction();
+    for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
+      Records.Item stored = existing.all().get(planned.getKey());
+      if (stored != null && equalAsStored(stored.value(), planned.getValue())) {
         continue;
       }
-      txn.requireStamp(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
-      if (txn.changeCount() == limits.maxTransactionChanges()
-          || MessageCodec.encode(txn.toRequest()).length > MOST_BYTES) {
-        write(txn);
-        txn = new Transaction();
+      transaction
+          .requireStamp(planned.getKey(), stored == null ? 0 : stored.stamp())
+          .write(planned.getKey(), planned.getValue());
+      if (transaction.changeCount() == limits.maxTransactionChanges()
+          || MessageCodec.encode(transaction.toRequest()).length > TRANSACTION_FLUSH_BYTES) {
+        commitOrRefuse(transaction);
+        transaction = new Transaction();
       }
     }
-    if (txn.changeCount() > 0) {
-      write(txn);
+    if (transaction.changeCount() > 0) {
+      commitOrRefuse(transaction);
     }
-    Records now = Records.read(store);
-    for (Map.Entry<String, Object> e : plan.entrySet()) {
-      Records.Item is = now.all().get(e.getKey());
-      if (is == null || !same(is.value(), e.getValue())) {
-        throw new Refused(e.getKey() + " is not what was written: someone else writes there");
+    Records reread = Records.read(store);
+    for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
+      Records.Item stored = reread.all().get(planned.getKey());
+      if (stored == null || !equalAsStored(stored.value(), planned.getValue())) {
+        throw new Refused(planned.getKey() + " is not what was written: someone else writes there");
       }
     }
-    Transaction end = new Transaction().requireStamp(View.KEY, now.all().get(View.KEY).stamp());
-    if (!Records.commit(store, last == null ? end.delete(View.KEY) : end.write(View.KEY, last))) {
+    Transaction finalTransaction =
+        new Transaction().requireStamp(View.KEY, reread.all().get(View.KEY).stamp());
+    if (!Records.commit(
+        store,
+        restoredView == null
+            ? finalTransaction.delete(View.KEY)
+            : finalTransaction.write(View.KEY, restoredView))) {
       throw new Refused("the store was written to by another at the end");
     }
-    return plan.size() + (last == null ? 0 : 1);
+    return plannedWrites.size() + (restoredView == null ? 0 : 1);
   }
 
-  private void write(Transaction txn) throws Refused, Store.Away {
-    if (!Records.commit(store, txn)) {
+  private void commitOrRefuse(Transaction transaction) throws Refused, Store.Away {
+    if (!Records.commit(store, transaction)) {
       throw new Refused("someone else writes to the store");
     }
   }
 
   /** What is to be written, by key, the view too. */
-  static Map<String, Object> plan(Records snapshot, int valueBytes) throws Refused {
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    t.load(snapshot.changes(), snapshot.rev());
-    if (t.blockedReason() != null) {
-      throw new Refused("this build can't put it back: " + t.blockedReason());
+  static Map<String, Object> planWrites(Records snapshot, int targetValueBytes) throws Refused {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    tables.load(snapshot.changes(), snapshot.rev());
+    if (tables.blockedReason() != null) {
+      throw new Refused("this build can't put it back: " + tables.blockedReason());
     }
-    Map<String, Object> out = new LinkedHashMap<>();
-    for (Map.Entry<String, Records.Item> e : snapshot.all().entrySet()) {
-      String key = e.getKey();
+    Map<String, Object> writes = new LinkedHashMap<>();
+    for (Map.Entry<String, Records.Item> entry : snapshot.all().entrySet()) {
+      String key = entry.getKey();
       boolean derived = key.startsWith("w/l/") || key.startsWith("w/m/") || key.startsWith("w/h/");
       if (!derived && !Job.isChunkKey(key) && !key.equals(View.KEY)) {
-        out.put(key, e.getValue().value());
+        writes.put(key, entry.getValue().value());
       }
     }
-    for (Job j : t.jobs()) {
-      for (int c = 0; c < j.chunkCount(); c++) {
-        Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
+    for (Job job : tables.jobs()) {
+      for (int chunkIndex = 0; chunkIndex < job.chunkCount(); chunkIndex++) {
+        Map<String, Object> chunk =
+            job.encodeChunk(chunkIndex, 0, taskIndex -> withoutLiveAttempt(job.task(taskIndex)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
-          out.put(
-              j.chunkKey(c),
-              j.chunkToStore(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
+          writes.put(
+              job.chunkKey(chunkIndex),
+              job.chunkToStore(
+                  chunkIndex,
+                  0,
+                  taskIndex -> withoutLiveAttempt(job.task(taskIndex)),
+                  tables.encoding(),
+                  targetValueBytes));
         }
       }
     }
-    TreeSet<String> shelves = new TreeSet<>();
-    for (Machine m : t.machines()) {
-      if (m.info() != null) {
-        shelves.add(Machine.archiveBucketOf(m.name()));
+    TreeSet<String> archiveBuckets = new TreeSet<>();
+    for (Machine machine : tables.machines()) {
+      if (machine.info() != null) {
+        archiveBuckets.add(Machine.archiveBucketOf(machine.name()));
       }
     }
-    shelves.forEach(s -> out.put(Tables.archiveBucketKey(s), t.encodeArchiveBucket(s, 0)));
-    if (t.view() != null) {
-      View v = t.view();
-      out.put(
+    archiveBuckets.forEach(
+        bucket ->
+            writes.put(Tables.archiveBucketKey(bucket), tables.encodeArchiveBucket(bucket, 0)));
+    if (tables.view() != null) {
+      View view = tables.view();
+      writes.put(
           View.KEY,
           new View(
-                  v.epoch() + EPOCHS,
-                  v.members(),
-                  v.leader(),
-                  v.zones(),
-                  v.level(),
-                  v.viewsGateEpoch(),
-                  v.extra())
+                  view.epoch() + EPOCH_INCREMENT,
+                  view.members(),
+                  view.leader(),
+                  view.zones(),
+                  view.level(),
+                  view.viewsGateEpoch(),
+                  view.extra())
               .toStore());
     }
-    return out;
+    return writes;
   }
 
   /** Whether two values are alike once stored. */
-  private static boolean same(Object a, Object b) {
+  private static boolean equalAsStored(Object a, Object b) {
     try {
       return MessageCodec.decode(MessageCodec.encode(a))
           .equals(MessageCodec.decode(MessageCodec.encode(b)));
@@ -169,7 +185,7 @@
     }
   }
 
-  private static TaskState stopped(TaskState s) {
-    return s.isLive() ? TaskState.waiting(s.attempt()) : s;
+  private static TaskState withoutLiveAttempt(TaskState state) {
+    return state.isLive() ? TaskState.waiting(state.attempt()) : state;
   }
 }
--- a/src/main/java/wickdrift/operator/Snapshot.java
+++ b/src/main/java/wickdrift/operator/Snapshot.java
@@ -32,16 +32,16 @@
     }
   }
 
-  private static final byte FORM = 1;
+  private static final byte FORMAT_VERSION = 1;
   private static final byte[] MAGIC = "WICKSNP".getBytes(StandardCharsets.US_ASCII);
-  private static final int MOST_VALUE = 1 << 20;
+  private static final int MAX_VALUE_BYTES = 1 << 20;
 
   private Snapshot() {}
 
   /** Writes a snapshot of all records. */
   public static void write(Records records, OutputStream out) throws IOException {
     out.write(MAGIC);
-    out.write(FORM);
+    out.write(FORMAT_VERSION);
     LZ4FrameOutputStream lz4 =
         new LZ4FrameOutputStream(
             out,
@@ -49,81 +49,91 @@
             FLG.Bits.CONTENT_CHECKSUM,
             FLG.Bits.BLOCK_CHECKSUM,
             FLG.Bits.BLOCK_INDEPENDENCE);
-    put(lz4, Map.of("rev", records.rev(), "records", records.all().size()));
-    for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
-      put(lz4, Arrays.asList(e.getKey(), e.getValue().value(), e.getValue().stamp()));
+    writeValue(lz4, Map.of("rev", records.rev(), "records", records.all().size()));
+    for (Map.Entry<String, Records.Item> entry : records.all().entrySet()) {
+      writeValue(
+          lz4, Arrays.asList(entry.getKey(), entry.getValue().value(), entry.getValue().stamp()));
     }
-    put(lz4, Map.of("end", records.all().size()));
+    writeValue(lz4, Map.of("end", records.all().size()));
     lz4.close();
   }
 
-  private static void put(OutputStream out, Object value) throws IOException {
-    byte[] b = MessageCodec.encode(value);
-    out.write(new byte[] {(byte) (b.length >> 24), (byte) (b.length >> 16)});
-    out.write(new byte[] {(byte) (b.length >> 8), (byte) b.length});
-    out.write(b);
+  private static void writeValue(OutputStream out, Object value) throws IOException {
+    byte[] bytes = MessageCodec.encode(value);
+    out.write(new byte[] {(byte) (bytes.length >> 24), (byte) (bytes.length >> 16)});
+    out.write(new byte[] {(byte) (bytes.length >> 8), (byte) bytes.length});
+    out.write(bytes);
   }
 
   /**
    * @throws Damaged naming what is wrong and at which record
    */
   public static Records read(InputStream in) throws Damaged {
-    int n = 0;
-    String at = "the head";
+    int recordIndex = 0;
+    String position = "the head";
     try {
       byte[] magic = in.readNBytes(MAGIC.length);
       if (!Arrays.equals(magic, MAGIC)) {
         throw new Damaged("this is no snapshot: its first bytes are others");
       }
-      int form = in.read();
-      if (form != FORM) {
-        throw new Damaged("form " + form + " of a snapshot is unknown here, only " + FORM + " is");
+      int formatVersion = in.read();
+      if (formatVersion != FORMAT_VERSION) {
+        throw new Damaged(
+            "form "
+                + formatVersion
+                + " of a snapshot is unknown here, only "
+                + FORMAT_VERSION
+                + " is");
       }
       // A bad byte is found by the frame's checksums before what it says is used.
       InputStream lz4 = new LZ4FrameInputStream(in, true);
-      Document head = Document.of(get(lz4));
-      long count = head.count("records");
-      TreeMap<String, Records.Item> all = new TreeMap<>();
-      for (; n < count; n++) {
-        at = "record " + (n + 1) + " of " + count;
-        if (!(get(lz4) instanceof List<?> l)
-            || l.size() != 3
-            || !(l.get(0) instanceof String key)
-            || !(l.get(2) instanceof Long stamp)) {
-          throw new Damaged(at + " is no key, value and stamp");
+      Document header = Document.of(readValue(lz4));
+      long count = header.count("records");
+      TreeMap<String, Records.Item> byKey = new TreeMap<>();
+      for (; recordIndex < count; recordIndex++) {
+        position = "record " + (recordIndex + 1) + " of " + count;
+        if (!(readValue(lz4) instanceof List<?> fields)
+            || fields.size() != 3
+            || !(fields.get(0) instanceof String key)
+            || !(fields.get(2) instanceof Long stamp)) {
+          throw new Damaged(position + " is no key, value and stamp");
         }
-        if (all.put(key, new Records.Item(l.get(1), stamp)) != null) {
-          throw new Damaged(at + ": " + key + " is there twice");
+        if (byKey.put(key, new Records.Item(fields.get(1), stamp)) != null) {
+          throw new Damaged(position + ": " + key + " is there twice");
         }
       }
-      at = "the end";
-      if (Document.of(get(lz4)).count("end") != count || lz4.read() >= 0) {
+      position = "the end";
+      if (Document.of(readValue(lz4)).count("end") != count || lz4.read() >= 0) {
         throw new Damaged("the end does not say " + count + " records");
       }
       if (in.read() >= 0) {
         throw new Damaged("bytes that belong to nothing at the end of the file");
       }
-      return new Records(head.count("rev"), all);
+      return new Records(header.count("rev"), byKey);
     } catch (EOFException e) {
-      throw new Damaged("the file ends early, at " + at);
+      throw new Damaged("the file ends early, at " + position);
     } catch (IOException | RuntimeException | BadMessage e) {
-      throw new Damaged("damaged at " + at + ": " + e.getMessage());
+      throw new Damaged("damaged at " + position + ": " + e.getMessage());
     }
   }
 
-  private static Object get(InputStream in) throws IOException, BadMessage {
-    byte[] n = in.readNBytes(4);
-    if (n.length < 4) {
+  private static Object readValue(InputStream in) throws IOException, BadMessage {
+    byte[] lengthPrefix = in.readNBytes(4);
+    if (lengthPrefix.length < 4) {
       throw new EOFException();
     }
-    int length = (n[0] & 0xFF) << 24 | (n[1] & 0xFF) << 16 | (n[2] & 0xFF) << 8 | n[3] & 0xFF;
-    if (length <= 0 || length > MOST_VALUE) {
+    int length =
+        (lengthPrefix[0] & 0xFF) << 24
+            | (lengthPrefix[1] & 0xFF) << 16
+            | (lengthPrefix[2] & 0xFF) << 8
+            | lengthPrefix[3] & 0xFF;
+    if (length <= 0 || length > MAX_VALUE_BYTES) {
       throw new BadMessage("a value of " + length + " bytes");
     }
-    byte[] b = in.readNBytes(length);
-    if (b.length < length) {
+    byte[] bytes = in.readNBytes(length);
+    if (bytes.length < length) {
       throw new EOFException();
     }
-    return MessageCodec.decode(b);
+    return MessageCodec.decode(bytes);
   }
 }
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -25,179 +25,205 @@
    */
   public record Finding(String key, boolean error, String why) {}
 
-  private static final double EPS = 1e-6;
+  private static final double QUOTA_SUM_TOLERANCE = 1e-6;
 
   private final Records records;
-  private final LevelRange levels;
-  private final List<Finding> found = new ArrayList<>();
+  private final LevelRange supportedLevels;
+  private final List<Finding> findings = new ArrayList<>();
 
-  private StateCheck(Records records, LevelRange levels) {
+  private StateCheck(Records records, LevelRange supportedLevels) {
     this.records = records;
-    this.levels = levels;
+    this.supportedLevels = supportedLevels;
   }
 
   /**
-   * @param levels that the build speaks for which is asked
+   * @param supportedLevels that the build speaks for which is asked
    * @return errors first, each kind in the order of keys
    */
-  public static List<Finding> check(Records records, LevelRange levels) {
-    StateCheck c = new StateCheck(records, levels);
-    c.run();
-    List<Finding> out = new ArrayList<>(c.found);
-    out.sort((a, b) -> a.error != b.error ? (a.error ? -1 : 1) : a.key.compareTo(b.key));
-    return out;
+  public static List<Finding> check(Records records, LevelRange supportedLevels) {
+    StateCheck stateCheck = new StateCheck(records, supportedLevels);
+    stateCheck.checkAll();
+    List<Finding> sortedFindings = new ArrayList<>(stateCheck.findings);
+    sortedFindings.sort((a, b) -> a.error != b.error ? (a.error ? -1 : 1) : a.key.compareTo(b.key));
+    return sortedFindings;
   }
 
-  private void error(String key, String why) {
-    found.add(new Finding(key, true, why));
+  private void addError(String key, String reason) {
+    findings.add(new Finding(key, true, reason));
   }
 
-  private void note(String key, String why) {
-    found.add(new Finding(key, false, why));
+  private void addNote(String key, String reason) {
+    findings.add(new Finding(key, false, reason));
   }
 
-  private void run() {
-    Tables t = new Tables(List.of(), levels, () -> {});
-    t.load(records.changes(), records.rev());
-    t.unreadableRecords().forEach(this::error);
-    View v = t.view();
-    if (v == null) {
-      if (!records.all().isEmpty() && !t.unreadableRecords().containsKey(View.KEY)) {
-        error(View.KEY, "is missing, and other records are there");
+  private void checkAll() {
+    Tables tables = new Tables(List.of(), supportedLevels, () -> {});
+    tables.load(records.changes(), records.rev());
+    tables.unreadableRecords().forEach(this::addError);
+    View view = tables.view();
+    if (view == null) {
+      if (!records.all().isEmpty() && !tables.unreadableRecords().containsKey(View.KEY)) {
+        addError(View.KEY, "is missing, and other records are there");
       }
-    } else if (!levels.includes(v.level())) {
-      error(View.KEY, "level " + v.level() + " is in force, and this build speaks " + levels);
+    } else if (!supportedLevels.includes(view.level())) {
+      addError(
+          View.KEY,
+          "level " + view.level() + " is in force, and this build speaks " + supportedLevels);
     }
-    if (v != null) {
-      view(t, v);
-      parts(t, v);
-      forms(t, v);
+    if (view != null) {
+      checkView(tables, view);
+      checkPartitions(tables, view);
+      checkEncodings(tables, view);
     }
-    registry(t);
-    jobs(t);
+    checkRegistry(tables);
+    checkJobs(tables);
   }
 
-  private void view(Tables t, View v) {
-    if (!v.members().containsKey(v.leader())) {
-      error(View.KEY, "its leader " + v.leader() + " is no member");
+  private void checkView(Tables tables, View view) {
+    if (!view.members().containsKey(view.leader())) {
+      addError(View.KEY, "its leader " + view.leader() + " is no member");
     }
-    for (String m : v.members().keySet()) {
+    for (String member : view.members().keySet()) {
       // Since parts are not rewritten with the view, one that was never written is an empty one.
-      if (t.partition(m) == null && !v.isOpen(Gate.VIEWS)) {
-        error(Partition.key(m), "is missing, and " + m + " is a member");
+      if (tables.partition(member) == null && !view.isOpen(Gate.VIEWS)) {
+        addError(Partition.key(member), "is missing, and " + member + " is a member");
       }
-      if (v.isOpen(Gate.NUMBERS) && t.registry().numberOf(m) < 0) {
-        error(View.KEY, "member " + m + " has no number");
+      if (view.isOpen(Gate.NUMBERS) && tables.registry().numberOf(member) < 0) {
+        addError(View.KEY, "member " + member + " has no number");
       }
     }
   }
 
-  private void parts(Tables t, View v) {
-    Map<String, Double> sums = new HashMap<>();
-    boolean told = true;
-    for (Map.Entry<String, Partition> e : new TreeMap<>(t.partitions()).entrySet()) {
-      Partition p = e.getValue();
-      String key = Partition.key(e.getKey());
-      if (p.epoch() > v.epoch()) {
-        error(key, "is of epoch " + p.epoch() + ", the view of epoch " + v.epoch());
+  private void checkPartitions(Tables tables, View view) {
+    Map<String, Double> quotaSumByTeam = new HashMap<>();
+    boolean allNumbered = true;
+    for (Map.Entry<String, Partition> entry : new TreeMap<>(tables.partitions()).entrySet()) {
+      Partition partition = entry.getValue();
+      String key = Partition.key(entry.getKey());
+      if (partition.epoch() > view.epoch()) {
+        addError(key, "is of epoch " + partition.epoch() + ", the view of epoch " + view.epoch());
       }
-      if (v.isOpen(Gate.VIEWS)) {
-        if (p.epoch() < v.viewsGateEpoch()) {
-          note(key, "was last written before level " + Gate.VIEWS.level() + "; it is written anew");
+      if (view.isOpen(Gate.VIEWS)) {
+        if (partition.epoch() < view.viewsGateEpoch()) {
+          addNote(
+              key, "was last written before level " + Gate.VIEWS.level() + "; it is written anew");
         }
-      } else if (v.members().containsKey(e.getKey()) && p.epoch() != v.epoch()) {
-        error(key, "is of epoch " + p.epoch() + ", and its member's view of " + v.epoch());
+      } else if (view.members().containsKey(entry.getKey()) && partition.epoch() != view.epoch()) {
+        addError(
+            key, "is of epoch " + partition.epoch() + ", and its member's view of " + view.epoch());
       }
-      if (p.encoding() > Encoding.forLevel(v.level())) {
-        error(key, "is of form " + p.encoding() + ", which level " + v.level() + " does not have");
+      if (partition.encoding() > Encoding.forLevel(view.level())) {
+        addError(
+            key,
+            "is of form "
+                + partition.encoding()
+                + ", which level "
+                + view.level()
+                + " does not have");
       }
-      told &= p.encoding() == Encoding.NUMBERED;
-      p.quotaShares()
-          .forEach((team, s) -> sums.merge(team, s.gpus() + 1e3 * s.cpus(), Double::sum));
+      allNumbered &= partition.encoding() == Encoding.NUMBERED;
+      partition
+          .quotaShares()
+          .forEach(
+              (team, share) ->
+                  quotaSumByTeam.merge(team, share.gpus() + 1e3 * share.cpus(), Double::sum));
     }
-    if (told) {
-      sums.forEach(
+    if (allNumbered) {
+      quotaSumByTeam.forEach(
           (team, sum) -> {
-            if (Math.abs(sum) > EPS * 1e3) {
-              error("w/p/", "what the parts gave and got of " + team + " does not sum to nothing");
+            if (Math.abs(sum) > QUOTA_SUM_TOLERANCE * 1e3) {
+              addError(
+                  "w/p/", "what the parts gave and got of " + team + " does not sum to nothing");
             }
           });
     }
   }
 
-  private void forms(Tables t, View v) {
-    for (String key : t.keysInOldEncoding()) {
-      note(key, "is of a form older than level " + v.level() + "; it is being brought to it");
+  private void checkEncodings(Tables tables, View view) {
+    for (String key : tables.keysInOldEncoding()) {
+      addNote(key, "is of a form older than level " + view.level() + "; it is being brought to it");
     }
-    if (t.registry().convertedLevel() > v.level()) {
-      error(
+    if (tables.registry().convertedLevel() > view.level()) {
+      addError(
           NodeRegistry.CONVERTED_LEVEL_KEY,
-          "tells of level " + t.registry().convertedLevel() + ", which is not in force");
+          "tells of level " + tables.registry().convertedLevel() + ", which is not in force");
     }
-    for (Map.Entry<String, Records.Item> e : records.all().entrySet()) {
+    for (Map.Entry<String, Records.Item> entry : records.all().entrySet()) {
       try {
-        boolean dense = v.isOpen(Gate.LIMITS) && Job.isChunkKey(e.getKey());
-        if (Encoding.versionOf(e.getValue().value())
-            > (dense ? Encoding.DENSE : Encoding.forLevel(v.level()))) {
-          error(e.getKey(), "is of a form that level " + v.level() + " does not have");
+        boolean denseAllowed = view.isOpen(Gate.LIMITS) && Job.isChunkKey(entry.getKey());
+        if (Encoding.versionOf(entry.getValue().value())
+            > (denseAllowed ? Encoding.DENSE : Encoding.forLevel(view.level()))) {
+          addError(entry.getKey(), "is of a form that level " + view.level() + " does not have");
         }
-      } catch (BadMessage x) {
+      } catch (BadMessage unreadable) {
         // Told as unreadable.
         continue;
       }
     }
   }
 
-  private void registry(Tables t) {
-    Map<String, Integer> names = new HashMap<>();
-    for (NodeRecord a : t.registry().nodeRecords()) {
-      Integer other = names.putIfAbsent(a.name(), a.number());
-      if (other != null) {
-        error(NodeRecord.key(a.number()), a.name() + " has the number " + other + " too");
+  private void checkRegistry(Tables tables) {
+    Map<String, Integer> numberByName = new HashMap<>();
+    for (NodeRecord nodeRecord : tables.registry().nodeRecords()) {
+      Integer otherNumber = numberByName.putIfAbsent(nodeRecord.name(), nodeRecord.number());
+      if (otherNumber != null) {
+        addError(
+            NodeRecord.key(nodeRecord.number()),
+            nodeRecord.name() + " has the number " + otherNumber + " too");
       }
-      List<String> first = t.registry().initialNames();
-      if (a.number() < first.size() && !first.get(a.number()).equals(a.name())) {
-        error(
-            NodeRecord.key(a.number()),
+      List<String> initialNames = tables.registry().initialNames();
+      if (nodeRecord.number() < initialNames.size()
+          && !initialNames.get(nodeRecord.number()).equals(nodeRecord.name())) {
+        addError(
+            NodeRecord.key(nodeRecord.number()),
             "is of "
-                + a.name()
+                + nodeRecord.name()
                 + ", and the first list gives the number to "
-                + first.get(a.number()));
+                + initialNames.get(nodeRecord.number()));
       }
     }
-    if (!t.registry().nodeRecords().isEmpty() && !t.registry().hasStoredInitialNames()) {
-      error(NodeRegistry.INITIAL_NAMES_KEY, "is missing, and controllers have numbers");
+    if (!tables.registry().nodeRecords().isEmpty() && !tables.registry().hasStoredInitialNames()) {
+      addError(NodeRegistry.INITIAL_NAMES_KEY, "is missing, and controllers have numbers");
     }
-    for (String held : t.registry().overrides().heldGates()) {
-      if (Gate.byLabel(held) == null) {
-        note("w/c/word", "holds back the gate " + held + ", which this build does not know");
+    for (String heldGate : tables.registry().overrides().heldGates()) {
+      if (Gate.byLabel(heldGate) == null) {
+        addNote("w/c/word", "holds back the gate " + heldGate + ", which this build does not know");
       }
     }
   }
 
-  private void jobs(Tables t) {
-    for (String key : t.orphanedKeys()) {
-      note(key, "is of a job that is over; it is deleted in time");
+  private void checkJobs(Tables tables) {
+    for (String key : tables.orphanedKeys()) {
+      addNote(key, "is of a job that is over; it is deleted in time");
     }
-    TreeSet<Integer> unknown = new TreeSet<>();
-    for (Job j : t.jobs()) {
-      if (records.all().containsKey(Job.terminalStateKey(j.id()))) {
-        error(
-            j.key(),
-            "is unfinished, and " + Job.terminalStateKey(j.id()) + " says that it is over");
+    TreeSet<Integer> unregisteredNumbers = new TreeSet<>();
+    for (Job job : tables.jobs()) {
+      if (records.all().containsKey(Job.terminalStateKey(job.id()))) {
+        addError(
+            job.key(),
+            "is unfinished, and " + Job.terminalStateKey(job.id()) + " says that it is over");
       }
-      for (int i = 0; i < j.taskCount(); i++) {
-        if (j.task(i).isLive() && t.registry().name(j.task(i).placer()) == null) {
-          unknown.add(j.task(i).placer());
+      for (int taskIndex = 0; taskIndex < job.taskCount(); taskIndex++) {
+        if (job.task(taskIndex).isLive()
+            && tables.registry().name(job.task(taskIndex).placer()) == null) {
+          unregisteredNumbers.add(job.task(taskIndex).placer());
         }
-        if (j.task(i).isLive() && j.task(i).machine().phase() == Machine.Phase.UNKNOWN) {
-          note(j.key(), "task " + i + " is on " + j.task(i).machine().name() + ", of no record");
+        if (job.task(taskIndex).isLive()
+            && job.task(taskIndex).machine().phase() == Machine.Phase.UNKNOWN) {
+          addNote(
+              job.key(),
+              "task "
+                  + taskIndex
+                  + " is on "
+                  + job.task(taskIndex).machine().name()
+                  + ", of no record");
         }
       }
     }
-    for (int n : unknown) {
-      if (t.registry().hasStoredInitialNames()) {
-        error(NodeRecord.key(n), "is missing, and tasks that run were placed by that number");
+    for (int number : unregisteredNumbers) {
+      if (tables.registry().hasStoredInitialNames()) {
+        addError(
+            NodeRecord.key(number), "is missing, and tasks that run were placed by that number");
       }
     }
   }
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -22,9 +22,9 @@
     name = "state",
     description = "Check, keep and put back the stored state.",
     subcommands = {
-      StateCommand.Check.class,
-      StateCommand.Dump.class,
-      StateCommand.Restoring.class,
+      StateCommand.CheckCommand.class,
+      StateCommand.DumpCommand.class,
+      StateCommand.RestoreCommand.class,
       CommandLine.HelpCommand.class
     })
 public final class StateCommand implements Runnable {
@@ -40,40 +40,51 @@
       name = "check",
       description =
           "Say what this build can't read, and what contradicts itself. Exit code 1: errors.")
-  static final class Check extends Tool {
+  static final class CheckCommand extends OperatorCommand {
     @CommandLine.Option(
         names = "--levels",
         paramLabel = "LEAST-MOST",
         description = "Check for a build that speaks these levels (default: this one's).")
-    private String levels;
+    private String requestedLevels;
 
     @Override
     int run(Store store, Settings settings) throws Store.Away {
-      LevelRange range = LevelRange.BUILD;
-      if (levels != null) {
-        String[] ends = levels.split("-");
+      LevelRange supportedLevels = LevelRange.BUILD;
+      if (requestedLevels != null) {
+        String[] bounds = requestedLevels.split("-");
         try {
-          range =
-              new LevelRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
+          supportedLevels =
+              new LevelRange(
+                  Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]));
         } catch (IllegalArgumentException e) {
-          return fail(BAD_INPUT, "--levels: " + levels + " is no range of levels, as 1-2 is");
+          return fail(
+              EXIT_BAD_INPUT, "--levels: " + requestedLevels + " is no range of levels, as 1-2 is");
         }
       }
       Records records = Records.read(store);
-      List<StateCheck.Finding> found = StateCheck.check(records, range);
-      long errors = found.stream().filter(StateCheck.Finding::error).count();
-      if (json) {
-        List<Object> list = new ArrayList<>();
-        found.forEach(f -> list.add(Map.of("key", f.key(), "error", f.error(), "why", f.why())));
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("revision", records.rev());
-        m.put("records", records.all().size());
-        m.put("errors", errors);
-        m.put("findings", list);
-        print(m);
+      List<StateCheck.Finding> findings = StateCheck.check(records, supportedLevels);
+      long errors = findings.stream().filter(StateCheck.Finding::error).count();
+      if (jsonOutput) {
+        List<Object> findingList = new ArrayList<>();
+        findings.forEach(
+            finding ->
+                findingList.add(
+                    Map.of("key", finding.key(), "error", finding.error(), "why", finding.why())));
+        Map<String, Object> output = new LinkedHashMap<>();
+        output.put("revision", records.rev());
+        output.put("records", records.all().size());
+        output.put("errors", errors);
+        output.put("findings", findingList);
+        printJson(output);
       } else {
-        found.forEach(
-            f -> out().println((f.error() ? "error  " : "note   ") + f.key() + "  " + f.why()));
+        findings.forEach(
+            finding ->
+                out()
+                    .println(
+                        (finding.error() ? "error  " : "note   ")
+                            + finding.key()
+                            + "  "
+                            + finding.why()));
         out()
             .println(
                 records.all().size()
@@ -82,43 +93,47 @@
                     + ": "
                     + errors
                     + " errors, "
-                    + (found.size() - errors)
+                    + (findings.size() - errors)
                     + " notes");
       }
-      return errors > 0 ? NO : OK;
+      return errors > 0 ? EXIT_FINDINGS_OR_REFUSED : EXIT_OK;
     }
   }
 
   /** {@code state dump}. */
   @CommandLine.Command(name = "dump", description = "Keep the stored state, as of one revision.")
-  static final class Dump extends Tool {
+  static final class DumpCommand extends OperatorCommand {
     @CommandLine.Parameters(paramLabel = "FILE")
     private Path file;
 
     @Override
     int run(Store store, Settings settings) throws Store.Away {
       Records records = Records.read(store);
-      Path part = file.resolveSibling(file.getFileName() + ".part");
+      Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
       try {
         // Under its name there is a whole file or none, whatever happens meanwhile.
-        try (OutputStream out = new BufferedOutputStream(Files.newOutputStream(part))) {
+        try (OutputStream out = new BufferedOutputStream(Files.newOutputStream(temporaryFile))) {
           Snapshot.write(records, out);
         }
-        Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+            temporaryFile,
+            file,
+            StandardCopyOption.ATOMIC_MOVE,
+            StandardCopyOption.REPLACE_EXISTING);
       } catch (IOException e) {
         try {
-          Files.deleteIfExists(part);
-        } catch (IOException again) {
-          e.addSuppressed(again);
+          Files.deleteIfExists(temporaryFile);
+        } catch (IOException deleteFailure) {
+          e.addSuppressed(deleteFailure);
         }
-        return fail(BAD_FILE, "can't write " + file + ": " + e.getMessage());
+        return fail(EXIT_BAD_FILE, "can't write " + file + ": " + e.getMessage());
       }
-      if (json) {
-        print(Map.of("revision", records.rev(), "records", records.all().size()));
+      if (jsonOutput) {
+        printJson(Map.of("revision", records.rev(), "records", records.all().size()));
       } else {
         out().println(records.all().size() + " records at revision " + records.rev());
       }
-      return OK;
+      return EXIT_OK;
     }
   }
 
@@ -129,7 +144,7 @@
         "Put a snapshot into an empty store. Only while no controller runs, and after all workers'",
         "leases have ended: what ran when it was taken is started again."
       })
-  static final class Restoring extends Tool {
+  static final class RestoreCommand extends OperatorCommand {
     @CommandLine.Parameters(paramLabel = "FILE")
     private Path file;
 
@@ -139,22 +154,22 @@
       try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
         records = Snapshot.read(in);
       } catch (IOException e) {
-        return fail(BAD_FILE, "can't read " + file + ": " + e);
+        return fail(EXIT_BAD_FILE, "can't read " + file + ": " + e);
       } catch (Snapshot.Damaged e) {
-        return fail(BAD_FILE, file + ": " + e.getMessage());
+        return fail(EXIT_BAD_FILE, file + ": " + e.getMessage());
       }
       try {
         StateServiceLimits limits =
             new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> true);
         int written = new Restore(store, limits).run(records);
-        if (json) {
-          print(Map.of("revision", records.rev(), "written", written));
+        if (jsonOutput) {
+          printJson(Map.of("revision", records.rev(), "written", written));
         } else {
           out().println(written + " records put back, as of revision " + records.rev());
         }
-        return OK;
+        return EXIT_OK;
       } catch (Restore.Refused e) {
-        return fail(NO, e.getMessage());
+        return fail(EXIT_FINDINGS_OR_REFUSED, e.getMessage());
       }
     }
   }
