--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -16,17 +16,18 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * Puts a snapshot into an empty store. Its revisions begin anew there, so the logs can't be put
- * back as they are: what they led to is stored as chunks and shelves. What ran when the snapshot
- * was taken waits again, for its workers' leases have ended by now (the operators' page says so),
- * and the epoch goes far beyond any that a worker may have seen since.
+ * Writes a snapshot into an empty store. The revisions of that store start again, so the log pages,
+ * which refer to revisions, can't be restored as they are: their effects are stored as chunks and
+ * archive buckets instead. Tasks that ran when the snapshot was taken are restored as waiting,
+ * because the leases of their workers have ended by then (the operators' page requires it). The
+ * epoch is set far above any that a worker may have seen since the snapshot.
  *
- * <p>Until the last transaction the view's record is a text that no build reads, so no controller
- * that is started too early takes a part of it for the whole; and a restore that was interrupted
- * goes on when it is given the same snapshot again.
+ * <p>Until the last transaction the view's record is a marker text that no build can read. So a
+ * controller that is started too early never takes a partly restored state for the whole, and an
+ * interrupted restore continues when it is run again with the same snapshot.
  */
 public final class Restore {
-  /** The snapshot can't be put back there, or not by this build. */
+  /** The snapshot can't be restored into this store, or not by this build. */
   public static final class Refused extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -35,17 +36,25 @@
     }
   }
 
-  /** More than a controller could have raised the epoch since, at several a second for a week. */
-  private static final long EPOCHS = 10_000_000;
+  /**
+   * Added to the snapshot's epoch. It exceeds what a controller can have raised the epoch by since
+   * then, even at several times a second for a week.
+   */
+  private static final long EPOCH_INCREMENT = 10_000_000;
 
-  /** With one more value of the largest kind, a transaction stays below what it may be. */
-  private static final int MOST_BYTES = 24 * 1024;
+  /**
+   * A transaction is committed once it is larger than this. The last write added may be of the
+   * largest possible value, and the transaction still stays below the size limit.
+   */
+  private static final int TRANSACTION_FLUSH_BYTES = 24 * 1024;
 
   private final Store store;
   private final StateServiceLimits limits;
 
   /**
-   * @param limits of the state service, the smaller of now and next
+   * Creates a restore into the given store.
+   *
+   * @param limits of the state service, the smaller ones of the current and the next limits
    */
   public Restore(Store store, StateServiceLimits limits) {
     this.store = store;
@@ -53,114 +62,134 @@
   }
 
   /**
-   * @return how many records were written
-   * @throws Refused if the store is not empty, or the snapshot holds what this build can't read
+   * Restores the snapshot, or continues a restore of the same snapshot that was interrupted.
+   *
+   * @return the number of records that the restored state consists of
+   * @throws Refused if the store is not empty or is written to by others, or if this build can't
+   *     read the snapshot
+   * @throws Store.Away if the state service is unavailable
    */
   public int run(Records snapshot) throws Refused, Store.Away {
-    Map<String, Object> plan = plan(snapshot, limits.targetValueBytes());
-    String mark = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
-    Records there = Records.read(store);
-    Records.Item view = there.all().get(View.KEY);
-    if (view == null && !there.all().isEmpty() || view != null && !mark.equals(view.value())) {
+    Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
+    String restoreMarker = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
+    Records existing = Records.read(store);
+    Records.Item existingView = existing.all().get(View.KEY);
+    if (existingView == null && !existing.all().isEmpty()
+        || existingView != null && !restoreMarker.equals(existingView.value())) {
       throw new Refused(
           "the store is not empty: it holds "
-              + there.all().size()
+              + existing.all().size()
               + " records, as "
-              + there.all().firstKey());
+              + existing.all().firstKey());
     }
-    if (view == null
+    if (existingView == null
         && !Records.commit(
-            store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, mark))) {
+            store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, restoreMarker))) {
       throw new Refused("the store has just been written to by another");
     }
-    Object last = plan.remove(View.KEY);
-    Transaction txn = new Transaction();
-    for (Map.Entry<String, Object> e : plan.entrySet()) {
-      Records.Item is = there.all().get(e.getKey());
-      if (is != null && same(is.value(), e.getValue())) {
+    Object restoredView = plannedWrites.remove(View.KEY);
+    Transaction transaction = new Transaction();
+    for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
+      Records.Item stored = existing.all().get(planned.getKey());
+      if (stored != null && equalAsStored(stored.value(), planned.getValue())) {
         continue;
       }
-      txn.requireStamp(e.getKey(), is == null ? 0 : is.stamp()).write(e.getKey(), e.getValue());
-      if (txn.changeCount() == limits.maxTransactionChanges()
-          || MessageCodec.encode(txn.toRequest()).length > MOST_BYTES) {
-        write(txn);
-        txn = new Transaction();
+      transaction
+          .requireStamp(planned.getKey(), stored == null ? 0 : stored.stamp())
+          .write(planned.getKey(), planned.getValue());
+      if (transaction.changeCount() == limits.maxTransactionChanges()
+          || MessageCodec.encode(transaction.toRequest()).length > TRANSACTION_FLUSH_BYTES) {
+        commitOrRefuse(transaction);
+        transaction = new Transaction();
       }
     }
-    if (txn.changeCount() > 0) {
-      write(txn);
+    if (transaction.changeCount() > 0) {
+      commitOrRefuse(transaction);
     }
-    Records now = Records.read(store);
-    for (Map.Entry<String, Object> e : plan.entrySet()) {
-      Records.Item is = now.all().get(e.getKey());
-      if (is == null || !same(is.value(), e.getValue())) {
-        throw new Refused(e.getKey() + " is not what was written: someone else writes there");
+    Records reread = Records.read(store);
+    for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
+      Records.Item stored = reread.all().get(planned.getKey());
+      if (stored == null || !equalAsStored(stored.value(), planned.getValue())) {
+        throw new Refused(planned.getKey() + " is not what was written: someone else writes there");
       }
     }
-    Transaction end = new Transaction().requireStamp(View.KEY, now.all().get(View.KEY).stamp());
-    if (!Records.commit(store, last == null ? end.delete(View.KEY) : end.write(View.KEY, last))) {
+    Transaction finalTransaction =
+        new Transaction().requireStamp(View.KEY, reread.all().get(View.KEY).stamp());
+    if (!Records.commit(
+        store,
+        restoredView == null
+            ? finalTransaction.delete(View.KEY)
+            : finalTransaction.write(View.KEY, restoredView))) {
       throw new Refused("the store was written to by another at the end");
     }
-    return plan.size() + (last == null ? 0 : 1);
+    return plannedWrites.size() + (restoredView == null ? 0 : 1);
   }
 
-  private void write(Transaction txn) throws Refused, Store.Away {
-    if (!Records.commit(store, txn)) {
+  private void commitOrRefuse(Transaction transaction) throws Refused, Store.Away {
+    if (!Records.commit(store, transaction)) {
       throw new Refused("someone else writes to the store");
     }
   }
 
-  /** What is to be written, by key, the view too. */
-  static Map<String, Object> plan(Records snapshot, int valueBytes) throws Refused {
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    t.load(snapshot.changes(), snapshot.rev());
-    if (t.blockedReason() != null) {
-      throw new Refused("this build can't put it back: " + t.blockedReason());
+  /** Returns the values to write by key, including the final view. */
+  static Map<String, Object> planWrites(Records snapshot, int targetValueBytes) throws Refused {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    tables.load(snapshot.changes(), snapshot.rev());
+    if (tables.blockedReason() != null) {
+      throw new Refused("this build can't put it back: " + tables.blockedReason());
     }
-    Map<String, Object> out = new LinkedHashMap<>();
-    for (Map.Entry<String, Records.Item> e : snapshot.all().entrySet()) {
-      String key = e.getKey();
+    Map<String, Object> writes = new LinkedHashMap<>();
+    for (Map.Entry<String, Records.Item> entry : snapshot.all().entrySet()) {
+      String key = entry.getKey();
       boolean derived = key.startsWith("w/l/") || key.startsWith("w/m/") || key.startsWith("w/h/");
       if (!derived && !Job.isChunkKey(key) && !key.equals(View.KEY)) {
-        out.put(key, e.getValue().value());
+        writes.put(key, entry.getValue().value());
       }
     }
-    for (Job j : t.jobs()) {
-      for (int c = 0; c < j.chunkCount(); c++) {
-        Map<String, Object> chunk = j.encodeChunk(c, 0, i -> stopped(j.task(i)));
+    for (Job job : tables.jobs()) {
+      for (int chunkIndex = 0; chunkIndex < job.chunkCount(); chunkIndex++) {
+        Map<String, Object> chunk =
+            job.encodeChunk(chunkIndex, 0, taskIndex -> withoutLiveAttempt(job.task(taskIndex)));
         if (!((List<?>) chunk.get("done")).isEmpty() || !((List<?>) chunk.get("tried")).isEmpty()) {
-          out.put(
-              j.chunkKey(c),
-              j.chunkToStore(c, 0, i -> stopped(j.task(i)), t.encoding(), valueBytes));
+          writes.put(
+              job.chunkKey(chunkIndex),
+              job.chunkToStore(
+                  chunkIndex,
+                  0,
+                  taskIndex -> withoutLiveAttempt(job.task(taskIndex)),
+                  tables.encoding(),
+                  targetValueBytes));
         }
       }
     }
-    TreeSet<String> shelves = new TreeSet<>();
-    for (Machine m : t.machines()) {
-      if (m.info() != null) {
-        shelves.add(Machine.archiveBucketOf(m.name()));
+    TreeSet<String> archiveBuckets = new TreeSet<>();
+    for (Machine machine : tables.machines()) {
+      if (machine.info() != null) {
+        archiveBuckets.add(Machine.archiveBucketOf(machine.name()));
       }
     }
-    shelves.forEach(s -> out.put(Tables.archiveBucketKey(s), t.encodeArchiveBucket(s, 0)));
-    if (t.view() != null) {
-      View v = t.view();
-      out.put(
+    archiveBuckets.forEach(
+        bucket ->
+            writes.put(Tables.archiveBucketKey(bucket), tables.encodeArchiveBucket(bucket, 0)));
+    if (tables.view() != null) {
+      View view = tables.view();
+      writes.put(
           View.KEY,
           new View(
-                  v.epoch() + EPOCHS,
-                  v.members(),
-                  v.leader(),
-                  v.zones(),
-                  v.level(),
-                  v.viewsGateEpoch(),
-                  v.extra())
+                  view.epoch() + EPOCH_INCREMENT,
+                  view.members(),
+                  view.leader(),
+                  view.zones(),
+                  view.level(),
+                  view.viewsGateEpoch(),
+                  view.extra())
               .toStore());
     }
-    return out;
+    return writes;
   }
 
-  /** Whether two values are alike once stored. */
-  private static boolean same(Object a, Object b) {
+  /** Whether two values are equal after encoding and decoding. */
+  private static boolean equalAsStored(Object a, Object b) {
     try {
       return MessageCodec.decode(MessageCodec.encode(a))
           .equals(MessageCodec.decode(MessageCodec.encode(b)));
@@ -169,7 +198,8 @@
     }
   }
 
-  private static TaskState stopped(TaskState s) {
-    return s.isLive() ? TaskState.waiting(s.attempt()) : s;
+  /** Returns a task state in which a live attempt is replaced by waiting. */
+  private static TaskState withoutLiveAttempt(TaskState state) {
+    return state.isLive() ? TaskState.waiting(state.attempt()) : state;
   }
 }
