--- a/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
+++ b/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
@@ -13,7 +13,7 @@
  * Calls the state service over HTTP. The request rate is limited so that the controllers keep most
  * of the state service's capacity.
  */
-public final class HttpStateServiceCaller implements Store, AutoCloseable {
+public final class HttpStateServiceCaller implements StateServiceCaller, AutoCloseable {
   private static final long CALL_TIMEOUT_MS = 3000;
   private static final long RETRY_INTERVAL_MS = 250;
 
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public Response call(String method, String path, byte[] body) throws Away {
+  public Response call(String method, String path, byte[] body) throws UnavailableException {
     long deadlineMs = eventLoop.nowMs() + unavailableAfterMs;
     try {
       while (true) {
@@ -56,21 +56,21 @@
         if (response.status() == 0 && isWrite) {
           // The commit may have been applied already, or may be applied later. Only the caller can
           // decide whether it is safe to send it again.
-          throw new Away("no answer to a change: it may have been made, or may yet be");
+          throw new UnavailableException("no answer to a change: it may have been made, or may yet be");
         }
         if (response.status() != 0 && response.status() != 429 && response.status() != 503) {
           return response;
         }
         if (eventLoop.nowMs() >= deadlineMs) {
-          throw new Away("the state service at " + address + " does not answer");
+          throw new UnavailableException("the state service at " + address + " does not answer");
         }
         Thread.sleep(RETRY_INTERVAL_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new Away("interrupted");
+      throw new UnavailableException("interrupted");
     } catch (ExecutionException | TimeoutException e) {
-      throw new Away("the state service at " + address + " does not answer");
+      throw new UnavailableException("the state service at " + address + " does not answer");
     }
   }
 
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -43,7 +43,7 @@
    * Loads the tables from the stored state. {@link Tables#blockedReason} is set if this build does
    * not understand the stored state.
    */
-  private static Tables loadTables(Store store, Settings settings) throws Store.Away {
+  private static Tables loadTables(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
     Records records = Records.read(store);
     Tables tables = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
     tables.load(records.changes(), records.rev());
@@ -63,7 +63,7 @@
   @CommandLine.Command(name = "show", description = "The level in force, and why it does not rise.")
   static final class ShowCommand extends OperatorCommand {
     @Override
-    int run(Store store, Settings settings) throws Store.Away {
+    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
       Tables tables = loadTables(store, settings);
       if (tables.blockedReason() != null) {
         return fail(EXIT_FINDINGS_OR_REFUSED, tables.blockedReason());
@@ -158,7 +158,7 @@
     }
 
     @Override
-    int run(Store store, Settings settings) throws Store.Away {
+    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
       Tables tables = loadTables(store, settings);
       if (tables.blockedReason() != null) {
         return fail(EXIT_FINDINGS_OR_REFUSED, tables.blockedReason());
--- a/src/main/java/wickdrift/operator/OperatorCommand.java
+++ b/src/main/java/wickdrift/operator/OperatorCommand.java
@@ -70,7 +70,7 @@
             maxRequestsPerSecond,
             (long) (responseTimeoutS * 1000))) {
       return run(store, settings);
-    } catch (Store.Away e) {
+    } catch (StateServiceCaller.UnavailableException e) {
       return fail(EXIT_UNAVAILABLE, e.getMessage());
     }
   }
@@ -79,9 +79,9 @@
    * Runs the command.
    *
    * @return the exit code
-   * @throws Store.Away if the state service is unavailable
+   * @throws StateServiceCaller.UnavailableException if the state service is unavailable
    */
-  abstract int run(Store store, Settings settings) throws Store.Away;
+  abstract int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException;
 
   /** Prints the message to standard error and returns the exit code. */
   int fail(int exitCode, String message) {
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -33,21 +33,21 @@
    * Reads all records. The pages may be of different revisions, so all changes since the oldest of
    * these are applied afterwards: the result is the state at one revision.
    *
-   * @throws Store.Away if the state service is unavailable, or the stored state changes faster than
+   * @throws StateServiceCaller.UnavailableException if the state service is unavailable, or the stored state changes faster than
    *     it can be read
    */
-  public static Records read(Store store) throws Store.Away {
+  public static Records read(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
     for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
       Records records = tryRead(store);
       if (records != null) {
         return records;
       }
     }
-    throw new Store.Away("the stored state changes faster than it can be read");
+    throw new StateServiceCaller.UnavailableException("the stored state changes faster than it can be read");
   }
 
   /** Returns null if the changes since the first page are no longer available (status 410). */
-  private static Records tryRead(Store store) throws Store.Away {
+  private static Records tryRead(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
     TreeMap<String, Item> byKey = new TreeMap<>();
     long firstRevision = Long.MAX_VALUE;
     String lastKey = null;
@@ -93,13 +93,13 @@
       }
       return new Records(body.count("ledgerRev"), byKey);
     } catch (BadMessage e) {
-      throw new Store.Away("the state service answers what can't be read: " + e.getMessage());
+      throw new StateServiceCaller.UnavailableException("the state service answers what can't be read: " + e.getMessage());
     }
   }
 
-  private static Document parseBody(Response response) throws Store.Away, BadMessage {
+  private static Document parseBody(Response response) throws StateServiceCaller.UnavailableException, BadMessage {
     if (response.status() != 200) {
-      throw new Store.Away("the state service answers " + response.status());
+      throw new StateServiceCaller.UnavailableException("the state service answers " + response.status());
     }
     return Document.parse(response.body());
   }
@@ -114,10 +114,10 @@
   }
 
   /** Commits a transaction; returns whether its conditions were met, so that it was applied. */
-  static boolean commit(Store store, Transaction transaction) throws Store.Away {
+  static boolean commit(StateServiceCaller store, Transaction transaction) throws StateServiceCaller.UnavailableException {
     Response response = store.call("POST", "/commit", MessageCodec.encode(transaction.toRequest()));
     if (response.status() != 200 && response.status() != 409) {
-      throw new Store.Away("the state service refuses a change with " + response.status());
+      throw new StateServiceCaller.UnavailableException("the state service refuses a change with " + response.status());
     }
     return response.status() == 200;
   }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -48,7 +48,7 @@
    */
   private static final int TRANSACTION_FLUSH_BYTES = 24 * 1024;
 
-  private final Store store;
+  private final StateServiceCaller store;
   private final StateServiceLimits limits;
 
   /**
@@ -56,7 +56,7 @@
    *
    * @param limits of the state service, the smaller ones of the current and the next limits
    */
-  public Restore(Store store, StateServiceLimits limits) {
+  public Restore(StateServiceCaller store, StateServiceLimits limits) {
     this.store = store;
     this.limits = limits;
   }
@@ -67,9 +67,9 @@
    * @return the number of records that the restored state consists of
    * @throws Refused if the store is not empty or is written to by others, or if this build can't
    *     read the snapshot
-   * @throws Store.Away if the state service is unavailable
+   * @throws StateServiceCaller.UnavailableException if the state service is unavailable
    */
-  public int run(Records snapshot) throws Refused, Store.Away {
+  public int run(Records snapshot) throws Refused, StateServiceCaller.UnavailableException {
     Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
     String restoreMarker = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
     Records existing = Records.read(store);
@@ -125,7 +125,7 @@
     return plannedWrites.size() + (restoredView == null ? 0 : 1);
   }
 
-  private void commitOrRefuse(Transaction transaction) throws Refused, Store.Away {
+  private void commitOrRefuse(Transaction transaction) throws Refused, StateServiceCaller.UnavailableException {
     if (!Records.commit(store, transaction)) {
       throw new Refused("someone else writes to the store");
     }
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -48,7 +48,7 @@
     private String requestedLevels;
 
     @Override
-    int run(Store store, Settings settings) throws Store.Away {
+    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
       LevelRange supportedLevels = LevelRange.BUILD;
       if (requestedLevels != null) {
         String[] bounds = requestedLevels.split("-");
@@ -107,7 +107,7 @@
     private Path file;
 
     @Override
-    int run(Store store, Settings settings) throws Store.Away {
+    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
       Records records = Records.read(store);
       Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
       try {
@@ -150,7 +150,7 @@
     private Path file;
 
     @Override
-    int run(Store store, Settings settings) throws Store.Away {
+    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
       Records records;
       try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
         records = Snapshot.read(in);
--- a/src/main/java/wickdrift/operator/Store.java
+++ b/src/main/java/wickdrift/operator/StateServiceCaller.java
@@ -6,16 +6,16 @@
  * Blocking access of the operators' commands to the state service: one request at a time, each of
  * which waits for its response.
  */
-public interface Store {
+public interface StateServiceCaller {
   /**
    * The state service is unavailable: within the time limit it did not respond, or its responses
    * violated the protocol.
    */
-  final class Away extends Exception {
+  final class UnavailableException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** Creates the exception; the command prints the message. */
-    public Away(String message) {
+    public UnavailableException(String message) {
       super(message);
     }
   }
@@ -26,7 +26,7 @@
    * @param path including the query
    * @param body MessagePack, or null
    * @return any response except 429 and 503, after which the request is retried
-   * @throws Away if no such response arrived in bounded time
+   * @throws UnavailableException if no such response arrived in bounded time
    */
-  Response call(String method, String path, byte[] body) throws Away;
+  Response call(String method, String path, byte[] body) throws UnavailableException;
 }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -44,7 +44,7 @@
 import wickdrift.operator.Snapshot;
 import wickdrift.operator.StateCheck;
 import wickdrift.operator.StateCommand;
-import wickdrift.operator.Store;
+import wickdrift.operator.StateServiceCaller;
 import wickdrift.protocol.BadMessage;
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
@@ -56,7 +56,7 @@
 /** Stored state of other builds and other days: read, looked through, kept and put back. */
 class OperatorTest {
   /** The simulated state service, asked from outside. */
-  private static Store store(SimState state) {
+  private static StateServiceCaller store(SimState state) {
     return (method, path, body) -> {
       Response[] got = new Response[1];
       state.serve("operator", method, path, body, a -> got[0] = a);
@@ -220,7 +220,7 @@
   void aSnapshotHoldsWhatWasThereAtOnce() throws Exception {
     SimWorld w = busy(511);
     // While it is read, page by page, the controllers go on writing.
-    Store slow =
+    StateServiceCaller slow =
         (method, path, body) -> {
           w.run(400);
           return store(w.state()).call(method, path, body);
@@ -269,17 +269,17 @@
       w.nodes.forEach(w::kill);
       w.cloud.machineNumber = 1000;
       int[] left = {stop};
-      Store failing =
+      StateServiceCaller failing =
           (method, path, body) -> {
             if (path.equals("/commit") && left[0]-- == 0) {
-              throw new Store.Away("interrupted");
+              throw new StateServiceCaller.UnavailableException("interrupted");
             }
             return store(w.state()).call(method, path, body);
           };
       try {
         new Restore(failing, w.limits()).run(r);
         whole = true;
-      } catch (Store.Away e) {
+      } catch (StateServiceCaller.UnavailableException e) {
         steps++;
         if (stop % 3 == 1) {
           w.nodes.forEach(w::startNode);
@@ -338,7 +338,7 @@
   })
   void whatContradictsItselfIsFound(String key, int form, String why) throws Exception {
     SimWorld w = busy(521);
-    Store store = store(w.state());
+    StateServiceCaller store = store(w.state());
     assertEquals(
         0,
         StateCheck.check(Records.read(store), LevelRange.BUILD).stream()
