--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -44,9 +44,9 @@
    * not understand the stored state.
    */
   private static Tables loadTables(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
-    Records records = Records.read(store);
+    StoredRecords records = StoredRecords.read(store);
     Tables tables = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
-    tables.load(records.changes(), records.rev());
+    tables.load(records.toChanges(), records.revision());
     return tables;
   }
 
@@ -175,7 +175,7 @@
               .requireStamp(OperatorOverrides.KEY, overridesStamp)
               .requireStamp(View.KEY, tables.viewStamp())
               .write(OperatorOverrides.KEY, overrides.toStore());
-      if (!Records.commit(store, transaction)) {
+      if (!StoredRecords.commit(store, transaction)) {
         return fail(
             EXIT_FINDINGS_OR_REFUSED, "the state has just changed; nothing was done, try again");
       }
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -69,28 +69,28 @@
    *     read the snapshot
    * @throws StateServiceCaller.UnavailableException if the state service is unavailable
    */
-  public int run(Records snapshot) throws Refused, StateServiceCaller.UnavailableException {
+  public int run(StoredRecords snapshot) throws Refused, StateServiceCaller.UnavailableException {
     Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
-    String restoreMarker = "restoring " + snapshot.rev() + "/" + snapshot.all().hashCode();
-    Records existing = Records.read(store);
-    Records.Item existingView = existing.all().get(View.KEY);
-    if (existingView == null && !existing.all().isEmpty()
+    String restoreMarker = "restoring " + snapshot.revision() + "/" + snapshot.byKey().hashCode();
+    StoredRecords existing = StoredRecords.read(store);
+    StoredRecords.StoredValue existingView = existing.byKey().get(View.KEY);
+    if (existingView == null && !existing.byKey().isEmpty()
         || existingView != null && !restoreMarker.equals(existingView.value())) {
       throw new Refused(
           "the store is not empty: it holds "
-              + existing.all().size()
+              + existing.byKey().size()
               + " records, as "
-              + existing.all().firstKey());
+              + existing.byKey().firstKey());
     }
     if (existingView == null
-        && !Records.commit(
+        && !StoredRecords.commit(
             store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, restoreMarker))) {
       throw new Refused("the store has just been written to by another");
     }
     Object restoredView = plannedWrites.remove(View.KEY);
     Transaction transaction = new Transaction();
     for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
-      Records.Item stored = existing.all().get(planned.getKey());
+      StoredRecords.StoredValue stored = existing.byKey().get(planned.getKey());
       if (stored != null && equalAsStored(stored.value(), planned.getValue())) {
         continue;
       }
@@ -106,16 +106,16 @@
     if (transaction.changeCount() > 0) {
       commitOrRefuse(transaction);
     }
-    Records reread = Records.read(store);
+    StoredRecords reread = StoredRecords.read(store);
     for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
-      Records.Item stored = reread.all().get(planned.getKey());
+      StoredRecords.StoredValue stored = reread.byKey().get(planned.getKey());
       if (stored == null || !equalAsStored(stored.value(), planned.getValue())) {
         throw new Refused(planned.getKey() + " is not what was written: someone else writes there");
       }
     }
     Transaction finalTransaction =
-        new Transaction().requireStamp(View.KEY, reread.all().get(View.KEY).stamp());
-    if (!Records.commit(
+        new Transaction().requireStamp(View.KEY, reread.byKey().get(View.KEY).stamp());
+    if (!StoredRecords.commit(
         store,
         restoredView == null
             ? finalTransaction.delete(View.KEY)
@@ -126,20 +126,20 @@
   }
 
   private void commitOrRefuse(Transaction transaction) throws Refused, StateServiceCaller.UnavailableException {
-    if (!Records.commit(store, transaction)) {
+    if (!StoredRecords.commit(store, transaction)) {
       throw new Refused("someone else writes to the store");
     }
   }
 
   /** Returns the values to write by key, including the final view. */
-  static Map<String, Object> planWrites(Records snapshot, int targetValueBytes) throws Refused {
+  static Map<String, Object> planWrites(StoredRecords snapshot, int targetValueBytes) throws Refused {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    tables.load(snapshot.changes(), snapshot.rev());
+    tables.load(snapshot.toChanges(), snapshot.revision());
     if (tables.blockedReason() != null) {
       throw new Refused("this build can't put it back: " + tables.blockedReason());
     }
     Map<String, Object> writes = new LinkedHashMap<>();
-    for (Map.Entry<String, Records.Item> entry : snapshot.all().entrySet()) {
+    for (Map.Entry<String, StoredRecords.StoredValue> entry : snapshot.byKey().entrySet()) {
       String key = entry.getKey();
       boolean derived = key.startsWith("w/l/") || key.startsWith("w/m/") || key.startsWith("w/h/");
       if (!derived && !Job.isChunkKey(key) && !key.equals(View.KEY)) {
--- a/src/main/java/wickdrift/operator/Snapshot.java
+++ b/src/main/java/wickdrift/operator/Snapshot.java
@@ -42,7 +42,7 @@
   private Snapshot() {}
 
   /** Writes a snapshot of all records. */
-  public static void write(Records records, OutputStream out) throws IOException {
+  public static void write(StoredRecords records, OutputStream out) throws IOException {
     out.write(MAGIC);
     out.write(FORMAT_VERSION);
     LZ4FrameOutputStream lz4 =
@@ -52,12 +52,12 @@
             FLG.Bits.CONTENT_CHECKSUM,
             FLG.Bits.BLOCK_CHECKSUM,
             FLG.Bits.BLOCK_INDEPENDENCE);
-    writeValue(lz4, Map.of("rev", records.rev(), "records", records.all().size()));
-    for (Map.Entry<String, Records.Item> entry : records.all().entrySet()) {
+    writeValue(lz4, Map.of("rev", records.revision(), "records", records.byKey().size()));
+    for (Map.Entry<String, StoredRecords.StoredValue> entry : records.byKey().entrySet()) {
       writeValue(
           lz4, Arrays.asList(entry.getKey(), entry.getValue().value(), entry.getValue().stamp()));
     }
-    writeValue(lz4, Map.of("end", records.all().size()));
+    writeValue(lz4, Map.of("end", records.byKey().size()));
     lz4.close();
   }
 
@@ -74,7 +74,7 @@
    *
    * @throws Damaged with the reason and the position in the file
    */
-  public static Records read(InputStream in) throws Damaged {
+  public static StoredRecords read(InputStream in) throws Damaged {
     int recordIndex = 0;
     String position = "the head";
     try {
@@ -95,7 +95,7 @@
       InputStream lz4 = new LZ4FrameInputStream(in, true);
       Document header = Document.of(readValue(lz4));
       long count = header.count("records");
-      TreeMap<String, Records.Item> byKey = new TreeMap<>();
+      TreeMap<String, StoredRecords.StoredValue> byKey = new TreeMap<>();
       for (; recordIndex < count; recordIndex++) {
         position = "record " + (recordIndex + 1) + " of " + count;
         if (!(readValue(lz4) instanceof List<?> fields)
@@ -104,7 +104,7 @@
             || !(fields.get(2) instanceof Long stamp)) {
           throw new Damaged(position + " is no key, value and stamp");
         }
-        if (byKey.put(key, new Records.Item(fields.get(1), stamp)) != null) {
+        if (byKey.put(key, new StoredRecords.StoredValue(fields.get(1), stamp)) != null) {
           throw new Damaged(position + ": " + key + " is there twice");
         }
       }
@@ -115,7 +115,7 @@
       if (in.read() >= 0) {
         throw new Damaged("bytes that belong to nothing at the end of the file");
       }
-      return new Records(header.count("rev"), byKey);
+      return new StoredRecords(header.count("rev"), byKey);
     } catch (EOFException e) {
       throw new Damaged("the file ends early, at " + position);
     } catch (IOException | RuntimeException | BadMessage e) {
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -33,11 +33,11 @@
 
   private static final double QUOTA_SUM_TOLERANCE = 1e-6;
 
-  private final Records records;
+  private final StoredRecords records;
   private final LevelRange supportedLevels;
   private final List<Finding> findings = new ArrayList<>();
 
-  private StateCheck(Records records, LevelRange supportedLevels) {
+  private StateCheck(StoredRecords records, LevelRange supportedLevels) {
     this.records = records;
     this.supportedLevels = supportedLevels;
   }
@@ -48,7 +48,7 @@
    * @param supportedLevels levels that the build in question supports
    * @return the findings: errors before notes, each sorted by key
    */
-  public static List<Finding> check(Records records, LevelRange supportedLevels) {
+  public static List<Finding> check(StoredRecords records, LevelRange supportedLevels) {
     StateCheck stateCheck = new StateCheck(records, supportedLevels);
     stateCheck.checkAll();
     List<Finding> sortedFindings = new ArrayList<>(stateCheck.findings);
@@ -66,11 +66,11 @@
 
   private void checkAll() {
     Tables tables = new Tables(List.of(), supportedLevels, () -> {});
-    tables.load(records.changes(), records.rev());
+    tables.load(records.toChanges(), records.revision());
     tables.unreadableRecords().forEach(this::addError);
     View view = tables.view();
     if (view == null) {
-      if (!records.all().isEmpty() && !tables.unreadableRecords().containsKey(View.KEY)) {
+      if (!records.byKey().isEmpty() && !tables.unreadableRecords().containsKey(View.KEY)) {
         addError(View.KEY, "is missing, and other records are there");
       }
     } else if (!supportedLevels.includes(view.level())) {
@@ -159,7 +159,7 @@
           NodeRegistry.CONVERTED_LEVEL_KEY,
           "tells of level " + tables.registry().convertedLevel() + ", which is not in force");
     }
-    for (Map.Entry<String, Records.Item> entry : records.all().entrySet()) {
+    for (Map.Entry<String, StoredRecords.StoredValue> entry : records.byKey().entrySet()) {
       try {
         boolean denseAllowed = view.isOpen(Gate.LIMITS) && Job.isChunkKey(entry.getKey());
         if (Encoding.versionOf(entry.getValue().value())
@@ -209,7 +209,7 @@
     }
     TreeSet<Integer> unregisteredNumbers = new TreeSet<>();
     for (Job job : tables.jobs()) {
-      if (records.all().containsKey(Job.terminalStateKey(job.id()))) {
+      if (records.byKey().containsKey(Job.terminalStateKey(job.id()))) {
         addError(
             job.key(),
             "is unfinished, and " + Job.terminalStateKey(job.id()) + " says that it is over");
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -61,7 +61,7 @@
               EXIT_BAD_INPUT, "--levels: " + requestedLevels + " is no range of levels, as 1-2 is");
         }
       }
-      Records records = Records.read(store);
+      StoredRecords records = StoredRecords.read(store);
       List<StateCheck.Finding> findings = StateCheck.check(records, supportedLevels);
       long errors = findings.stream().filter(StateCheck.Finding::error).count();
       if (jsonOutput) {
@@ -71,8 +71,8 @@
                 findingList.add(
                     Map.of("key", finding.key(), "error", finding.error(), "why", finding.why())));
         Map<String, Object> output = new LinkedHashMap<>();
-        output.put("revision", records.rev());
-        output.put("records", records.all().size());
+        output.put("revision", records.revision());
+        output.put("records", records.byKey().size());
         output.put("errors", errors);
         output.put("findings", findingList);
         printJson(output);
@@ -87,9 +87,9 @@
                             + finding.why()));
         out()
             .println(
-                records.all().size()
+                records.byKey().size()
                     + " records at revision "
-                    + records.rev()
+                    + records.revision()
                     + ": "
                     + errors
                     + " errors, "
@@ -108,7 +108,7 @@
 
     @Override
     int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
-      Records records = Records.read(store);
+      StoredRecords records = StoredRecords.read(store);
       Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
       try {
         // The snapshot is written under a temporary name and then moved: a failure never leaves an
@@ -130,9 +130,9 @@
         return fail(EXIT_BAD_FILE, "can't write " + file + ": " + e.getMessage());
       }
       if (jsonOutput) {
-        printJson(Map.of("revision", records.rev(), "records", records.all().size()));
+        printJson(Map.of("revision", records.revision(), "records", records.byKey().size()));
       } else {
-        out().println(records.all().size() + " records at revision " + records.rev());
+        out().println(records.byKey().size() + " records at revision " + records.revision());
       }
       return EXIT_OK;
     }
@@ -151,7 +151,7 @@
 
     @Override
     int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
-      Records records;
+      StoredRecords records;
       try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
         records = Snapshot.read(in);
       } catch (IOException e) {
@@ -164,9 +164,9 @@
             new StateServiceLimits(settings.stateLimits(), settings.nextLimits(), () -> true);
         int written = new Restore(store, limits).run(records);
         if (jsonOutput) {
-          printJson(Map.of("revision", records.rev(), "written", written));
+          printJson(Map.of("revision", records.revision(), "written", written));
         } else {
-          out().println(written + " records put back, as of revision " + records.rev());
+          out().println(written + " records put back, as of revision " + records.revision());
         }
         return EXIT_OK;
       } catch (Restore.Refused e) {
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/StoredRecords.java
@@ -14,17 +14,17 @@
 /**
  * All records of the stored state at one revision.
  *
- * @param rev revision of the state service
- * @param all the stored values with their stamps, by key
+ * @param revision revision of the state service
+ * @param byKey the stored values with their stamps, by key
  */
-public record Records(long rev, TreeMap<String, Item> all) {
+public record StoredRecords(long revision, TreeMap<String, StoredValue> byKey) {
   /**
    * The value stored under one key.
    *
    * @param value the decoded value
    * @param stamp revision of its last change
    */
-  public record Item(Object value, long stamp) {}
+  public record StoredValue(Object value, long stamp) {}
 
   private static final int ENTRIES_PER_PAGE = 400;
   private static final int MAX_READ_ATTEMPTS = 5;
@@ -36,9 +36,9 @@
    * @throws StateServiceCaller.UnavailableException if the state service is unavailable, or the stored state changes faster than
    *     it can be read
    */
-  public static Records read(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
+  public static StoredRecords read(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
     for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
-      Records records = tryRead(store);
+      StoredRecords records = tryRead(store);
       if (records != null) {
         return records;
       }
@@ -47,8 +47,8 @@
   }
 
   /** Returns null if the changes since the first page are no longer available (status 410). */
-  private static Records tryRead(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
-    TreeMap<String, Item> byKey = new TreeMap<>();
+  private static StoredRecords tryRead(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
+    TreeMap<String, StoredValue> byKey = new TreeMap<>();
     long firstRevision = Long.MAX_VALUE;
     String lastKey = null;
     try {
@@ -60,7 +60,7 @@
         firstRevision = Math.min(firstRevision, body.count("ledgerRev"));
         for (Document e : body.documents("entries")) {
           lastKey = e.text("key");
-          byKey.put(lastKey, new Item(e.raw("v"), e.count("stamp")));
+          byKey.put(lastKey, new StoredValue(e.raw("v"), e.count("stamp")));
         }
         hasMorePages = body.flag("truncated", false);
       }
@@ -88,10 +88,10 @@
         if (writtenKey == null) {
           byKey.remove(change.text("delete"));
         } else {
-          byKey.put(writtenKey, new Item(change.raw("v"), stamps.get(i)));
+          byKey.put(writtenKey, new StoredValue(change.raw("v"), stamps.get(i)));
         }
       }
-      return new Records(body.count("ledgerRev"), byKey);
+      return new StoredRecords(body.count("ledgerRev"), byKey);
     } catch (BadMessage e) {
       throw new StateServiceCaller.UnavailableException("the state service answers what can't be read: " + e.getMessage());
     }
@@ -105,9 +105,9 @@
   }
 
   /** Converts the records to changes, as {@link wickdrift.bookkeeping.Tables#load} takes them. */
-  public List<StateServiceClient.Change> changes() {
+  public List<StateServiceClient.Change> toChanges() {
     List<StateServiceClient.Change> changes = new ArrayList<>();
-    all.forEach(
+    byKey.forEach(
         (key, stored) ->
             changes.add(new StateServiceClient.Change(key, stored.value, stored.stamp)));
     return changes;
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -39,7 +39,7 @@
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.operator.LevelCommand;
-import wickdrift.operator.Records;
+import wickdrift.operator.StoredRecords;
 import wickdrift.operator.Restore;
 import wickdrift.operator.Snapshot;
 import wickdrift.operator.StateCheck;
@@ -81,7 +81,7 @@
     w.run(25_000);
   }
 
-  private static byte[] written(Records r) throws IOException {
+  private static byte[] written(StoredRecords r) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Snapshot.write(r, out);
     return out.toByteArray();
@@ -89,16 +89,16 @@
 
   // ---- what builds before wrote: the one before levels, and the one before jobs that await ----
 
-  private record Golden(long rev, TreeMap<String, Records.Item> all, String digest) {
+  private record Golden(long rev, TreeMap<String, StoredRecords.StoredValue> all, String digest) {
     static Golden read(String build) throws IOException, BadMessage {
       try (InputStream in =
               OperatorTest.class.getResourceAsStream("/golden/" + build + ".msgpack");
           InputStream text = OperatorTest.class.getResourceAsStream("/golden/" + build + ".txt")) {
         Document d = Document.parse(in.readAllBytes());
-        TreeMap<String, Records.Item> all = new TreeMap<>();
+        TreeMap<String, StoredRecords.StoredValue> all = new TreeMap<>();
         for (Object o : d.list("records")) {
           List<?> l = (List<?>) o;
-          all.put((String) l.get(0), new Records.Item(l.get(1), (Long) l.get(2)));
+          all.put((String) l.get(0), new StoredRecords.StoredValue(l.get(1), (Long) l.get(2)));
         }
         return new Golden(
             d.count("rev"), all, new String(text.readAllBytes(), StandardCharsets.UTF_8));
@@ -112,7 +112,7 @@
   void recordsOfTheBuildBeforeAreReadAsItReadThem(String build) throws Exception {
     Golden g = Golden.read(build);
     Tables t = new Tables(List.of("n0", "n1", "n2"), LevelRange.BUILD, () -> {});
-    t.load(new Records(g.rev, g.all).changes(), g.rev);
+    t.load(new StoredRecords(g.rev, g.all).toChanges(), g.rev);
     assertNull(t.blockedReason());
     StringBuilder b = new StringBuilder(SimWorld.digest(t));
     for (int n = 0; n < 3; n++) {
@@ -125,7 +125,7 @@
     assertEquals(g.digest, b.toString());
     assertEquals(
         0,
-        StateCheck.check(new Records(g.rev, g.all), LevelRange.BUILD).stream()
+        StateCheck.check(new StoredRecords(g.rev, g.all), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
   }
@@ -173,7 +173,7 @@
   @Test
   void belowTheLevelItWritesWhatTheBuildBeforeWrote() throws Exception {
     Map<String, Set<String>> before = new TreeMap<>();
-    for (Map.Entry<String, Records.Item> e : Golden.read("4175cec").all.entrySet()) {
+    for (Map.Entry<String, StoredRecords.StoredValue> e : Golden.read("4175cec").all.entrySet()) {
       shape(e.getKey(), e.getValue().value(), before);
     }
     SimWorld w = new SimWorld(502, 8, 30, "aab", 40);
@@ -225,10 +225,10 @@
           w.run(400);
           return store(w.state()).call(method, path, body);
         };
-    Records r = Records.read(slow);
-    Records now = Records.read(store(w.state()));
-    assertEquals(now.rev(), r.rev());
-    assertEquals(now.all(), r.all());
+    StoredRecords r = StoredRecords.read(slow);
+    StoredRecords now = StoredRecords.read(store(w.state()));
+    assertEquals(now.revision(), r.revision());
+    assertEquals(now.byKey(), r.byKey());
     assertEquals(r, Snapshot.read(new ByteArrayInputStream(written(r))));
   }
 
@@ -239,7 +239,7 @@
   @ParameterizedTest
   @org.junit.jupiter.params.provider.MethodSource("damages")
   void aDamagedSnapshotIsRefused(String damage) throws Exception {
-    byte[] b = written(Records.read(store(busy(512).state())));
+    byte[] b = written(StoredRecords.read(store(busy(512).state())));
     byte[] bad = b.clone();
     switch (damage) {
       case "first byte" -> bad[0]++;
@@ -261,7 +261,7 @@
   /** A restore that is interrupted at any step goes on; only a whole one lets controllers in. */
   @Test
   void aRestoreIsWholeOrLetsNobodyIn() throws Exception {
-    Records r = Records.read(store(busy(513).state()));
+    StoredRecords r = StoredRecords.read(store(busy(513).state()));
     int steps = 0;
     boolean whole = false;
     for (int stop = 0; !whole; stop++) {
@@ -302,9 +302,9 @@
     assertTrue(steps > 3, "steps " + steps);
   }
 
-  private static void goesOn(SimWorld w, Records r) throws BadMessage {
+  private static void goesOn(SimWorld w, StoredRecords r) throws BadMessage {
     int open = 0;
-    for (Map.Entry<String, Records.Item> e : r.all().entrySet()) {
+    for (Map.Entry<String, StoredRecords.StoredValue> e : r.byKey().entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue().value()).raw("spec"));
         w.users.describe(new TreeMap<>(spec.fieldsExcept()));
@@ -341,7 +341,7 @@
     StateServiceCaller store = store(w.state());
     assertEquals(
         0,
-        StateCheck.check(Records.read(store), LevelRange.BUILD).stream()
+        StateCheck.check(StoredRecords.read(store), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
     Map<String, Object> v = new TreeMap<>();
@@ -352,7 +352,7 @@
     v.put("phase", "done");
     v.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
     w.state().force(key, Encoding.wrap(form, v));
-    List<StateCheck.Finding> found = StateCheck.check(Records.read(store), LevelRange.BUILD);
+    List<StateCheck.Finding> found = StateCheck.check(StoredRecords.read(store), LevelRange.BUILD);
     assertTrue(found.stream().anyMatch(f -> f.error() && f.why().contains(why)), found.toString());
   }
 
@@ -360,7 +360,7 @@
   @Test
   void aBuildOfFewerLevelsIsToldSo() throws Exception {
     List<StateCheck.Finding> found =
-        StateCheck.check(Records.read(store(busy(522).state())), LevelRange.FIRST);
+        StateCheck.check(StoredRecords.read(store(busy(522).state())), LevelRange.FIRST);
     assertTrue(found.get(0).error() && found.get(0).why().contains("this build speaks 1 to 1"));
   }
 
