--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -28,10 +28,10 @@
  */
 public final class Restore {
   /** The snapshot can't be restored into this store, or not by this build. */
-  public static final class Refused extends Exception {
+  public static final class RestoreRefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Refused(String message) {
+    RestoreRefusedException(String message) {
       super(message);
     }
   }
@@ -65,18 +65,18 @@
    * Restores the snapshot, or continues a restore of the same snapshot that was interrupted.
    *
    * @return the number of records that the restored state consists of
-   * @throws Refused if the store is not empty or is written to by others, or if this build can't
+   * @throws RestoreRefusedException if the store is not empty or is written to by others, or if this build can't
    *     read the snapshot
    * @throws StateServiceCaller.UnavailableException if the state service is unavailable
    */
-  public int run(StoredRecords snapshot) throws Refused, StateServiceCaller.UnavailableException {
+  public int run(StoredRecords snapshot) throws RestoreRefusedException, StateServiceCaller.UnavailableException {
     Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
     String restoreMarker = "restoring " + snapshot.revision() + "/" + snapshot.byKey().hashCode();
     StoredRecords existing = StoredRecords.read(store);
     StoredRecords.StoredValue existingView = existing.byKey().get(View.KEY);
     if (existingView == null && !existing.byKey().isEmpty()
         || existingView != null && !restoreMarker.equals(existingView.value())) {
-      throw new Refused(
+      throw new RestoreRefusedException(
           "the store is not empty: it holds "
               + existing.byKey().size()
               + " records, as "
@@ -85,7 +85,7 @@
     if (existingView == null
         && !StoredRecords.commit(
             store, new Transaction().requireStamp(View.KEY, 0).write(View.KEY, restoreMarker))) {
-      throw new Refused("the store has just been written to by another");
+      throw new RestoreRefusedException("the store has just been written to by another");
     }
     Object restoredView = plannedWrites.remove(View.KEY);
     Transaction transaction = new Transaction();
@@ -110,7 +110,7 @@
     for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
       StoredRecords.StoredValue stored = reread.byKey().get(planned.getKey());
       if (stored == null || !equalAsStored(stored.value(), planned.getValue())) {
-        throw new Refused(planned.getKey() + " is not what was written: someone else writes there");
+        throw new RestoreRefusedException(planned.getKey() + " is not what was written: someone else writes there");
       }
     }
     Transaction finalTransaction =
@@ -120,23 +120,23 @@
         restoredView == null
             ? finalTransaction.delete(View.KEY)
             : finalTransaction.write(View.KEY, restoredView))) {
-      throw new Refused("the store was written to by another at the end");
+      throw new RestoreRefusedException("the store was written to by another at the end");
     }
     return plannedWrites.size() + (restoredView == null ? 0 : 1);
   }
 
-  private void commitOrRefuse(Transaction transaction) throws Refused, StateServiceCaller.UnavailableException {
+  private void commitOrRefuse(Transaction transaction) throws RestoreRefusedException, StateServiceCaller.UnavailableException {
     if (!StoredRecords.commit(store, transaction)) {
-      throw new Refused("someone else writes to the store");
+      throw new RestoreRefusedException("someone else writes to the store");
     }
   }
 
   /** Returns the values to write by key, including the final view. */
-  static Map<String, Object> planWrites(StoredRecords snapshot, int targetValueBytes) throws Refused {
+  static Map<String, Object> planWrites(StoredRecords snapshot, int targetValueBytes) throws RestoreRefusedException {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     tables.load(snapshot.toChanges(), snapshot.revision());
     if (tables.blockedReason() != null) {
-      throw new Refused("this build can't put it back: " + tables.blockedReason());
+      throw new RestoreRefusedException("this build can't put it back: " + tables.blockedReason());
     }
     Map<String, Object> writes = new LinkedHashMap<>();
     for (Map.Entry<String, StoredRecords.StoredValue> entry : snapshot.byKey().entrySet()) {
--- a/src/main/java/wickdrift/operator/Snapshot.java
+++ b/src/main/java/wickdrift/operator/Snapshot.java
@@ -27,10 +27,10 @@
  */
 public final class Snapshot {
   /** The file is not a complete snapshot of a format version that this build reads. */
-  public static final class Damaged extends Exception {
+  public static final class CorruptSnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Damaged(String message) {
+    CorruptSnapshotException(String message) {
       super(message);
     }
   }
@@ -72,19 +72,19 @@
   /**
    * Reads and verifies a whole snapshot.
    *
-   * @throws Damaged with the reason and the position in the file
+   * @throws CorruptSnapshotException with the reason and the position in the file
    */
-  public static StoredRecords read(InputStream in) throws Damaged {
+  public static StoredRecords read(InputStream in) throws CorruptSnapshotException {
     int recordIndex = 0;
     String position = "the head";
     try {
       byte[] magic = in.readNBytes(MAGIC.length);
       if (!Arrays.equals(magic, MAGIC)) {
-        throw new Damaged("this is no snapshot: its first bytes are others");
+        throw new CorruptSnapshotException("this is no snapshot: its first bytes are others");
       }
       int formatVersion = in.read();
       if (formatVersion != FORMAT_VERSION) {
-        throw new Damaged(
+        throw new CorruptSnapshotException(
             "form "
                 + formatVersion
                 + " of a snapshot is unknown here, only "
@@ -102,24 +102,24 @@
             || fields.size() != 3
             || !(fields.get(0) instanceof String key)
             || !(fields.get(2) instanceof Long stamp)) {
-          throw new Damaged(position + " is no key, value and stamp");
+          throw new CorruptSnapshotException(position + " is no key, value and stamp");
         }
         if (byKey.put(key, new StoredRecords.StoredValue(fields.get(1), stamp)) != null) {
-          throw new Damaged(position + ": " + key + " is there twice");
+          throw new CorruptSnapshotException(position + ": " + key + " is there twice");
         }
       }
       position = "the end";
       if (Document.of(readValue(lz4)).count("end") != count || lz4.read() >= 0) {
-        throw new Damaged("the end does not say " + count + " records");
+        throw new CorruptSnapshotException("the end does not say " + count + " records");
       }
       if (in.read() >= 0) {
-        throw new Damaged("bytes that belong to nothing at the end of the file");
+        throw new CorruptSnapshotException("bytes that belong to nothing at the end of the file");
       }
       return new StoredRecords(header.count("rev"), byKey);
     } catch (EOFException e) {
-      throw new Damaged("the file ends early, at " + position);
+      throw new CorruptSnapshotException("the file ends early, at " + position);
     } catch (IOException | RuntimeException | BadMessage e) {
-      throw new Damaged("damaged at " + position + ": " + e.getMessage());
+      throw new CorruptSnapshotException("damaged at " + position + ": " + e.getMessage());
     }
   }
 
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -156,7 +156,7 @@
         records = Snapshot.read(in);
       } catch (IOException e) {
         return fail(EXIT_BAD_FILE, "can't read " + file + ": " + e);
-      } catch (Snapshot.Damaged e) {
+      } catch (Snapshot.CorruptSnapshotException e) {
         return fail(EXIT_BAD_FILE, file + ": " + e.getMessage());
       }
       try {
@@ -169,7 +169,7 @@
           out().println(written + " records put back, as of revision " + records.revision());
         }
         return EXIT_OK;
-      } catch (Restore.Refused e) {
+      } catch (Restore.RestoreRefusedException e) {
         return fail(EXIT_FINDINGS_OR_REFUSED, e.getMessage());
       }
     }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -251,8 +251,8 @@
       default -> bad = Arrays.copyOf(b, b.length + 5);
     }
     byte[] file = bad;
-    Snapshot.Damaged e =
-        assertThrows(Snapshot.Damaged.class, () -> Snapshot.read(new ByteArrayInputStream(file)));
+    Snapshot.CorruptSnapshotException e =
+        assertThrows(Snapshot.CorruptSnapshotException.class, () -> Snapshot.read(new ByteArrayInputStream(file)));
     String wanted =
         damage.equals("form") ? "form 9" : damage.equals("first byte") ? "no snapshot" : " at ";
     assertTrue(e.getMessage().contains(wanted), e.getMessage());
@@ -289,7 +289,7 @@
         }
         new Restore(store(w.state()), w.limits()).run(r);
       }
-      assertThrows(Restore.Refused.class, () -> new Restore(store(w.state()), w.limits()).run(r));
+      assertThrows(Restore.RestoreRefusedException.class, () -> new Restore(store(w.state()), w.limits()).run(r));
       for (String key : w.state().keys()) {
         if (Job.isChunkKey(key)) {
           // What ran has ended with its worker's lease.
