--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -26,10 +26,10 @@
   /**
    * One finding about a record.
    *
-   * @param error whether it is an error; otherwise it is a note about something that the
+   * @param isError whether it is an error; otherwise it is a note about something that the
    *     controllers repair by themselves
    */
-  public record Finding(String key, boolean error, String why) {}
+  public record Finding(String key, boolean isError, String reason) {}
 
   private static final double QUOTA_SUM_TOLERANCE = 1e-6;
 
@@ -52,7 +52,7 @@
     StateCheck stateCheck = new StateCheck(records, supportedLevels);
     stateCheck.checkAll();
     List<Finding> sortedFindings = new ArrayList<>(stateCheck.findings);
-    sortedFindings.sort((a, b) -> a.error != b.error ? (a.error ? -1 : 1) : a.key.compareTo(b.key));
+    sortedFindings.sort((a, b) -> a.isError != b.isError ? (a.isError ? -1 : 1) : a.key.compareTo(b.key));
     return sortedFindings;
   }
 
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -63,13 +63,13 @@
       }
       StoredRecords records = StoredRecords.read(store);
       List<StateCheck.Finding> findings = StateCheck.check(records, supportedLevels);
-      long errors = findings.stream().filter(StateCheck.Finding::error).count();
+      long errors = findings.stream().filter(StateCheck.Finding::isError).count();
       if (jsonOutput) {
         List<Object> findingList = new ArrayList<>();
         findings.forEach(
             finding ->
                 findingList.add(
-                    Map.of("key", finding.key(), "error", finding.error(), "why", finding.why())));
+                    Map.of("key", finding.key(), "error", finding.isError(), "why", finding.reason())));
         Map<String, Object> output = new LinkedHashMap<>();
         output.put("revision", records.revision());
         output.put("records", records.byKey().size());
@@ -81,10 +81,10 @@
             finding ->
                 out()
                     .println(
-                        (finding.error() ? "error  " : "note   ")
+                        (finding.isError() ? "error  " : "note   ")
                             + finding.key()
                             + "  "
-                            + finding.why()));
+                            + finding.reason()));
         out()
             .println(
                 records.byKey().size()
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -126,7 +126,7 @@
     assertEquals(
         0,
         StateCheck.check(new StoredRecords(g.rev, g.all), LevelRange.BUILD).stream()
-            .filter(StateCheck.Finding::error)
+            .filter(StateCheck.Finding::isError)
             .count());
   }
 
@@ -342,7 +342,7 @@
     assertEquals(
         0,
         StateCheck.check(StoredRecords.read(store), LevelRange.BUILD).stream()
-            .filter(StateCheck.Finding::error)
+            .filter(StateCheck.Finding::isError)
             .count());
     Map<String, Object> v = new TreeMap<>();
     v.put("name", "n1");
@@ -353,7 +353,7 @@
     v.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
     w.state().force(key, Encoding.wrap(form, v));
     List<StateCheck.Finding> found = StateCheck.check(StoredRecords.read(store), LevelRange.BUILD);
-    assertTrue(found.stream().anyMatch(f -> f.error() && f.why().contains(why)), found.toString());
+    assertTrue(found.stream().anyMatch(f -> f.isError() && f.reason().contains(why)), found.toString());
   }
 
   /** A build of fewer levels is told that it can't read what this one wrote. */
@@ -361,7 +361,7 @@
   void aBuildOfFewerLevelsIsToldSo() throws Exception {
     List<StateCheck.Finding> found =
         StateCheck.check(StoredRecords.read(store(busy(522).state())), LevelRange.FIRST);
-    assertTrue(found.get(0).error() && found.get(0).why().contains("this build speaks 1 to 1"));
+    assertTrue(found.get(0).isError() && found.get(0).reason().contains("this build speaks 1 to 1"));
   }
 
   // ---- the command line, over real sockets ----
