--- a/src/main/java/wickdrift/lab/Day.java
+++ b/src/main/java/wickdrift/lab/Day.java
@@ -47,8 +47,8 @@
   }
 
   /** Returns the day for a site, in the form of the days of a site file. */
-  Config on(Config site) throws InvalidInputException {
-    Config day = Toml.copy(spec);
+  Config resolveFor(Config site) throws InvalidInputException {
+    Config day = Toml.deepCopy(spec);
     if (!day.contains("slot")) {
       day.set("slot", "scale");
     }
@@ -60,7 +60,7 @@
     }
     List<Config> faults = new ArrayList<>();
     for (Config faultSpec : Toml.tables(spec, "faults")) {
-      Config fault = Toml.copy(faultSpec);
+      Config fault = Toml.deepCopy(faultSpec);
       String location = "day " + name + ", fault " + faultSpec.get("kind");
       double firstAtS =
           faultSpec.contains("at")
@@ -80,7 +80,7 @@
         fault.remove("every_s");
       }
       for (int occurrenceIndex = 0; occurrenceIndex < times; occurrenceIndex++) {
-        Config occurrence = Toml.copy(fault);
+        Config occurrence = Toml.deepCopy(fault);
         occurrence.set(
             "at_s", Math.round((firstAtS + occurrenceIndex * intervalS) * 1000) / 1000.0);
         faults.add(occurrence);
@@ -90,7 +90,7 @@
     day.set("faults", faults);
     List<Config> jobs = new ArrayList<>();
     for (Config jobSpec : Toml.tables(spec, "jobs")) {
-      Config job = Toml.copy(jobSpec);
+      Config job = Toml.deepCopy(jobSpec);
       String jobsLocation = "day " + name + ", jobs";
       job.set(
           "name", className(Toml.requireText(jobSpec, "name", jobsLocation), site, jobsLocation));
--- a/src/main/java/wickdrift/lab/Toml.java
+++ b/src/main/java/wickdrift/lab/Toml.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns a deep copy. */
-  static Config copy(Config config) {
+  static Config deepCopy(Config config) {
     Config copy = newConfig();
     for (Config.Entry entry : config.entrySet()) {
       copy.set(List.of(entry.getKey()), copyValue(entry.getValue()));
@@ -50,7 +50,7 @@
 
   private static Object copyValue(Object value) {
     if (value instanceof Config config) {
-      return copy(config);
+      return deepCopy(config);
     }
     if (value instanceof List<?> list) {
       List<Object> copy = new ArrayList<>();
--- a/src/main/java/wickdrift/lab/Variant.java
+++ b/src/main/java/wickdrift/lab/Variant.java
@@ -77,7 +77,7 @@
   }
 
   /** Changes a site in place according to this description. */
-  void apply(Config site) throws InvalidInputException {
+  void applyTo(Config site) throws InvalidInputException {
     double machines = factor("machines", 1);
     double load = factor("load", 1);
     double limits = factor("limits", 1);
@@ -159,7 +159,7 @@
           || !(job.get("tasks") instanceof Config tasks)) {
         continue;
       }
-      Config largestClass = Toml.copy(job);
+      Config largestClass = Toml.deepCopy(job);
       String largestName = job.<String>get("name") + LARGEST_SUFFIX;
       largestClass.set("name", largestName);
       largestClass.remove("initial");
@@ -258,7 +258,7 @@
       if (rows.isEmpty()) {
         continue;
       }
-      Config zoneRow = Toml.copy(rows.get(rows.size() - 1));
+      Config zoneRow = Toml.deepCopy(rows.get(rows.size() - 1));
       zoneRow.set("zone", zone);
       for (String field : List.of("count", "spot")) {
         long sum = 0;
--- a/src/main/java/wickdrift/lab/VariantCommand.java
+++ b/src/main/java/wickdrift/lab/VariantCommand.java
@@ -57,7 +57,7 @@
       }
       Config site = Toml.load(siteFile);
       String siteName = Toml.requireText(site, "name", siteFile.toString()) + "-" + variant.name();
-      variant.apply(site);
+      variant.applyTo(site);
       site.set("name", siteName);
       Path daysDir = outputDir.resolve(siteName + ".days");
       Files.createDirectories(daysDir);
@@ -71,7 +71,7 @@
       }
       for (Config dayTable : Toml.tables(description, "day")) {
         Day day = new Day(dayTable);
-        Files.writeString(daysDir.resolve(day.name() + ".toml"), Toml.serialize(day.on(site)));
+        Files.writeString(daysDir.resolve(day.name() + ".toml"), Toml.serialize(day.resolveFor(site)));
       }
     }
   }
--- a/src/test/java/wickdrift/lab/VariantTest.java
+++ b/src/test/java/wickdrift/lab/VariantTest.java
@@ -66,8 +66,8 @@
   }
 
   private static Config site(String variant) throws InvalidInputException {
-    Config site = Toml.copy(parse(SITE));
-    new Variant(parse("name = \"v\"\n" + variant)).apply(site);
+    Config site = Toml.deepCopy(parse(SITE));
+    new Variant(parse("name = \"v\"\n" + variant)).applyTo(site);
     return site;
   }
 
@@ -155,7 +155,7 @@
   @ParameterizedTest
   @MethodSource("faults")
   void putsADayOnASite(String fault, String field, String value) throws InvalidInputException {
-    Config day = new Day(parse("name = \"d\"\nfaults = [{" + fault + "}]")).on(parse(SITE));
+    Config day = new Day(parse("name = \"d\"\nfaults = [{" + fault + "}]")).resolveFor(parse(SITE));
     assertEquals(value, at(day, "faults/0/" + field));
   }
 
@@ -165,7 +165,7 @@
   void aDayChangesClasses(String name) throws InvalidInputException {
     Config day =
         new Day(parse("name = \"d\"\njobs = [{name = \"" + name + "\", cancelled = 0.8}]"))
-            .on(parse(SITE));
+            .resolveFor(parse(SITE));
     assertEquals("c 0.8", at(day, "jobs/0/name") + " " + at(day, "jobs/0/cancelled"));
   }
 
@@ -174,7 +174,7 @@
     InvalidInputException e =
         assertThrows(
             InvalidInputException.class,
-            () -> new Day(parse("name = \"d\"\njobs = [{name = \"x\"}]")).on(parse(SITE)));
+            () -> new Day(parse("name = \"d\"\njobs = [{name = \"x\"}]")).resolveFor(parse(SITE)));
     assertEquals("day d, jobs: the site has no jobs of name x", e.getMessage());
   }
 
@@ -186,7 +186,7 @@
                     "name = \"d\"\nfaults = ["
                         + "{at_s = 9.0, kind = \"a\", times = 3, every_s = 2.0},"
                         + "{at_s = 10.0, kind = \"b\"}]"))
-            .on(parse(SITE));
+            .resolveFor(parse(SITE));
     List<String> times =
         Toml.tables(day, "faults").stream().map(f -> f.get("kind") + "@" + f.get("at_s")).toList();
     assertEquals(List.of("a@9.0", "b@10.0", "a@11.0", "a@13.0"), times);
@@ -199,7 +199,7 @@
     InvalidInputException e =
         assertThrows(
             InvalidInputException.class,
-            () -> new Day(parse("name = \"d\"\nfaults = [{" + fault + "}]")).on(parse(SITE)));
+            () -> new Day(parse("name = \"d\"\nfaults = [{" + fault + "}]")).resolveFor(parse(SITE)));
     assertEquals("day d, fault zone_cut: the site has no zone " + zone, e.getMessage());
   }
 
@@ -212,7 +212,7 @@
                 new Day(
                         parse(
                             "name=\"d\"\nfaults=[{at_s=1.0,kind=\"job_burst\",class=\"@array\"}]"))
-                    .on(parse(SITE)));
+                    .resolveFor(parse(SITE)));
     assertEquals("day d, fault job_burst: the site has no jobs of kind array", e.getMessage());
   }
 }
