--- a/src/test/java/wickdrift/sim/ControllerProcess.java
+++ b/src/test/java/wickdrift/sim/ControllerProcess.java
@@ -8,11 +8,11 @@
 
 /** A real controller process, with its settings file and its log. */
 final class ControllerProcess {
-  private static final int END_S = 8;
-  private static final int SIGNAL_S = 5;
+  private static final int EXIT_TIMEOUT_S = 8;
+  private static final int SIGNAL_TIMEOUT_S = 5;
 
   /** As the deployment's own, so that what is tested is what runs. */
-  private static final List<String> JVM =
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-Xms24m",
           "-Xmx112m",
@@ -37,7 +37,7 @@
   static ControllerProcess start(Path jar, Path settings, Path log) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(JVM);
+    command.addAll(JVM_FLAGS);
     command.addAll(List.of("-jar", jar.toString(), "serve", "--config", settings.toString()));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("LOG_LEVEL", "info");
@@ -57,7 +57,7 @@
     } else {
       process.destroyForcibly();
     }
-    if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+    if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
       throw new IllegalStateException("process " + process.pid() + " does not end");
     }
   }
@@ -78,6 +78,6 @@
 
   private void signal(String signal) throws IOException, InterruptedException {
     Process kill = new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
-    kill.waitFor(SIGNAL_S, TimeUnit.SECONDS);
+    kill.waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS);
   }
 }
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -16,46 +16,53 @@
 
 /** Loads a fleet as a controller does at its start, and again on top as after a long standstill. */
 final class Hold {
-  private static final int JOBS = 1000;
+  private static final int JOB_COUNT = 1000;
 
   private Hold() {}
 
   public static void main(String[] args) throws Exception {
     int machines = Integer.parseInt(args[0]);
     int tasks = Integer.parseInt(args[1]);
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    t.load(store(machines, tasks), 10);
-    t.reset();
-    t.load(store(machines, tasks), 20);
-    int live = t.jobs().stream().mapToInt(Job::liveCount).sum();
-    if (live != tasks || t.machines().size() != machines) {
-      throw new IllegalStateException(live + " tasks on " + t.machines().size());
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    tables.load(storedRecords(machines, tasks), 10);
+    tables.reset();
+    tables.load(storedRecords(machines, tasks), 20);
+    int liveTasks = tables.jobs().stream().mapToInt(Job::liveCount).sum();
+    if (liveTasks != tasks || tables.machines().size() != machines) {
+      throw new IllegalStateException(liveTasks + " tasks on " + tables.machines().size());
     }
     System.gc();
-    long used = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    System.out.println("held in " + used / 1024 / 1024 + " MB");
+    long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+    System.out.println("held in " + usedBytes / 1024 / 1024 + " MB");
   }
 
   /** What is read: shelves of machines, jobs, chunks; one job has half of the tasks. */
-  private static List<StateServiceClient.Change> store(int machines, int tasks) throws Exception {
-    List<StateServiceClient.Change> all = new ArrayList<>();
-    for (int s = 0; s < machines / 10; s++) {
-      List<Object> shelf = new ArrayList<>();
+  private static List<StateServiceClient.Change> storedRecords(int machines, int tasks)
+      throws Exception {
+    List<StateServiceClient.Change> records = new ArrayList<>();
+    for (int bucket = 0; bucket < machines / 10; bucket++) {
+      List<Object> bucketMachines = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         String zone = i % 2 == 0 ? "zone-a" : "zone-b";
-        shelf.add(
+        bucketMachines.add(
             LogEntry.machine(
-                name(10 * s + i),
+                name(10 * bucket + i),
                 new Machine.Info("type", zone, false, Machine.Phase.UP, 1_790_000_000_000L)));
       }
-      put(all, "w/h/" + Machine.archiveBucketOf(name(10 * s)), Map.of("rev", 5L, "m", shelf));
+      put(
+          records,
+          "w/h/" + Machine.archiveBucketOf(name(10 * bucket)),
+          Map.of("rev", 5L, "m", bucketMachines));
     }
-    int next = 0;
-    for (int j = 0; j < JOBS; j++) {
-      int size = j == 0 ? tasks / 2 : j < JOBS - 1 ? tasks / 2 / (JOBS - 1) : tasks - next;
-      Map<String, Object> job = SimJobs.job(j, "batch", size, 1, 60);
+    int firstTask = 0;
+    for (int jobIndex = 0; jobIndex < JOB_COUNT; jobIndex++) {
+      int size =
+          jobIndex == 0
+              ? tasks / 2
+              : jobIndex < JOB_COUNT - 1 ? tasks / 2 / (JOB_COUNT - 1) : tasks - firstTask;
+      Map<String, Object> job = SimJobs.job(jobIndex, "batch", size, 1, 60);
       put(
-          all,
+          records,
           Job.key((String) job.get("ref")),
           Job.toStore(
               JobSpec.parse(Document.parse(MessageCodec.encode(job))),
@@ -63,31 +70,32 @@
               1_790_000_000_000L,
               "n0",
               0));
-      for (int c = 0; c * Job.TASKS_PER_CHUNK < size; c++) {
+      for (int chunkIndex = 0; chunkIndex * Job.TASKS_PER_CHUNK < size; chunkIndex++) {
         List<Object> live = new ArrayList<>();
-        for (int i = c * Job.TASKS_PER_CHUNK;
-            i < Math.min(size, (c + 1) * Job.TASKS_PER_CHUNK);
+        for (int i = chunkIndex * Job.TASKS_PER_CHUNK;
+            i < Math.min(size, (chunkIndex + 1) * Job.TASKS_PER_CHUNK);
             i++) {
-          live.add(List.of(i, 1, name((next + i) % machines), j % 5, 0));
+          live.add(List.of(i, 1, name((firstTask + i) % machines), jobIndex % 5, 0));
         }
         Map<String, Object> chunk = new LinkedHashMap<>();
         chunk.put("rev", 5L);
         chunk.put("done", List.of());
         chunk.put("live", live);
         chunk.put("tried", List.of());
-        put(all, "w/t/" + job.get("ref") + "/" + c, chunk);
+        put(records, "w/t/" + job.get("ref") + "/" + chunkIndex, chunk);
       }
-      next += size;
+      firstTask += size;
     }
-    return all;
+    return records;
   }
 
   private static String name(int i) {
     return String.format("i-%06d", i);
   }
 
-  private static void put(List<StateServiceClient.Change> all, String key, Object value)
+  private static void put(List<StateServiceClient.Change> records, String key, Object value)
       throws Exception {
-    all.add(new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
+    records.add(
+        new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), 7));
   }
 }
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -25,29 +25,29 @@
  */
 public final class Loopback {
   private static final int NODES = 3;
-  private static final long STEP_MS = 9000;
+  private static final long ROLLOUT_STEP_MS = 9000;
 
   /** The first job of the chains. */
-  private static final int CHAINS = 2000;
+  private static final int FIRST_DEPENDENT_JOB = 2000;
 
-  private static final List<String> NAMES = List.of("n0", "n1", "n2");
+  private static final List<String> NODE_NAMES = List.of("n0", "n1", "n2");
 
   private final LoopbackStage stage;
   private final SimWorld world;
-  private final Map<String, Integer> seenOn = new HashMap<>();
-  private double lostReplicaS;
-  private double replicaS;
-  private int kills;
+  private final Map<String, Integer> startedReplicas = new HashMap<>();
+  private double replicaDownS;
+  private double replicaObservedS;
+  private int killCount;
 
   private Loopback(Path dir) throws Exception {
     stage = new LoopbackStage(new SimSetup(7, 10, 30).controllers("aab"), dir);
     world = stage.world;
-    world.next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 40.0";
+    world.nextLimitsToml = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 40.0";
     stage.awaitPorts();
   }
 
-  private <T> T ask(Supplier<T> what) throws Exception {
-    return stage.ask(what);
+  private <T> T callOnLoop(Supplier<T> action) throws Exception {
+    return stage.ask(action);
   }
 
   // ---- processes ----
@@ -56,230 +56,239 @@
     stage.start(node, jar);
   }
 
-  private void end(String node, boolean orderly) throws Exception {
-    long at = System.nanoTime();
-    kills += orderly ? 0 : 1;
+  private void stop(String node, boolean orderly) throws Exception {
+    long startNs = System.nanoTime();
+    killCount += orderly ? 0 : 1;
     stage.process(node).end(orderly);
-    say(
+    print(
         "%s %s after %d ms",
-        node, orderly ? "ended" : "killed", (System.nanoTime() - at) / 1_000_000);
+        node, orderly ? "ended" : "killed", (System.nanoTime() - startNs) / 1_000_000);
   }
 
   private void replace(String node, Path jar, boolean orderly) throws Exception {
-    end(node, orderly);
+    stop(node, orderly);
     start(node, jar);
-    rest(STEP_MS);
-    say("%s runs %s; level %d", node, jar.getFileName(), level());
+    sleep(ROLLOUT_STEP_MS);
+    print("%s runs %s; level %d", node, jar.getFileName(), level());
   }
 
-  private static void say(String form, Object... of) {
-    System.out.printf(form + "%n", of);
+  private static void print(String format, Object... arguments) {
+    System.out.printf(format + "%n", arguments);
   }
 
-  private void rest(long ms) throws InterruptedException {
+  private void sleep(long ms) throws InterruptedException {
     Thread.sleep(ms);
   }
 
   private int level() throws Exception {
-    return ask(() -> stage.stored().level());
+    return callOnLoop(() -> stage.stored().level());
   }
 
   // ---- load and what is measured ----
 
-  private void load(int jobs, long forMs) throws Exception {
-    ask(
+  private void submitLoad(int jobs, long spanMs) throws Exception {
+    callOnLoop(
         () -> {
           for (int i = 0; i < jobs; i++) {
-            int n = i;
+            int number = i;
             String shape = i < 8 ? "daemon" : i % 3 == 0 ? "ensemble" : "batch";
             world.clock.after(
-                i < 8 ? 0 : (long) (forMs * (double) i / jobs),
+                i < 8 ? 0 : (long) (spanMs * (double) i / jobs),
                 () ->
-                    world.users.submit(SimJobs.job(n, shape, 1 + n % 3, 1 + n % 2, 2 + n % 12), 0));
+                    world.users.submit(
+                        SimJobs.job(number, shape, 1 + number % 3, 1 + number % 2, 2 + number % 12),
+                        0));
           }
-          watchReplicas();
+          observeReplicas();
           return null;
         });
   }
 
   /** Replicas that were up and are not: what a rollout may not cost. */
-  private void watchReplicas() {
-    world.clock.after(250, this::watchReplicas);
+  private void observeReplicas() {
+    world.clock.after(250, this::observeReplicas);
     for (int j = 0; j < 8; j++) {
       for (int i = 0; i < 1 + j % 3; i++) {
         String task = String.format("req-%06d/%d", j, i);
         boolean on = world.rules.isOn(task);
-        if (on || seenOn.containsKey(task)) {
-          seenOn.put(task, 1);
-          replicaS += 0.25;
-          lostReplicaS += on ? 0 : 0.25;
+        if (on || startedReplicas.containsKey(task)) {
+          startedReplicas.put(task, 1);
+          replicaObservedS += 0.25;
+          replicaDownS += on ? 0 : 0.25;
         }
       }
     }
   }
 
-  private int status(String node, String method, String path, byte[] body) throws Exception {
-    CompletableFuture<Answer> got = new CompletableFuture<>();
+  private int requestStatus(String node, String method, String path, byte[] body) throws Exception {
+    CompletableFuture<Answer> answer = new CompletableFuture<>();
     stage.loop.run(
-        () -> world.net.outside.get(node).call(node, method, path, body, 3000, got::complete));
-    return got.get(5, TimeUnit.SECONDS).status();
+        () ->
+            world
+                .net
+                .processCallers
+                .get(node)
+                .call(node, method, path, body, 3000, answer::complete));
+    return answer.get(5, TimeUnit.SECONDS).status();
   }
 
-  private boolean done(int jobs) throws Exception {
+  private boolean areJobsDone(int jobs) throws Exception {
     for (int i = 8; i < jobs; i++) {
       String id = String.format("req-%06d", i);
-      if (!"done".equals(ask(() -> world.lastTold(id)))) {
-        say("not done: %s is %s", id, ask(() -> world.lastTold(id)));
+      if (!"done".equals(callOnLoop(() -> world.lastTold(id)))) {
+        print("not done: %s is %s", id, callOnLoop(() -> world.lastTold(id)));
         return false;
       }
     }
     return true;
   }
 
-  private boolean play(Path old, Path next, boolean same) throws Exception {
+  private boolean runRollout(Path olderJar, Path newerJar, boolean newerOnly) throws Exception {
     int jobs = 160;
-    for (String n : NAMES) {
-      start(n, same ? next : old);
+    for (String n : NODE_NAMES) {
+      start(n, newerOnly ? newerJar : olderJar);
     }
-    rest(5000);
-    load(jobs, same ? 60_000 : 150_000);
-    rest(8000);
-    List<String> wrong = new ArrayList<>();
-    if (same) {
-      for (String n : NAMES) {
-        replace(n, next, true);
+    sleep(5000);
+    submitLoad(jobs, newerOnly ? 60_000 : 150_000);
+    sleep(8000);
+    List<String> violations = new ArrayList<>();
+    if (newerOnly) {
+      for (String n : NODE_NAMES) {
+        replace(n, newerJar, true);
       }
     } else {
-      replace("n0", next, false);
-      replace("n2", next, true);
-      replace("n2", old, true);
-      replace("n0", old, true);
-      replace("n1", next, true);
-      end("n2", false);
-      start("n2", old);
-      rest(STEP_MS);
-      replace("n0", next, true);
+      replace("n0", newerJar, false);
+      replace("n2", newerJar, true);
+      replace("n2", olderJar, true);
+      replace("n0", olderJar, true);
+      replace("n1", newerJar, true);
+      stop("n2", false);
+      start("n2", olderJar);
+      sleep(ROLLOUT_STEP_MS);
+      replace("n0", newerJar, true);
       if (level() == LevelRange.BUILD.max()) {
-        wrong.add("the level rose while n2 ran the older build");
+        violations.add("the level rose while n2 ran the older build");
       }
-      replace("n2", next, false);
+      replace("n2", newerJar, false);
       if (level() != LevelRange.BUILD.max()) {
-        wrong.add("the level did not rise");
+        violations.add("the level did not rise");
       }
-      pipelines();
-      keptOut(old, next, wrong);
-      replace("n1", next, false);
+      lowerLimitsAndSubmitDependentJobs();
+      verifyOlderBuildStaysOutside(olderJar, newerJar, violations);
+      replace("n1", newerJar, false);
     }
-    rest(30_000);
-    for (int i = 0; i < 50 && !done(jobs); i++) {
-      rest(5000);
+    sleep(30_000);
+    for (int i = 0; i < 50 && !areJobsDone(jobs); i++) {
+      sleep(5000);
     }
-    for (int i = CHAINS; !same && i < CHAINS + 12 * 4; i++) {
+    for (int i = FIRST_DEPENDENT_JOB; !newerOnly && i < FIRST_DEPENDENT_JOB + 12 * 4; i++) {
       String id = String.format("req-%06d", i);
-      String wanted = i < CHAINS + 4 ? "withdrawn" : "done";
-      if (!wanted.equals(ask(() -> world.lastTold(id)))) {
-        wrong.add(id + " of a chain is " + ask(() -> world.lastTold(id)));
+      String wanted = i < FIRST_DEPENDENT_JOB + 4 ? "withdrawn" : "done";
+      if (!wanted.equals(callOnLoop(() -> world.lastTold(id)))) {
+        violations.add(id + " of a chain is " + callOnLoop(() -> world.lastTold(id)));
       }
     }
-    if (!done(jobs)) {
-      wrong.add("a job did not end");
+    if (!areJobsDone(jobs)) {
+      violations.add("a job did not end");
     }
-    wrong.addAll(ask(world::broken));
-    say(
+    violations.addAll(callOnLoop(world::broken));
+    print(
         "replicas lost %.1f s of %.0f s (%.3f%%); submissions refused %d; tasks killed by leases %d;"
             + " kills %d; starts %d",
-        lostReplicaS,
-        replicaS,
-        100 * lostReplicaS / replicaS,
+        replicaDownS,
+        replicaObservedS,
+        100 * replicaDownS / replicaObservedS,
         world.users.refusedSubmissions,
-        ask(world::killedByLease),
-        kills,
+        callOnLoop(world::killedByLease),
+        killCount,
         world.starts());
-    wrong.forEach(w -> say("WRONG: %s", w));
-    return wrong.isEmpty();
+    violations.forEach(w -> print("WRONG: %s", w));
+    return violations.isEmpty();
   }
 
   /**
    * Once all have the newer build: twelve chains of four, the first of them cancelled, and the
    * state service falls to its next limits.
    */
-  private void pipelines() throws Exception {
-    ask(
+  private void lowerLimitsAndSubmitDependentJobs() throws Exception {
+    callOnLoop(
         () -> {
           world.state().fall(2, 4, 40);
           for (int i = 0; i < 12 * 4; i++) {
             String shape = i % 4 == 2 ? "ensemble" : "batch";
-            Map<String, Object> job = SimJobs.job(CHAINS + i, shape, 1 + i % 3, 1, 3);
+            Map<String, Object> job = SimJobs.job(FIRST_DEPENDENT_JOB + i, shape, 1 + i % 3, 1, 3);
             if (i % 4 > 0) {
-              SimJobs.awaiting(job, CHAINS + i - 1);
+              SimJobs.awaiting(job, FIRST_DEPENDENT_JOB + i - 1);
             }
-            long off = i == 0 ? 500 : 0;
-            world.clock.after(2500L * (i / 4), () -> world.users.submitChained(job, off));
+            long withdrawAfterMs = i == 0 ? 500 : 0;
+            world.clock.after(
+                2500L * (i / 4), () -> world.users.submitChained(job, withdrawAfterMs));
           }
           return null;
         });
   }
 
   /** The older build is started after the switch, as an operator might who does not know of it. */
-  private void keptOut(Path old, Path next, List<String> wrong) throws Exception {
-    end("n1", true);
-    long[] commits = new long[1];
-    List<String> wrote = new ArrayList<>();
-    ask(
+  private void verifyOlderBuildStaysOutside(Path olderJar, Path newerJar, List<String> violations)
+      throws Exception {
+    stop("n1", true);
+    long[] commitCount = new long[1];
+    List<String> writtenKeys = new ArrayList<>();
+    callOnLoop(
         () -> {
           world.state().fate =
-              (from, d) -> {
+              (from, transaction) -> {
                 try {
-                  for (var t : d.docs("then")) {
-                    String key = t.textOrNull("write");
+                  for (var change : transaction.docs("then")) {
+                    String key = change.textOrNull("write");
                     if (key != null && key.equals("w/m/n1")) {
-                      wrote.add(key);
+                      writtenKeys.add(key);
                     }
                   }
                 } catch (BadMessage e) {
-                  wrote.add("malformed");
+                  writtenKeys.add("malformed");
                 }
-                commits[0]++;
+                commitCount[0]++;
                 return SimState.Fate.APPLIED;
               };
           return null;
         });
-    start("n1", old);
-    rest(12_000);
-    byte[] job = ask(() -> world.users.describe(SimJobs.job(900, "batch", 1, 1, 2)));
-    Map<String, Integer> got = new TreeMap<>();
-    got.put("up", status("n1", "GET", "/up", null));
-    got.put("submit", status("n1", "POST", "/api/jobs", job));
-    got.put("poll", status("n1", "GET", "/api/jobs/req-000010", null));
-    say("the older build after the switch answers %s and wrote %s", got, wrote);
-    got.forEach(
+    start("n1", olderJar);
+    sleep(12_000);
+    byte[] job = callOnLoop(() -> world.users.describe(SimJobs.job(900, "batch", 1, 1, 2)));
+    Map<String, Integer> statuses = new TreeMap<>();
+    statuses.put("up", requestStatus("n1", "GET", "/up", null));
+    statuses.put("submit", requestStatus("n1", "POST", "/api/jobs", job));
+    statuses.put("poll", requestStatus("n1", "GET", "/api/jobs/req-000010", null));
+    print("the older build after the switch answers %s and wrote %s", statuses, writtenKeys);
+    statuses.forEach(
         (what, code) -> {
           if (code != 503) {
-            wrong.add("the older build answers " + what + " with " + code);
+            violations.add("the older build answers " + what + " with " + code);
           }
         });
-    if (!wrote.isEmpty()) {
-      wrong.add("the older build wrote " + wrote);
+    if (!writtenKeys.isEmpty()) {
+      violations.add("the older build wrote " + writtenKeys);
     }
-    end("n1", false);
-    start("n1", next);
-    rest(STEP_MS);
+    stop("n1", false);
+    start("n1", newerJar);
+    sleep(ROLLOUT_STEP_MS);
   }
 
   /** Plays one rollout with real processes. */
   public static void main(String[] args) throws Exception {
-    Path old = Path.of(args[0]).toAbsolutePath();
-    Path next = Path.of(args[1]).toAbsolutePath();
-    boolean same = args.length > 3 && args[3].equals("--same");
-    Path dir = Files.createDirectories(Path.of(args[2]));
-    Loopback l = new Loopback(dir);
-    boolean ok = false;
+    Path olderJar = Path.of(args[0]).toAbsolutePath();
+    Path newerJar = Path.of(args[1]).toAbsolutePath();
+    boolean newerOnly = args.length > 3 && args[3].equals("--same");
+    Path folder = Files.createDirectories(Path.of(args[2]));
+    Loopback rollout = new Loopback(folder);
+    boolean passed = false;
     try {
-      ok = l.play(old, next, same);
+      passed = rollout.runRollout(olderJar, newerJar, newerOnly);
     } finally {
-      l.stage.close();
+      rollout.stage.close();
     }
-    say(ok ? "no rule broken, every accepted job ended once" : "FAILED");
-    System.exit(ok ? 0 : 1);
+    print(passed ? "no rule broken, every accepted job ended once" : "FAILED");
+    System.exit(passed ? 0 : 1);
   }
 }
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -34,25 +34,25 @@
  * links between controllers pass a {@link TcpProxy} for each direction.
  */
 final class LoopbackStage implements AutoCloseable {
-  private static final long TURN_MS = 5;
-  private static final long ASK_S = 30;
-  private static final int CONNECTIONS = 4000;
+  private static final long CLOCK_UPDATE_INTERVAL_MS = 5;
+  private static final long LOOP_CALL_TIMEOUT_S = 30;
+  private static final int MAX_CONNECTIONS = 4000;
 
   /** A watch is held open for up to a minute; whoever sends a request gives up by itself. */
-  private static final long REQUEST_MS = 70_000;
+  private static final long REQUEST_TIMEOUT_MS = 70_000;
 
   private static final long SIM_START_MS = 1000;
 
   final EventLoop loop = new EventLoop();
   final SimWorld world;
   final Path folder;
-  private final HttpClient client = new HttpClient(loop.group(), CONNECTIONS, Set.of());
+  private final HttpClient client = new HttpClient(loop.group(), MAX_CONNECTIONS, Set.of());
   private final Map<String, String> addresses = new HashMap<>();
   private final Map<String, ControllerProcess> processes = new TreeMap<>();
-  private final Map<String, TcpProxy> peerLinks = new HashMap<>();
+  private final Map<String, TcpProxy> peerProxies = new HashMap<>();
   private final List<CompletableFuture<Channel>> bindings = new ArrayList<>();
   private final long startedNs = System.nanoTime();
-  private long lastTurnNs;
+  private long lastClockUpdateNs;
   private long longestStallMs;
   private volatile Throwable failure;
 
@@ -66,86 +66,87 @@
     this.folder = Files.createDirectories(folder);
     world = ask(() -> new SimWorld(setup));
     ask(this::connect);
-    loop.run(this::turn);
+    loop.run(this::followRealTime);
   }
 
   private Void connect() {
     world.nodes.forEach(world::kill);
     for (String node : world.nodes) {
-      addresses.put(node, loopback(LoopbackPorts.free()));
-      addresses.put(back(node), loopback(LoopbackPorts.free()));
-      world.net.outside.put(node, this::callProcess);
+      addresses.put(node, loopbackAddress(LoopbackPorts.allocate()));
+      addresses.put(peerAddressKey(node), loopbackAddress(LoopbackPorts.allocate()));
+      world.net.processCallers.put(node, this::callProcess);
     }
     for (String from : world.nodes) {
       for (String to : world.nodes) {
         if (!from.equals(to)) {
-          String address = loopback(LoopbackPorts.free());
-          addresses.put(link(from, to), address);
-          peerLinks.put(
-              link(from, to),
+          String address = loopbackAddress(LoopbackPorts.allocate());
+          addresses.put(linkKey(from, to), address);
+          peerProxies.put(
+              linkKey(from, to),
               new TcpProxy(
                   loop.group(),
                   HttpClient.parse(address),
-                  HttpClient.parse(addresses.get(back(to)))));
+                  HttpClient.parse(addresses.get(peerAddressKey(to)))));
         }
       }
     }
-    world.net.opened = this::open;
-    open(SimWorld.STATE);
-    open(SimWorld.CLOUD);
-    world.workers().forEach(worker -> open(worker.address));
-    world.published = (address, node) -> addresses.getOrDefault(seenBy(address, node), address);
+    world.net.listenObserver = this::openPorts;
+    openPorts(SimWorld.STATE);
+    openPorts(SimWorld.CLOUD);
+    world.workers().forEach(worker -> openPorts(worker.address));
+    world.addressSeenByNode =
+        (address, node) -> addresses.getOrDefault(standInAddressKey(address, node), address);
     return null;
   }
 
-  private static String loopback(int port) {
+  private static String loopbackAddress(int port) {
     return "127.0.0.1:" + port;
   }
 
-  private static String back(String node) {
+  private static String peerAddressKey(String node) {
     return "back:" + node;
   }
 
-  private static String link(String from, String to) {
+  private static String linkKey(String from, String to) {
     return from + ">" + to;
   }
 
   /** Each controller reaches a stand-in at an address of its own, which tells who calls. */
-  private static String seenBy(String address, String node) {
+  private static String standInAddressKey(String address, String node) {
     return address + "@" + node;
   }
 
   /** What a stand-in's or a controller's real address is. */
-  String address(String name) {
+  String realAddress(String name) {
     return addresses.get(name);
   }
 
   /** Runs something on the loop that owns the stand-ins, and waits for it. */
-  <T> T ask(Supplier<T> what) throws Exception {
-    CompletableFuture<T> got = new CompletableFuture<>();
+  <T> T ask(Supplier<T> action) throws Exception {
+    CompletableFuture<T> result = new CompletableFuture<>();
     loop.run(
         () -> {
           try {
-            got.complete(what.get());
+            result.complete(action.get());
           } catch (RuntimeException | Error e) {
-            got.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
-    return got.get(ASK_S, TimeUnit.SECONDS);
+    return result.get(LOOP_CALL_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   // ---- time ----
 
   /** Simulated time follows real time. */
-  private void turn() {
+  private void followRealTime() {
     long now = System.nanoTime();
-    if (lastTurnNs > 0) {
-      longestStallMs = Math.max(longestStallMs, (now - lastTurnNs) / 1_000_000);
+    if (lastClockUpdateNs > 0) {
+      longestStallMs = Math.max(longestStallMs, (now - lastClockUpdateNs) / 1_000_000);
     }
-    lastTurnNs = now;
-    loop.after(TURN_MS, this::turn);
+    lastClockUpdateNs = now;
+    loop.after(CLOCK_UPDATE_INTERVAL_MS, this::followRealTime);
     try {
-      runUntil(SIM_START_MS + (now - startedNs) / 1_000_000);
+      advanceTo(SIM_START_MS + (now - startedNs) / 1_000_000);
     } catch (RuntimeException | Error e) {
       failure = e;
       throw e;
@@ -157,7 +158,7 @@
     return failure;
   }
 
-  private void runUntil(long ms) {
+  private void advanceTo(long ms) {
     if (ms > world.clock.nowMs()) {
       world.clock.runUntil(ms);
     }
@@ -187,19 +188,19 @@
         answer -> {
           if (ofUser) {
             // What was asked before this answer came is older than it, also within a millisecond.
-            runUntil(world.clock.nowMs() + 1);
+            advanceTo(world.clock.nowMs() + 1);
           }
           done.accept(answer);
         });
   }
 
-  private void open(String address) {
+  private void openPorts(String address) {
     if (world.nodes.contains(address) || address.startsWith("peer:")) {
       return;
     }
     for (String node : world.nodes) {
-      int port = LoopbackPorts.free();
-      if (addresses.putIfAbsent(seenBy(address, node), loopback(port)) == null) {
+      int port = LoopbackPorts.allocate();
+      if (addresses.putIfAbsent(standInAddressKey(address, node), loopbackAddress(port)) == null) {
         bind(port, address, node);
       }
     }
@@ -215,7 +216,10 @@
             () -> {
               try {
                 bound.complete(
-                    new HttpServer(loop.group(), CONNECTIONS, x -> pass(caller, address, x))
+                    new HttpServer(
+                            loop.group(),
+                            MAX_CONNECTIONS,
+                            exchange -> forward(caller, address, exchange))
                         .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)));
               } catch (IOException | InterruptedException e) {
                 bound.completeExceptionally(e);
@@ -225,17 +229,23 @@
     binder.start();
   }
 
-  private void pass(Caller caller, String address, Exchange x) {
-    caller.call(address, x.method(), x.path(), x.body(), REQUEST_MS, answer -> reply(x, answer));
+  private void forward(Caller caller, String address, Exchange exchange) {
+    caller.call(
+        address,
+        exchange.method(),
+        exchange.path(),
+        exchange.body(),
+        REQUEST_TIMEOUT_MS,
+        answer -> reply(exchange, answer));
   }
 
-  private static void reply(Exchange x, Answer answer) {
+  private static void reply(Exchange exchange, Answer answer) {
     if (answer.status() == 0) {
       return;
     }
     try {
       boolean empty = answer.body() == null || answer.body().length == 0;
-      x.reply(answer.status(), empty ? Map.of() : MessageCodec.decode(answer.body()));
+      exchange.reply(answer.status(), empty ? Map.of() : MessageCodec.decode(answer.body()));
     } catch (BadMessage e) {
       throw new IllegalStateException(e);
     }
@@ -243,7 +253,7 @@
 
   /** What becomes of what one controller sends to another. */
   void peerLink(String from, String to, TcpProxy.Mode mode) {
-    peerLinks.get(link(from, to)).mode(mode);
+    peerProxies.get(linkKey(from, to)).setMode(mode);
   }
 
   // ---- processes ----
@@ -251,24 +261,25 @@
   /** Waits until every port is open. */
   void awaitPorts() throws Exception {
     for (CompletableFuture<Channel> bound : ask(() -> List.copyOf(bindings))) {
-      bound.get(ASK_S, TimeUnit.SECONDS);
+      bound.get(LOOP_CALL_TIMEOUT_S, TimeUnit.SECONDS);
     }
   }
 
   /** Starts a controller's process. */
   void start(String node, Path jar) throws Exception {
     String text = ask(() -> world.settingsText(node, SimWorld.STATE));
-    Map<String, String> real = new LinkedHashMap<>();
-    real.put(SimWorld.STATE, addresses.get(seenBy(SimWorld.STATE, node)));
-    real.put(SimWorld.CLOUD, addresses.get(seenBy(SimWorld.CLOUD, node)));
+    Map<String, String> realAddresses = new LinkedHashMap<>();
+    realAddresses.put(SimWorld.STATE, addresses.get(standInAddressKey(SimWorld.STATE, node)));
+    realAddresses.put(SimWorld.CLOUD, addresses.get(standInAddressKey(SimWorld.CLOUD, node)));
     for (int i = 0; i < world.nodes.size(); i++) {
       String other = world.nodes.get(i);
       boolean self = other.equals(node);
-      real.put("10.0.0." + i + ":1", addresses.get(other));
-      real.put("10.0.1." + i + ":1", addresses.get(self ? back(node) : link(node, other)));
+      realAddresses.put("10.0.0." + i + ":1", addresses.get(other));
+      realAddresses.put(
+          "10.0.1." + i + ":1", addresses.get(self ? peerAddressKey(node) : linkKey(node, other)));
     }
-    for (Map.Entry<String, String> e : real.entrySet()) {
-      text = text.replace("\"" + e.getKey() + "\"", "\"" + e.getValue() + "\"");
+    for (Map.Entry<String, String> entry : realAddresses.entrySet()) {
+      text = text.replace("\"" + entry.getKey() + "\"", "\"" + entry.getValue() + "\"");
     }
     Path settings = folder.resolve(node + ".toml");
     Files.writeString(settings, text);
@@ -291,7 +302,7 @@
   /** What the state service holds, as a controller would read it. */
   Tables stored() {
     Tables tables = new Tables(world.nodes, LevelRange.BUILD, () -> {});
-    tables.load(world.state().all(), world.state().rev());
+    tables.load(world.state().all(), world.state().revision());
     return tables;
   }
 
--- a/src/test/java/wickdrift/sim/SimClock.java
+++ b/src/test/java/wickdrift/sim/SimClock.java
@@ -5,39 +5,39 @@
 
 /** Simulated time: events run in order of time, then of being set. */
 public final class SimClock implements Timers {
-  private record Event(long at, long seq, Runnable action) implements Comparable<Event> {
+  private record Event(long atMs, long sequence, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
-      return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(sequence, o.sequence);
     }
   }
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private long now = 1000;
-  private long seq;
+  private long nowMs = 1000;
+  private long nextSequence;
 
   @Override
   public long nowMs() {
-    return now;
+    return nowMs;
   }
 
   @Override
   public long wallMs() {
-    return 1_700_000_000_000L + now;
+    return 1_700_000_000_000L + nowMs;
   }
 
   @Override
   public void after(long delayMs, Runnable action) {
-    events.add(new Event(now + Math.max(0, delayMs), seq++, action));
+    events.add(new Event(nowMs + Math.max(0, delayMs), nextSequence++, action));
   }
 
   /** Runs everything that is due up to a moment. */
-  public void runUntil(long until) {
-    while (!events.isEmpty() && events.peek().at <= until) {
-      Event e = events.poll();
-      now = e.at;
-      e.action.run();
+  public void runUntil(long untilMs) {
+    while (!events.isEmpty() && events.peek().atMs <= untilMs) {
+      Event event = events.poll();
+      nowMs = event.atMs;
+      event.action.run();
     }
-    now = until;
+    nowMs = untilMs;
   }
 }
--- a/src/test/java/wickdrift/sim/SimCloseLooks.java
+++ b/src/test/java/wickdrift/sim/SimCloseLooks.java
@@ -7,10 +7,10 @@
  * its submission.
  */
 final class SimCloseLooks {
-  private static final long[] AFTER_MS = {1, 3, 8, 20, 60, 150};
+  private static final long[] POLL_DELAYS_MS = {1, 3, 8, 20, 60, 150};
 
   private final SimWorld world;
-  private int answered;
+  private int answerCount;
 
   SimCloseLooks(SimWorld world) {
     this.world = world;
@@ -18,16 +18,17 @@
 
   /** Answers that told a job's state. */
   int answered() {
-    return answered;
+    return answerCount;
   }
 
   /** Something has just become known of a job that was accepted. */
-  void at(String id) {
+  void pollAllNodes(String id) {
     List<String> nodes = world.nodes;
-    for (long after : AFTER_MS) {
+    for (long delayMs : POLL_DELAYS_MS) {
       for (String node : nodes) {
-        world.clock.after(after, () -> world.users.pollOnce(node, id, () -> answered++));
-        world.clock.after(after + 1, () -> world.users.submitAgain(node, id, () -> answered++));
+        world.clock.after(delayMs, () -> world.users.pollOnce(node, id, () -> answerCount++));
+        world.clock.after(
+            delayMs + 1, () -> world.users.submitAgain(node, id, () -> answerCount++));
       }
     }
   }
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -16,10 +16,10 @@
 final class SimCloud implements SimNet.Server {
   private final SimWorld world;
   private final int capacity;
-  private final TreeMap<String, SimWorker> machines = new TreeMap<>();
+  private final TreeMap<String, SimWorker> runningWorkers = new TreeMap<>();
   private final TreeMap<String, Host> hosts = new TreeMap<>();
   private final Set<String> booting = new HashSet<>();
-  private final Map<String, List<String>> claims = new HashMap<>();
+  private final Map<String, List<String>> machinesByClaim = new HashMap<>();
 
   /** Of the next machine: a name is never used again, nor may one be that a stored state names. */
   int machineNumber;
@@ -41,14 +41,14 @@
   private static final class Host {
     final String zone;
     final boolean spot;
-    final long fromMs;
-    long upMs = Long.MAX_VALUE;
-    long goneMs = Long.MAX_VALUE;
+    final long rentedAtMs;
+    long upSinceMs = Long.MAX_VALUE;
+    long deletedAtMs = Long.MAX_VALUE;
 
     Host(String zone, boolean spot, long fromMs) {
       this.zone = zone;
       this.spot = spot;
-      this.fromMs = fromMs;
+      this.rentedAtMs = fromMs;
     }
   }
 
@@ -66,13 +66,13 @@
 
   /** Those that are up, by name. */
   List<SimWorker> workers() {
-    return new ArrayList<>(machines.values());
+    return new ArrayList<>(runningWorkers.values());
   }
 
-  private String boot(String zone, boolean spot, long ms) {
+  private String boot(String zone, boolean spot, long delayMs) {
     String name = String.format("i-%06d", machineNumber++);
-    Host h = new Host(zone, spot, world.clock.nowMs());
-    hosts.put(name, h);
+    Host host = new Host(zone, spot, world.clock.nowMs());
+    hosts.put(name, host);
     booting.add(name);
     rented++;
     if (duds > 0) {
@@ -80,11 +80,11 @@
       return name;
     }
     world.clock.after(
-        ms,
+        delayMs,
         () -> {
           if (booting.remove(name)) {
-            h.upMs = world.clock.nowMs();
-            machines.put(
+            host.upSinceMs = world.clock.nowMs();
+            runningWorkers.put(
                 name,
                 new SimWorker(
                     world,
@@ -112,11 +112,11 @@
                             "sku",
                             "g4",
                             "cores",
-                            SimWorld.CPUS,
+                            SimWorld.CPUS_PER_MACHINE,
                             "gpus",
-                            SimWorld.GPUS,
+                            SimWorld.GPUS_PER_MACHINE,
                             "memoryGb",
-                            SimWorld.MEMORY_GB,
+                            SimWorld.MEMORY_GB_PER_MACHINE,
                             "rate",
                             10.0,
                             "lowPrice",
@@ -126,61 +126,62 @@
                             "regions",
                             SimWorld.ZONES)))));
       } else if (path.equals("/hosts/delete")) {
-        for (String n : Document.parse(body).texts("hosts")) {
+        for (String name : Document.parse(body).texts("hosts")) {
           deleted++;
-          booting.remove(n);
-          if (hosts.containsKey(n) && hosts.get(n).goneMs == Long.MAX_VALUE) {
-            hosts.get(n).goneMs = world.clock.nowMs();
+          booting.remove(name);
+          if (hosts.containsKey(name) && hosts.get(name).deletedAtMs == Long.MAX_VALUE) {
+            hosts.get(name).deletedAtMs = world.clock.nowMs();
           }
-          SimWorker w = machines.remove(n);
-          if (w != null) {
-            w.die();
+          SimWorker worker = runningWorkers.remove(name);
+          if (worker != null) {
+            worker.die();
           }
         }
         done.accept(SimState.answer(200, Map.of()));
       } else if (path.equals("/hosts")) {
-        Document d = Document.parse(body);
-        List<String> names = claims.get(d.text("claim"));
+        Document request = Document.parse(body);
+        List<String> names = machinesByClaim.get(request.text("claim"));
         if (names == null) {
           names = new ArrayList<>();
           for (int i = 0;
-              i < d.count("count") && machines.size() + booting.size() < capacity;
+              i < request.count("count") && runningWorkers.size() + booting.size() < capacity;
               i++) {
             // Some are up, and report, before whoever rented them has read the answer.
-            boolean atOnce = world.random.nextInt(5) == 0 || bootMs > 0;
-            long ms = atOnce ? 1 + bootMs : 3000 + world.random.nextInt(4000);
-            names.add(boot(d.text("region"), d.flag("reclaimable"), ms));
+            boolean fixedBootTime = world.random.nextInt(5) == 0 || bootMs > 0;
+            long delayMs = fixedBootTime ? 1 + bootMs : 3000 + world.random.nextInt(4000);
+            names.add(boot(request.text("region"), request.flag("reclaimable"), delayMs));
           }
           if (names.isEmpty()) {
             done.accept(SimState.answer(503, Map.of("error", "no capacity")));
             return;
           }
-          claims.put(d.text("claim"), names);
+          machinesByClaim.put(request.text("claim"), names);
         }
         done.accept(SimState.answer(200, Map.of("hosts", names)));
       } else {
-        List<Object> list = new ArrayList<>();
-        long at = world.clock.nowMs() - (long) (listLagMs * (1 + world.random.nextDouble()));
+        List<Object> listed = new ArrayList<>();
+        long listedAtMs =
+            world.clock.nowMs() - (long) (listLagMs * (1 + world.random.nextDouble()));
         hosts.forEach(
-            (n, h) -> {
-              if (h.fromMs <= at && at < h.goneMs) {
-                list.add(
+            (name, host) -> {
+              if (host.rentedAtMs <= listedAtMs && listedAtMs < host.deletedAtMs) {
+                listed.add(
                     Map.of(
                         "ref",
-                        n,
+                        name,
                         "flavour",
                         "g4",
                         "region",
-                        h.zone,
+                        host.zone,
                         "reclaimable",
-                        h.spot,
+                        host.spot,
                         "phase",
-                        at < h.upMs ? "starting" : "running",
+                        listedAtMs < host.upSinceMs ? "starting" : "running",
                         "ageS",
-                        (at - h.fromMs) / 1000.0));
+                        (listedAtMs - host.rentedAtMs) / 1000.0));
               }
             });
-        done.accept(SimState.answer(200, Map.of("hosts", list, "truncated", false)));
+        done.accept(SimState.answer(200, Map.of("hosts", listed, "truncated", false)));
       }
     } catch (BadMessage e) {
       done.accept(SimState.answer(400, Map.of("error", e.getMessage())));
@@ -189,6 +190,6 @@
 
   /** How many machines there are, those that have not come up too. */
   public int fleet() {
-    return machines.size() + booting.size();
+    return runningWorkers.size() + booting.size();
   }
 }
--- a/src/test/java/wickdrift/sim/SimGang.java
+++ b/src/test/java/wickdrift/sim/SimGang.java
@@ -6,23 +6,23 @@
 
 /** One attempt of a gang: its tasks start together, are done together, and are lost together. */
 final class SimGang {
-  private static final long NOTICE_MS = 2000;
+  private static final long PEER_LOSS_NOTICE_MS = 2000;
   private final SimWorld world;
   private final JobSpec spec;
   private final List<SimWorker.Task> members = new ArrayList<>();
   private boolean started;
-  private boolean over;
+  private boolean ended;
 
   SimGang(SimWorld world, JobSpec spec) {
     this.world = world;
     this.spec = spec;
   }
 
-  void joined(SimWorker.Task t) {
-    members.add(t);
-    if (over) {
+  void addMember(SimWorker.Task task) {
+    members.add(task);
+    if (ended) {
       // Started again where it was lost: the others are on their way out.
-      world.clock.after(NOTICE_MS, t::mateGone);
+      world.clock.after(PEER_LOSS_NOTICE_MS, task::onPeerLost);
       return;
     }
     if (started || members.size() < spec.tasks()) {
@@ -30,41 +30,42 @@
           30_000,
           () -> {
             if (!started) {
-              t.alone();
+              task.onGangWaitExpired();
             }
           });
       return;
     }
     started = true;
-    members.forEach(m -> m.phase = "running");
-    finishLater((long) (spec.estimateS() * 1000));
+    members.forEach(member -> member.phase = "running");
+    scheduleCompletion((long) (spec.estimateS() * 1000));
   }
 
-  private void finishLater(long ms) {
+  private void scheduleCompletion(long delayMs) {
     world.clock.after(
-        ms,
+        delayMs,
         () -> {
-          if (over) {
+          if (ended) {
             return;
           }
-          if (members.stream().anyMatch(SimWorker.Task::stands)) {
-            finishLater(500);
+          if (members.stream().anyMatch(SimWorker.Task::isMachineHung)) {
+            scheduleCompletion(500);
             return;
           }
-          over = true;
+          ended = true;
           List.copyOf(members).forEach(SimWorker.Task::complete);
         });
   }
 
-  void left(SimWorker.Task t) {
-    members.remove(t);
+  void removeMember(SimWorker.Task task) {
+    members.remove(task);
     if (started && members.isEmpty()) {
       // Whoever starts the same attempt after that begins it.
-      world.gangs.remove(t.gang(), this);
+      world.gangs.remove(task.gangAttemptId(), this);
     }
-    if (started && !over) {
-      over = true;
-      world.clock.after(NOTICE_MS, () -> List.copyOf(members).forEach(SimWorker.Task::mateGone));
+    if (started && !ended) {
+      ended = true;
+      world.clock.after(
+          PEER_LOSS_NOTICE_MS, () -> List.copyOf(members).forEach(SimWorker.Task::onPeerLost));
     }
   }
 }
--- a/src/test/java/wickdrift/sim/SimJobs.java
+++ b/src/test/java/wickdrift/sim/SimJobs.java
@@ -12,32 +12,32 @@
   /** A job of the team vision: its class is called as its shape. */
   public static Map<String, Object> job(
       int number, String shape, int tasks, double gpus, double seconds) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("ref", String.format("req-%06d", number));
-    m.put("jobclass", shape);
-    m.put("owner", "vision");
-    m.put("shape", shape);
-    m.put("rank", "standard");
-    m.put("shards", tasks);
-    m.put("cores", 4.0);
-    m.put("gpus", gpus);
-    m.put("memoryGb", 16.0);
-    m.put("bundle", "img");
-    m.put("pullGb", 1.0);
-    m.put("oneZone", shape.equals("ensemble"));
-    m.put("apart", shape.equals("daemon"));
-    m.put("reclaimable", true);
-    m.put("expectS", seconds);
-    m.put("checkpointEveryS", 0.0);
-    m.put("flushS", 0.0);
-    return m;
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("ref", String.format("req-%06d", number));
+    fields.put("jobclass", shape);
+    fields.put("owner", "vision");
+    fields.put("shape", shape);
+    fields.put("rank", "standard");
+    fields.put("shards", tasks);
+    fields.put("cores", 4.0);
+    fields.put("gpus", gpus);
+    fields.put("memoryGb", 16.0);
+    fields.put("bundle", "img");
+    fields.put("pullGb", 1.0);
+    fields.put("oneZone", shape.equals("ensemble"));
+    fields.put("apart", shape.equals("daemon"));
+    fields.put("reclaimable", true);
+    fields.put("expectS", seconds);
+    fields.put("checkpointEveryS", 0.0);
+    fields.put("flushS", 0.0);
+    return fields;
   }
 
   /** The same, awaiting others. */
   public static Map<String, Object> awaiting(Map<String, Object> job, int... others) {
     List<String> ids = new ArrayList<>();
-    for (int o : others) {
-      ids.add(String.format("req-%06d", o));
+    for (int other : others) {
+      ids.add(String.format("req-%06d", other));
     }
     job.put("awaits", ids);
     return job;
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -18,7 +18,7 @@
     void serve(String from, String method, String path, byte[] body, Consumer<Caller.Answer> done);
 
     /** Grows when what listens begins anew: what was on its way to the one before is lost. */
-    default long life() {
+    default long incarnation() {
       return 0;
     }
   }
@@ -26,8 +26,8 @@
   private final SimClock clock;
   private final Random random;
   private final Map<String, Server> servers = new HashMap<>();
-  private final Set<String> cuts = new HashSet<>();
-  private final Map<String, List<Runnable>> held = new HashMap<>();
+  private final Set<String> cutLinks = new HashSet<>();
+  private final Map<String, List<Runnable>> heldByLink = new HashMap<>();
 
   /** Hosts that nothing reaches, though what they send arrives. */
   final Set<String> deaf = new HashSet<>();
@@ -88,9 +88,9 @@
   final Set<String> garbled = new HashSet<>();
 
   /** How long a copy or a late request may take at a real process. */
-  private static final long OUTSIDE_MS = 5000;
+  private static final long PROCESS_TIMEOUT_MS = 5000;
 
-  private static final byte[] GARBLED = {(byte) 0xc1, 7, 7};
+  private static final byte[] GARBLED_BODY = {(byte) 0xc1, 7, 7};
 
   /** Of this share of the reports a copy is kept until somebody releases it. */
   double keepShare;
@@ -98,15 +98,15 @@
   /** Copies that were released. */
   int released;
 
-  private record Kept(String from, String path, byte[] body) {}
+  private record RecordedReport(String from, String path, byte[] body) {}
 
-  private final List<Kept> kept = new ArrayList<>();
+  private final List<RecordedReport> recordedReports = new ArrayList<>();
 
   /** Hosts that are real processes, by name: how to call them. */
-  final Map<String, Caller> outside = new HashMap<>();
+  final Map<String, Caller> processCallers = new HashMap<>();
 
   /** Told of whatever begins to listen. */
-  Consumer<String> opened = a -> {};
+  Consumer<String> listenObserver = a -> {};
 
   public SimNet(SimClock clock, Random random) {
     this.clock = clock;
@@ -115,7 +115,7 @@
 
   public void listen(String address, Server server) {
     servers.put(address, server);
-    opened.accept(address);
+    listenObserver.accept(address);
   }
 
   public void close(String address) {
@@ -127,33 +127,33 @@
     return servers.get(address);
   }
 
-  private static String link(String a, String b) {
+  private static String linkKey(String a, String b) {
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
   /** Cuts two hosts from each other; requests sent meanwhile are lost, or held until healed. */
-  public void cut(String a, String b, boolean hold) {
-    cuts.add(link(a, b));
-    if (hold) {
-      held.putIfAbsent(link(a, b), new ArrayList<>());
+  public void cut(String a, String b, boolean holdRequests) {
+    cutLinks.add(linkKey(a, b));
+    if (holdRequests) {
+      heldByLink.putIfAbsent(linkKey(a, b), new ArrayList<>());
     }
   }
 
   /** Joins two hosts again; what was held back arrives. */
   public void heal(String a, String b) {
-    cuts.remove(link(a, b));
-    List<Runnable> late = held.remove(link(a, b));
-    if (late != null) {
-      late.forEach(r -> clock.after(delay(), r));
+    cutLinks.remove(linkKey(a, b));
+    List<Runnable> heldRequests = heldByLink.remove(linkKey(a, b));
+    if (heldRequests != null) {
+      heldRequests.forEach(request -> clock.after(transmissionDelayMs(), request));
     }
   }
 
-  private long delay() {
+  private long transmissionDelayMs() {
     // Now and then a message is lost and sent again.
     return 1 + random.nextInt(4) + (random.nextInt(40) == 0 ? 250 : 0);
   }
 
-  private void copy(String from, String method, String path, byte[] body) {
+  private void duplicateIfSelected(String from, String method, String path, byte[] body) {
     if (copies != null && path.equals(copies.path) && random.nextDouble() < copies.share) {
       String to = copies.to.get(random.nextInt(copies.to.size()));
       clock.after(
@@ -170,10 +170,10 @@
       String path,
       byte[] body,
       Consumer<Caller.Answer> done) {
-    Caller process = outside.get(to);
+    Caller process = processCallers.get(to);
     Server server = servers.get(to);
     if (process != null) {
-      process.call(to, method, path, body, OUTSIDE_MS, done);
+      process.call(to, method, path, body, PROCESS_TIMEOUT_MS, done);
     } else if (server != null) {
       server.serve(from, method, path, body, done);
     }
@@ -181,81 +181,82 @@
 
   private void deliverLate(String from, String to, String method, String path, byte[] body) {
     Server server = servers.get(to);
-    long life = server == null ? 0 : server.life();
+    long incarnation = server == null ? 0 : server.incarnation();
     clock.after(
         script.lateMs(),
         () -> {
-          Server now = servers.get(to);
+          Server current = servers.get(to);
           // A connection to one that began anew meanwhile is gone, with all that was on its way.
-          if (now == null || now.life() == life) {
+          if (current == null || current.incarnation() == incarnation) {
             deliver(from, to, method, path, body, a -> {});
           }
         });
   }
 
-  private void keep(String from, String path, byte[] body) {
+  private void recordIfSelected(String from, String path, byte[] body) {
     if (keepShare > 0 && path.equals("/hello") && random.nextDouble() < keepShare) {
-      kept.add(new Kept(from, path, body));
+      recordedReports.add(new RecordedReport(from, path, body));
     }
   }
 
   /** Every copy that was kept arrives at each of these hosts. */
   void releaseCopies(List<String> hosts) {
-    for (Kept k : kept) {
+    for (RecordedReport report : recordedReports) {
       for (String host : hosts) {
         released++;
         clock.after(
-            delay(),
+            transmissionDelayMs(),
             () -> {
-              Server s = servers.get(host);
-              if (s != null) {
-                s.serve(k.from, "POST", k.path, k.body, a -> {});
+              Server server = servers.get(host);
+              if (server != null) {
+                server.serve(report.from, "POST", report.path, report.body, a -> {});
               }
             });
       }
     }
-    kept.clear();
+    recordedReports.clear();
   }
 
   /** Every request that the script held arrives; nobody waits for its answer any more. */
   void releaseHeld() {
-    heldByScript.forEach(arrive -> clock.after(delay(), arrive));
+    heldByScript.forEach(delivery -> clock.after(transmissionDelayMs(), delivery));
     heldByScript.clear();
   }
 
-  private void hold(String from, String to, String method, String path, byte[] body) {
+  private void holdByScript(String from, String to, String method, String path, byte[] body) {
     heldByScript.add(() -> deliver(from, to, method, path, body, answer -> {}));
   }
 
-  private boolean holdUp(String from, String address, String method, String path, byte[] body) {
+  private boolean delayIfSelected(
+      String from, String address, String method, String path, byte[] body) {
     if (delay == null || !path.equals(delay.path) || random.nextDouble() >= delay.share) {
       return false;
     }
-    long ms = delay.fromMs + (long) (random.nextDouble() * (delay.toMs - delay.fromMs));
+    long delayMs = delay.fromMs + (long) (random.nextDouble() * (delay.toMs - delay.fromMs));
     clock.after(
-        ms,
+        delayMs,
         () -> {
-          Server s = servers.get(address);
-          if (s != null && !cuts.contains(link(from, address))) {
+          Server server = servers.get(address);
+          if (server != null && !cutLinks.contains(linkKey(from, address))) {
             delayed++;
-            s.serve(from, method, path, body, a -> {});
+            server.serve(from, method, path, body, a -> {});
           }
         });
     return true;
   }
 
-  private void send(String from, String to, Runnable arrive) {
+  private void send(String from, String to, Runnable delivery) {
     if (deaf.contains(to)) {
       return;
     }
-    String l = link(from, to);
-    if (cuts.contains(l)) {
-      if (held.containsKey(l)) {
-        held.get(l).add(arrive);
+    String link = linkKey(from, to);
+    if (cutLinks.contains(link)) {
+      if (heldByLink.containsKey(link)) {
+        heldByLink.get(link).add(delivery);
       }
       return;
     }
-    clock.after(delay(), arrive);
+    clock.after(transmissionDelayMs(), delivery);
   }
 
   /** The caller's end for one host; {@code alive} tells whether the calling process still runs. */
@@ -273,14 +274,14 @@
       if (mute.contains(from)) {
         return;
       }
-      copy(from, method, path, body);
-      keep(from, path, body);
-      if (holdUp(from, address, method, path, body)) {
+      duplicateIfSelected(from, method, path, body);
+      recordIfSelected(from, path, body);
+      if (delayIfSelected(from, address, method, path, body)) {
         return;
       }
       Fate fate = script.fateOf(from, address, path, body);
       switch (fate) {
-        case HELD -> hold(from, address, method, path, body);
+        case HELD -> holdByScript(from, address, method, path, body);
         case LATE -> deliverLate(from, address, method, path, body);
         case RESET -> clock.after(1, () -> once.accept(Caller.Answer.NONE));
         default -> {}
@@ -294,22 +295,22 @@
           from,
           address,
           () -> {
-            if (outside.containsKey(address)) {
-              Consumer<Caller.Answer> got =
+            if (processCallers.containsKey(address)) {
+              Consumer<Caller.Answer> delivered =
                   switch (fate) {
                     case ANSWER_LOST -> a -> {};
                     case ANSWER_RESET -> a -> once.accept(Caller.Answer.NONE);
                     default -> once;
                   };
-              outside.get(address).call(address, method, path, body, timeoutMs, got);
+              processCallers.get(address).call(address, method, path, body, timeoutMs, delivered);
               return;
             }
-            Server s = servers.get(address);
-            if (s == null) {
+            Server server = servers.get(address);
+            if (server == null) {
               send(address, from, () -> once.accept(Caller.Answer.NONE));
               return;
             }
-            s.serve(
+            server.serve(
                 from,
                 method,
                 path,
@@ -319,8 +320,9 @@
                     return;
                   }
                   boolean garble = garbled.contains(address) && a.body() != null;
-                  Caller.Answer got = garble ? new Caller.Answer(a.status(), GARBLED) : a;
-                  send(address, from, () -> once.accept(got));
+                  Caller.Answer delivered =
+                      garble ? new Caller.Answer(a.status(), GARBLED_BODY) : a;
+                  send(address, from, () -> once.accept(delivered));
                 });
           });
     };
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -11,119 +11,128 @@
 /** The rules of the protocol, checked at every event of the simulated world. */
 final class SimRules {
   private final SimWorld world;
-  private final Map<String, SimWorker.Task> on = new HashMap<>();
+  private final Map<String, SimWorker.Task> runningTasks = new HashMap<>();
   private final Set<String> doneTasks = new HashSet<>();
-  private final Map<String, Long> withdrawnAt = new HashMap<>();
-  private final Map<String, String> told = new HashMap<>();
-  private final Map<String, Long> acceptedAt = new HashMap<>();
-  private final Map<String, Long> finalAt = new HashMap<>();
-  final List<String> broken = new ArrayList<>();
-  int starts;
+  private final Map<String, Long> withdrawalConfirmedMs = new HashMap<>();
+  private final Map<String, String> lastPhase = new HashMap<>();
+  private final Map<String, Long> acceptedMs = new HashMap<>();
+  private final Map<String, Long> terminalStateReportedMs = new HashMap<>();
+  final List<String> violations = new ArrayList<>();
+  int startCount;
 
   /** When a question about a job was last answered; a test says when all troubles are over. */
-  private final Map<String, Long> answered = new HashMap<>();
+  private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
   long calmSinceMs = Long.MAX_VALUE;
-  private static final long FORGOTTEN_MS = 75_000;
+  private static final long ANSWER_TIMEOUT_MS = 75_000;
 
   /** Since when a job could have been given room, troubles over. */
-  private final Map<String, Long> passedOverSince = new HashMap<>();
+  private final Map<String, Long> schedulableSinceMs = new HashMap<>();
 
-  private static final long PASSED_OVER_MS = 90_000;
+  private static final long SCHEDULING_TIMEOUT_MS = 90_000;
 
   SimRules(SimWorld world) {
     this.world = world;
   }
 
-  private void broke(String what) {
-    broken.add(world.clock.nowMs() + " " + what);
-    world.history.add("BROKEN " + what);
+  private void recordViolation(String description) {
+    violations.add(world.clock.nowMs() + " " + description);
+    world.history.add("BROKEN " + description);
   }
 
-  private static String job(String task) {
+  private static String jobOf(String task) {
     return task.substring(0, task.indexOf('/'));
   }
 
-  void started(SimWorker.Task t) {
-    starts++;
-    world.history.add("on " + t.machine() + ": " + t.id + " attempt " + t.attempt);
-    SimWorker.Task other = on.get(t.id);
-    if (other != null && !other.machine().equals(t.machine())) {
-      broke("ran_twice " + t.id + " on " + t.machine() + " and " + other.machine());
+  void taskStarted(SimWorker.Task task) {
+    startCount++;
+    world.history.add("on " + task.machine() + ": " + task.id + " attempt " + task.attempt);
+    SimWorker.Task other = runningTasks.get(task.id);
+    if (other != null && !other.machine().equals(task.machine())) {
+      recordViolation("ran_twice " + task.id + " on " + task.machine() + " and " + other.machine());
     }
-    Long off = withdrawnAt.get(job(t.id));
-    if (off != null) {
-      broke("ran_cancelled: started " + t.id + " after the word");
+    Long confirmedMs = withdrawalConfirmedMs.get(jobOf(task.id));
+    if (confirmedMs != null) {
+      recordViolation("ran_cancelled: started " + task.id + " after the word");
     }
-    for (String a : world.specs.get(job(t.id)).awaits()) {
-      if (!allDone(a)) {
-        broke("too_early " + t.id + " before " + a);
+    for (String dependency : world.specs.get(jobOf(task.id)).awaits()) {
+      if (!allDone(dependency)) {
+        recordViolation("too_early " + task.id + " before " + dependency);
       }
     }
-    on.put(t.id, t);
+    runningTasks.put(task.id, task);
     double gpus = 0;
     int sameZone = 0;
     Set<String> zones = new HashSet<>();
-    for (SimWorker.Task o : on.values()) {
-      gpus += o.spec.team().equals(t.spec.team()) ? o.spec.gpus() : 0;
-      if (job(o.id).equals(job(t.id))) {
-        zones.add(o.zone());
-        sameZone += o.zone().equals(t.zone()) ? 1 : 0;
+    for (SimWorker.Task running : runningTasks.values()) {
+      gpus += running.spec.team().equals(task.spec.team()) ? running.spec.gpus() : 0;
+      if (jobOf(running.id).equals(jobOf(task.id))) {
+        zones.add(running.zone());
+        sameZone += running.zone().equals(task.zone()) ? 1 : 0;
       }
     }
-    if (overLimit(t.spec.team(), gpus)) {
-      broke("quota " + t.spec.team() + " " + gpus);
+    if (exceedsQuota(task.spec.team(), gpus)) {
+      recordViolation("quota " + task.spec.team() + " " + gpus);
     }
-    if (t.spec.oneZone() && zones.size() > 1 || t.spec.spread() && sameZone > t.spec.zoneLimit()) {
-      broke("wrong_place " + t.id);
+    if (task.spec.oneZone() && zones.size() > 1
+        || task.spec.spread() && sameZone > task.spec.zoneLimit()) {
+      recordViolation("wrong_place " + task.id);
     }
   }
 
-  private boolean overLimit(String team, double gpus) {
-    double most = world.setup.limitOf(team);
-    return most > 0 && gpus > most;
+  private boolean exceedsQuota(String team, double gpus) {
+    double limit = world.setup.limitOf(team);
+    return limit > 0 && gpus > limit;
   }
 
-  void left(SimWorker.Task t) {
-    Long off = withdrawnAt.get(job(t.id));
-    if (off != null && world.clock.nowMs() - off > world.cancelMs) {
-      broke("ran_cancelled " + t.id + " until now");
+  void taskStopped(SimWorker.Task task) {
+    Long confirmedMs = withdrawalConfirmedMs.get(jobOf(task.id));
+    if (confirmedMs != null && world.clock.nowMs() - confirmedMs > world.cancelDeadlineMs) {
+      recordViolation("ran_cancelled " + task.id + " until now");
     }
-    on.remove(t.id, t);
-    world.history.add("off " + t.machine() + ": " + t.id + " attempt " + t.attempt + " " + t.why);
+    runningTasks.remove(task.id, task);
+    world.history.add(
+        "off "
+            + task.machine()
+            + ": "
+            + task.id
+            + " attempt "
+            + task.attempt
+            + " "
+            + task.exitReason);
   }
 
-  void done(SimWorker.Task t) {
-    if (doneTasks.add(t.id) && allDone(job(t.id))) {
-      world.users.ended(job(t.id));
+  void taskDone(SimWorker.Task task) {
+    if (doneTasks.add(task.id) && allDone(jobOf(task.id))) {
+      world.users.allTasksDone(jobOf(task.id));
     }
   }
 
   /** A job that a user knew to be accepted was taken as a new one. */
-  void acceptedAgain(String job, long askedMs) {
-    Long accepted = acceptedAt.get(job);
-    if (accepted != null && askedMs >= accepted) {
-      broke("accepted_again " + job);
+  void submissionAcceptedAsNew(String job, long requestSentMs) {
+    Long firstAcceptedMs = acceptedMs.get(job);
+    if (firstAcceptedMs != null && requestSentMs >= firstAcceptedMs) {
+      recordViolation("accepted_again " + job);
     }
   }
 
   /** A user was told of a job that nobody has submitted. */
   void invented(String job) {
-    broke("invented " + job);
+    recordViolation("invented " + job);
   }
 
   /** A user was told that a job is accepted. */
-  void accepted(String job) {
-    acceptedAt.putIfAbsent(job, world.clock.nowMs());
+  void jobAccepted(String job) {
+    acceptedMs.putIfAbsent(job, world.clock.nowMs());
   }
 
   /** Whether a user was told that a job is done or cancelled. */
   boolean isFinal(String job) {
-    return finalAt.containsKey(job);
+    return terminalStateReportedMs.containsKey(job);
   }
 
   void withdrawn(String job) {
-    if (withdrawnAt.putIfAbsent(job, world.clock.nowMs()) == null) {
+    if (withdrawalConfirmedMs.putIfAbsent(job, world.clock.nowMs()) == null) {
       world.history.add("told withdrawn: " + job);
     }
   }
@@ -131,46 +140,51 @@
   /**
    * A user was told a phase (null: 404) of an accepted job.
    *
-   * @param askedMs when the question was sent: what was answered to an earlier one while a final
-   *     phase was on its way is not older than what its user knew when asking
+   * @param requestSentMs when the question was sent: what was answered to an earlier one while a
+   *     final phase was on its way is not older than what its user knew when asking
    */
-  void told(String job, String phase, long askedMs) {
-    answered.put(job, world.clock.nowMs());
+  void phaseReported(String job, String phase, long requestSentMs) {
+    lastAnswerMs.put(job, world.clock.nowMs());
     if (phase == null) {
-      broke("forgotten " + job);
+      recordViolation("forgotten " + job);
       return;
     }
-    String before = told.get(job);
-    boolean wasFinal = "done".equals(before) || "withdrawn".equals(before);
-    if (wasFinal && !before.equals(phase) && askedMs < finalAt.get(job)) {
+    String previousPhase = lastPhase.get(job);
+    boolean wasTerminal = "done".equals(previousPhase) || "withdrawn".equals(previousPhase);
+    if (wasTerminal
+        && !previousPhase.equals(phase)
+        && requestSentMs < terminalStateReportedMs.get(job)) {
       return;
     }
-    if (wasFinal && !before.equals(phase)) {
-      broke("went_back " + job + " from " + before + " to " + phase);
+    if (wasTerminal && !previousPhase.equals(phase)) {
+      recordViolation("went_back " + job + " from " + previousPhase + " to " + phase);
     }
     if (phase.equals("done") && !allDone(job)) {
-      broke("not_done " + job);
+      recordViolation("not_done " + job);
     }
-    boolean over = phase.equals("done") || phase.equals("withdrawn");
-    boolean asked = false;
-    for (String u : upstream(job)) {
-      asked |= withdrawnAt.containsKey(u) || world.users.asked.contains(u);
-      Long off = withdrawnAt.get(u);
-      if (!over && off != null && askedMs - off > world.cancelMs) {
-        broke("orphaned " + job + " by " + u);
+    boolean terminal = phase.equals("done") || phase.equals("withdrawn");
+    boolean withdrawalRequested = false;
+    for (String dependency : jobAndDependencies(job)) {
+      withdrawalRequested |=
+          withdrawalConfirmedMs.containsKey(dependency) || world.users.asked.contains(dependency);
+      Long confirmedMs = withdrawalConfirmedMs.get(dependency);
+      if (!terminal
+          && confirmedMs != null
+          && requestSentMs - confirmedMs > world.cancelDeadlineMs) {
+        recordViolation("orphaned " + job + " by " + dependency);
       }
     }
     if (phase.equals("withdrawn")) {
       // The word of a poll counts as that of the withdrawal's own answer.
       withdrawn(job);
     }
-    if (phase.equals("withdrawn") && !asked) {
-      broke("went_back " + job + ": withdrawn, but no one asked");
+    if (phase.equals("withdrawn") && !withdrawalRequested) {
+      recordViolation("went_back " + job + ": withdrawn, but no one asked");
     }
     if (phase.equals("done") || phase.equals("withdrawn")) {
-      finalAt.putIfAbsent(job, world.clock.nowMs());
+      terminalStateReportedMs.putIfAbsent(job, world.clock.nowMs());
     }
-    told.put(job, phase);
+    lastPhase.put(job, phase);
   }
 
   boolean allDone(String job) {
@@ -183,13 +197,13 @@
   }
 
   /** A job and all that it needs, directly or through others. */
-  private Set<String> upstream(String job) {
+  private Set<String> jobAndDependencies(String job) {
     Set<String> all = new HashSet<>();
-    List<String> open = new ArrayList<>(List.of(job));
-    while (!open.isEmpty()) {
-      String j = open.remove(open.size() - 1);
-      if (all.add(j) && world.specs.containsKey(j)) {
-        open.addAll(world.specs.get(j).awaits());
+    List<String> unvisited = new ArrayList<>(List.of(job));
+    while (!unvisited.isEmpty()) {
+      String next = unvisited.remove(unvisited.size() - 1);
+      if (all.add(next) && world.specs.containsKey(next)) {
+        unvisited.addAll(world.specs.get(next).awaits());
       }
     }
     return all;
@@ -197,89 +211,95 @@
 
   /** Whether a user was told that the cancellation of a job itself has succeeded. */
   boolean toldWithdrawn(String job) {
-    return withdrawnAt.containsKey(job);
+    return withdrawalConfirmedMs.containsKey(job);
   }
 
-  String last(String job) {
-    return told.get(job);
+  String lastReportedPhase(String job) {
+    return lastPhase.get(job);
   }
 
   String zoneOf(String task) {
-    return on.containsKey(task) ? on.get(task).zone() : null;
+    return runningTasks.containsKey(task) ? runningTasks.get(task).zone() : null;
   }
 
   /** The machine that a task is on, or null. */
   String machineOf(String task) {
-    return on.containsKey(task) ? on.get(task).machine() : null;
+    return runningTasks.containsKey(task) ? runningTasks.get(task).machine() : null;
   }
 
   boolean isOn(String task) {
-    return on.containsKey(task);
+    return runningTasks.containsKey(task);
   }
 
-  void tick() {
+  void check() {
     long now = world.clock.nowMs();
-    if (now - FORGOTTEN_MS > calmSinceMs) {
+    if (now - ANSWER_TIMEOUT_MS > calmSinceMs) {
       for (String job : world.users.accepted) {
-        if (now - answered.getOrDefault(job, calmSinceMs) > FORGOTTEN_MS) {
-          broke("forgotten " + job + ": no question is answered");
-          answered.put(job, now);
+        if (now - lastAnswerMs.getOrDefault(job, calmSinceMs) > ANSWER_TIMEOUT_MS) {
+          recordViolation("forgotten " + job + ": no question is answered");
+          lastAnswerMs.put(job, now);
         }
       }
     }
     if (now > calmSinceMs) {
       for (String job : world.users.accepted) {
-        if (!couldRunMore(job)) {
-          passedOverSince.remove(job);
-        } else if (now - passedOverSince.computeIfAbsent(job, k -> now) > PASSED_OVER_MS) {
-          broke("passed_over " + job + ": waits beside room for it");
-          passedOverSince.put(job, now);
+        if (!hasSchedulableTask(job)) {
+          schedulableSinceMs.remove(job);
+        } else if (now - schedulableSinceMs.computeIfAbsent(job, k -> now)
+            > SCHEDULING_TIMEOUT_MS) {
+          recordViolation("passed_over " + job + ": waits beside room for it");
+          schedulableSinceMs.put(job, now);
         }
       }
     }
-    withdrawnAt.forEach(
+    withdrawalConfirmedMs.forEach(
         (job, at) -> {
-          if (world.clock.nowMs() - at > world.cancelMs) {
-            on.keySet().stream()
-                .filter(t -> job(t).equals(job))
-                .forEach(t -> broke("ran_cancelled " + t));
+          if (world.clock.nowMs() - at > world.cancelDeadlineMs) {
+            runningTasks.keySet().stream()
+                .filter(t -> jobOf(t).equals(job))
+                .forEach(t -> recordViolation("ran_cancelled " + t));
           }
         });
   }
 
   /** Whether a job has a task that waits though machines have room and its team may have it. */
-  private boolean couldRunMore(String job) {
+  private boolean hasSchedulableTask(String job) {
     JobSpec spec = world.specs.get(job);
-    if (upstream(job).stream().anyMatch(u -> world.users.asked.contains(u))
+    if (jobAndDependencies(job).stream().anyMatch(u -> world.users.asked.contains(u))
         || !spec.awaits().stream().allMatch(this::allDone)) {
       return false;
     }
     int missing = 0;
-    Map<String, Integer> inZone = new HashMap<>();
+    Map<String, Integer> runningByZone = new HashMap<>();
     for (int i = 0; i < spec.tasks(); i++) {
-      SimWorker.Task t = on.get(job + "/" + i);
-      missing += t == null && !doneTasks.contains(job + "/" + i) ? 1 : 0;
-      if (t != null) {
-        inZone.merge(t.zone(), 1, Integer::sum);
+      SimWorker.Task task = runningTasks.get(job + "/" + i);
+      missing += task == null && !doneTasks.contains(job + "/" + i) ? 1 : 0;
+      if (task != null) {
+        runningByZone.merge(task.zone(), 1, Integer::sum);
       }
     }
-    boolean together = spec.shape() == JobSpec.Shape.GANG;
-    if (missing == 0 || together && missing < spec.tasks()) {
+    boolean allAtOnce = spec.shape() == JobSpec.Shape.GANG;
+    if (missing == 0 || allAtOnce && missing < spec.tasks()) {
       return false;
     }
-    int wanted = together ? missing : 1;
-    double held = 0;
-    Map<String, Integer> room = new HashMap<>();
-    for (SimWorker m : world.workers()) {
-      held += m.gpusOf(spec.team());
-      boolean full = spec.spread() && inZone.getOrDefault(m.zone, 0) >= spec.zoneLimit();
-      boolean elsewhere = spec.oneZone() && !inZone.isEmpty() && !inZone.containsKey(m.zone);
-      room.merge(m.zone, full || elsewhere ? 0 : m.room(spec), Integer::sum);
+    int wanted = allAtOnce ? missing : 1;
+    double allocatedGpus = 0;
+    Map<String, Integer> capacityByZone = new HashMap<>();
+    for (SimWorker worker : world.workers()) {
+      allocatedGpus += worker.gpusOf(spec.team());
+      boolean zoneLimitReached =
+          spec.spread() && runningByZone.getOrDefault(worker.zone, 0) >= spec.zoneLimit();
+      boolean inOtherZone =
+          spec.oneZone() && !runningByZone.isEmpty() && !runningByZone.containsKey(worker.zone);
+      capacityByZone.merge(
+          worker.zone,
+          zoneLimitReached || inOtherZone ? 0 : worker.taskCapacity(spec),
+          Integer::sum);
     }
-    int most =
+    int capacity =
         spec.oneZone()
-            ? room.values().stream().mapToInt(n -> n).max().orElse(0)
-            : room.values().stream().mapToInt(n -> n).sum();
-    return most >= wanted && !overLimit(spec.team(), held + wanted * spec.gpus());
+            ? capacityByZone.values().stream().mapToInt(n -> n).max().orElse(0)
+            : capacityByZone.values().stream().mapToInt(n -> n).sum();
+    return capacity >= wanted && !exceedsQuota(spec.team(), allocatedGpus + wanted * spec.gpus());
   }
 }
--- a/src/test/java/wickdrift/sim/SimSetup.java
+++ b/src/test/java/wickdrift/sim/SimSetup.java
@@ -16,7 +16,7 @@
   private double reportS = 2.5;
   private UnaryOperator<Tuning> tuning = t -> t.withLog(2, 900);
   private int txnOps;
-  private double writeRps = SimState.WRITES;
+  private double writeRps = SimState.DEFAULT_WRITES_PER_SECOND;
 
   /**
    * @param machines that are up at the start
@@ -45,8 +45,8 @@
     return capacity;
   }
 
-  SimSetup capacity(int most) {
-    capacity = most;
+  SimSetup capacity(int maxMachines) {
+    capacity = maxMachines;
     return this;
   }
 
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -28,50 +28,53 @@
 
   private record Change(String key, Object value, long stamp) {}
 
-  private record Watch(String from, String prefix, long rev, Consumer<Answer> done, long until) {}
+  private record Watch(
+      String from, String prefix, long afterRevision, Consumer<Answer> done, long deadlineMs) {}
 
-  private static final int KEPT = 10_000;
-  private static final int VALUE_BYTES = 4096;
+  private static final int MAX_RECORDED_CHANGES = 10_000;
+  private static final int DEFAULT_MAX_VALUE_BYTES = 4096;
 
   /** As many as the settings of this world say. */
-  int txnOps = 8;
+  int maxTransactionChanges = 8;
 
   /** Writes a second, and so many at once, as the settings say. */
-  static final double WRITES = 100;
+  static final double DEFAULT_WRITES_PER_SECOND = 100;
 
   /** Changes a second, and as many at once. */
-  double writeRps;
+  double maxWritesPerSecond;
 
   /** The same before a fall. */
-  final double writeRpsAtFirst;
+  final double initialMaxWritesPerSecond;
 
-  private int txnOpsBefore;
-  private int valueBytes = VALUE_BYTES;
+  private int previousMaxTransactionChanges;
+  private int maxValueBytes = DEFAULT_MAX_VALUE_BYTES;
 
   /** Transactions that were refused for their size, by what was too large. */
   final List<String> tooLarge = new ArrayList<>();
 
   /** The limits fall, without notice. */
-  void fall(double valueKb, int ops, double writes) {
-    txnOpsBefore = txnOps;
-    valueBytes = (int) (valueKb * 1024);
-    txnOps = ops;
-    writeRps = writes;
+  void fall(double maxValueKb, int maxChanges, double writesPerSecond) {
+    previousMaxTransactionChanges = maxTransactionChanges;
+    maxValueBytes = (int) (maxValueKb * 1024);
+    maxTransactionChanges = maxChanges;
+    maxWritesPerSecond = writesPerSecond;
   }
 
-  int txnOpsAtFirst() {
-    return txnOpsBefore > 0 ? txnOpsBefore : txnOps;
+  int initialMaxTransactionChanges() {
+    return previousMaxTransactionChanges > 0
+        ? previousMaxTransactionChanges
+        : maxTransactionChanges;
   }
 
   private final SimClock clock;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private final Map<Long, Long> leaseEnds = new HashMap<>();
-  private final Map<Long, Long> leaseLives = new HashMap<>();
+  private final Map<Long, Long> leaseEndMs = new HashMap<>();
+  private final Map<Long, Long> leaseDurationMs = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
-  private final Map<String, Long> slowReads = new HashMap<>();
-  private long slowWritesMs;
+  private final Set<String> refusedNodes = new HashSet<>();
+  private final Map<String, Long> watchDelayMsByNode = new HashMap<>();
+  private long commitDelayMs;
 
   /** A list of how jobs ended comes so much later. */
   long slowFinalsMs;
@@ -82,10 +85,10 @@
   /** Transactions that were carried out and not answered. */
   int answersLost;
 
-  private double lateShare;
-  private long lateMs;
-  private Random late;
-  private final List<String> unfenced = new ArrayList<>();
+  private double delayedCommitShare;
+  private long delayedCommitMs;
+  private Random commitDelayRandom;
+  private final List<String> transactionViolations = new ArrayList<>();
 
   /** Nodes whose build knows no levels: they announce nothing. */
   final Set<String> levelless = new HashSet<>();
@@ -105,36 +108,37 @@
   /** Who sent transactions; a test clears it. */
   final Set<String> writers = new HashSet<>();
 
-  private long rev;
-  private long leases;
-  private boolean out;
-  private int commits;
-  private int requests;
-  private long written;
-  private long read;
+  private long revision;
+  private long lastLeaseId;
+  private boolean unavailable;
+  private int commitCount;
+  private int requestCount;
+  private long bytesWritten;
+  private long bytesRead;
 
   /** The writes that the limit still allows, and how often it was passed. */
-  private double allowed;
+  private double writeTokens;
 
-  private long allowedAtMs;
-  private int overWritten;
+  private long writeTokensUpdatedMs;
+  private int writeLimitExceededCount;
 
   /** An empty store that takes so many changes a second. */
   public SimState(SimClock clock, double writeRps) {
     this.clock = clock;
-    this.writeRps = writeRps;
-    this.writeRpsAtFirst = writeRps;
-    this.allowed = writeRps;
-    sweep();
+    this.maxWritesPerSecond = writeRps;
+    this.initialMaxWritesPerSecond = writeRps;
+    this.writeTokens = writeRps;
+    expireLeasesAndWatches();
   }
 
   /** The store is away for all, or back. */
   public void outage(boolean on) {
-    out = on;
+    unavailable = on;
     if (!on) {
-      leaseLives.forEach(
-          (l, life) -> leaseEnds.computeIfPresent(l, (k, v) -> clock.nowMs() + life));
-      wake();
+      leaseDurationMs.forEach(
+          (lease, durationMs) ->
+              leaseEndMs.computeIfPresent(lease, (k, v) -> clock.nowMs() + durationMs));
+      answerChangedWatches();
     }
   }
 
@@ -145,22 +149,22 @@
 
   /** What a node reads comes so much later: it goes on with old tables for that long. */
   public void slowReads(String node, long ms) {
-    slowReads.put(node, ms);
+    watchDelayMsByNode.put(node, ms);
   }
 
   /** A share of the transactions is applied so much later, each by itself. */
   public void lateCommits(double share, long ms, long seed) {
-    lateShare = share;
-    lateMs = ms;
-    late = new Random(seed);
+    delayedCommitShare = share;
+    delayedCommitMs = ms;
+    commitDelayRandom = new Random(seed);
   }
 
   /** Of a share of the transactions, carried out at once, only the answer is lost. */
   void loseAnswers(double share, long seed) {
-    Random lost = new Random(seed);
+    Random random = new Random(seed);
     fate =
         (from, d) -> {
-          if (lost.nextDouble() >= share) {
+          if (random.nextDouble() >= share) {
             return Fate.APPLIED;
           }
           answersLost++;
@@ -170,36 +174,36 @@
 
   /** Every transaction is applied so much later. */
   public void slowWrites(long ms) {
-    slowWritesMs = ms;
+    commitDelayMs = ms;
   }
 
   /** The store refuses one node alone, or serves it again. */
   public void refuse(String node, boolean on) {
     if (on) {
-      refused.add(node);
+      refusedNodes.add(node);
     } else {
-      refused.remove(node);
-      wake();
+      refusedNodes.remove(node);
+      answerChangedWatches();
     }
   }
 
-  public long rev() {
-    return rev;
+  public long revision() {
+    return revision;
   }
 
   /** Every record, as a load would read them all at once. */
   public List<StateServiceClient.Change> all() {
-    List<StateServiceClient.Change> out = new ArrayList<>();
+    List<StateServiceClient.Change> records = new ArrayList<>();
     entries.forEach(
-        (k, e) -> {
+        (key, entry) -> {
           try {
-            Object value = MessageCodec.decode(MessageCodec.encode(e.value));
-            out.add(new StateServiceClient.Change(k, value, e.stamp));
-          } catch (BadMessage x) {
-            throw new AssertionError(x);
+            Object value = MessageCodec.decode(MessageCodec.encode(entry.value));
+            records.add(new StateServiceClient.Change(key, value, entry.stamp));
+          } catch (BadMessage e) {
+            throw new AssertionError(e);
           }
         });
-    return out;
+    return records;
   }
 
   public Set<String> keys() {
@@ -207,71 +211,74 @@
   }
 
   public int requests() {
-    return requests;
+    return requestCount;
   }
 
   /** How many transactions the limit of writes did not allow. */
   public int overWritten() {
-    return overWritten;
+    return writeLimitExceededCount;
   }
 
-  private void count(int changes) {
+  private void consumeWriteTokens(int changes) {
     long now = clock.nowMs();
-    allowed = Math.min(writeRps, allowed + writeRps * (now - allowedAtMs) / 1000.0);
-    allowedAtMs = now;
-    if (changes > allowed) {
-      overWritten++;
+    writeTokens =
+        Math.min(
+            maxWritesPerSecond,
+            writeTokens + maxWritesPerSecond * (now - writeTokensUpdatedMs) / 1000.0);
+    writeTokensUpdatedMs = now;
+    if (changes > writeTokens) {
+      writeLimitExceededCount++;
     } else {
-      allowed -= changes;
+      writeTokens -= changes;
     }
   }
 
   /** Bytes of all transactions, and of all answers. */
   public long written() {
-    return written;
+    return bytesWritten;
   }
 
   public long read() {
-    return read;
+    return bytesRead;
   }
 
   public int commits() {
-    return commits;
+    return commitCount;
   }
 
-  private void sweep() {
-    clock.after(50, this::sweep);
-    if (out) {
+  private void expireLeasesAndWatches() {
+    clock.after(50, this::expireLeasesAndWatches);
+    if (unavailable) {
       return;
     }
-    for (Long l : List.copyOf(leaseEnds.keySet())) {
-      if (leaseEnds.get(l) <= clock.nowMs()) {
-        endLease(l);
+    for (Long lease : List.copyOf(leaseEndMs.keySet())) {
+      if (leaseEndMs.get(lease) <= clock.nowMs()) {
+        expireLease(lease);
       }
     }
     long now = clock.nowMs();
-    for (Watch w : List.copyOf(watches)) {
-      if (w.until <= now && !refused.contains(w.from)) {
-        watches.remove(w);
-        answerWatch(w);
+    for (Watch watch : List.copyOf(watches)) {
+      if (watch.deadlineMs <= now && !refusedNodes.contains(watch.from)) {
+        watches.remove(watch);
+        answerWatch(watch);
       }
     }
   }
 
-  private void endLease(long l) {
-    leaseEnds.remove(l);
-    leaseLives.remove(l);
-    List<String> gone = new ArrayList<>();
+  private void expireLease(long lease) {
+    leaseEndMs.remove(lease);
+    leaseDurationMs.remove(lease);
+    List<String> expiredKeys = new ArrayList<>();
     entries.forEach(
         (k, e) -> {
-          if (e.lease == l) {
-            gone.add(k);
+          if (e.lease == lease) {
+            expiredKeys.add(k);
           }
         });
-    if (!gone.isEmpty()) {
-      rev++;
-      gone.forEach(k -> put(k, null, 0));
-      wake();
+    if (!expiredKeys.isEmpty()) {
+      revision++;
+      expiredKeys.forEach(k -> put(k, null, 0));
+      answerChangedWatches();
     }
   }
 
@@ -279,38 +286,40 @@
     if (value == null) {
       entries.remove(key);
     } else {
-      entries.put(key, new Entry(value, rev, lease));
+      entries.put(key, new Entry(value, revision, lease));
     }
-    changes.add(new Change(key, value, rev));
+    changes.add(new Change(key, value, revision));
   }
 
-  private void wake() {
-    if (out) {
+  private void answerChangedWatches() {
+    if (unavailable) {
       return;
     }
-    for (Watch w : List.copyOf(watches)) {
-      boolean any = changes.stream().anyMatch(c -> c.stamp > w.rev && c.key.startsWith(w.prefix));
-      if (any && !refused.contains(w.from)) {
-        watches.remove(w);
-        answerWatch(w);
+    for (Watch watch : List.copyOf(watches)) {
+      boolean changed =
+          changes.stream()
+              .anyMatch(c -> c.stamp > watch.afterRevision && c.key.startsWith(watch.prefix));
+      if (changed && !refusedNodes.contains(watch.from)) {
+        watches.remove(watch);
+        answerWatch(watch);
       }
     }
   }
 
-  private void answerWatch(Watch w) {
+  private void answerWatch(Watch watch) {
     List<Object> news = new ArrayList<>();
-    for (Change c : changes) {
-      if (c.stamp > w.rev && c.key.startsWith(w.prefix)) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put(c.value == null ? "delete" : "write", c.key);
-        if (c.value != null) {
-          m.put("v", c.value);
+    for (Change change : changes) {
+      if (change.stamp > watch.afterRevision && change.key.startsWith(watch.prefix)) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(change.value == null ? "delete" : "write", change.key);
+        if (change.value != null) {
+          fields.put("v", change.value);
         }
-        m.put("stamp", c.stamp);
-        news.add(m);
+        fields.put("stamp", change.stamp);
+        news.add(fields);
       }
     }
-    w.done.accept(answer(200, Map.of("ledgerRev", rev, "news", news)));
+    watch.done.accept(answer(200, Map.of("ledgerRev", revision, "news", news)));
   }
 
   static Answer answer(int status, Object body) {
@@ -321,29 +330,31 @@
   public void serve(String from, String method, String path, byte[] body, Consumer<Answer> done) {
     Consumer<Answer> answer =
         a -> {
-          read += a.body() == null ? 0 : a.body().length;
+          bytesRead += a.body() == null ? 0 : a.body().length;
           done.accept(a);
         };
-    serveInTime(from, method, path, body, answer);
+    serveWithDelays(from, method, path, body, answer);
   }
 
-  private void serveInTime(
+  private void serveWithDelays(
       String from, String method, String path, byte[] body, Consumer<Answer> done) {
-    long readLate =
+    long readDelayMs =
         path.startsWith("/follow")
-            ? slowReads.getOrDefault(from, 0L)
+            ? watchDelayMsByNode.getOrDefault(from, 0L)
             : path.startsWith("/store?prefix=w/d/") ? slowFinalsMs : 0;
     if (path.equals("/commit")) {
       writers.add(from);
     }
-    if (path.equals("/commit") && lateShare > 0 && late.nextDouble() < lateShare) {
+    if (path.equals("/commit")
+        && delayedCommitShare > 0
+        && commitDelayRandom.nextDouble() < delayedCommitShare) {
       // Its packets were lost and sent again, while other connections go on.
       lateWrites++;
-      clock.after(lateMs, () -> serveNow(from, method, path, body, done));
-    } else if (path.equals("/commit") && slowWritesMs > 0) {
-      clock.after(slowWritesMs, () -> serveNow(from, method, path, body, done));
-    } else if (readLate > 0) {
-      serveNow(from, method, path, body, a -> clock.after(readLate, () -> done.accept(a)));
+      clock.after(delayedCommitMs, () -> serveNow(from, method, path, body, done));
+    } else if (path.equals("/commit") && commitDelayMs > 0) {
+      clock.after(commitDelayMs, () -> serveNow(from, method, path, body, done));
+    } else if (readDelayMs > 0) {
+      serveNow(from, method, path, body, a -> clock.after(readDelayMs, () -> done.accept(a)));
     } else {
       serveNow(from, method, path, body, done);
     }
@@ -351,50 +362,50 @@
 
   private void serveNow(
       String from, String method, String path, byte[] body, Consumer<Answer> done) {
-    requests++;
-    written += path.equals("/commit") ? body.length : 0;
-    if (out || refused.contains(from)) {
+    requestCount++;
+    bytesWritten += path.equals("/commit") ? body.length : 0;
+    if (unavailable || refusedNodes.contains(from)) {
       done.accept(answer(503, Map.of("error", "away")));
       return;
     }
     try {
       if (path.startsWith("/store?")) {
-        done.accept(list(path));
+        done.accept(listRecords(path));
       } else if (path.startsWith("/store/")) {
         Entry e = entries.get(path.substring(7));
         done.accept(
             e == null
-                ? answer(404, Map.of("ledgerRev", rev))
+                ? answer(404, Map.of("ledgerRev", revision))
                 : answer(200, Map.of("key", path.substring(7), "v", e.value, "stamp", e.stamp)));
       } else if (path.equals("/commit")) {
-        Document d = asBuilt(from, Document.parse(body));
+        Document d = withoutLevelRecords(from, Document.parse(body));
         Fate f = fate.apply(from, d);
         Answer a = f == Fate.LOST ? null : commit(d);
         if (f == Fate.APPLIED) {
           done.accept(a);
         }
       } else if (path.equals("/grants")) {
-        long l = ++leases;
+        long l = ++lastLeaseId;
         long life = Document.parse(body).count("lifeMs");
-        leaseLives.put(l, life);
-        leaseEnds.put(l, clock.nowMs() + life);
+        leaseDurationMs.put(l, life);
+        leaseEndMs.put(l, clock.nowMs() + life);
         done.accept(answer(200, Map.of("tether", l)));
       } else if (method.equals("DELETE")) {
-        endLease(Long.parseLong(path.split("/")[2]));
+        expireLease(Long.parseLong(path.split("/")[2]));
         done.accept(answer(200, Map.of()));
       } else if (path.endsWith("/extend")) {
         long l = Long.parseLong(path.split("/")[2]);
-        if (!leaseEnds.containsKey(l)) {
+        if (!leaseEndMs.containsKey(l)) {
           done.accept(answer(404, Map.of()));
         } else {
-          leaseEnds.put(l, clock.nowMs() + leaseLives.get(l));
+          leaseEndMs.put(l, clock.nowMs() + leaseDurationMs.get(l));
           done.accept(answer(200, Map.of()));
         }
       } else if (path.startsWith("/follow?")) {
-        Map<String, String> q = query(path);
+        Map<String, String> q = parseQuery(path);
         long r = Long.parseLong(q.get("from"));
-        if (!changes.isEmpty() && changes.size() > KEPT) {
-          changes.subList(0, changes.size() - KEPT).clear();
+        if (!changes.isEmpty() && changes.size() > MAX_RECORDED_CHANGES) {
+          changes.subList(0, changes.size() - MAX_RECORDED_CHANGES).clear();
         }
         if (!changes.isEmpty() && r < changes.get(0).stamp - 1) {
           done.accept(answer(410, Map.of()));
@@ -407,11 +418,11 @@
                 r,
                 done,
                 clock.nowMs() + Long.parseLong(q.getOrDefault("holdMs", "0")));
-        if (w.until <= clock.nowMs()) {
+        if (w.deadlineMs <= clock.nowMs()) {
           answerWatch(w);
         } else {
           watches.add(w);
-          wake();
+          answerChangedWatches();
         }
       } else {
         done.accept(answer(400, Map.of("error", "path")));
@@ -421,123 +432,139 @@
     }
   }
 
-  private static Map<String, String> query(String path) {
-    Map<String, String> q = new HashMap<>();
-    for (String p : path.substring(path.indexOf('?') + 1).split("&")) {
-      q.put(p.substring(0, p.indexOf('=')), p.substring(p.indexOf('=') + 1));
+  private static Map<String, String> parseQuery(String path) {
+    Map<String, String> parameters = new HashMap<>();
+    for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
+      parameters.put(
+          parameter.substring(0, parameter.indexOf('=')),
+          parameter.substring(parameter.indexOf('=') + 1));
     }
-    return q;
+    return parameters;
   }
 
-  private Answer list(String path) {
-    Map<String, String> q = query(path);
-    List<Object> out = new ArrayList<>();
-    int most = Integer.parseInt(q.get("most"));
+  private Answer listRecords(String path) {
+    Map<String, String> query = parseQuery(path);
+    List<Object> records = new ArrayList<>();
+    int limit = Integer.parseInt(query.get("most"));
     boolean truncated = false;
-    for (Map.Entry<String, Entry> e :
+    for (Map.Entry<String, Entry> entry :
         entries
-            .tailMap(q.getOrDefault("from", q.get("prefix")), !q.containsKey("from"))
+            .tailMap(query.getOrDefault("from", query.get("prefix")), !query.containsKey("from"))
             .entrySet()) {
-      if (!e.getKey().startsWith(q.get("prefix"))) {
+      if (!entry.getKey().startsWith(query.get("prefix"))) {
         break;
       }
-      if (out.size() == most) {
+      if (records.size() == limit) {
         truncated = true;
         break;
       }
-      out.add(Map.of("key", e.getKey(), "v", e.getValue().value, "stamp", e.getValue().stamp));
+      records.add(
+          Map.of(
+              "key", entry.getKey(), "v", entry.getValue().value, "stamp", entry.getValue().stamp));
     }
-    return answer(200, Map.of("entries", out, "truncated", truncated, "ledgerRev", rev));
+    return answer(200, Map.of("entries", records, "truncated", truncated, "ledgerRev", revision));
   }
 
   /** What every transaction that is applied must have been conditional on. */
-  private void fencing(Document d) throws BadMessage {
-    Set<String> when = new HashSet<>();
-    for (Document w : d.docs("when")) {
-      when.add(w.text("key"));
+  private void checkConditions(Document transaction) throws BadMessage {
+    Set<String> conditionKeys = new HashSet<>();
+    for (Document condition : transaction.docs("when")) {
+      conditionKeys.add(condition.text("key"));
     }
-    for (Document t : d.docs("then")) {
-      String key = t.textOrNull("write") == null ? t.text("delete") : t.text("write");
-      if (key.startsWith("w/j/") && !when.contains(key)) {
-        unfenced.add(key + " without its own stamp");
+    for (Document change : transaction.docs("then")) {
+      String key =
+          change.textOrNull("write") == null ? change.text("delete") : change.text("write");
+      if (key.startsWith("w/j/") && !conditionKeys.contains(key)) {
+        transactionViolations.add(key + " without its own stamp");
       }
       if (key.startsWith("w/t/") || key.startsWith("w/h/") || key.startsWith("w/p/")) {
-        boolean mine = when.contains(key) || t.raw("v") == null;
-        if (!mine) {
-          unfenced.add(key + " without its own stamp");
+        boolean conditional = conditionKeys.contains(key) || change.raw("v") == null;
+        if (!conditional) {
+          transactionViolations.add(key + " without its own stamp");
         }
       }
-      if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && t.raw("v") != null) {
-        for (Map.Entry<String, Entry> e : entries.entrySet()) {
+      if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && change.raw("v") != null) {
+        for (Map.Entry<String, Entry> entry : entries.entrySet()) {
           // A store that is being restored has a text in place of the view.
-          Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
-          boolean old =
-              !(v instanceof String)
-                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(e.getKey()))
-                      > Encoding.versionOf(v);
-          if (old) {
-            unfenced.add(key + " while " + e.getKey() + " is of an older form");
+          Object value = MessageCodec.decode(MessageCodec.encode(entry.getValue().value));
+          boolean inOldEncoding =
+              !(value instanceof String)
+                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(entry.getKey()))
+                      > Encoding.versionOf(value);
+          if (inOldEncoding) {
+            transactionViolations.add(key + " while " + entry.getKey() + " is of an older form");
           }
         }
       }
-      if (!key.startsWith("w/l/") || t.raw("v") == null) {
+      if (!key.startsWith("w/l/") || change.raw("v") == null) {
         continue;
       }
-      if (!when.contains(key)) {
-        unfenced.add(key + " without its own stamp");
+      if (!conditionKeys.contains(key)) {
+        transactionViolations.add(key + " without its own stamp");
       }
-      String part = "w/p/" + key.substring(4, key.lastIndexOf('/'));
-      List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
-      List<?> last = runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
+      String partitionKey = "w/p/" + key.substring(4, key.lastIndexOf('/'));
+      List<?> runs = Encoding.decode(change.raw("v"), Encoding.NUMBERED).list("g");
+      List<?> lastRun =
+          runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
       // A run that says its revision was durable before: the page is only brought to another form.
-      boolean fresh = last.get(0).equals(0L);
-      for (Object o : fresh ? (List<?>) last.get(1) : List.of()) {
-        List<?> e = (List<?>) o;
-        String job = "w/j/" + e.get(1);
-        if (e.get(0).equals("p") && !inView(part.substring(4))) {
-          unfenced.add(key + " places " + e + " from outside the view");
+      boolean isNew = lastRun.get(0).equals(0L);
+      for (Object item : isNew ? (List<?>) lastRun.get(1) : List.of()) {
+        List<?> entry = (List<?>) item;
+        String jobKey = "w/j/" + entry.get(1);
+        if (entry.get(0).equals("p") && !isViewMember(partitionKey.substring(4))) {
+          transactionViolations.add(key + " places " + entry + " from outside the view");
         }
-        if (e.get(0).equals("p") && !(when.contains(part) && when.contains(job))) {
-          unfenced.add(key + " places " + e + " without " + part + ", " + job);
+        if (entry.get(0).equals("p")
+            && !(conditionKeys.contains(partitionKey) && conditionKeys.contains(jobKey))) {
+          transactionViolations.add(
+              key + " places " + entry + " without " + partitionKey + ", " + jobKey);
         }
-        if (e.get(0).equals("p") && !when.contains(View.KEY) && level() >= Gate.VIEWS.level()) {
-          unfenced.add(key + " places " + e + " without the view");
+        if (entry.get(0).equals("p")
+            && !conditionKeys.contains(View.KEY)
+            && storedLevel() >= Gate.VIEWS.level()) {
+          transactionViolations.add(key + " places " + entry + " without the view");
         }
-        if (e.get(0).equals("p") && !when.contains(Tables.CLAIMS_KEY) && mayBeTaken(part)) {
-          unfenced.add(key + " places " + e + " without " + Tables.CLAIMS_KEY);
+        if (entry.get(0).equals("p")
+            && !conditionKeys.contains(Tables.CLAIMS_KEY)
+            && isClaimable(partitionKey)) {
+          transactionViolations.add(key + " places " + entry + " without " + Tables.CLAIMS_KEY);
         }
       }
     }
   }
 
   /** What of a transaction is larger than it may be, or null. */
-  private String oversized(Document d) throws BadMessage {
-    if (d.docs("when").size() > 4 * txnOps || d.docs("then").size() > txnOps) {
-      return d.docs("when").size() + " conditions, " + d.docs("then").size() + " changes";
+  private String describeOversized(Document transaction) throws BadMessage {
+    if (transaction.docs("when").size() > 4 * maxTransactionChanges
+        || transaction.docs("then").size() > maxTransactionChanges) {
+      return transaction.docs("when").size()
+          + " conditions, "
+          + transaction.docs("then").size()
+          + " changes";
     }
-    for (Document t : d.docs("then")) {
-      if (MessageCodec.jsonSize(t.raw("v")) > valueBytes) {
-        return t.text("write");
+    for (Document change : transaction.docs("then")) {
+      if (MessageCodec.jsonSize(change.raw("v")) > maxValueBytes) {
+        return change.text("write");
       }
     }
     return null;
   }
 
-  private long level() throws BadMessage {
+  private long storedLevel() throws BadMessage {
     return Encoding.decode(
             MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED)
         .count("level", 1);
   }
 
   /** Whether a leader may take machines of that part together with others'. */
-  private boolean mayBeTaken(String part) throws BadMessage {
+  private boolean isClaimable(String partitionKey) throws BadMessage {
     Document view =
         Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED);
     return view.count("level", 1) >= Gate.TAKES.level()
-        && !part.equals("w/p/" + view.text("leader"));
+        && !partitionKey.equals("w/p/" + view.text("leader"));
   }
 
-  private boolean inView(String node) throws BadMessage {
+  private boolean isViewMember(String node) throws BadMessage {
     Object view = value("w/v");
     return view != null
         && Document.of(
@@ -549,30 +576,31 @@
   }
 
   /** Transactions that lacked a condition; must stay empty. */
-  public List<String> unfenced() {
-    return unfenced;
+  public List<String> transactionViolations() {
+    return transactionViolations;
   }
 
   /** What a build that knows no levels would have sent in place of this. */
-  private Document asBuilt(String from, Document d) throws BadMessage {
+  private Document withoutLevelRecords(String from, Document transaction) throws BadMessage {
     if (!levelless.contains(from)) {
-      return d;
+      return transaction;
     }
     List<Object> when = new ArrayList<>();
-    for (Document w : d.docs("when")) {
-      if (!w.text("key").startsWith("w/c/")) {
-        when.add(w.rawMap());
+    for (Document condition : transaction.docs("when")) {
+      if (!condition.text("key").startsWith("w/c/")) {
+        when.add(condition.rawMap());
       }
     }
     List<Object> then = new ArrayList<>();
-    for (Document t : d.docs("then")) {
-      String key = t.textOrNull("write") == null ? t.text("delete") : t.text("write");
+    for (Document change : transaction.docs("then")) {
+      String key =
+          change.textOrNull("write") == null ? change.text("delete") : change.text("write");
       if (key.startsWith("w/m/")) {
-        Map<String, Object> op = new LinkedHashMap<>(t.without());
-        op.put("v", Document.of(t.raw("v")).without("least", "most"));
-        then.add(op);
+        Map<String, Object> fields = new LinkedHashMap<>(change.without());
+        fields.put("v", Document.of(change.raw("v")).without("least", "most"));
+        then.add(fields);
       } else if (!key.startsWith("w/c/")) {
-        then.add(t.rawMap());
+        then.add(change.rawMap());
       }
     }
     return Document.of(Map.of("when", when, "then", then));
@@ -580,61 +608,61 @@
 
   /** A record as it is, or null. */
   Object value(String key) {
-    Entry e = entries.get(key);
-    return e == null ? null : e.value;
+    Entry entry = entries.get(key);
+    return entry == null ? null : entry.value;
   }
 
   /** The whole content, as if it had been there before anything ran. */
-  public void preload(Map<String, Object> records, long stamp) {
-    rev = stamp;
-    records.forEach((k, v) -> entries.put(k, new Entry(v, stamp, 0)));
+  public void preload(Map<String, Object> records, long recordRevision) {
+    revision = recordRevision;
+    records.forEach((k, v) -> entries.put(k, new Entry(v, recordRevision, 0)));
   }
 
   /** Puts a record there past all conditions, as a fault or another build might. */
   void force(String key, Object value) {
-    rev++;
+    revision++;
     put(key, value, 0);
-    wake();
+    answerChangedWatches();
   }
 
-  private Answer commit(Document d) throws BadMessage {
-    commits++;
-    count(d.docs("then").size());
+  private Answer commit(Document transaction) throws BadMessage {
+    commitCount++;
+    consumeWriteTokens(transaction.docs("then").size());
     List<Object> failed = new ArrayList<>();
-    for (Document w : d.docs("when")) {
-      Entry e = entries.get(w.text("key"));
-      if ((e == null ? 0 : e.stamp) != w.count("stamp")) {
-        failed.add(w.text("key"));
+    for (Document condition : transaction.docs("when")) {
+      Entry entry = entries.get(condition.text("key"));
+      if ((entry == null ? 0 : entry.stamp) != condition.count("stamp")) {
+        failed.add(condition.text("key"));
       }
     }
-    for (Document t : d.docs("then")) {
-      long lease = t.count("tether", 0);
-      if (lease > 0 && !leaseEnds.containsKey(lease)) {
+    for (Document change : transaction.docs("then")) {
+      long lease = change.count("tether", 0);
+      if (lease > 0 && !leaseEndMs.containsKey(lease)) {
         return answer(400, Map.of("error", "no such lease"));
       }
     }
-    String large = oversized(d);
-    if (large != null) {
-      tooLarge.add(large);
-      if (txnOpsBefore == 0) {
-        unfenced.add(large + " is larger than it may be");
+    String oversized = describeOversized(transaction);
+    if (oversized != null) {
+      tooLarge.add(oversized);
+      if (previousMaxTransactionChanges == 0) {
+        transactionViolations.add(oversized + " is larger than it may be");
       }
       return answer(400, Map.of("error", "too large"));
     }
     if (!failed.isEmpty()) {
-      return answer(409, Map.of("failed", failed, "ledgerRev", rev));
+      return answer(409, Map.of("failed", failed, "ledgerRev", revision));
     }
-    fencing(d);
-    rev++;
-    for (Document t : d.docs("then")) {
-      String key = t.textOrNull("write");
+    checkConditions(transaction);
+    revision++;
+    for (Document change : transaction.docs("then")) {
+      String key = change.textOrNull("write");
       if (key != null) {
-        put(key, t.raw("v"), t.count("tether", 0));
+        put(key, change.raw("v"), change.count("tether", 0));
       } else {
-        put(t.text("delete"), null, 0);
+        put(change.text("delete"), null, 0);
       }
     }
-    wake();
-    return answer(200, Map.of("ledgerRev", rev));
+    answerChangedWatches();
+    return answer(200, Map.of("ledgerRev", revision));
   }
 }
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -25,7 +25,7 @@
 
   final Set<String> asked = new HashSet<>();
 
-  private final Map<String, Long> firstAsked = new HashMap<>();
+  private final Map<String, Long> firstWithdrawalRequestMs = new HashMap<>();
 
   /** The longest that a user waited for the word that a job is withdrawn. */
   long slowestWordMs;
@@ -36,7 +36,7 @@
   /** If users look closely whenever something becomes known of a job. */
   SimCloseLooks closeLooks;
 
-  private final Map<String, byte[]> submissions = new HashMap<>();
+  private final Map<String, byte[]> submissionBodies = new HashMap<>();
 
   SimUsers(SimWorld world) {
     this.world = world;
@@ -55,7 +55,7 @@
   /** Tells the workers of a job: users hand them its description themselves. */
   public byte[] describe(Map<String, Object> job) {
     byte[] body = MessageCodec.encode(job);
-    submissions.put((String) job.get("ref"), body);
+    submissionBodies.put((String) job.get("ref"), body);
     try {
       world.specs.put((String) job.get("ref"), JobSpec.parse(Document.parse(body)));
     } catch (BadMessage e) {
@@ -71,7 +71,7 @@
     trySubmit(id, body, withdrawAfterMs);
   }
 
-  private String anyNode() {
+  private String randomNode() {
     return world.nodes.get(world.random.nextInt(world.nodes.size()));
   }
 
@@ -80,7 +80,7 @@
         .net
         .caller("user", () -> true)
         .call(
-            anyNode(),
+            randomNode(),
             "POST",
             "/api/jobs",
             body,
@@ -88,15 +88,15 @@
             a -> {
               if (a.status() == 200 || a.status() == 201) {
                 if (accepted.add(id)) {
-                  world.rules.accepted(id);
-                  look(id);
+                  world.rules.jobAccepted(id);
+                  pollBurst(id);
                 }
                 world.clock.after(5000, () -> poll(id));
                 if (withdrawAfterMs > 0) {
                   world.clock.after(withdrawAfterMs, () -> withdraw(id));
                 }
               } else if (a.status() == 400 || a.status() == 422) {
-                world.rules.broken.add("refused " + id + " with " + a.status());
+                world.rules.violations.add("refused " + id + " with " + a.status());
               } else {
                 refusedSubmissions++;
                 world.clock.after(1000, () -> trySubmit(id, body, withdrawAfterMs));
@@ -106,17 +106,17 @@
 
   /** A user repeats a submission, whatever has become of it. */
   void submitAgain(String id, Map<String, Object> job) {
-    submissions.put(id, MessageCodec.encode(job));
-    submitAgain(anyNode(), id, () -> {});
+    submissionBodies.put(id, MessageCodec.encode(job));
+    submitAgain(randomNode(), id, () -> {});
   }
 
   /**
    * A user repeats a submission at one node.
    *
-   * @param told called when the answer tells the job's state
+   * @param onAnswer called when the answer tells the job's state
    */
-  void submitAgain(String node, String id, Runnable told) {
-    long asked = world.clock.nowMs();
+  void submitAgain(String node, String id, Runnable onAnswer) {
+    long requestSentMs = world.clock.nowMs();
     world
         .net
         .caller("user", () -> true)
@@ -124,55 +124,55 @@
             node,
             "POST",
             "/api/jobs",
-            submissions.get(id),
+            submissionBodies.get(id),
             5000,
             a -> {
               if (a.status() == 201 && accepted.contains(id)) {
-                world.rules.acceptedAgain(id, asked);
+                world.rules.submissionAcceptedAsNew(id, requestSentMs);
               } else if (a.status() == 200) {
-                told.run();
-                told(id, phase(a), asked);
+                onAnswer.run();
+                phaseReceived(id, phase(a), requestSentMs);
               } else if (a.status() == 400 || a.status() == 422 || a.status() == 404) {
-                told(id, null, asked);
+                phaseReceived(id, null, requestSentMs);
               }
             });
   }
 
   /** A user hears how a job stands; null: that it is not known. */
-  private void told(String id, String phase, long asked) {
-    boolean wasFinal = world.rules.isFinal(id);
-    world.rules.told(id, phase, asked);
-    if (!wasFinal && world.rules.isFinal(id)) {
-      look(id);
+  private void phaseReceived(String id, String phase, long requestSentMs) {
+    boolean wasTerminal = world.rules.isFinal(id);
+    world.rules.phaseReported(id, phase, requestSentMs);
+    if (!wasTerminal && world.rules.isFinal(id)) {
+      pollBurst(id);
     }
   }
 
-  private void look(String id) {
+  private void pollBurst(String id) {
     if (closeLooks != null) {
-      closeLooks.at(id);
+      closeLooks.pollAllNodes(id);
     }
   }
 
   /** The last of a job's tasks has just ended. */
-  void ended(String id) {
+  void allTasksDone(String id) {
     if (accepted.contains(id)) {
-      look(id);
+      pollBurst(id);
     }
   }
 
   /** One poll at one node, which does not repeat. */
-  void pollOnce(String node, String id, Runnable told) {
-    long asked = world.clock.nowMs();
+  void pollOnce(String node, String id, Runnable onAnswer) {
+    long requestSentMs = world.clock.nowMs();
     poll(
         node,
         id,
         2000,
         a -> {
           if (a.status() == 200) {
-            told.run();
-            told(id, phase(a), asked);
+            onAnswer.run();
+            phaseReceived(id, phase(a), requestSentMs);
           } else if (a.status() == 404) {
-            told(id, null, asked);
+            phaseReceived(id, null, requestSentMs);
           }
         });
   }
@@ -186,7 +186,7 @@
   }
 
   private void poll(String id) {
-    pollOnce(anyNode(), id, () -> {});
+    pollOnce(randomNode(), id, () -> {});
     world.clock.after(5000, () -> poll(id));
   }
 
@@ -199,14 +199,14 @@
   }
 
   private void withdraw(String id) {
-    withdraw(id, anyNode());
+    withdraw(id, randomNode());
   }
 
   /** A user calls a job off, at this node first, until one answers. */
   void withdraw(String id, String node) {
     asked.add(id);
-    long asked = world.clock.nowMs();
-    firstAsked.putIfAbsent(id, asked);
+    long requestSentMs = world.clock.nowMs();
+    firstWithdrawalRequestMs.putIfAbsent(id, requestSentMs);
     world
         .net
         .caller("user", () -> true)
@@ -218,14 +218,16 @@
             5000,
             a -> {
               if (a.status() == 200) {
-                String p = phase(a);
-                if (p.equals("withdrawn")) {
+                String phase = phase(a);
+                if (phase.equals("withdrawn")) {
                   world.rules.withdrawn(id);
-                  slowestWordMs = Math.max(slowestWordMs, world.clock.nowMs() - firstAsked.get(id));
+                  slowestWordMs =
+                      Math.max(
+                          slowestWordMs, world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
                 }
-                told(id, p, asked);
+                phaseReceived(id, phase, requestSentMs);
               } else if (a.status() == 404) {
-                told(id, null, asked);
+                phaseReceived(id, null, requestSentMs);
               } else {
                 world.clock.after(1000, () -> withdraw(id));
               }
@@ -234,22 +236,24 @@
 
   /** One request as it is, for tests of single answers; null if none comes within five seconds. */
   public Answer ask(String node, String method, String path, byte[] body) {
-    Answer[] got = new Answer[1];
-    world.net.caller("user", () -> true).call(node, method, path, body, 5000, a -> got[0] = a);
+    Answer[] answer = new Answer[1];
+    world.net.caller("user", () -> true).call(node, method, path, body, 5000, a -> answer[0] = a);
     world.run(5001);
-    return got[0];
+    return answer[0];
   }
 
   /** Submits 240 jobs of all shapes within 20 seconds; arrays have so many tasks. */
   public void submitMixed(long seed, int arrayTasks) {
-    Random r = new Random(seed);
+    Random random = new Random(seed);
     for (int i = 0; i < 240; i++) {
-      int n = i;
+      int number = i;
       String shape = i % 4 == 0 ? "ensemble" : i % 4 == 1 ? "daemon" : "batch";
       int tasks = i % 4 < 2 ? 2 : arrayTasks;
       world.clock.after(
-          r.nextInt(20_000),
-          () -> submit(SimJobs.job(n, shape, tasks, n % 4 == 0 ? 4 : 1, 5 + n % 9), 0));
+          random.nextInt(20_000),
+          () ->
+              submit(
+                  SimJobs.job(number, shape, tasks, number % 4 == 0 ? 4 : 1, 5 + number % 9), 0));
     }
   }
 
@@ -257,30 +261,33 @@
    * Submits 60 small jobs of all shapes, of which some are withdrawn.
    *
    * @param fromMs when the first may come, within so many milliseconds the last
-   * @param offMs within so long a withdrawal comes
-   * @param seconds a job runs, by its number
+   * @param withdrawSpanMs within so long a withdrawal comes
+   * @param runSeconds a job runs, by its number
    * @return those that must be done in the end
    */
   List<String> submitSmall(
-      Random r, int fromMs, int spanMs, int offMs, IntToDoubleFunction seconds) {
-    List<String> finite = new ArrayList<>();
+      Random random, int fromMs, int spanMs, int withdrawSpanMs, IntToDoubleFunction runSeconds) {
+    List<String> jobsExpectedDone = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      int n = i;
-      int kind = r.nextInt(10);
-      int tasks = 1 + r.nextInt(4);
-      boolean off = kind > 7 && r.nextBoolean();
-      long offAfter = off ? 500 + r.nextInt(offMs) : 0;
+      int number = i;
+      int kind = random.nextInt(10);
+      int tasks = 1 + random.nextInt(4);
+      boolean withdrawn = kind > 7 && random.nextBoolean();
+      long withdrawAfterMs = withdrawn ? 500 + random.nextInt(withdrawSpanMs) : 0;
       String shape = kind < 2 ? "daemon" : kind < 5 ? "ensemble" : "batch";
-      int most = kind < 2 ? 2 : kind < 5 ? 3 : 4;
-      double run = kind < 2 ? 0 : seconds.applyAsDouble(n);
+      int maxTasks = kind < 2 ? 2 : kind < 5 ? 3 : 4;
+      double runS = kind < 2 ? 0 : runSeconds.applyAsDouble(number);
       double gpus = shape.equals("ensemble") ? 2 : 1;
       world.clock.after(
-          fromMs + r.nextInt(spanMs),
-          () -> submit(SimJobs.job(n, shape, Math.min(tasks, most), gpus, run), offAfter));
-      if (kind >= 2 && !off) {
-        finite.add(String.format("req-%06d", n));
+          fromMs + random.nextInt(spanMs),
+          () ->
+              submit(
+                  SimJobs.job(number, shape, Math.min(tasks, maxTasks), gpus, runS),
+                  withdrawAfterMs));
+      if (kind >= 2 && !withdrawn) {
+        jobsExpectedDone.add(String.format("req-%06d", number));
       }
     }
-    return finite;
+    return jobsExpectedDone;
   }
 }
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -26,19 +26,19 @@
   final String zone;
   final boolean spot;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
-  private final List<String> results = new ArrayList<>();
+  private final List<String> completedTaskIds = new ArrayList<>();
   private final Set<String> images = new HashSet<>();
   private long tenure = 1;
-  private int lives;
-  private long tokenToldMs = Long.MIN_VALUE / 2;
+  private int incarnation;
+  private long lastImmediateReportMs = Long.MIN_VALUE / 2;
   long tick;
   private long epoch;
-  private long leaseStart;
-  int node;
-  private boolean dead;
+  private long leaseStartMs;
+  int nodeIndex;
+  private boolean terminated;
   boolean hung;
   boolean sick;
-  int killedByLease;
+  int tasksKilledByLease;
 
   /** If it takes that long to fetch an image. */
   long slowFetchMs;
@@ -48,8 +48,8 @@
     final int attempt;
     final JobSpec spec;
     String phase = "pulling";
-    String why;
-    boolean on;
+    String exitReason;
+    boolean active;
     boolean removed;
 
     Task(String id, int attempt, JobSpec spec) {
@@ -62,31 +62,31 @@
       return name;
     }
 
-    String gang() {
+    String gangAttemptId() {
       return id.substring(0, id.indexOf('/')) + "#" + attempt;
     }
 
-    boolean stands() {
+    boolean isMachineHung() {
       return hung;
     }
 
     void complete() {
-      results.add(id);
-      world.rules.done(this);
-      end(this, "done");
+      completedTaskIds.add(id);
+      world.rules.taskDone(this);
+      endTask(this, "done");
     }
 
     /** A mate is gone: so is this task, unless its machine stands still and can't notice. */
-    void mateGone() {
-      if (on && !hung) {
-        end(this, "mates_gone");
+    void onPeerLost() {
+      if (active && !hung) {
+        endTask(this, "mates_gone");
       }
     }
 
     /** It has waited for its mates long enough. */
-    void alone() {
-      if (on && phase.equals("gathering")) {
-        end(this, "alone");
+    void onGangWaitExpired() {
+      if (active && phase.equals("gathering")) {
+        endTask(this, "alone");
       }
     }
 
@@ -103,45 +103,45 @@
     this.address = address;
     this.zone = zone;
     this.spot = spot;
-    this.caller = world.net.caller(address, () -> !dead);
-    this.leaseStart = clock.nowMs();
-    this.node = random.nextInt(world.nodes.size());
+    this.caller = world.net.caller(address, () -> !terminated);
+    this.leaseStartMs = clock.nowMs();
+    this.nodeIndex = random.nextInt(world.nodes.size());
     world.net.listen(address, this);
-    clock.after(random.nextInt(500), this::report);
-    leaseCheck();
+    clock.after(random.nextInt(500), this::sendReport);
+    checkLeasePeriodically();
   }
 
   void die() {
-    dead = true;
+    terminated = true;
     world.net.close(address);
-    tasks.values().forEach(this::off);
+    tasks.values().forEach(this::remove);
     tasks.clear();
   }
 
-  private long session() {
-    return lives * 1_000_000L + tenure;
+  private long sessionId() {
+    return incarnation * 1_000_000L + tenure;
   }
 
   @Override
-  public long life() {
-    return lives;
+  public long incarnation() {
+    return incarnation;
   }
 
   /** The machine is back at once, under its name, with nothing on it, and counts from one again. */
   void restart() {
-    tasks.values().forEach(this::off);
+    tasks.values().forEach(this::remove);
     tasks.clear();
     images.clear();
-    lives++;
+    incarnation++;
     tenure = 1;
     tick = 0;
     epoch = 0;
-    leaseStart = clock.nowMs();
+    leaseStartMs = clock.nowMs();
   }
 
   /** A running task fails. */
   void fail(String task) {
-    end(tasks.get(task), "error");
+    endTask(tasks.get(task), "error");
   }
 
   /** Whether a task is here, ended ones too. */
@@ -151,7 +151,7 @@
 
   /** Whether a task here has given up waiting for the rest of its gang. */
   boolean gaveUpWaiting() {
-    return tasks.values().stream().anyMatch(t -> "alone".equals(t.why));
+    return tasks.values().stream().anyMatch(task -> "alone".equals(task.exitReason));
   }
 
   boolean empty() {
@@ -159,190 +159,191 @@
   }
 
   /** How many more tasks like these fit here; none where nothing works. */
-  int room(JobSpec of) {
-    if (dead || hung || sick || spot && !of.spot()) {
+  int taskCapacity(JobSpec spec) {
+    if (terminated || hung || sick || spot && !spec.spot()) {
       return 0;
     }
-    if (of.zone() != null && !of.zone().equals(zone)) {
+    if (spec.zone() != null && !spec.zone().equals(zone)) {
       return 0;
     }
-    double gpus = SimWorld.GPUS;
-    double cpus = SimWorld.CPUS;
-    double memory = SimWorld.MEMORY_GB;
-    for (Task t : tasks.values()) {
-      if (!t.phase.equals("ended")) {
-        gpus -= t.spec.gpus();
-        cpus -= t.spec.cpus();
-        memory -= t.spec.memoryGb();
+    double gpus = SimWorld.GPUS_PER_MACHINE;
+    double cpus = SimWorld.CPUS_PER_MACHINE;
+    double memory = SimWorld.MEMORY_GB_PER_MACHINE;
+    for (Task task : tasks.values()) {
+      if (!task.phase.equals("ended")) {
+        gpus -= task.spec.gpus();
+        cpus -= task.spec.cpus();
+        memory -= task.spec.memoryGb();
       }
     }
-    double n = Math.min(cpus / of.cpus(), memory / of.memoryGb());
-    return (int) Math.floor((of.gpus() > 0 ? Math.min(n, gpus / of.gpus()) : n) + 1e-6);
+    double n = Math.min(cpus / spec.cpus(), memory / spec.memoryGb());
+    return (int) Math.floor((spec.gpus() > 0 ? Math.min(n, gpus / spec.gpus()) : n) + 1e-6);
   }
 
   /** What its tasks hold of a team's GPUs, fetching ones too. */
   double gpusOf(String team) {
     double sum = 0;
-    for (Task t : tasks.values()) {
-      sum += !t.phase.equals("ended") && t.spec.team().equals(team) ? t.spec.gpus() : 0;
+    for (Task task : tasks.values()) {
+      sum += !task.phase.equals("ended") && task.spec.team().equals(team) ? task.spec.gpus() : 0;
     }
     return sum;
   }
 
-  private void off(Task t) {
-    t.removed = true;
-    leave(t);
+  private void remove(Task task) {
+    task.removed = true;
+    deactivate(task);
   }
 
-  private void leave(Task t) {
-    if (t.on) {
-      t.on = false;
-      world.rules.left(t);
-      SimGang g = world.gangs.get(t.gang());
-      if (g != null) {
-        g.left(t);
+  private void deactivate(Task task) {
+    if (task.active) {
+      task.active = false;
+      world.rules.taskStopped(task);
+      SimGang gang = world.gangs.get(task.gangAttemptId());
+      if (gang != null) {
+        gang.removeMember(task);
       }
     }
   }
 
-  private void leaseCheck() {
-    if (dead) {
+  private void checkLeasePeriodically() {
+    if (terminated) {
       return;
     }
-    clock.after(20, this::leaseCheck);
+    clock.after(20, this::checkLeasePeriodically);
     // A hung machine may resume within its lease only: its end is enforced from outside.
-    if (leaseIsOver()) {
-      lapse();
+    if (isLeaseExpired()) {
+      expireLease();
     }
   }
 
-  private boolean leaseIsOver() {
-    return clock.nowMs() - leaseStart > world.leaseMs && !world.workersKeepTheirLeases;
+  private boolean isLeaseExpired() {
+    return clock.nowMs() - leaseStartMs > world.leaseMs && !world.workerLeasesNeverExpire;
   }
 
-  private void lapse() {
-    killedByLease += tasks.size();
-    tasks.values().forEach(this::off);
+  private void expireLease() {
+    tasksKilledByLease += tasks.size();
+    tasks.values().forEach(this::remove);
     tasks.clear();
     tenure++;
-    leaseStart = clock.nowMs();
+    leaseStartMs = clock.nowMs();
   }
 
-  void hang(boolean on) {
-    hung = on;
-    if (!on && leaseIsOver()) {
-      lapse();
+  void hang(boolean nowHung) {
+    hung = nowHung;
+    if (!nowHung && isLeaseExpired()) {
+      expireLease();
     }
   }
 
-  private Map<String, Object> message(String to) {
+  private Map<String, Object> buildReport(String node) {
     tick++;
-    List<Object> list = new ArrayList<>();
-    for (Task t : tasks.values()) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      m.put("shard", t.id);
-      m.put("try", t.attempt);
-      m.put("phase", t.phase);
-      if (t.why != null) {
-        m.put("exitReason", t.why);
+    List<Object> taskReports = new ArrayList<>();
+    for (Task task : tasks.values()) {
+      Map<String, Object> fields = new LinkedHashMap<>();
+      fields.put("shard", task.id);
+      fields.put("try", task.attempt);
+      fields.put("phase", task.phase);
+      if (task.exitReason != null) {
+        fields.put("exitReason", task.exitReason);
       }
-      list.add(m);
-    }
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("host", name);
-    m.put("address", world.published.apply(address, to));
-    m.put("flavour", "g4");
-    m.put("region", zone);
-    m.put("reclaimable", spot);
-    m.put("tenure", tenure);
-    m.put("tick", tick);
-    m.put("epoch", epoch);
-    m.put("shards", list);
-    return m;
+      taskReports.add(fields);
+    }
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("host", name);
+    fields.put("address", world.addressSeenByNode.apply(address, node));
+    fields.put("flavour", "g4");
+    fields.put("region", zone);
+    fields.put("reclaimable", spot);
+    fields.put("tenure", tenure);
+    fields.put("tick", tick);
+    fields.put("epoch", epoch);
+    fields.put("shards", taskReports);
+    return fields;
   }
 
-  private void again(long ms) {
-    clock.after(ms, this::report);
+  private void scheduleReport(long delayMs) {
+    clock.after(delayMs, this::sendReport);
   }
 
-  private void report() {
-    if (dead) {
+  private void sendReport() {
+    if (terminated) {
       return;
     }
     if (hung) {
-      again(200);
+      scheduleReport(200);
       return;
     }
-    long sent = clock.nowMs();
-    long session = session();
-    String to = world.nodes.get(node % world.nodes.size());
+    long sentMs = clock.nowMs();
+    long sentSession = sessionId();
+    String target = world.nodes.get(nodeIndex % world.nodes.size());
     caller.call(
-        to,
+        target,
         "POST",
         "/hello",
-        MessageCodec.encode(message(to)),
+        MessageCodec.encode(buildReport(target)),
         4000,
-        a -> answered(a, sent, session));
+        a -> handleReportAnswer(a, sentMs, sentSession));
   }
 
-  private void answered(Answer a, long sent, long session) {
+  private void handleReportAnswer(Answer answer, long sentMs, long sentSession) {
     if (hung) {
       // The machine stands still; it sees the answer too late to use it.
-      again(200);
+      scheduleReport(200);
       return;
     }
     try {
-      if (a.status() == 200) {
-        Document d = Document.parse(a.body());
-        long token = d.count("epoch");
+      if (answer.status() == 200) {
+        Document response = Document.parse(answer.body());
+        long token = response.count("epoch");
         // A higher token is a change, told at once, but no more often than twice a lease.
-        boolean tell = false;
-        if (session == session() && token >= epoch) {
+        boolean reportSoon = false;
+        if (sentSession == sessionId() && token >= epoch) {
           long now = clock.nowMs();
-          tell = token > epoch && now - tokenToldMs >= world.leaseMs / 2;
-          tokenToldMs = tell ? now : tokenToldMs;
+          reportSoon = token > epoch && now - lastImmediateReportMs >= world.leaseMs / 2;
+          lastImmediateReportMs = reportSoon ? now : lastImmediateReportMs;
           epoch = token;
-          leaseStart = Math.max(leaseStart, sent);
-          orders(d);
+          leaseStartMs = Math.max(leaseStartMs, sentMs);
+          applyCommands(response);
         }
-        again(tell ? 500 : (long) (world.reportMs * (0.75 + random.nextDouble() / 2)));
+        scheduleReport(
+            reportSoon ? 500 : (long) (world.reportIntervalMs * (0.75 + random.nextDouble() / 2)));
         return;
       }
-      if (a.status() == 421) {
-        String up = Document.parse(a.body()).textOrNull("upstream");
-        int i = up == null ? -1 : world.nodes.indexOf(up);
-        if (i >= 0 && i != node) {
-          node = i;
-          again(random.nextInt(500));
+      if (answer.status() == 421) {
+        String upstream = Document.parse(answer.body()).textOrNull("upstream");
+        int upstreamIndex = upstream == null ? -1 : world.nodes.indexOf(upstream);
+        if (upstreamIndex >= 0 && upstreamIndex != nodeIndex) {
+          nodeIndex = upstreamIndex;
+          scheduleReport(random.nextInt(500));
           return;
         }
       }
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
-    node = (node + 1) % world.nodes.size();
-    again(1000);
+    nodeIndex = (nodeIndex + 1) % world.nodes.size();
+    scheduleReport(1000);
   }
 
-  private void orders(Document d) throws BadMessage {
-    for (Document o : d.docs("orders")) {
-      String id = o.text("shard");
-      int attempt = (int) o.count("try");
-      Task t = tasks.get(id);
-      switch (o.text("verb")) {
+  private void applyCommands(Document message) throws BadMessage {
+    for (Document command : message.docs("orders")) {
+      String id = command.text("shard");
+      int attempt = (int) command.count("try");
+      Task task = tasks.get(id);
+      switch (command.text("verb")) {
         case "run" -> {
-          if (t != null && t.attempt == attempt) {
+          if (task != null && task.attempt == attempt) {
             break;
           }
-          start(id, attempt, t);
+          startTask(id, attempt, task);
         }
         case "halt" -> {
-          if (t != null && t.attempt == attempt && !t.phase.equals("ended")) {
-            end(t, "halted");
+          if (task != null && task.attempt == attempt && !task.phase.equals("ended")) {
+            endTask(task, "halted");
           }
         }
         case "clear" -> {
-          if (t != null && t.attempt == attempt && t.phase.equals("ended")) {
+          if (task != null && task.attempt == attempt && task.phase.equals("ended")) {
             tasks.remove(id);
           }
         }
@@ -351,85 +352,89 @@
     }
   }
 
-  private void start(String id, int attempt, Task held) {
+  private void startTask(String id, int attempt, Task existing) {
     JobSpec spec = world.specs.get(id.substring(0, id.indexOf('/')));
-    Task t = new Task(id, attempt, spec);
-    if (held != null && !held.phase.equals("ended")) {
+    Task task = new Task(id, attempt, spec);
+    if (existing != null && !existing.phase.equals("ended")) {
       // Kept apart from the running attempt: only its refusal is reported, once.
-      world.refusals++;
+      world.refusedRunCommands++;
       return;
     }
-    tasks.put(id, t);
+    tasks.put(id, task);
     double gpus = 0;
-    for (Task o : tasks.values()) {
-      gpus += o.phase.equals("ended") ? 0 : o.spec.gpus();
+    for (Task other : tasks.values()) {
+      gpus += other.phase.equals("ended") ? 0 : other.spec.gpus();
     }
-    if (gpus > SimWorld.GPUS) {
+    if (gpus > SimWorld.GPUS_PER_MACHINE) {
       world.full++;
-      end(t, "full");
+      endTask(task, "full");
       return;
     }
     // An image that is there already takes no time.
-    long fetch =
+    long fetchMs =
         images.contains(spec.image())
             ? random.nextInt(3)
             : slowFetchMs > 0 ? slowFetchMs : 500 + random.nextInt(1500);
     clock.after(
-        fetch,
+        fetchMs,
         () -> {
-          if (t.phase.equals("pulling") && !t.removed) {
+          if (task.phase.equals("pulling") && !task.removed) {
             images.add(spec.image());
-            ready(t);
+            imageReady(task);
           }
         });
   }
 
-  private void ready(Task t) {
-    t.on = true;
-    world.rules.started(t);
-    if (results.contains(t.id)) {
-      end(t, "done");
+  private void imageReady(Task task) {
+    task.active = true;
+    world.rules.taskStarted(task);
+    if (completedTaskIds.contains(task.id)) {
+      endTask(task, "done");
       return;
     }
     if (sick) {
-      end(t, "error");
+      endTask(task, "error");
       return;
     }
-    if (t.spec.shape() == JobSpec.Shape.GANG) {
-      t.phase = "gathering";
-      world.gangs.computeIfAbsent(t.gang(), k -> new SimGang(world, t.spec)).joined(t);
+    if (task.spec.shape() == JobSpec.Shape.GANG) {
+      task.phase = "gathering";
+      world
+          .gangs
+          .computeIfAbsent(task.gangAttemptId(), k -> new SimGang(world, task.spec))
+          .addMember(task);
       return;
     }
-    t.phase = "running";
-    if (t.spec.shape() != JobSpec.Shape.SERVICE) {
-      finishLater(t, (long) (t.spec.estimateS() * 1000 * world.pace.applyAsDouble(t.id)));
+    task.phase = "running";
+    if (task.spec.shape() != JobSpec.Shape.SERVICE) {
+      scheduleCompletion(
+          task, (long) (task.spec.estimateS() * 1000 * world.pace.applyAsDouble(task.id)));
     }
   }
 
-  private void finishLater(Task t, long ms) {
+  private void scheduleCompletion(Task task, long delayMs) {
     clock.after(
-        ms,
+        delayMs,
         () -> {
-          if (t.removed || !t.phase.equals("running")) {
+          if (task.removed || !task.phase.equals("running")) {
             return;
           }
           if (hung) {
-            finishLater(t, 500);
+            scheduleCompletion(task, 500);
             return;
           }
-          t.complete();
+          task.complete();
         });
   }
 
-  private void end(Task t, String why) {
-    t.phase = "ended";
-    t.why = why;
-    leave(t);
+  private void endTask(Task task, String exitReason) {
+    task.phase = "ended";
+    task.exitReason = exitReason;
+    deactivate(task);
   }
 
   @Override
   public void serve(String from, String method, String path, byte[] body, Consumer<Answer> done) {
-    if (dead) {
+    if (terminated) {
       return;
     }
     if (hung) {
@@ -438,18 +443,18 @@
     }
     try {
       if (path.equals("/show")) {
-        done.accept(SimState.answer(200, message(from)));
+        done.accept(SimState.answer(200, buildReport(from)));
         return;
       }
-      Document d = Document.parse(body);
-      long token = d.count("epoch");
-      if (token < epoch || d.count("tenure") != tenure) {
-        done.accept(SimState.answer(409, message(from)));
+      Document message = Document.parse(body);
+      long token = message.count("epoch");
+      if (token < epoch || message.count("tenure") != tenure) {
+        done.accept(SimState.answer(409, buildReport(from)));
         return;
       }
       epoch = token;
-      orders(d);
-      done.accept(SimState.answer(200, message(from)));
+      applyCommands(message);
+      done.accept(SimState.answer(200, buildReport(from)));
     } catch (BadMessage e) {
       done.accept(SimState.answer(400, Map.of()));
     }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -37,9 +37,9 @@
 
 /** Three controllers with stand-ins for all they deal with, on a simulated clock. */
 public final class SimWorld {
-  static final double GPUS = 4;
-  static final double CPUS = 32;
-  static final double MEMORY_GB = 128;
+  static final double GPUS_PER_MACHINE = 4;
+  static final double CPUS_PER_MACHINE = 32;
+  static final double MEMORY_GB_PER_MACHINE = 128;
   static final String STATE = "10.2.0.1:1";
   static final String CLOUD = "10.2.0.2:1";
   static final List<String> ZONES = List.of("a", "b");
@@ -54,9 +54,9 @@
   final SimSetup setup;
   final Map<String, JobSpec> specs = new HashMap<>();
   final long leaseMs;
-  final long reportMs;
-  final long cancelMs;
-  int refusals;
+  final long reportIntervalMs;
+  final long cancelDeadlineMs;
+  int refusedRunCommands;
 
   /** Whether a machine was ever recorded as silent. */
   boolean lost;
@@ -68,41 +68,41 @@
   final List<String> nodes = new ArrayList<>();
 
   /** For tests that have no controllers. */
-  boolean workersKeepTheirLeases;
+  boolean workerLeasesNeverExpire;
 
   /** How much longer than its job says a task of an array runs, by its name. */
   ToDoubleFunction<String> pace = task -> 1;
 
   /** What a worker of that address says to a node that its address is. */
-  BinaryOperator<String> published = (address, node) -> address;
+  BinaryOperator<String> addressSeenByNode = (address, node) -> address;
 
   /** What happened, for whoever looks for the cause of a broken rule. */
   final SimHistory history = new SimHistory(clock);
 
-  private final Map<String, Node> running = new HashMap<>();
+  private final Map<String, NodeProcess> processes = new HashMap<>();
 
-  private int incarnations;
+  private int incarnationCount;
 
-  private static final class Node {
+  private static final class NodeProcess {
     boolean alive = true;
     boolean frozen;
     Controller controller;
-    final List<Runnable> timersDue = new ArrayList<>();
-    final List<Runnable> arrived = new ArrayList<>();
+    final List<Runnable> pendingTimers = new ArrayList<>();
+    final List<Runnable> pendingMessages = new ArrayList<>();
 
-    void timer(Runnable r) {
-      turn(r, timersDue);
+    void runTimer(Runnable action) {
+      runOrQueue(action, pendingTimers);
     }
 
-    void message(Runnable r) {
-      turn(r, arrived);
+    void receive(Runnable action) {
+      runOrQueue(action, pendingMessages);
     }
 
-    private void turn(Runnable r, List<Runnable> queue) {
+    private void runOrQueue(Runnable action, List<Runnable> queue) {
       if (alive && frozen) {
-        queue.add(r);
+        queue.add(action);
       } else if (alive) {
-        r.run();
+        action.run();
       }
     }
   }
@@ -125,16 +125,17 @@
 
   SimWorld(SimSetup setup) {
     this.setup = setup;
-    cancelMs = (long) (setup.cancelS() * 1000);
+    cancelDeadlineMs = (long) (setup.cancelS() * 1000);
     leaseMs = (long) (setup.leaseS() * 1000);
-    reportMs = (long) (setup.reportS() * 1000);
+    reportIntervalMs = (long) (setup.reportS() * 1000);
     for (int i = 0; i < setup.controllers().length(); i++) {
       nodes.add("n" + i);
     }
     random = new Random(setup.seed());
     net = new SimNet(clock, random);
     state = new SimState(clock, setup.writeRps());
-    state.txnOps = setup.txnOps() > 0 ? setup.txnOps() : Math.max(8, nodes.size() + 1);
+    state.maxTransactionChanges =
+        setup.txnOps() > 0 ? setup.txnOps() : Math.max(8, nodes.size() + 1);
     rules = new SimRules(this);
     users = new SimUsers(this);
     cloud = new SimCloud(this, setup.capacity());
@@ -142,13 +143,13 @@
     net.listen(CLOUD, cloud);
     cloud.bootAtOnce(setup.machines());
     nodes.forEach(this::startNode);
-    tick();
+    observePeriodically();
   }
 
-  private void tick() {
-    clock.after(500, this::tick);
-    rules.tick();
-    for (Node n : running.values()) {
+  private void observePeriodically() {
+    clock.after(500, this::observePeriodically);
+    rules.check();
+    for (NodeProcess n : processes.values()) {
       for (Machine m : n.controller.tables().machines()) {
         lost |= m.phase() == Machine.Phase.LOST;
       }
@@ -161,9 +162,9 @@
 
   /** The rules that were broken, and the transactions that lacked a condition. */
   public List<String> broken() {
-    List<String> all = new ArrayList<>(rules.broken);
-    all.addAll(state.unfenced());
-    return all;
+    List<String> violations = new ArrayList<>(rules.violations);
+    violations.addAll(state.transactionViolations());
+    return violations;
   }
 
   /**
@@ -172,18 +173,18 @@
    */
   public String diverged() {
     int compared = 0;
-    String fresh = "";
+    String freshDigest = "";
     for (int i = 0; i < 400 && compared < nodes.size(); i++) {
       run(7);
-      Tables t = new Tables(nodes, LevelRange.BUILD, () -> {});
-      t.load(state.all(), state.rev());
-      fresh = digest(t);
-      for (Node n : running.values()) {
-        if (n.alive && n.controller.tables().appliedRev() == state.rev()) {
+      Tables freshTables = new Tables(nodes, LevelRange.BUILD, () -> {});
+      freshTables.load(state.all(), state.revision());
+      freshDigest = digest(freshTables);
+      for (NodeProcess process : processes.values()) {
+        if (process.alive && process.controller.tables().appliedRev() == state.revision()) {
           compared++;
-          String held = digest(n.controller.tables());
-          if (!held.equals(fresh)) {
-            return "held: " + held + "\nloaded: " + fresh;
+          String nodeDigest = digest(process.controller.tables());
+          if (!nodeDigest.equals(freshDigest)) {
+            return "held: " + nodeDigest + "\nloaded: " + freshDigest;
           }
         }
       }
@@ -191,34 +192,37 @@
     return compared > 0 ? null : "no node caught up";
   }
 
-  static String digest(Tables t) {
-    StringBuilder b = new StringBuilder();
-    t.jobs().stream()
+  static String digest(Tables tables) {
+    StringBuilder text = new StringBuilder();
+    tables.jobs().stream()
         .sorted(Comparator.comparing(Job::id))
         .forEach(
-            j -> {
-              b.append(j.id())
-                  .append(j.withdrawnByUser() ? " off" : "")
+            job -> {
+              text.append(job.id())
+                  .append(job.withdrawnByUser() ? " off" : "")
                   .append(' ')
-                  .append(j.partition());
-              for (int i = 0; i < j.taskCount(); i++) {
-                TaskState s = j.task(i);
-                b.append(' ').append(s.phase()).append(s.attempt()).append(s.stop());
-                b.append(s.isLive() ? s.machine().name() : "");
+                  .append(job.partition());
+              for (int i = 0; i < job.taskCount(); i++) {
+                TaskState state = job.task(i);
+                text.append(' ').append(state.phase()).append(state.attempt()).append(state.stop());
+                text.append(state.isLive() ? state.machine().name() : "");
               }
-              b.append('\n');
+              text.append('\n');
             });
-    for (Machine m : t.machines()) {
-      if (m.info() != null) {
-        b.append(m.name()).append(m.info().phase()).append(m.slots().size()).append('\n');
+    for (Machine machine : tables.machines()) {
+      if (machine.info() != null) {
+        text.append(machine.name())
+            .append(machine.info().phase())
+            .append(machine.slots().size())
+            .append('\n');
       }
     }
-    return b.toString();
+    return text.toString();
   }
 
   /** What ended controllers' settings and builds are changed before they start. */
-  void restartAll(LevelRange build, String nextLimits) {
-    next = nextLimits;
+  void restartAll(LevelRange build, String limitsToml) {
+    nextLimitsToml = limitsToml;
     for (String n : nodes) {
       kill(n);
       levels.put(n, build);
@@ -238,33 +242,36 @@
   final Set<String> oldFrames = new HashSet<>();
 
   /** A frame arrives at a node, whoever sent it. */
-  void frame(String node, PeerFrame f) {
-    net.at("peer:" + node).serve("peer", "", "", bytes(f.encode()), a -> {});
+  void frame(String node, PeerFrame frame) {
+    net.at("peer:" + node).serve("peer", "", "", toBytes(frame.encode()), a -> {});
   }
 
-  private String zone(String node) {
-    return "" + setup.controllers().charAt(number(node) % setup.controllers().length());
+  private String zoneOfNode(String node) {
+    return "" + setup.controllers().charAt(indexOfNode(node) % setup.controllers().length());
   }
 
-  private static int number(String node) {
+  private static int indexOfNode(String node) {
     return Integer.parseInt(node.substring(1));
   }
 
   /** The settings file of a node, in the platform's format. */
   String settingsText(String node, String stateAddress) {
-    int self = number(node);
+    int self = indexOfNode(node);
     List<String> names = lists.getOrDefault(node, nodes);
-    StringBuilder b = new StringBuilder("host_name = \"" + node + "\"\n");
-    b.append("location = \"").append(zone(node)).append("\"\n");
-    b.append("serve_on = \"10.0.0.").append(self).append(":1\"\nback = \"10.0.1.").append(self);
-    b.append(":1\"\n");
+    StringBuilder text = new StringBuilder("host_name = \"" + node + "\"\n");
+    text.append("location = \"").append(zoneOfNode(node)).append("\"\n");
+    text.append("serve_on = \"10.0.0.").append(self).append(":1\"\nback = \"10.0.1.").append(self);
+    text.append(":1\"\n");
     for (String peer : names) {
       if (!peer.equals(node)) {
-        b.append("[[peers]]\nhost_name = \"").append(peer).append("\"\npeer_addr = \"10.0.1.");
-        b.append(number(peer)).append(":1\"\nlocation = \"").append(zone(peer)).append("\"\n");
+        text.append("[[peers]]\nhost_name = \"").append(peer).append("\"\npeer_addr = \"10.0.1.");
+        text.append(indexOfNode(peer))
+            .append(":1\"\nlocation = \"")
+            .append(zoneOfNode(peer))
+            .append("\"\n");
       }
     }
-    b.append(
+    text.append(
         """
         [endpoints]
         cloud = "10.2.0.2:1"
@@ -310,22 +317,22 @@
                 setup.reportS(),
                 setup.leaseS(),
                 setup.cancelS(),
-                state.writeRpsAtFirst,
-                state.txnOpsAtFirst(),
-                next));
-    return b.toString();
+                state.initialMaxWritesPerSecond,
+                state.initialMaxTransactionChanges(),
+                nextLimitsToml));
+    return text.toString();
   }
 
   /** The limits to which the state service falls, as the settings tell them; empty: none. */
-  String next = "";
+  String nextLimitsToml = "";
 
   /** The limits of the state service as an operator's command has them. */
   StateServiceLimits limits() {
-    Settings s = settings(nodes.get(0));
+    Settings s = parseSettings(nodes.get(0));
     return new StateServiceLimits(s.stateLimits(), s.nextLimits(), () -> true);
   }
 
-  private Settings settings(String node) {
+  private Settings parseSettings(String node) {
     try {
       return Settings.parse(new TomlParser().parse(settingsText(node, STATE)));
     } catch (Settings.Invalid e) {
@@ -335,7 +342,7 @@
 
   /** Starts a controller's process. */
   public void startNode(String name) {
-    Node n = new Node();
+    NodeProcess process = new NodeProcess();
     Timers timers =
         new Timers() {
           @Override
@@ -350,47 +357,48 @@
 
           @Override
           public void after(long delayMs, Runnable action) {
-            clock.after(delayMs, () -> n.timer(action));
+            clock.after(delayMs, () -> process.runTimer(action));
           }
         };
-    Settings s = settings(name);
+    Settings settings = parseSettings(name);
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
-    for (Settings.Peer p : s.peers()) {
+    for (Settings.Peer p : settings.peers()) {
       peers.put(
           p.node(),
           f ->
               net.caller(name, () -> true)
-                  .call("peer:" + p.node(), "", "", bytes(f), 1000, a -> {}));
+                  .call("peer:" + p.node(), "", "", toBytes(f), 1000, a -> {}));
     }
-    n.controller =
+    process.controller =
         new Controller(
-            s,
-            setup.tuning().apply(Tuning.defaults(s)),
+            settings,
+            setup.tuning().apply(Tuning.defaults(settings)),
             timers,
-            caller(name, n),
+            caller(name, process),
             peers,
-            "inc" + ++incarnations,
+            "inc" + ++incarnationCount,
             new Metrics(),
             levels.getOrDefault(name, LevelRange.BUILD));
     net.listen(
         "peer:" + name,
         (from, m, p, body, done) -> {
           if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.ANSWER) {
-            n.message(() -> n.controller.peerFrame(ByteBuffer.wrap(body)));
+            process.receive(() -> process.controller.peerFrame(ByteBuffer.wrap(body)));
           }
         });
     net.listen(
         name,
         (from, m, p, body, done) ->
-            n.message(() -> n.controller.handle(exchange(m, p, body, done))));
-    running.put(name, n);
-    n.controller.start();
+            process.receive(() -> process.controller.handle(exchange(m, p, body, done))));
+    processes.put(name, process);
+    process.controller.start();
   }
 
-  private Caller caller(String name, Node n) {
-    Caller c = net.caller(name, () -> n.alive);
+  private Caller caller(String name, NodeProcess process) {
+    Caller caller = net.caller(name, () -> process.alive);
     return (address, method, path, body, timeoutMs, done) ->
-        c.call(address, method, path, body, timeoutMs, a -> n.message(() -> done.accept(a)));
+        caller.call(
+            address, method, path, body, timeoutMs, a -> process.receive(() -> done.accept(a)));
   }
 
   /**
@@ -398,75 +406,76 @@
    * it wakes, all timers are due at once, and what has arrived waits behind them, or before.
    */
   public void freeze(String name, long forMs, boolean timersFirst) {
-    Node n = running.get(name);
-    n.frozen = true;
+    NodeProcess process = processes.get(name);
+    process.frozen = true;
     state.dropWatches(name);
     clock.after(
         forMs,
         () -> {
-          n.frozen = false;
-          List<Runnable> due = new ArrayList<>(timersFirst ? n.timersDue : n.arrived);
-          due.addAll(timersFirst ? n.arrived : n.timersDue);
-          n.timersDue.clear();
-          n.arrived.clear();
-          for (Runnable r : due) {
-            if (n.alive) {
-              r.run();
+          process.frozen = false;
+          List<Runnable> due =
+              new ArrayList<>(timersFirst ? process.pendingTimers : process.pendingMessages);
+          due.addAll(timersFirst ? process.pendingMessages : process.pendingTimers);
+          process.pendingTimers.clear();
+          process.pendingMessages.clear();
+          for (Runnable action : due) {
+            if (process.alive) {
+              action.run();
             }
           }
         });
   }
 
-  private static byte[] bytes(ByteBuffer f) {
-    byte[] b = new byte[f.remaining()];
-    f.duplicate().get(b);
-    return b;
+  private static byte[] toBytes(ByteBuffer frame) {
+    byte[] bytes = new byte[frame.remaining()];
+    frame.duplicate().get(bytes);
+    return bytes;
   }
 
-  public void crash(String name, long forMs) {
+  public void crash(String name, long downMs) {
     kill(name);
-    clock.after(forMs, () -> startNode(name));
+    clock.after(downMs, () -> startNode(name));
   }
 
   /** Ends a process with no signal; nobody starts it again. */
   public void kill(String name) {
-    Node n = running.get(name);
-    if (n != null) {
-      n.alive = false;
+    NodeProcess process = processes.get(name);
+    if (process != null) {
+      process.alive = false;
     }
     net.close(name);
     net.close("peer:" + name);
   }
 
   /** Tells a process to end, as an operator does; it is started again so long after its end. */
-  public void restart(String name, long withinMs, long forMs) {
-    running.get(name).controller.leave(withinMs, () -> crash(name, forMs));
+  public void restart(String name, long withinMs, long downMs) {
+    processes.get(name).controller.leave(withinMs, () -> crash(name, downMs));
   }
 
   /** Tells a process to end that then does not: what it is by then matters, not that it is gone. */
   public void leave(String name, long withinMs) {
-    running.get(name).controller.leave(withinMs, () -> {});
+    processes.get(name).controller.leave(withinMs, () -> {});
   }
 
   /** A node's tables; what it holds for durable. */
   Tables tables(String node) {
-    return running.get(node).controller.tables();
+    return processes.get(node).controller.tables();
   }
 
   boolean alive(String node) {
-    return running.containsKey(node) && running.get(node).alive;
+    return processes.containsKey(node) && processes.get(node).alive;
   }
 
-  private static Exchange exchange(String m, String p, byte[] body, Consumer<Answer> done) {
+  private static Exchange exchange(String method, String path, byte[] body, Consumer<Answer> done) {
     return new Exchange() {
       @Override
       public String method() {
-        return m;
+        return method;
       }
 
       @Override
       public String path() {
-        return p;
+        return path;
       }
 
       @Override
@@ -498,8 +507,8 @@
   public void cutFromPeers(String node, boolean cut) {
     for (String n : nodes) {
       if (!n.equals(node)) {
-        cut(node, "peer:" + n, cut);
-        cut(n, "peer:" + node, cut);
+        setCut(node, "peer:" + n, cut);
+        setCut(n, "peer:" + node, cut);
       }
     }
   }
@@ -522,21 +531,21 @@
   }
 
   /** Parts a node and the workers with it from all others, or joins them again. */
-  private void cutOff(String node, Predicate<SimWorker> with, boolean cut) {
+  private void cutOff(String node, Predicate<SimWorker> onSameSide, boolean cut) {
     cutFromPeers(node, cut);
     for (String other : List.of(STATE, CLOUD, "user")) {
-      cut(node, other, cut);
+      setCut(node, other, cut);
     }
     for (SimWorker w : workers()) {
       for (String n : nodes) {
-        if (n.equals(node) != with.test(w)) {
-          cut(n, w.address, cut);
+        if (n.equals(node) != onSameSide.test(w)) {
+          setCut(n, w.address, cut);
         }
       }
     }
   }
 
-  private void cut(String a, String b, boolean cut) {
+  private void setCut(String a, String b, boolean cut) {
     if (cut) {
       net.cut(a, b, false);
     } else {
@@ -546,7 +555,7 @@
 
   /** How many tasks were killed by their workers' leases. */
   public int killedByLease() {
-    return workers().stream().mapToInt(w -> w.killedByLease).sum();
+    return workers().stream().mapToInt(w -> w.tasksKilledByLease).sum();
   }
 
   public SimState state() {
@@ -563,9 +572,9 @@
   }
 
   /** All controllers but one reach the machine again. */
-  public void healMachine(int i, String but) {
+  public void healMachine(int i, String unreachableNode) {
     SimWorker w = workers().get(i % cloud.workers().size());
-    nodes.stream().filter(n -> !n.equals(but)).forEach(n -> net.heal(n, w.address));
+    nodes.stream().filter(n -> !n.equals(unreachableNode)).forEach(n -> net.heal(n, w.address));
   }
 
   public void healMachines() {
@@ -590,39 +599,39 @@
   }
 
   public String lastTold(String id) {
-    return rules.last(id);
+    return rules.lastReportedPhase(id);
   }
 
   public long epoch(String node) {
-    return running.get(node).controller.tables().view().epoch();
+    return processes.get(node).controller.tables().view().epoch();
   }
 
   /** Whose part a machine of that name would be in, as a node knows it. */
   public String owner(String node, String machine) {
-    return running.get(node).controller.tables().view().owner(machine, "a");
+    return processes.get(node).controller.tables().view().owner(machine, "a");
   }
 
   /** A report of an empty machine; the answer is in the array once it has come. */
   public Answer[] report(String node, String machine, long epoch) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("host", machine);
-    m.put("address", "10.1.9.9:1");
-    m.put("flavour", "g4");
-    m.put("region", "a");
-    m.put("tenure", 1);
-    m.put("tick", 1);
-    m.put("epoch", epoch);
-    m.put("shards", List.of());
-    Answer[] got = new Answer[1];
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("host", machine);
+    fields.put("address", "10.1.9.9:1");
+    fields.put("flavour", "g4");
+    fields.put("region", "a");
+    fields.put("tenure", 1);
+    fields.put("tick", 1);
+    fields.put("epoch", epoch);
+    fields.put("shards", List.of());
+    Answer[] answer = new Answer[1];
     net.caller("10.1.9.9:1", () -> true)
-        .call(node, "POST", "/hello", MessageCodec.encode(m), 4000, a -> got[0] = a);
-    return got;
+        .call(node, "POST", "/hello", MessageCodec.encode(fields), 4000, a -> answer[0] = a);
+    return answer;
   }
 
   /** How many of a job's tasks are placed, as a node knows it. */
   public int placed(String node, String id) {
-    Job j = running.get(node).controller.tables().job(id);
-    return j == null ? 0 : j.liveCount();
+    Job job = processes.get(node).controller.tables().job(id);
+    return job == null ? 0 : job.liveCount();
   }
 
   /** Where a task is, or null. */
@@ -633,10 +642,10 @@
   /** A figure of a node's metrics, as they are now. */
   public double metric(String node, String name) {
     try {
-      Answer[] got = new Answer[1];
-      running.get(node).controller.handle(exchange("GET", "/metrics", null, a -> got[0] = a));
-      Object v = Document.parse(got[0].body()).raw(name + ".VALUE");
-      return ((Number) v).doubleValue();
+      Answer[] answer = new Answer[1];
+      processes.get(node).controller.handle(exchange("GET", "/metrics", null, a -> answer[0] = a));
+      Object value = Document.parse(answer[0].body()).raw(name + ".VALUE");
+      return ((Number) value).doubleValue();
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
@@ -648,7 +657,7 @@
   }
 
   public int starts() {
-    return rules.starts;
+    return rules.startCount;
   }
 
   public boolean isOn(String task) {
--- a/src/test/java/wickdrift/sim/TcpProxy.java
+++ b/src/test/java/wickdrift/sim/TcpProxy.java
@@ -28,7 +28,7 @@
     RESET
   }
 
-  private static final int CONNECT_MS = 1000;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
   private final EventLoopGroup group;
   private final InetSocketAddress target;
@@ -55,7 +55,7 @@
   }
 
   /** Changes what becomes of the bytes, on the event loop. */
-  void mode(Mode next) {
+  void setMode(Mode next) {
     mode = next;
     for (Channel channel : Set.copyOf(channels)) {
       if (mode == Mode.RESET) {
@@ -71,9 +71,9 @@
     channel.close();
   }
 
-  private void accept(SocketChannel front) {
+  private void accept(SocketChannel client) {
     if (mode == Mode.RESET) {
-      reset(front);
+      reset(client);
       return;
     }
     ChannelFuture connected =
@@ -81,43 +81,43 @@
             .group(group)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.AUTO_READ, false)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-            .handler(new Pump(front))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+            .handler(new Forwarder(client))
             .connect(target);
-    front.pipeline().addLast(new Pump(connected.channel()));
+    client.pipeline().addLast(new Forwarder(connected.channel()));
     connected.addListener(
         done -> {
           if (!done.isSuccess() || mode == Mode.RESET) {
-            reset(front);
+            reset(client);
             return;
           }
-          join(front);
-          join(connected.channel());
+          startForwarding(client);
+          startForwarding(connected.channel());
         });
   }
 
-  private void join(Channel channel) {
+  private void startForwarding(Channel channel) {
     channels.add(channel);
     channel.closeFuture().addListener(closed -> channels.remove(channel));
     channel.config().setAutoRead(mode == Mode.FORWARD);
   }
 
   /** Writes what one side sends to the other, and closes both together. */
-  private static final class Pump extends ChannelInboundHandlerAdapter {
-    private final Channel other;
+  private static final class Forwarder extends ChannelInboundHandlerAdapter {
+    private final Channel peer;
 
-    Pump(Channel other) {
-      this.other = other;
+    Forwarder(Channel other) {
+      this.peer = other;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-      other.writeAndFlush((ByteBuf) message);
+      peer.writeAndFlush((ByteBuf) message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      other.close();
+      peer.close();
     }
 
     @Override
