--- a/src/test/java/wickdrift/sim/ControllerProcess.java
+++ b/src/test/java/wickdrift/sim/ControllerProcess.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A real controller process, with its settings file and its log. */
+/** A real controller process. */
 final class ControllerProcess {
   private static final int EXIT_TIMEOUT_S = 8;
   private static final int SIGNAL_TIMEOUT_S = 5;
 
-  /** As the deployment's own, so that what is tested is what runs. */
+  /** The same JVM flags as in the deployment, so that the tests run what is deployed. */
   private static final List<String> JVM_FLAGS =
       List.of(
           "-Xms24m",
@@ -33,7 +33,7 @@
     this.process = process;
   }
 
-  /** Starts one; its log is appended to a file. */
+  /** Starts a process whose output is appended to a log file. */
   static ControllerProcess start(Path jar, Path settings, Path log) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -46,11 +46,16 @@
     return new ControllerProcess(builder.start());
   }
 
+  /** Whether the process runs. */
   boolean alive() {
     return process.isAlive();
   }
 
-  /** Ends it: with SIGTERM, or at once and without a chance to do anything. */
+  /**
+   * Ends the process and waits for its exit.
+   *
+   * @param orderly whether to send SIGTERM, or to kill it at once
+   */
   void end(boolean orderly) throws InterruptedException {
     if (orderly) {
       process.destroy();
@@ -58,20 +63,21 @@
       process.destroyForcibly();
     }
     if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("process " + process.pid() + " does not end");
+      throw new IllegalStateException("process " + process.pid() + " did not exit in time");
     }
   }
 
-  /** Without waiting, whatever state it is in. */
+  /** Kills the process without waiting for its exit. */
   void destroy() {
     process.destroyForcibly();
   }
 
-  /** It stands still until it is resumed. */
+  /** Pauses the process (SIGSTOP) until {@link #resume}. */
   void pause() throws IOException, InterruptedException {
     signal("-STOP");
   }
 
+  /** Resumes the paused process (SIGCONT). */
   void resume() throws IOException, InterruptedException {
     signal("-CONT");
   }
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -14,12 +14,16 @@
 import wickdrift.protocol.JobSpec;
 import wickdrift.protocol.MessageCodec;
 
-/** Loads a fleet as a controller does at its start, and again on top as after a long standstill. */
+/**
+ * Loads tables of a given size as a controller does at its start, and reloads them as it does after
+ * a long pause, to show that both fit into the heap. Arguments: the numbers of machines and tasks.
+ */
 final class Hold {
   private static final int JOB_COUNT = 1000;
 
   private Hold() {}
 
+  /** Loads the tables twice, checks their content and prints the heap in use. */
   public static void main(String[] args) throws Exception {
     int machines = Integer.parseInt(args[0]);
     int tasks = Integer.parseInt(args[1]);
@@ -29,14 +33,18 @@
     tables.load(storedRecords(machines, tasks), 20);
     int liveTasks = tables.jobs().stream().mapToInt(Job::liveCount).sum();
     if (liveTasks != tasks || tables.machines().size() != machines) {
-      throw new IllegalStateException(liveTasks + " tasks on " + tables.machines().size());
+      throw new IllegalStateException(
+          liveTasks + " live tasks, machines: " + tables.machines().size());
     }
     System.gc();
     long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    System.out.println("held in " + usedBytes / 1024 / 1024 + " MB");
+    System.out.println("heap in use: " + usedBytes / 1024 / 1024 + " MB");
   }
 
-  /** What is read: shelves of machines, jobs, chunks; one job has half of the tasks. */
+  /**
+   * Returns the stored records: archive buckets of machines, jobs, and chunks of tasks. One job has
+   * half of the tasks.
+   */
   private static List<StateServiceClient.Change> storedRecords(int machines, int tasks)
       throws Exception {
     List<StateServiceClient.Change> records = new ArrayList<>();
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -15,19 +15,20 @@
 import wickdrift.transport.Caller.Answer;
 
 /**
- * Real controller processes of two builds on loopback, against this project's own state service,
- * cloud, workers and users in one process and real time: rolled forward, back and forward again
- * under load, with kills; then the older build is started once more, to see that it is kept out.
- * Not a part of CI: it takes some five minutes. See {@code docs/operations-rollout.md}.
+ * Tests a rollout with real controller processes of two builds on loopback, against stand-ins for
+ * the state service, cloud, workers and users that run in this process in real time. The builds are
+ * rolled forward, back and forward again under load, with kills; then the older build is started
+ * once more, to check that it stays outside. Not part of CI, because it takes about five minutes.
+ * See {@code docs/operations-rollout.md}.
  *
- * <p>Arguments: the older jar, the newer jar, a folder for settings and logs; {@code --same} rolls
- * the newer build only, for comparison.
+ * <p>Arguments: the older jar, the newer jar, a folder for settings and logs. {@code --same}
+ * restarts the newer build only, for comparison.
  */
 public final class Loopback {
   private static final int NODES = 3;
   private static final long ROLLOUT_STEP_MS = 9000;
 
-  /** The first job of the chains. */
+  /** The number of the first job that is part of a chain of dependent jobs. */
   private static final int FIRST_DEPENDENT_JOB = 2000;
 
   private static final List<String> NODE_NAMES = List.of("n0", "n1", "n2");
@@ -84,7 +85,7 @@
     return callOnLoop(() -> stage.stored().level());
   }
 
-  // ---- load and what is measured ----
+  // ---- load and measurements ----
 
   private void submitLoad(int jobs, long spanMs) throws Exception {
     callOnLoop(
@@ -104,7 +105,9 @@
         });
   }
 
-  /** Replicas that were up and are not: what a rollout may not cost. */
+  /**
+   * Measures the time for which replicas that had started were down, which a rollout must avoid.
+   */
   private void observeReplicas() {
     world.clock.after(250, this::observeReplicas);
     for (int j = 0; j < 8; j++) {
@@ -167,11 +170,11 @@
       sleep(ROLLOUT_STEP_MS);
       replace("n0", newerJar, true);
       if (level() == LevelRange.BUILD.max()) {
-        violations.add("the level rose while n2 ran the older build");
+        violations.add("the level was upgraded while n2 ran the older build");
       }
       replace("n2", newerJar, false);
       if (level() != LevelRange.BUILD.max()) {
-        violations.add("the level did not rise");
+        violations.add("the level was not upgraded");
       }
       lowerLimitsAndSubmitDependentJobs();
       verifyOlderBuildStaysOutside(olderJar, newerJar, violations);
@@ -185,7 +188,8 @@
       String id = String.format("req-%06d", i);
       String wanted = i < FIRST_DEPENDENT_JOB + 4 ? "withdrawn" : "done";
       if (!wanted.equals(callOnLoop(() -> world.lastTold(id)))) {
-        violations.add(id + " of a chain is " + callOnLoop(() -> world.lastTold(id)));
+        violations.add(
+            id + " of a chain of dependent jobs is " + callOnLoop(() -> world.lastTold(id)));
       }
     }
     if (!areJobsDone(jobs)) {
@@ -207,8 +211,8 @@
   }
 
   /**
-   * Once all have the newer build: twelve chains of four, the first of them cancelled, and the
-   * state service falls to its next limits.
+   * Lowers the limits of the state service to the announced ones, and submits twelve chains of four
+   * dependent jobs each; the first chain is withdrawn. Requires that all nodes run the newer build.
    */
   private void lowerLimitsAndSubmitDependentJobs() throws Exception {
     callOnLoop(
@@ -228,7 +232,10 @@
         });
   }
 
-  /** The older build is started after the switch, as an operator might who does not know of it. */
+  /**
+   * Starts the older build after the level upgrade, as an operator might by mistake, and checks
+   * that it serves no request and does not write its node record.
+   */
   private void verifyOlderBuildStaysOutside(Path olderJar, Path newerJar, List<String> violations)
       throws Exception {
     stop("n1", true);
@@ -260,7 +267,7 @@
     statuses.put("up", requestStatus("n1", "GET", "/up", null));
     statuses.put("submit", requestStatus("n1", "POST", "/api/jobs", job));
     statuses.put("poll", requestStatus("n1", "GET", "/api/jobs/req-000010", null));
-    print("the older build after the switch answers %s and wrote %s", statuses, writtenKeys);
+    print("the older build after the level upgrade answers %s and wrote %s", statuses, writtenKeys);
     statuses.forEach(
         (what, code) -> {
           if (code != 503) {
@@ -275,7 +282,7 @@
     sleep(ROLLOUT_STEP_MS);
   }
 
-  /** Plays one rollout with real processes. */
+  /** Runs one rollout with real processes. */
   public static void main(String[] args) throws Exception {
     Path olderJar = Path.of(args[0]).toAbsolutePath();
     Path newerJar = Path.of(args[1]).toAbsolutePath();
--- a/src/test/java/wickdrift/sim/LoopbackPorts.java
+++ b/src/test/java/wickdrift/sim/LoopbackPorts.java
@@ -7,20 +7,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports on loopback for servers of one test process, outside the range from which the kernel takes
- * those of outgoing connections: else one might be taken between its choice and its use.
+ * Allocates loopback ports for the servers of a test process. The ports lie outside the kernel's
+ * range for outgoing connections; otherwise such a connection could take a port between its
+ * allocation and its use.
  */
 final class LoopbackPorts {
   private static final int FIRST_PORT = 11_000;
   private static final int END_PORT = 32_000;
 
-  /** Test processes at the same time begin at different places. */
+  /** Starts at an offset derived from the process id, so that parallel test processes differ. */
   private static final AtomicInteger NEXT_OFFSET =
       new AtomicInteger((int) (ProcessHandle.current().pid() * 997 % (END_PORT - FIRST_PORT)));
 
   private LoopbackPorts() {}
 
-  /** A port on which nothing listens, given out once. */
+  /** Returns a port on which nothing listens, and which this process has not allocated before. */
   static int allocate() {
     for (int tries = FIRST_PORT; tries < END_PORT; tries++) {
       int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), END_PORT - FIRST_PORT);
@@ -32,6 +33,6 @@
         continue;
       }
     }
-    throw new IllegalStateException("no port is free on loopback");
+    throw new IllegalStateException("no free loopback port from 11000 to 31999");
   }
 }
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -28,17 +28,17 @@
 import wickdrift.transport.HttpServer;
 
 /**
- * Real controller processes on loopback, among this project's own stand-ins for the state service,
- * the cloud, workers and users, which live in this process and in real time. Whatever crosses a
- * link passes the simulated network of the stand-ins, so its faults hold for real processes too;
- * links between controllers pass a {@link TcpProxy} for each direction.
+ * Real controller processes on loopback, with stand-ins for the state service, the cloud, workers
+ * and users, which run in this process in real time. All requests between processes and stand-ins
+ * pass through the {@link SimNet} of the stand-ins, so that its faults apply to real processes too.
+ * Connections between controllers pass through one {@link TcpProxy} for each direction.
  */
 final class LoopbackStage implements AutoCloseable {
   private static final long CLOCK_UPDATE_INTERVAL_MS = 5;
   private static final long LOOP_CALL_TIMEOUT_S = 30;
   private static final int MAX_CONNECTIONS = 4000;
 
-  /** A watch is held open for up to a minute; whoever sends a request gives up by itself. */
+  /** Longer than a watch is held open (up to a minute); senders have timeouts of their own. */
   private static final long REQUEST_TIMEOUT_MS = 70_000;
 
   private static final long SIM_START_MS = 1000;
@@ -57,10 +57,10 @@
   private volatile Throwable failure;
 
   /**
-   * Opens all ports; no process is started yet.
+   * Creates the stand-ins and opens all ports. No process is started yet.
    *
-   * @param setup of the stand-ins, and of what the controllers' settings say
-   * @param folder for settings files and logs
+   * @param setup the configuration of the stand-ins and of the controllers' settings
+   * @param folder the folder for settings files and logs
    */
   LoopbackStage(SimSetup setup, Path folder) throws Exception {
     this.folder = Files.createDirectories(folder);
@@ -111,17 +111,17 @@
     return from + ">" + to;
   }
 
-  /** Each controller reaches a stand-in at an address of its own, which tells who calls. */
+  /** Each controller has its own address of a stand-in, by which its requests are recognized. */
   private static String standInAddressKey(String address, String node) {
     return address + "@" + node;
   }
 
-  /** What a stand-in's or a controller's real address is. */
+  /** Returns the real address for a simulated name, or null. */
   String realAddress(String name) {
     return addresses.get(name);
   }
 
-  /** Runs something on the loop that owns the stand-ins, and waits for it. */
+  /** Runs an action on the event loop that owns the stand-ins, and waits for its result. */
   <T> T ask(Supplier<T> action) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.run(
@@ -137,7 +137,7 @@
 
   // ---- time ----
 
-  /** Simulated time follows real time. */
+  /** Advances the simulated time to the real time, periodically. */
   private void followRealTime() {
     long now = System.nanoTime();
     if (lastClockUpdateNs > 0) {
@@ -153,7 +153,7 @@
     }
   }
 
-  /** What a stand-in failed with, or null: nothing can be judged after that. */
+  /** Returns the error of a stand-in, or null. After an error the run has no valid result. */
   Throwable failure() {
     return failure;
   }
@@ -164,7 +164,7 @@
     }
   }
 
-  /** The longest time for which the stand-ins stood still: no timing within it can be judged. */
+  /** Returns the longest pause of the stand-ins; measured times are not valid during a pause. */
   long longestStallMs() {
     return longestStallMs;
   }
@@ -206,7 +206,7 @@
     }
   }
 
-  /** From another thread: the loop's own may not wait for itself. */
+  /** Binds a port from another thread: the event loop's thread must not wait for itself. */
   private void bind(int port, String address, String node) {
     CompletableFuture<Channel> bound = new CompletableFuture<>();
     bindings.add(bound);
@@ -251,7 +251,7 @@
     }
   }
 
-  /** What becomes of what one controller sends to another. */
+  /** Sets the mode of the proxy for connections from one controller to another. */
   void peerLink(String from, String to, TcpProxy.Mode mode) {
     peerProxies.get(linkKey(from, to)).setMode(mode);
   }
@@ -265,7 +265,7 @@
     }
   }
 
-  /** Starts a controller's process. */
+  /** Writes a controller's settings file with real addresses, and starts its process. */
   void start(String node, Path jar) throws Exception {
     String text = ask(() -> world.settingsText(node, SimWorld.STATE));
     Map<String, String> realAddresses = new LinkedHashMap<>();
@@ -288,18 +288,19 @@
     }
   }
 
-  /** Where a controller's log is. */
+  /** Returns the path of a controller's log file. */
   Path log(String node) {
     return folder.resolve(node + ".log");
   }
 
+  /** Returns a controller's current process, or null if it was never started. */
   ControllerProcess process(String node) {
     synchronized (processes) {
       return processes.get(node);
     }
   }
 
-  /** What the state service holds, as a controller would read it. */
+  /** Loads the content of the state service into new tables, as a controller would. */
   Tables stored() {
     Tables tables = new Tables(world.nodes, LevelRange.BUILD, () -> {});
     tables.load(world.state().all(), world.state().revision());
--- a/src/test/java/wickdrift/sim/SimClock.java
+++ b/src/test/java/wickdrift/sim/SimClock.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import wickdrift.transport.Timers;
 
-/** Simulated time: events run in order of time, then of being set. */
+/** A simulated clock. Events run in the order of their times; equal times in scheduling order. */
 public final class SimClock implements Timers {
   private record Event(long atMs, long sequence, Runnable action) implements Comparable<Event> {
     @Override
@@ -31,7 +31,7 @@
     events.add(new Event(nowMs + Math.max(0, delayMs), nextSequence++, action));
   }
 
-  /** Runs everything that is due up to a moment. */
+  /** Runs all events that are due up to a time, and sets the clock to that time. */
   public void runUntil(long untilMs) {
     while (!events.isEmpty() && events.peek().atMs <= untilMs) {
       Event event = events.poll();
--- a/src/test/java/wickdrift/sim/SimCloseLooks.java
+++ b/src/test/java/wickdrift/sim/SimCloseLooks.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Users who ask at all nodes within milliseconds after something became known of a job, and repeat
- * its submission.
+ * Users who poll a job and repeat its submission at all nodes, within milliseconds after its state
+ * has changed. This finds nodes that answer with an older state than another node has answered.
  */
 final class SimCloseLooks {
   private static final long[] POLL_DELAYS_MS = {1, 3, 8, 20, 60, 150};
@@ -16,12 +16,12 @@
     this.world = world;
   }
 
-  /** Answers that told a job's state. */
+  /** Returns how many answers contained the state of a job. */
   int answered() {
     return answerCount;
   }
 
-  /** Something has just become known of a job that was accepted. */
+  /** Polls and resubmits an accepted job, whose state has just changed, at all nodes. */
   void pollAllNodes(String id) {
     List<String> nodes = world.nodes;
     for (long delayMs : POLL_DELAYS_MS) {
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -12,7 +12,7 @@
 import wickdrift.protocol.Document;
 import wickdrift.transport.Caller.Answer;
 
-/** A stand-in for the cloud: rents machines, boots them, and lists them late. */
+/** A stand-in for the cloud: rents, boots and deletes machines, and lists them with a delay. */
 final class SimCloud implements SimNet.Server {
   private final SimWorld world;
   private final int capacity;
@@ -21,23 +21,28 @@
   private final Set<String> booting = new HashSet<>();
   private final Map<String, List<String>> machinesByClaim = new HashMap<>();
 
-  /** Of the next machine: a name is never used again, nor may one be that a stored state names. */
+  /**
+   * The number in the next machine's name. Names are never reused; a test that starts from a stored
+   * state sets this so that no name in that state is used again.
+   */
   int machineNumber;
 
-  /** So many of the next machines never come up. */
+  /** How many of the next machines never come up. */
   int duds;
 
-  /** How long a rented machine takes to boot; 0: a few seconds, and some of them no time. */
+  /** The boot time of a rented machine; 0: a few seconds, and almost none for one in five. */
   long bootMs;
 
-  /** Every list is as old as this, or up to twice that, so that one may be older than the last. */
+  /** The minimum age of a listing. Its age varies up to twice that, so listings can go back. */
   long listLagMs;
 
+  /** How many machines were rented. */
   int rented;
 
+  /** How many deletions of machines were requested. */
   int deleted;
 
-  /** A rented machine as the cloud knows it, from when to when. */
+  /** A rented machine, with the times at which it was rented, came up and was deleted. */
   private static final class Host {
     final String zone;
     final boolean spot;
@@ -57,14 +62,14 @@
     this.capacity = capacity;
   }
 
-  /** Machines that are up before anything else is. */
+  /** Rents machines that come up before the controllers start. */
   void bootAtOnce(int count) {
     for (int i = 0; i < count; i++) {
       boot(SimWorld.ZONES.get(i % SimWorld.ZONES.size()), false, 0);
     }
   }
 
-  /** Those that are up, by name. */
+  /** Returns the workers of the machines that are up, sorted by name. */
   List<SimWorker> workers() {
     return new ArrayList<>(runningWorkers.values());
   }
@@ -146,7 +151,7 @@
           for (int i = 0;
               i < request.count("count") && runningWorkers.size() + booting.size() < capacity;
               i++) {
-            // Some are up, and report, before whoever rented them has read the answer.
+            // Some machines come up and report before the controller has read the answer.
             boolean fixedBootTime = world.random.nextInt(5) == 0 || bootMs > 0;
             long delayMs = fixedBootTime ? 1 + bootMs : 3000 + world.random.nextInt(4000);
             names.add(boot(request.text("region"), request.flag("reclaimable"), delayMs));
@@ -188,7 +193,7 @@
     }
   }
 
-  /** How many machines there are, those that have not come up too. */
+  /** Returns how many machines are up or booting. */
   public int fleet() {
     return runningWorkers.size() + booting.size();
   }
--- a/src/test/java/wickdrift/sim/SimGang.java
+++ b/src/test/java/wickdrift/sim/SimGang.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import wickdrift.protocol.JobSpec;
 
-/** One attempt of a gang: its tasks start together, are done together, and are lost together. */
+/** An attempt of a gang: its tasks start, finish and are lost together. */
 final class SimGang {
   private static final long PEER_LOSS_NOTICE_MS = 2000;
   private final SimWorld world;
@@ -18,10 +18,11 @@
     this.spec = spec;
   }
 
+  /** A task of the gang is ready on its machine; the last one starts the gang. */
   void addMember(SimWorker.Task task) {
     members.add(task);
     if (ended) {
-      // Started again where it was lost: the others are on their way out.
+      // The gang has lost a task already, and its other tasks are about to end.
       world.clock.after(PEER_LOSS_NOTICE_MS, task::onPeerLost);
       return;
     }
@@ -56,10 +57,11 @@
         });
   }
 
+  /** A task of the gang has stopped; the other tasks of a running gang end after a delay. */
   void removeMember(SimWorker.Task task) {
     members.remove(task);
     if (started && members.isEmpty()) {
-      // Whoever starts the same attempt after that begins it.
+      // A task that starts with the same attempt number after this begins a new gang.
       world.gangs.remove(task.gangAttemptId(), this);
     }
     if (started && !ended) {
--- a/src/test/java/wickdrift/sim/SimHistory.java
+++ b/src/test/java/wickdrift/sim/SimHistory.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * The last events of a simulated world: what ran where, what users were told, which faults began.
+ * The last events of a simulated world: tasks that started and stopped, withdrawals that users were
+ * told, broken rules, and faults.
  */
 final class SimHistory {
   private static final int MAX_EVENTS = 4000;
@@ -19,6 +20,7 @@
     this.clock = clock;
   }
 
+  /** Adds an event at the current time. */
   void add(String description) {
     if (events.size() == MAX_EVENTS) {
       events.removeFirst();
@@ -26,7 +28,7 @@
     events.addLast(new Event(clock.nowMs(), description));
   }
 
-  /** The last events that mention one of these, the oldest first. */
+  /** Returns the last events that contain one of the words, the oldest first. */
   List<String> mentioning(List<String> words, int limit) {
     List<String> found = new ArrayList<>();
     for (Event event : events) {
--- a/src/test/java/wickdrift/sim/SimJobs.java
+++ b/src/test/java/wickdrift/sim/SimJobs.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Submissions as users send them. */
+/** Builds submissions as users send them. */
 public final class SimJobs {
   private SimJobs() {}
 
-  /** A job of the team vision: its class is called as its shape. */
+  /** Returns a submission of the team {@code vision}, whose job class has the name of its shape. */
   public static Map<String, Object> job(
       int number, String shape, int tasks, double gpus, double seconds) {
     Map<String, Object> fields = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
     return fields;
   }
 
-  /** The same, awaiting others. */
+  /** Adds dependencies to a submission, and returns it. */
   public static Map<String, Object> awaiting(Map<String, Object> job, int... others) {
     List<String> ids = new ArrayList<>();
     for (int other : others) {
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -11,13 +11,17 @@
 import java.util.function.Consumer;
 import wickdrift.transport.Caller;
 
-/** A network of hosts by name: delays, cuts that lose, and cuts that hold back and deliver late. */
+/**
+ * A simulated network of named hosts. It delays requests, and can cut links (requests are lost, or
+ * held until the link is healed), block one direction, duplicate, delay, replay and garble.
+ */
 public final class SimNet {
-  /** What listens at an address. */
+  /** Serves the requests to an address. */
   public interface Server {
+    /** Serves one request, and passes the answer, if any, to {@code done}. */
     void serve(String from, String method, String path, byte[] body, Consumer<Caller.Answer> done);
 
-    /** Grows when what listens begins anew: what was on its way to the one before is lost. */
+    /** Returns a number that grows with each restart. Late requests to an earlier one are lost. */
     default long incarnation() {
       return 0;
     }
@@ -29,52 +33,50 @@
   private final Set<String> cutLinks = new HashSet<>();
   private final Map<String, List<Runnable>> heldByLink = new HashMap<>();
 
-  /** Hosts that nothing reaches, though what they send arrives. */
+  /** Hosts that receive nothing, although what they send arrives. */
   final Set<String> deaf = new HashSet<>();
 
-  /** Hosts whose own requests reach nobody, though what is sent to them arrives and is answered. */
+  /** Hosts whose own requests are lost, although requests to them arrive and are answered. */
   final Set<String> mute = new HashSet<>();
 
   /**
-   * A share of the requests to a path comes again, so much later at most, to one of these hosts.
+   * Duplicates a share of the requests to a path: a copy arrives within a time at one of the hosts.
    */
   record Copies(String path, double share, long withinMs, List<String> to) {}
 
   Copies copies;
 
-  /**
-   * A share of the requests to a path is held up on its way and arrives once, so much later; nobody
-   * gets an answer.
-   */
+  /** Delays a share of the requests to a path. They arrive once, and their answers are lost. */
   record Delay(String path, double share, long fromMs, long toMs) {}
 
   Delay delay;
 
-  /** Requests that arrived late by {@link #delay}. */
+  /** How many requests arrived late because of {@link #delay}. */
   int delayed;
 
-  /** What becomes of one request. */
+  /** What happens to a request. */
   enum Fate {
     DELIVERED,
-    /** It waits, unanswered, until {@link #releaseHeld} is called. */
+    /** The request is held without an answer until {@link #releaseHeld} is called. */
     HELD,
-    /** It arrives, and its answer does not. */
+    /** The request arrives; its answer is lost. */
     ANSWER_LOST,
-    /** It arrives, and the connection is reset before its answer comes. */
+    /** The request arrives; the connection is reset before the answer. */
     ANSWER_RESET,
-    /** It arrives so much later as {@link FaultScript#lateMs} says, and nobody gets an answer. */
+    /** The request arrives after {@link FaultScript#lateMs}; its answer is lost. */
     LATE,
-    /** It never arrives. */
+    /** The request never arrives, and its sender gets no answer. */
     LOST,
-    /** The connection is reset. */
+    /** The connection is reset before the request arrives. */
     RESET
   }
 
-  /** Decides the fate of each request. */
+  /** Decides what happens to each request. */
   interface FaultScript {
+    /** Returns what happens to a request. */
     Fate fateOf(String from, String to, String path, byte[] body);
 
-    /** How late the next request that is {@link Fate#LATE} arrives. */
+    /** Returns the delay of the next request that is {@link Fate#LATE}. */
     default long lateMs() {
       return 0;
     }
@@ -84,28 +86,28 @@
 
   private final List<Runnable> heldByScript = new ArrayList<>();
 
-  /** Hosts whose answers arrive as something that nobody can read. */
+  /** Hosts whose answers arrive with a body that cannot be decoded. */
   final Set<String> garbled = new HashSet<>();
 
-  /** How long a copy or a late request may take at a real process. */
+  /** The timeout of a duplicate or late request to a real process. */
   private static final long PROCESS_TIMEOUT_MS = 5000;
 
   private static final byte[] GARBLED_BODY = {(byte) 0xc1, 7, 7};
 
-  /** Of this share of the reports a copy is kept until somebody releases it. */
+  /** The share of the reports that is recorded for {@link #releaseCopies}. */
   double keepShare;
 
-  /** Copies that were released. */
+  /** How many recorded reports were replayed. */
   int released;
 
   private record RecordedReport(String from, String path, byte[] body) {}
 
   private final List<RecordedReport> recordedReports = new ArrayList<>();
 
-  /** Hosts that are real processes, by name: how to call them. */
+  /** The callers of hosts that are real processes, by name. */
   final Map<String, Caller> processCallers = new HashMap<>();
 
-  /** Told of whatever begins to listen. */
+  /** Called with each address at which a server starts to listen. */
   Consumer<String> listenObserver = a -> {};
 
   public SimNet(SimClock clock, Random random) {
@@ -113,16 +115,18 @@
     this.random = random;
   }
 
+  /** Registers a server for an address, and notifies {@link #listenObserver}. */
   public void listen(String address, Server server) {
     servers.put(address, server);
     listenObserver.accept(address);
   }
 
+  /** Removes the server of an address. */
   public void close(String address) {
     servers.remove(address);
   }
 
-  /** What listens at an address, or null. */
+  /** Returns the server of an address, or null. */
   Server at(String address) {
     return servers.get(address);
   }
@@ -131,7 +135,7 @@
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
-  /** Cuts two hosts from each other; requests sent meanwhile are lost, or held until healed. */
+  /** Cuts the link between two hosts; requests are lost, or held until it is healed. */
   public void cut(String a, String b, boolean holdRequests) {
     cutLinks.add(linkKey(a, b));
     if (holdRequests) {
@@ -139,7 +143,7 @@
     }
   }
 
-  /** Joins two hosts again; what was held back arrives. */
+  /** Heals the link between two hosts; held requests and answers arrive. */
   public void heal(String a, String b) {
     cutLinks.remove(linkKey(a, b));
     List<Runnable> heldRequests = heldByLink.remove(linkKey(a, b));
@@ -149,7 +153,7 @@
   }
 
   private long transmissionDelayMs() {
-    // Now and then a message is lost and sent again.
+    // One message in 40 is lost and retransmitted.
     return 1 + random.nextInt(4) + (random.nextInt(40) == 0 ? 250 : 0);
   }
 
@@ -162,7 +166,7 @@
     }
   }
 
-  /** Hands a request to whatever is at an address. */
+  /** Delivers a request to the process or server of an address, if there is one. */
   private void deliver(
       String from,
       String to,
@@ -186,7 +190,7 @@
         script.lateMs(),
         () -> {
           Server current = servers.get(to);
-          // A connection to one that began anew meanwhile is gone, with all that was on its way.
+          // A restart closes the connection, and the requests on their way are lost.
           if (current == null || current.incarnation() == incarnation) {
             deliver(from, to, method, path, body, a -> {});
           }
@@ -199,7 +203,7 @@
     }
   }
 
-  /** Every copy that was kept arrives at each of these hosts. */
+  /** Delivers every recorded report to each of the hosts. */
   void releaseCopies(List<String> hosts) {
     for (RecordedReport report : recordedReports) {
       for (String host : hosts) {
@@ -217,7 +221,7 @@
     recordedReports.clear();
   }
 
-  /** Every request that the script held arrives; nobody waits for its answer any more. */
+  /** Delivers every request that the script has held; the answers are discarded. */
   void releaseHeld() {
     heldByScript.forEach(delivery -> clock.after(transmissionDelayMs(), delivery));
     heldByScript.clear();
@@ -259,7 +263,11 @@
     clock.after(transmissionDelayMs(), delivery);
   }
 
-  /** The caller's end for one host; {@code alive} tells whether the calling process still runs. */
+  /**
+   * Returns the client of a host.
+   *
+   * @param alive whether the calling process still runs; if not, it gets no more answers
+   */
   public Caller caller(String from, BooleanSupplier alive) {
     return (address, method, path, body, timeoutMs, done) -> {
       boolean[] finished = {false};
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import wickdrift.protocol.JobSpec;
 
-/** The rules of the protocol, checked at every event of the simulated world. */
+/**
+ * Checks the rules of the protocol on what runs on the machines and on what users are told. Each
+ * violation is recorded under the name of its rule.
+ */
 final class SimRules {
   private final SimWorld world;
   private final Map<String, SimWorker.Task> runningTasks = new HashMap<>();
@@ -20,13 +23,15 @@
   final List<String> violations = new ArrayList<>();
   int startCount;
 
-  /** When a question about a job was last answered; a test says when all troubles are over. */
+  /** When a request about a job was last answered, by job. */
   private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
+  /** When the last fault ended, set by the test. Liveness rules apply only after that. */
   long calmSinceMs = Long.MAX_VALUE;
+
   private static final long ANSWER_TIMEOUT_MS = 75_000;
 
-  /** Since when a job could have been given room, troubles over. */
+  /** Since when a task of a job has waited despite free capacity, by job, after the last fault. */
   private final Map<String, Long> schedulableSinceMs = new HashMap<>();
 
   private static final long SCHEDULING_TIMEOUT_MS = 90_000;
@@ -44,6 +49,7 @@
     return task.substring(0, task.indexOf('/'));
   }
 
+  /** An attempt has started on a machine. */
   void taskStarted(SimWorker.Task task) {
     startCount++;
     world.history.add("on " + task.machine() + ": " + task.id + " attempt " + task.attempt);
@@ -53,7 +59,7 @@
     }
     Long confirmedMs = withdrawalConfirmedMs.get(jobOf(task.id));
     if (confirmedMs != null) {
-      recordViolation("ran_cancelled: started " + task.id + " after the word");
+      recordViolation("ran_cancelled: started " + task.id + " after its withdrawal was confirmed");
     }
     for (String dependency : world.specs.get(jobOf(task.id)).awaits()) {
       if (!allDone(dependency)) {
@@ -80,11 +86,13 @@
     }
   }
 
+  /** Whether a team would use more GPUs than its limit; a limit of 0 means none. */
   private boolean exceedsQuota(String team, double gpus) {
     double limit = world.setup.limitOf(team);
     return limit > 0 && gpus > limit;
   }
 
+  /** An attempt has stopped on a machine, for whatever reason. */
   void taskStopped(SimWorker.Task task) {
     Long confirmedMs = withdrawalConfirmedMs.get(jobOf(task.id));
     if (confirmedMs != null && world.clock.nowMs() - confirmedMs > world.cancelDeadlineMs) {
@@ -102,13 +110,14 @@
             + task.exitReason);
   }
 
+  /** A task has finished successfully. */
   void taskDone(SimWorker.Task task) {
     if (doneTasks.add(task.id) && allDone(jobOf(task.id))) {
       world.users.allTasksDone(jobOf(task.id));
     }
   }
 
-  /** A job that a user knew to be accepted was taken as a new one. */
+  /** A submission was accepted as new; this is a violation if its user knew it to be accepted. */
   void submissionAcceptedAsNew(String job, long requestSentMs) {
     Long firstAcceptedMs = acceptedMs.get(job);
     if (firstAcceptedMs != null && requestSentMs >= firstAcceptedMs) {
@@ -116,7 +125,7 @@
     }
   }
 
-  /** A user was told of a job that nobody has submitted. */
+  /** A user was told the state of a job that nobody has submitted. */
   void invented(String job) {
     recordViolation("invented " + job);
   }
@@ -126,11 +135,12 @@
     acceptedMs.putIfAbsent(job, world.clock.nowMs());
   }
 
-  /** Whether a user was told that a job is done or cancelled. */
+  /** Whether a user was told that a job is done or withdrawn. */
   boolean isFinal(String job) {
     return terminalStateReportedMs.containsKey(job);
   }
 
+  /** A user was told that a job is withdrawn; none of its tasks may start after that. */
   void withdrawn(String job) {
     if (withdrawalConfirmedMs.putIfAbsent(job, world.clock.nowMs()) == null) {
       world.history.add("told withdrawn: " + job);
@@ -138,10 +148,11 @@
   }
 
   /**
-   * A user was told a phase (null: 404) of an accepted job.
+   * A user was told the phase of an accepted job.
    *
-   * @param requestSentMs when the question was sent: what was answered to an earlier one while a
-   *     final phase was on its way is not older than what its user knew when asking
+   * @param phase the phase, or null if the answer was 404
+   * @param requestSentMs when the request was sent. A request sent before the user was told a
+   *     terminal state may still be answered with an earlier phase
    */
   void phaseReported(String job, String phase, long requestSentMs) {
     lastAnswerMs.put(job, world.clock.nowMs());
@@ -175,11 +186,11 @@
       }
     }
     if (phase.equals("withdrawn")) {
-      // The word of a poll counts as that of the withdrawal's own answer.
+      // A poll that answers "withdrawn" confirms the withdrawal like the withdrawal's own answer.
       withdrawn(job);
     }
     if (phase.equals("withdrawn") && !withdrawalRequested) {
-      recordViolation("went_back " + job + ": withdrawn, but no one asked");
+      recordViolation("went_back " + job + ": withdrawn without a request");
     }
     if (phase.equals("done") || phase.equals("withdrawn")) {
       terminalStateReportedMs.putIfAbsent(job, world.clock.nowMs());
@@ -187,6 +198,7 @@
     lastPhase.put(job, phase);
   }
 
+  /** Whether every task of a job has finished successfully. */
   boolean allDone(String job) {
     for (int i = 0; i < world.specs.get(job).tasks(); i++) {
       if (!doneTasks.contains(job + "/" + i)) {
@@ -196,7 +208,7 @@
     return true;
   }
 
-  /** A job and all that it needs, directly or through others. */
+  /** Returns a job and all its direct and transitive dependencies. */
   private Set<String> jobAndDependencies(String job) {
     Set<String> all = new HashSet<>();
     List<String> unvisited = new ArrayList<>(List.of(job));
@@ -209,28 +221,32 @@
     return all;
   }
 
-  /** Whether a user was told that the cancellation of a job itself has succeeded. */
+  /** Whether a user was told that a job itself is withdrawn, not only one of its dependencies. */
   boolean toldWithdrawn(String job) {
     return withdrawalConfirmedMs.containsKey(job);
   }
 
+  /** Returns the last phase of a job that a user was told, or null. */
   String lastReportedPhase(String job) {
     return lastPhase.get(job);
   }
 
+  /** Returns the zone in which a task runs, or null if it does not run. */
   String zoneOf(String task) {
     return runningTasks.containsKey(task) ? runningTasks.get(task).zone() : null;
   }
 
-  /** The machine that a task is on, or null. */
+  /** Returns the machine on which a task runs, or null if it does not run. */
   String machineOf(String task) {
     return runningTasks.containsKey(task) ? runningTasks.get(task).machine() : null;
   }
 
+  /** Whether a task runs on any machine. */
   boolean isOn(String task) {
     return runningTasks.containsKey(task);
   }
 
+  /** Checks the rules that have a time limit: answers, scheduling and the end of withdrawn jobs. */
   void check() {
     long now = world.clock.nowMs();
     if (now - ANSWER_TIMEOUT_MS > calmSinceMs) {
@@ -247,7 +263,7 @@
           schedulableSinceMs.remove(job);
         } else if (now - schedulableSinceMs.computeIfAbsent(job, k -> now)
             > SCHEDULING_TIMEOUT_MS) {
-          recordViolation("passed_over " + job + ": waits beside room for it");
+          recordViolation("passed_over " + job + ": waits despite free capacity");
           schedulableSinceMs.put(job, now);
         }
       }
@@ -262,7 +278,7 @@
         });
   }
 
-  /** Whether a job has a task that waits though machines have room and its team may have it. */
+  /** Whether a task of a job waits although machines have capacity and the quota permits it. */
   private boolean hasSchedulableTask(String job) {
     JobSpec spec = world.specs.get(job);
     if (jobAndDependencies(job).stream().anyMatch(u -> world.users.asked.contains(u))
--- a/src/test/java/wickdrift/sim/SimRulesTest.java
+++ b/src/test/java/wickdrift/sim/SimRulesTest.java
@@ -11,13 +11,14 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * The judge of the simulated world catches what it is there for: a defect for each of its rules.
+ * Checks {@link SimRules} itself: each kind of defect, introduced on purpose, must be reported, and
+ * a correct run must not. Otherwise the simulation tests could pass although a rule is broken.
  */
 class SimRulesTest {
   private static final String JOB = "req-000001";
   private static final String OTHER = "req-000002";
 
-  /** What somebody does wrong, and what the judge calls it. */
+  /** A defect, and the beginning of the violation that must be reported for it. */
   enum Defect {
     STARTS_AFTER_CONFIRMED_WITHDRAWAL("ran_cancelled: started " + JOB),
     RUNS_ON_AFTER_CONFIRMED_WITHDRAWAL("ran_cancelled " + JOB + "/0"),
@@ -43,7 +44,7 @@
     }
   }
 
-  /** A command that no controller gave. */
+  /** Sends a run command that no controller has issued to a worker. */
   private static void sendRunCommand(SimWorld world, int machine, String task, int attempt) {
     SimWorker worker = world.workers().get(machine);
     byte[] body =
@@ -122,11 +123,11 @@
     }
   }
 
-  /** Nobody controls anything: whatever happens, the test has done. */
+  /** Returns a world without running controllers, in which only the test acts. */
   private static SimWorld world() {
     SimWorld world = new SimWorld(31, 3, 3, "aaa", 10);
     world.nodes.forEach(world::kill);
-    // Its controllers being gone, the workers' leases would end all.
+    // Without controllers the workers' leases would expire and end all tasks.
     world.workerLeasesNeverExpire = true;
     Map<String, Object> job = SimJobs.job(1, "batch", 3, 4, 500);
     job.put("oneZone", true);
@@ -150,10 +151,10 @@
     world.run(100_000);
     assertTrue(
         world.broken().stream().anyMatch(b -> b.contains(defect.violation)),
-        defect + " is called " + world.broken());
+        defect + " is reported as " + world.broken());
   }
 
-  /** An answer to a question that was put before the newer one came is not older than known. */
+  /** A request sent before a newer answer arrived may be answered with an earlier phase. */
   @Test
   void answerToAnEarlierRequestMayBeOlder() {
     SimWorld world = world();
@@ -167,7 +168,6 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** And where nothing is wrong it says nothing. */
   @Test
   void correctRunBreaksNoRule() {
     SimWorld world = world();
--- a/src/test/java/wickdrift/sim/SimSetup.java
+++ b/src/test/java/wickdrift/sim/SimSetup.java
@@ -3,7 +3,7 @@
 import java.util.function.UnaryOperator;
 import wickdrift.coordination.Tuning;
 
-/** What a simulated world is made of: set before it is made, and not changed after. */
+/** The configuration of a simulated world. It must not be changed after the world is created. */
 final class SimSetup {
   private final long seed;
   private int machines;
@@ -19,8 +19,10 @@
   private double writeRps = SimState.DEFAULT_WRITES_PER_SECOND;
 
   /**
-   * @param machines that are up at the start
-   * @param capacity machines that can be had in all
+   * Creates a configuration with three controllers in one zone.
+   *
+   * @param machines the number of machines that are up at the start
+   * @param capacity the number of machines that the cloud has in all
    */
   SimSetup(long seed, int machines, int capacity) {
     this.seed = seed;
@@ -50,7 +52,7 @@
     return this;
   }
 
-  /** The zone of each controller, a letter. */
+  /** Returns the zone of each controller, one letter each. */
   String controllers() {
     return controllers;
   }
@@ -60,7 +62,7 @@
     return this;
   }
 
-  /** The limit of the team vision. */
+  /** Returns the GPU limit of the team {@code vision}. */
   double gpusMax() {
     return gpusMax;
   }
@@ -70,7 +72,7 @@
     return this;
   }
 
-  /** The limit of the team sound; 0: none. */
+  /** Returns the GPU limit of the team {@code sound}; 0: none. */
   double soundGpusMax() {
     return soundGpusMax;
   }
@@ -80,12 +82,12 @@
     return this;
   }
 
-  /** The limit of a team; 0: none. */
+  /** Returns the GPU limit of a team; 0: none. */
   double limitOf(String team) {
     return team.equals("sound") ? soundGpusMax : gpusMax;
   }
 
-  /** Within how long a cancelled task must be gone. */
+  /** Returns the time within which the tasks of a withdrawn job must end. */
   double cancelS() {
     return cancelS;
   }
@@ -103,7 +105,7 @@
     return reportS;
   }
 
-  /** How long a worker's lease lasts, and how often it reports. */
+  /** Sets the duration of a worker's lease, and the interval of its reports. */
   SimSetup workers(double leaseSeconds, double reportSeconds) {
     leaseS = leaseSeconds;
     reportS = reportSeconds;
@@ -114,13 +116,13 @@
     return tuning;
   }
 
-  /** With the settings that a controller has by itself, in place of small logs. */
+  /** Uses the default tuning instead of one with small logs. */
   SimSetup defaultTuning() {
     tuning = UnaryOperator.identity();
     return this;
   }
 
-  /** Changes a transaction may hold; 0: enough for all controllers, 8 at least. */
+  /** Returns the most changes in a transaction; 0: enough for all controllers, but at least 8. */
   int txnOps() {
     return txnOps;
   }
@@ -130,7 +132,7 @@
     return this;
   }
 
-  /** Changes that the state service takes a second. */
+  /** Returns the number of changes per second that the state service accepts. */
   double writeRps() {
     return writeRps;
   }
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -22,7 +22,11 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Caller.Answer;
 
-/** A stand-in for the state service: stamps, conditions, leases, watches, outages. */
+/**
+ * A stand-in for the state service: records with stamps, conditional transactions, leases and
+ * watches. It can be unavailable, slow or lossy, and checks that transactions have the conditions
+ * that they need.
+ */
 public final class SimState implements SimNet.Server {
   private record Entry(Object value, long stamp, long lease) {}
 
@@ -34,25 +38,25 @@
   private static final int MAX_RECORDED_CHANGES = 10_000;
   private static final int DEFAULT_MAX_VALUE_BYTES = 4096;
 
-  /** As many as the settings of this world say. */
+  /** The most changes in a transaction. */
   int maxTransactionChanges = 8;
 
-  /** Writes a second, and so many at once, as the settings say. */
+  /** The default rate of changes, and the largest burst. */
   static final double DEFAULT_WRITES_PER_SECOND = 100;
 
-  /** Changes a second, and as many at once. */
+  /** The rate of changes, and the largest burst. Exceeding it is counted, not refused. */
   double maxWritesPerSecond;
 
-  /** The same before a fall. */
+  /** {@link #maxWritesPerSecond} before the limits were lowered. */
   final double initialMaxWritesPerSecond;
 
   private int previousMaxTransactionChanges;
   private int maxValueBytes = DEFAULT_MAX_VALUE_BYTES;
 
-  /** Transactions that were refused for their size, by what was too large. */
+  /** What was too large in each transaction that was refused for its size. */
   final List<String> tooLarge = new ArrayList<>();
 
-  /** The limits fall, without notice. */
+  /** Lowers the limits without notice. */
   void fall(double maxValueKb, int maxChanges, double writesPerSecond) {
     previousMaxTransactionChanges = maxTransactionChanges;
     maxValueBytes = (int) (maxValueKb * 1024);
@@ -60,6 +64,7 @@
     maxWritesPerSecond = writesPerSecond;
   }
 
+  /** Returns the most changes in a transaction before the limits were lowered. */
   int initialMaxTransactionChanges() {
     return previousMaxTransactionChanges > 0
         ? previousMaxTransactionChanges
@@ -76,13 +81,13 @@
   private final Map<String, Long> watchDelayMsByNode = new HashMap<>();
   private long commitDelayMs;
 
-  /** A list of how jobs ended comes so much later. */
+  /** The delay of answers to listings of the job history. */
   long slowFinalsMs;
 
-  /** Transactions that were carried out late, after their sender had given up. */
+  /** How many transactions were delayed by {@link #lateCommits}. */
   int lateWrites;
 
-  /** Transactions that were carried out and not answered. */
+  /** How many transactions were applied without an answer by {@link #loseAnswers}. */
   int answersLost;
 
   private double delayedCommitShare;
@@ -90,22 +95,22 @@
   private Random commitDelayRandom;
   private final List<String> transactionViolations = new ArrayList<>();
 
-  /** Nodes whose build knows no levels: they announce nothing. */
+  /** Nodes whose build knows no levels and writes none to its node record. */
   final Set<String> levelless = new HashSet<>();
 
-  /** What becomes of a transaction on its way. */
+  /** What happens to a transaction on its way. */
   enum Fate {
     APPLIED,
-    /** It never arrives. */
+    /** The request never arrives. */
     LOST,
-    /** Its answer never does. */
+    /** The transaction is applied, but its answer never arrives. */
     UNANSWERED
   }
 
-  /** Decides on each transaction as it arrives, by its sender and itself. */
+  /** Decides what happens to a transaction, given its sender and its content. */
   BiFunction<String, Document, Fate> fate = (from, d) -> Fate.APPLIED;
 
-  /** Who sent transactions; a test clears it. */
+  /** The nodes that have sent transactions since a test last cleared the set. */
   final Set<String> writers = new HashSet<>();
 
   private long revision;
@@ -116,13 +121,13 @@
   private long bytesWritten;
   private long bytesRead;
 
-  /** The writes that the limit still allows, and how often it was passed. */
+  /** The number of changes that the rate limit allows now (a token bucket). */
   private double writeTokens;
 
   private long writeTokensUpdatedMs;
   private int writeLimitExceededCount;
 
-  /** An empty store that takes so many changes a second. */
+  /** Creates an empty store with the given limit of changes per second. */
   public SimState(SimClock clock, double writeRps) {
     this.clock = clock;
     this.maxWritesPerSecond = writeRps;
@@ -131,7 +136,7 @@
     expireLeasesAndWatches();
   }
 
-  /** The store is away for all, or back. */
+  /** Makes the store unavailable to all nodes, or available again; then all leases start anew. */
   public void outage(boolean on) {
     unavailable = on;
     if (!on) {
@@ -142,24 +147,24 @@
     }
   }
 
-  /** The node's open watches are gone without an answer. */
+  /** Drops the open watches of a node without an answer. */
   public void dropWatches(String node) {
     watches.removeIf(w -> w.from.equals(node));
   }
 
-  /** What a node reads comes so much later: it goes on with old tables for that long. */
+  /** Delays all answers to a node's watches, so that it works with outdated tables. */
   public void slowReads(String node, long ms) {
     watchDelayMsByNode.put(node, ms);
   }
 
-  /** A share of the transactions is applied so much later, each by itself. */
+  /** Delays a random share of the transactions; those sent after them overtake them. */
   public void lateCommits(double share, long ms, long seed) {
     delayedCommitShare = share;
     delayedCommitMs = ms;
     commitDelayRandom = new Random(seed);
   }
 
-  /** Of a share of the transactions, carried out at once, only the answer is lost. */
+  /** Loses the answers to a random share of the transactions, which are applied at once. */
   void loseAnswers(double share, long seed) {
     Random random = new Random(seed);
     fate =
@@ -172,12 +177,12 @@
         };
   }
 
-  /** Every transaction is applied so much later. */
+  /** Delays every transaction. */
   public void slowWrites(long ms) {
     commitDelayMs = ms;
   }
 
-  /** The store refuses one node alone, or serves it again. */
+  /** Makes the store unavailable to a single node, or available again. */
   public void refuse(String node, boolean on) {
     if (on) {
       refusedNodes.add(node);
@@ -187,11 +192,12 @@
     }
   }
 
+  /** Returns the revision of the last change. */
   public long revision() {
     return revision;
   }
 
-  /** Every record, as a load would read them all at once. */
+  /** Returns every record, as if a node had read them all at once. */
   public List<StateServiceClient.Change> all() {
     List<StateServiceClient.Change> records = new ArrayList<>();
     entries.forEach(
@@ -206,15 +212,17 @@
     return records;
   }
 
+  /** Returns the keys of all records. */
   public Set<String> keys() {
     return entries.keySet();
   }
 
+  /** Returns how many requests have arrived. */
   public int requests() {
     return requestCount;
   }
 
-  /** How many transactions the limit of writes did not allow. */
+  /** Returns how many transactions exceeded the rate limit. */
   public int overWritten() {
     return writeLimitExceededCount;
   }
@@ -233,15 +241,17 @@
     }
   }
 
-  /** Bytes of all transactions, and of all answers. */
+  /** Returns the total size of all transactions in bytes. */
   public long written() {
     return bytesWritten;
   }
 
+  /** Returns the total size of all answers in bytes. */
   public long read() {
     return bytesRead;
   }
 
+  /** Returns how many transactions were processed, applied or not. */
   public int commits() {
     return commitCount;
   }
@@ -322,6 +332,7 @@
     watch.done.accept(answer(200, Map.of("ledgerRev", revision, "news", news)));
   }
 
+  /** Returns an answer with an encoded body. */
   static Answer answer(int status, Object body) {
     return new Answer(status, MessageCodec.encode(body));
   }
@@ -348,7 +359,7 @@
     if (path.equals("/commit")
         && delayedCommitShare > 0
         && commitDelayRandom.nextDouble() < delayedCommitShare) {
-      // Its packets were lost and sent again, while other connections go on.
+      // As if packets were lost and retransmitted, while other connections make progress.
       lateWrites++;
       clock.after(delayedCommitMs, () -> serveNow(from, method, path, body, done));
     } else if (path.equals("/commit") && commitDelayMs > 0) {
@@ -465,7 +476,10 @@
     return answer(200, Map.of("entries", records, "truncated", truncated, "ledgerRev", revision));
   }
 
-  /** What every transaction that is applied must have been conditional on. */
+  /**
+   * Records a violation if a transaction that is about to be applied lacks a condition that it
+   * needs to be safe against concurrent changes.
+   */
   private void checkConditions(Document transaction) throws BadMessage {
     Set<String> conditionKeys = new HashSet<>();
     for (Document condition : transaction.docs("when")) {
@@ -485,14 +499,15 @@
       }
       if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && change.raw("v") != null) {
         for (Map.Entry<String, Entry> entry : entries.entrySet()) {
-          // A store that is being restored has a text in place of the view.
+          // While a store is being restored, a text stands in place of the view.
           Object value = MessageCodec.decode(MessageCodec.encode(entry.getValue().value));
           boolean inOldEncoding =
               !(value instanceof String)
                   && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(entry.getKey()))
                       > Encoding.versionOf(value);
           if (inOldEncoding) {
-            transactionViolations.add(key + " while " + entry.getKey() + " is of an older form");
+            transactionViolations.add(
+                key + " while " + entry.getKey() + " is in an older encoding");
           }
         }
       }
@@ -506,7 +521,7 @@
       List<?> runs = Encoding.decode(change.raw("v"), Encoding.NUMBERED).list("g");
       List<?> lastRun =
           runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
-      // A run that says its revision was durable before: the page is only brought to another form.
+      // A run of entries with a revision was stored before: the page is only re-encoded.
       boolean isNew = lastRun.get(0).equals(0L);
       for (Object item : isNew ? (List<?>) lastRun.get(1) : List.of()) {
         List<?> entry = (List<?>) item;
@@ -533,7 +548,7 @@
     }
   }
 
-  /** What of a transaction is larger than it may be, or null. */
+  /** Returns what exceeds the limits in a transaction, or null. */
   private String describeOversized(Document transaction) throws BadMessage {
     if (transaction.docs("when").size() > 4 * maxTransactionChanges
         || transaction.docs("then").size() > maxTransactionChanges) {
@@ -556,7 +571,7 @@
         .count("level", 1);
   }
 
-  /** Whether a leader may take machines of that part together with others'. */
+  /** Whether the leader may claim machines of that partition. */
   private boolean isClaimable(String partitionKey) throws BadMessage {
     Document view =
         Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED);
@@ -564,6 +579,7 @@
         && !partitionKey.equals("w/p/" + view.text("leader"));
   }
 
+  /** Whether the stored view lists a node as a member. */
   private boolean isViewMember(String node) throws BadMessage {
     Object view = value("w/v");
     return view != null
@@ -575,12 +591,15 @@
             != null;
   }
 
-  /** Transactions that lacked a condition; must stay empty. */
+  /**
+   * Returns the transactions that lacked a condition, or exceeded the size limits although these
+   * had not been lowered. The list must stay empty.
+   */
   public List<String> transactionViolations() {
     return transactionViolations;
   }
 
-  /** What a build that knows no levels would have sent in place of this. */
+  /** Returns a transaction as a build that knows no levels would have sent it. */
   private Document withoutLevelRecords(String from, Document transaction) throws BadMessage {
     if (!levelless.contains(from)) {
       return transaction;
@@ -606,19 +625,19 @@
     return Document.of(Map.of("when", when, "then", then));
   }
 
-  /** A record as it is, or null. */
+  /** Returns the value of a record, or null. */
   Object value(String key) {
     Entry entry = entries.get(key);
     return entry == null ? null : entry.value;
   }
 
-  /** The whole content, as if it had been there before anything ran. */
+  /** Sets the whole content of the store, before any node has started. */
   public void preload(Map<String, Object> records, long recordRevision) {
     revision = recordRevision;
     records.forEach((k, v) -> entries.put(k, new Entry(v, recordRevision, 0)));
   }
 
-  /** Puts a record there past all conditions, as a fault or another build might. */
+  /** Writes a record without any condition, as a fault or another build might. */
   void force(String key, Object value) {
     revision++;
     put(key, value, 0);
@@ -645,7 +664,7 @@
     if (oversized != null) {
       tooLarge.add(oversized);
       if (previousMaxTransactionChanges == 0) {
-        transactionViolations.add(oversized + " is larger than it may be");
+        transactionViolations.add(oversized + " exceeds the limits");
       }
       return answer(400, Map.of("error", "too large"));
     }
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -16,24 +16,27 @@
 import wickdrift.transport.Caller.Answer;
 
 /**
- * Stand-ins for users: they submit with retries, poll, cancel, and tell the rules what they hear.
+ * Stand-ins for users: they submit jobs with retries, poll and withdraw them, and pass the answers
+ * to {@link SimRules}.
  */
 public final class SimUsers {
   private final SimWorld world;
 
+  /** The jobs whose submission was accepted. */
   public final Set<String> accepted = new HashSet<>();
 
+  /** The jobs whose withdrawal was requested. */
   final Set<String> asked = new HashSet<>();
 
   private final Map<String, Long> firstWithdrawalRequestMs = new HashMap<>();
 
-  /** The longest that a user waited for the word that a job is withdrawn. */
+  /** The longest time from a user's first withdrawal request to its confirmation. */
   long slowestWordMs;
 
-  /** Answers to submissions that sent the user away for now, and submissions without an answer. */
+  /** How many submissions were refused for the time being, or got no answer. */
   int refusedSubmissions;
 
-  /** If users look closely whenever something becomes known of a job. */
+  /** Polls a job at all nodes whenever users learn something new about it; null: no such polls. */
   SimCloseLooks closeLooks;
 
   private final Map<String, byte[]> submissionBodies = new HashMap<>();
@@ -42,7 +45,7 @@
     this.world = world;
   }
 
-  /** Submits once all that it awaits are accepted, as users do. */
+  /** Submits a job as soon as all jobs that it awaits are accepted, as users do. */
   public void submitChained(Map<String, Object> job, long withdrawAfterMs) {
     Object awaits = job.getOrDefault("awaits", List.of());
     if (accepted.containsAll((List<?>) awaits)) {
@@ -52,7 +55,12 @@
     }
   }
 
-  /** Tells the workers of a job: users hand them its description themselves. */
+  /**
+   * Makes a job's specification known to the workers, which get it from users and not from
+   * controllers.
+   *
+   * @return the body of the submission
+   */
   public byte[] describe(Map<String, Object> job) {
     byte[] body = MessageCodec.encode(job);
     submissionBodies.put((String) job.get("ref"), body);
@@ -64,7 +72,11 @@
     return body;
   }
 
-  /** Submits with retries, then polls until the job is over. */
+  /**
+   * Submits a job with retries, then polls it.
+   *
+   * @param withdrawAfterMs the time from its acceptance to its withdrawal; 0: never
+   */
   public void submit(Map<String, Object> job, long withdrawAfterMs) {
     String id = (String) job.get("ref");
     byte[] body = describe(job);
@@ -104,16 +116,16 @@
             });
   }
 
-  /** A user repeats a submission, whatever has become of it. */
+  /** Repeats a submission at a random node, whatever state the job is in. */
   void submitAgain(String id, Map<String, Object> job) {
     submissionBodies.put(id, MessageCodec.encode(job));
     submitAgain(randomNode(), id, () -> {});
   }
 
   /**
-   * A user repeats a submission at one node.
+   * Repeats a submission at one node.
    *
-   * @param onAnswer called when the answer tells the job's state
+   * @param onAnswer called when the answer contains the job's state
    */
   void submitAgain(String node, String id, Runnable onAnswer) {
     long requestSentMs = world.clock.nowMs();
@@ -138,7 +150,7 @@
             });
   }
 
-  /** A user hears how a job stands; null: that it is not known. */
+  /** A user was told the phase of a job, or (null) that the job is unknown. */
   private void phaseReceived(String id, String phase, long requestSentMs) {
     boolean wasTerminal = world.rules.isFinal(id);
     world.rules.phaseReported(id, phase, requestSentMs);
@@ -153,14 +165,14 @@
     }
   }
 
-  /** The last of a job's tasks has just ended. */
+  /** All tasks of a job are done. */
   void allTasksDone(String id) {
     if (accepted.contains(id)) {
       pollBurst(id);
     }
   }
 
-  /** One poll at one node, which does not repeat. */
+  /** Polls a job once at one node, and passes the answer to the rules. */
   void pollOnce(String node, String id, Runnable onAnswer) {
     long requestSentMs = world.clock.nowMs();
     poll(
@@ -177,7 +189,7 @@
         });
   }
 
-  /** One poll by itself. */
+  /** Sends a single poll; its answer is not checked by the rules. */
   public void poll(String node, String id, long timeoutMs, Consumer<Answer> done) {
     world
         .net
@@ -202,7 +214,7 @@
     withdraw(id, randomNode());
   }
 
-  /** A user calls a job off, at this node first, until one answers. */
+  /** Withdraws a job at one node, then at random ones, until one answers. */
   void withdraw(String id, String node) {
     asked.add(id);
     long requestSentMs = world.clock.nowMs();
@@ -234,7 +246,11 @@
             });
   }
 
-  /** One request as it is, for tests of single answers; null if none comes within five seconds. */
+  /**
+   * Sends a request and runs the world for five seconds.
+   *
+   * @return the answer, with status 0 if there was none
+   */
   public Answer ask(String node, String method, String path, byte[] body) {
     Answer[] answer = new Answer[1];
     world.net.caller("user", () -> true).call(node, method, path, body, 5000, a -> answer[0] = a);
@@ -242,7 +258,7 @@
     return answer[0];
   }
 
-  /** Submits 240 jobs of all shapes within 20 seconds; arrays have so many tasks. */
+  /** Submits 240 jobs of all shapes within 20 seconds; batch jobs have {@code arrayTasks} tasks. */
   public void submitMixed(long seed, int arrayTasks) {
     Random random = new Random(seed);
     for (int i = 0; i < 240; i++) {
@@ -258,12 +274,13 @@
   }
 
   /**
-   * Submits 60 small jobs of all shapes, of which some are withdrawn.
+   * Submits 60 small jobs of all shapes, some of which are withdrawn.
    *
-   * @param fromMs when the first may come, within so many milliseconds the last
-   * @param withdrawSpanMs within so long a withdrawal comes
-   * @param runSeconds a job runs, by its number
-   * @return those that must be done in the end
+   * @param fromMs the delay of the earliest submission
+   * @param spanMs the time within which the submissions are spread
+   * @param withdrawSpanMs the time after its acceptance within which a job may be withdrawn
+   * @param runSeconds the run time of a job, by its number
+   * @return the jobs that must be done in the end
    */
   List<String> submitSmall(
       Random random, int fromMs, int spanMs, int withdrawSpanMs, IntToDoubleFunction runSeconds) {
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -15,7 +15,10 @@
 import wickdrift.transport.Caller;
 import wickdrift.transport.Caller.Answer;
 
-/** A stand-in for a worker, as the protocol describes it. */
+/**
+ * A stand-in for a worker that follows the protocol: it reports, executes commands, runs tasks, and
+ * ends them when its lease expires.
+ */
 final class SimWorker implements SimNet.Server {
   private final SimWorld world;
   private final SimClock clock;
@@ -40,9 +43,10 @@
   boolean sick;
   int tasksKilledByLease;
 
-  /** If it takes that long to fetch an image. */
+  /** The time that fetching an image takes; 0: the default, a random time. */
   long slowFetchMs;
 
+  /** An attempt of a task on this machine. */
   final class Task {
     final String id;
     final int attempt;
@@ -76,14 +80,14 @@
       endTask(this, "done");
     }
 
-    /** A mate is gone: so is this task, unless its machine stands still and can't notice. */
+    /** Ends this task because another task of its gang is lost. A hung machine does not notice. */
     void onPeerLost() {
       if (active && !hung) {
         endTask(this, "mates_gone");
       }
     }
 
-    /** It has waited for its mates long enough. */
+    /** Ends this task if it still waits for the rest of its gang. */
     void onGangWaitExpired() {
       if (active && phase.equals("gathering")) {
         endTask(this, "alone");
@@ -111,6 +115,7 @@
     checkLeasePeriodically();
   }
 
+  /** Terminates the machine with all its tasks. */
   void die() {
     terminated = true;
     world.net.close(address);
@@ -127,7 +132,9 @@
     return incarnation;
   }
 
-  /** The machine is back at once, under its name, with nothing on it, and counts from one again. */
+  /**
+   * Restarts the machine at once under its name, without tasks and images and with new counters.
+   */
   void restart() {
     tasks.values().forEach(this::remove);
     tasks.clear();
@@ -139,17 +146,17 @@
     leaseStartMs = clock.nowMs();
   }
 
-  /** A running task fails. */
+  /** Makes a running task fail. */
   void fail(String task) {
     endTask(tasks.get(task), "error");
   }
 
-  /** Whether a task is here, ended ones too. */
+  /** Whether the machine holds a task, running or ended. */
   boolean holds(String task) {
     return tasks.containsKey(task);
   }
 
-  /** Whether a task here has given up waiting for the rest of its gang. */
+  /** Whether a task on this machine has given up waiting for the rest of its gang. */
   boolean gaveUpWaiting() {
     return tasks.values().stream().anyMatch(task -> "alone".equals(task.exitReason));
   }
@@ -158,7 +165,7 @@
     return tasks.isEmpty();
   }
 
-  /** How many more tasks like these fit here; none where nothing works. */
+  /** Returns how many more tasks of a job fit on this machine; 0 if the machine does not work. */
   int taskCapacity(JobSpec spec) {
     if (terminated || hung || sick || spot && !spec.spot()) {
       return 0;
@@ -180,7 +187,7 @@
     return (int) Math.floor((spec.gpus() > 0 ? Math.min(n, gpus / spec.gpus()) : n) + 1e-6);
   }
 
-  /** What its tasks hold of a team's GPUs, fetching ones too. */
+  /** Returns how many GPUs the tasks of a team hold on this machine, also while fetching images. */
   double gpusOf(String team) {
     double sum = 0;
     for (Task task : tasks.values()) {
@@ -210,7 +217,7 @@
       return;
     }
     clock.after(20, this::checkLeasePeriodically);
-    // A hung machine may resume within its lease only: its end is enforced from outside.
+    // A hung machine may resume only within its lease, whose end is enforced from outside.
     if (isLeaseExpired()) {
       expireLease();
     }
@@ -287,7 +294,7 @@
 
   private void handleReportAnswer(Answer answer, long sentMs, long sentSession) {
     if (hung) {
-      // The machine stands still; it sees the answer too late to use it.
+      // The machine hangs; it reads the answer too late to use it.
       scheduleReport(200);
       return;
     }
@@ -295,7 +302,7 @@
       if (answer.status() == 200) {
         Document response = Document.parse(answer.body());
         long token = response.count("epoch");
-        // A higher token is a change, told at once, but no more often than twice a lease.
+        // A higher epoch is reported soon, but no more often than twice within a lease's duration.
         boolean reportSoon = false;
         if (sentSession == sessionId() && token >= epoch) {
           long now = clock.nowMs();
@@ -356,7 +363,7 @@
     JobSpec spec = world.specs.get(id.substring(0, id.indexOf('/')));
     Task task = new Task(id, attempt, spec);
     if (existing != null && !existing.phase.equals("ended")) {
-      // Kept apart from the running attempt: only its refusal is reported, once.
+      // The running attempt continues; the new one is refused.
       world.refusedRunCommands++;
       return;
     }
@@ -370,7 +377,7 @@
       endTask(task, "full");
       return;
     }
-    // An image that is there already takes no time.
+    // An image that is present already takes almost no time.
     long fetchMs =
         images.contains(spec.image())
             ? random.nextInt(3)
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -35,7 +35,10 @@
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
-/** Three controllers with stand-ins for all they deal with, on a simulated clock. */
+/**
+ * A simulated cluster on a simulated clock: controllers running the production code, and stand-ins
+ * for the network, the state service, the cloud, the workers and the users.
+ */
 public final class SimWorld {
   static final double GPUS_PER_MACHINE = 4;
   static final double CPUS_PER_MACHINE = 32;
@@ -56,33 +59,39 @@
   final long leaseMs;
   final long reportIntervalMs;
   final long cancelDeadlineMs;
+
+  /** Run commands that a worker refused because another attempt of the task was still running. */
   int refusedRunCommands;
 
-  /** Whether a machine was ever recorded as silent. */
+  /** Whether any controller has ever recorded a machine as lost. */
   boolean lost;
 
+  /** Attempts that ended as {@code full}: their machine had no GPUs left. */
   int full;
+
+  /** The gang attempts in progress, by {@link SimWorker.Task#gangAttemptId()}. */
   final Map<String, SimGang> gangs = new HashMap<>();
 
-  /** The addresses of the nodes; here a node's address is its name. */
+  /** The names of the nodes. In the simulated network a node's name is also its address. */
   final List<String> nodes = new ArrayList<>();
 
-  /** For tests that have no controllers. */
+  /** Set by tests without controllers, in which no worker could renew its lease. */
   boolean workerLeasesNeverExpire;
 
-  /** How much longer than its job says a task of an array runs, by its name. */
+  /** The ratio of actual to estimated run time of a batch task, by task name. */
   ToDoubleFunction<String> pace = task -> 1;
 
-  /** What a worker of that address says to a node that its address is. */
+  /** Maps a worker's address and a node to the address that the worker reports to that node. */
   BinaryOperator<String> addressSeenByNode = (address, node) -> address;
 
-  /** What happened, for whoever looks for the cause of a broken rule. */
+  /** Recent events, from which the cause of a broken rule can be found. */
   final SimHistory history = new SimHistory(clock);
 
   private final Map<String, NodeProcess> processes = new HashMap<>();
 
   private int incarnationCount;
 
+  /** A controller process, which can be killed, or paused with its events queued. */
   private static final class NodeProcess {
     boolean alive = true;
     boolean frozen;
@@ -107,16 +116,20 @@
     }
   }
 
+  /** Creates a world with three controllers in one zone and the default quota. */
   public SimWorld(long seed, int machinesAtStart, int capacity) {
     this(new SimSetup(seed, machinesAtStart, capacity));
   }
 
+  /** Creates a world with this number of controllers, all in zone {@code a}. */
   public SimWorld(long seed, int machinesAtStart, int capacity, int controllers, double gpusMax) {
     this(seed, machinesAtStart, capacity, "a".repeat(controllers), gpusMax);
   }
 
   /**
-   * @param controllers the zone of each, a letter
+   * Creates a world with controllers in the given zones.
+   *
+   * @param controllers the zone of each controller, one letter each
    */
   public SimWorld(
       long seed, int machinesAtStart, int capacity, String controllers, double gpusMax) {
@@ -156,11 +169,12 @@
     }
   }
 
+  /** Advances the simulated time and runs everything that falls due. */
   public void run(long ms) {
     clock.runUntil(clock.nowMs() + ms);
   }
 
-  /** The rules that were broken, and the transactions that lacked a condition. */
+  /** Returns the violations of {@link SimRules}, and those found in transactions. */
   public List<String> broken() {
     List<String> violations = new ArrayList<>(rules.violations);
     violations.addAll(state.transactionViolations());
@@ -168,8 +182,10 @@
   }
 
   /**
-   * Compares what each node holds with a copy loaded anew: all must have drawn the same from the
-   * logs, whatever the order in which they read them. Null when they agree.
+   * Compares each node's tables with a copy freshly loaded from the state service. All must have
+   * derived the same state from the logs, whatever the order in which they read them.
+   *
+   * @return the two differing states, or null if all nodes that have caught up agree
    */
   public String diverged() {
     int compared = 0;
@@ -184,7 +200,7 @@
           compared++;
           String nodeDigest = digest(process.controller.tables());
           if (!nodeDigest.equals(freshDigest)) {
-            return "held: " + nodeDigest + "\nloaded: " + freshDigest;
+            return "node: " + nodeDigest + "\nloaded: " + freshDigest;
           }
         }
       }
@@ -192,6 +208,7 @@
     return compared > 0 ? null : "no node caught up";
   }
 
+  /** Renders jobs, tasks and machines as text, for comparing the tables of nodes. */
   static String digest(Tables tables) {
     StringBuilder text = new StringBuilder();
     tables.jobs().stream()
@@ -220,7 +237,7 @@
     return text.toString();
   }
 
-  /** What ended controllers' settings and builds are changed before they start. */
+  /** Kills all controllers and restarts them with another build and other announced limits. */
   void restartAll(LevelRange build, String limitsToml) {
     nextLimitsToml = limitsToml;
     for (String n : nodes) {
@@ -232,16 +249,16 @@
 
   // ---- nodes ----
 
-  /** The controllers that a node's settings name, where those are not all of {@link #nodes}. */
+  /** The controllers named in a node's settings, where they are not all of {@link #nodes}. */
   final Map<String, List<String>> lists = new HashMap<>();
 
-  /** The levels that a node's build speaks, where it is not this one. */
+  /** The levels supported by a node's build, where it is not the current build. */
   final Map<String, LevelRange> levels = new HashMap<>();
 
-  /** Nodes whose build does not know the frames about withdrawals, and passes them over. */
+  /** Nodes whose build does not know the peer frames about withdrawals and ignores them. */
   final Set<String> oldFrames = new HashSet<>();
 
-  /** A frame arrives at a node, whoever sent it. */
+  /** Delivers a peer frame to a node directly, as if any peer had sent it. */
   void frame(String node, PeerFrame frame) {
     net.at("peer:" + node).serve("peer", "", "", toBytes(frame.encode()), a -> {});
   }
@@ -254,7 +271,7 @@
     return Integer.parseInt(node.substring(1));
   }
 
-  /** The settings file of a node, in the platform's format. */
+  /** Returns the content of a node's settings file. */
   String settingsText(String node, String stateAddress) {
     int self = indexOfNode(node);
     List<String> names = lists.getOrDefault(node, nodes);
@@ -323,10 +340,16 @@
     return text.toString();
   }
 
-  /** The limits to which the state service falls, as the settings tell them; empty: none. */
+  /**
+   * The section of the settings that announces lower limits of the state service; empty if none are
+   * announced.
+   */
   String nextLimitsToml = "";
 
-  /** The limits of the state service as an operator's command has them. */
+  /**
+   * Returns the limits of the state service as operator commands use them: the gate of the
+   * announced next limits counts as open.
+   */
   StateServiceLimits limits() {
     Settings s = parseSettings(nodes.get(0));
     return new StateServiceLimits(s.stateLimits(), s.nextLimits(), () -> true);
@@ -340,7 +363,7 @@
     }
   }
 
-  /** Starts a controller's process. */
+  /** Starts a controller process with new, empty tables. */
   public void startNode(String name) {
     NodeProcess process = new NodeProcess();
     Timers timers =
@@ -402,8 +425,10 @@
   }
 
   /**
-   * The process stands still while its clocks run on; its connection with the watch is lost. When
-   * it wakes, all timers are due at once, and what has arrived waits behind them, or before.
+   * Pauses a process while its clocks run on; its open watch is lost. On resume all overdue timers
+   * and all messages received meanwhile run at once.
+   *
+   * @param timersFirst whether the timers run before the messages, or after them
    */
   public void freeze(String name, long forMs, boolean timersFirst) {
     NodeProcess process = processes.get(name);
@@ -432,12 +457,13 @@
     return bytes;
   }
 
+  /** Kills a process without a signal, and starts it again after a while. */
   public void crash(String name, long downMs) {
     kill(name);
     clock.after(downMs, () -> startNode(name));
   }
 
-  /** Ends a process with no signal; nobody starts it again. */
+  /** Kills a process without a signal. It is not started again. */
   public void kill(String name) {
     NodeProcess process = processes.get(name);
     if (process != null) {
@@ -447,17 +473,25 @@
     net.close("peer:" + name);
   }
 
-  /** Tells a process to end, as an operator does; it is started again so long after its end. */
+  /**
+   * Shuts a process down in an orderly way, and starts it again.
+   *
+   * @param withinMs the time limit of the shutdown
+   * @param downMs the time from its end to its next start
+   */
   public void restart(String name, long withinMs, long downMs) {
     processes.get(name).controller.leave(withinMs, () -> crash(name, downMs));
   }
 
-  /** Tells a process to end that then does not: what it is by then matters, not that it is gone. */
+  /**
+   * Starts an orderly shutdown without ending the process afterwards, so that a test can examine
+   * the state that the process has reached.
+   */
   public void leave(String name, long withinMs) {
     processes.get(name).controller.leave(withinMs, () -> {});
   }
 
-  /** A node's tables; what it holds for durable. */
+  /** Returns the tables of a node: the stored state as the node knows it. */
   Tables tables(String node) {
     return processes.get(node).controller.tables();
   }
@@ -490,20 +524,26 @@
     };
   }
 
+  /**
+   * Cuts a node off from the state service.
+   *
+   * @param hold whether requests sent meanwhile arrive after the link is healed, or are lost
+   */
   public void cutFromState(String node, boolean hold) {
     net.cut(node, STATE, hold);
   }
 
+  /** Heals the link between a node and the state service. */
   public void healFromState(String node) {
     net.heal(node, STATE);
   }
 
-  /** One controller and all workers can't reach each other; it keeps everything else. */
+  /** Cuts the links between one controller and all workers; its other links keep working. */
   public void cutFromWorkers(String node) {
     workers().forEach(w -> net.cut(node, w.address, false));
   }
 
-  /** Frames between a controller and its peers are lost. */
+  /** Cuts or heals the links between a controller and its peers, in both directions. */
   public void cutFromPeers(String node, boolean cut) {
     for (String n : nodes) {
       if (!n.equals(node)) {
@@ -513,24 +553,28 @@
     }
   }
 
+  /** Heals the links between a controller and all workers. */
   public void healFromWorkers(String node) {
     workers().forEach(w -> net.heal(node, w.address));
   }
 
   /**
-   * Cuts a node and all workers off together, as with their zone: from all else, not each other.
+   * Cuts a node and all workers off from everything else, but not from each other, as when their
+   * zone becomes unreachable.
    */
   public void isolate(String node) {
     cutOff(node, w -> true, true);
   }
 
-  /** Cuts a zone off from everything, its one controller and its workers with it, or heals it. */
+  /**
+   * Cuts a zone, with its only controller and its workers, off from everything else, or heals it.
+   */
   public void cutZone(String node, boolean cut) {
     String zone = "" + setup.controllers().charAt(nodes.indexOf(node));
     cutOff(node, w -> w.zone.equals(zone), cut);
   }
 
-  /** Parts a node and the workers with it from all others, or joins them again. */
+  /** Cuts or heals all links between a node with the selected workers and everything else. */
   private void cutOff(String node, Predicate<SimWorker> onSameSide, boolean cut) {
     cutFromPeers(node, cut);
     for (String other : List.of(STATE, CLOUD, "user")) {
@@ -553,65 +597,81 @@
     }
   }
 
-  /** How many tasks were killed by their workers' leases. */
+  /** Returns how many tasks were killed because their worker's lease expired. */
   public int killedByLease() {
     return workers().stream().mapToInt(w -> w.tasksKilledByLease).sum();
   }
 
+  /** Returns the stand-in for the state service. */
   public SimState state() {
     return state;
   }
 
+  /** Returns the workers of the machines that are up, sorted by machine name. */
   public List<SimWorker> workers() {
     return cloud.workers();
   }
 
+  /** Cuts the links between a machine and all controllers. */
   public void cutMachine(int i, boolean hold) {
     SimWorker w = workers().get(i % cloud.workers().size());
     nodes.forEach(n -> net.cut(n, w.address, hold));
   }
 
-  /** All controllers but one reach the machine again. */
+  /** Heals the links between a machine and all controllers but one. */
   public void healMachine(int i, String unreachableNode) {
     SimWorker w = workers().get(i % cloud.workers().size());
     nodes.stream().filter(n -> !n.equals(unreachableNode)).forEach(n -> net.heal(n, w.address));
   }
 
+  /** Heals the links between all machines and all controllers. */
   public void healMachines() {
     for (SimWorker w : workers()) {
       nodes.forEach(n -> net.heal(n, w.address));
     }
   }
 
+  /** Terminates a machine with all its tasks. It does not come back. */
   public void killMachine(int i) {
     SimWorker w = workers().get(i % cloud.workers().size());
     w.die();
   }
 
+  /** Makes a machine hang for a while: nothing on it makes progress or answers. */
   public void hangMachine(int i, long forMs) {
     SimWorker w = workers().get(i % cloud.workers().size());
     w.hang(true);
     clock.after(forMs, () -> w.hang(false));
   }
 
+  /** Makes a machine fail every task that starts on it from now on. */
   public void sicken(int i) {
     workers().get(i % cloud.workers().size()).sick = true;
   }
 
+  /** Returns the last phase of a job that a user was told, or null. */
   public String lastTold(String id) {
     return rules.lastReportedPhase(id);
   }
 
+  /** Returns the epoch of the view that a node knows. */
   public long epoch(String node) {
     return processes.get(node).controller.tables().view().epoch();
   }
 
-  /** Whose part a machine of that name would be in, as a node knows it. */
+  /**
+   * Returns the node whose partition a machine of that name in zone {@code a} belongs to, as a node
+   * knows it.
+   */
   public String owner(String node, String machine) {
     return processes.get(node).controller.tables().view().owner(machine, "a");
   }
 
-  /** A report of an empty machine; the answer is in the array once it has come. */
+  /**
+   * Sends a report of a machine without tasks to a node.
+   *
+   * @return an array of one element, which is set when the answer arrives
+   */
   public Answer[] report(String node, String machine, long epoch) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("host", machine);
@@ -628,18 +688,18 @@
     return answer;
   }
 
-  /** How many of a job's tasks are placed, as a node knows it. */
+  /** Returns how many of a job's tasks are placed, as a node knows it. */
   public int placed(String node, String id) {
     Job job = processes.get(node).controller.tables().job(id);
     return job == null ? 0 : job.liveCount();
   }
 
-  /** Where a task is, or null. */
+  /** Returns the zone in which a task runs, or null if it does not run. */
   public String zoneOf(String task) {
     return rules.zoneOf(task);
   }
 
-  /** A figure of a node's metrics, as they are now. */
+  /** Returns the current value of one of a node's metrics. */
   public double metric(String node, String name) {
     try {
       Answer[] answer = new Answer[1];
@@ -651,15 +711,17 @@
     }
   }
 
-  /** The same of all nodes together. */
+  /** Returns the sum of a metric over all nodes. */
   public double total(String name) {
     return nodes.stream().mapToDouble(n -> metric(n, name)).sum();
   }
 
+  /** Returns how many attempts of tasks have started. */
   public int starts() {
     return rules.startCount;
   }
 
+  /** Returns whether a task runs on any machine. */
   public boolean isOn(String task) {
     return rules.isOn(task);
   }
--- a/src/test/java/wickdrift/sim/TcpProxy.java
+++ b/src/test/java/wickdrift/sim/TcpProxy.java
@@ -17,14 +17,14 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Passes bytes between two processes, holds them back, or resets the connections. */
+/** A TCP proxy between two processes. It can hold back the bytes or reset the connections. */
 final class TcpProxy {
-  /** What becomes of the bytes. */
+  /** What the proxy does with connections and their bytes. */
   enum Mode {
     FORWARD,
-    /** Nothing arrives until the mode changes; then all of it does, in order. */
+    /** Bytes are held back until the mode changes to {@link #FORWARD}, and then arrive in order. */
     HOLD,
-    /** Connections are reset, and new ones too. */
+    /** Open and new connections are reset. */
     RESET
   }
 
@@ -35,7 +35,7 @@
   private final Set<Channel> channels = new HashSet<>();
   private Mode mode = Mode.FORWARD;
 
-  /** Listens at a port of loopback, and connects to the target for each connection it takes. */
+  /** Listens at an address, and connects to the target for each connection that it accepts. */
   TcpProxy(EventLoopGroup group, InetSocketAddress listen, InetSocketAddress target) {
     this.group = group;
     this.target = target;
@@ -54,7 +54,7 @@
         .bind(listen);
   }
 
-  /** Changes what becomes of the bytes, on the event loop. */
+  /** Changes the mode. Must be called on the event loop. */
   void setMode(Mode next) {
     mode = next;
     for (Channel channel : Set.copyOf(channels)) {
@@ -102,7 +102,7 @@
     channel.config().setAutoRead(mode == Mode.FORWARD);
   }
 
-  /** Writes what one side sends to the other, and closes both together. */
+  /** Writes the bytes of one connection to its peer, and closes the peer when it is closed. */
   private static final class Forwarder extends ChannelInboundHandlerAdapter {
     private final Channel peer;
 
