--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -69,6 +69,7 @@
     loop.run(this::followRealTime);
   }
 
+  /** Replaces the simulated controllers by real addresses, and opens the ports of the stand-ins. */
   private Void connect() {
     world.nodes.forEach(world::kill);
     for (String node : world.nodes) {
@@ -171,6 +172,7 @@
 
   // ---- messages ----
 
+  /** Sends a request from a stand-in to a controller process. */
   private void callProcess(
       String node,
       String method,
@@ -178,7 +180,7 @@
       byte[] body,
       long timeoutMs,
       java.util.function.Consumer<Answer> done) {
-    boolean ofUser = path.startsWith("/api/");
+    boolean fromUser = path.startsWith("/api/");
     client.call(
         addresses.get(node),
         method,
@@ -186,14 +188,15 @@
         body,
         timeoutMs,
         answer -> {
-          if (ofUser) {
-            // What was asked before this answer came is older than it, also within a millisecond.
+          if (fromUser) {
+            // Requests sent before this answer must have an earlier time than those sent after it.
             advanceTo(world.clock.nowMs() + 1);
           }
           done.accept(answer);
         });
   }
 
+  /** Opens a port for each controller to a stand-in. */
   private void openPorts(String address) {
     if (world.nodes.contains(address) || address.startsWith("peer:")) {
       return;
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -50,10 +50,10 @@
     long upSinceMs = Long.MAX_VALUE;
     long deletedAtMs = Long.MAX_VALUE;
 
-    Host(String zone, boolean spot, long fromMs) {
+    Host(String zone, boolean spot, long rentedAtMs) {
       this.zone = zone;
       this.spot = spot;
-      this.rentedAtMs = fromMs;
+      this.rentedAtMs = rentedAtMs;
     }
   }
 
--- a/src/test/java/wickdrift/sim/SimGang.java
+++ b/src/test/java/wickdrift/sim/SimGang.java
@@ -6,7 +6,9 @@
 
 /** An attempt of a gang: its tasks start, finish and are lost together. */
 final class SimGang {
+  /** The time after which the members of a gang notice that one of them is lost. */
   private static final long PEER_LOSS_NOTICE_MS = 2000;
+
   private final SimWorld world;
   private final JobSpec spec;
   private final List<SimWorker.Task> members = new ArrayList<>();
@@ -22,7 +24,7 @@
   void addMember(SimWorker.Task task) {
     members.add(task);
     if (ended) {
-      // The gang has lost a task already, and its other tasks are about to end.
+      // This task was restarted after the gang had lost a member; the others are about to end.
       world.clock.after(PEER_LOSS_NOTICE_MS, task::onPeerLost);
       return;
     }
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -272,10 +272,10 @@
     return (address, method, path, body, timeoutMs, done) -> {
       boolean[] finished = {false};
       Consumer<Caller.Answer> once =
-          a -> {
+          answer -> {
             if (!finished[0] && alive.getAsBoolean()) {
               finished[0] = true;
-              done.accept(a);
+              done.accept(answer);
             }
           };
       clock.after(timeoutMs, () -> once.accept(Caller.Answer.NONE));
@@ -306,8 +306,8 @@
             if (processCallers.containsKey(address)) {
               Consumer<Caller.Answer> delivered =
                   switch (fate) {
-                    case ANSWER_LOST -> a -> {};
-                    case ANSWER_RESET -> a -> once.accept(Caller.Answer.NONE);
+                    case ANSWER_LOST -> answer -> {};
+                    case ANSWER_RESET -> answer -> once.accept(Caller.Answer.NONE);
                     default -> once;
                   };
               processCallers.get(address).call(address, method, path, body, timeoutMs, delivered);
@@ -323,13 +323,13 @@
                 method,
                 path,
                 body,
-                a -> {
+                answer -> {
                   if (fate == Fate.ANSWER_LOST) {
                     return;
                   }
-                  boolean garble = garbled.contains(address) && a.body() != null;
+                  boolean garble = garbled.contains(address) && answer.body() != null;
                   Caller.Answer delivered =
-                      garble ? new Caller.Answer(a.status(), GARBLED_BODY) : a;
+                      garble ? new Caller.Answer(answer.status(), GARBLED_BODY) : answer;
                   send(address, from, () -> once.accept(delivered));
                 });
           });
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -29,11 +29,13 @@
   /** When the last fault ended, set by the test. Liveness rules apply only after that. */
   long calmSinceMs = Long.MAX_VALUE;
 
+  /** The longest time without an answer about an accepted job, after the last fault. */
   private static final long ANSWER_TIMEOUT_MS = 75_000;
 
   /** Since when a task of a job has waited despite free capacity, by job, after the last fault. */
   private final Map<String, Long> schedulableSinceMs = new HashMap<>();
 
+  /** The longest time for which a task may wait despite free capacity, after the last fault. */
   private static final long SCHEDULING_TIMEOUT_MS = 90_000;
 
   SimRules(SimWorld world) {
@@ -45,6 +47,7 @@
     world.history.add("BROKEN " + description);
   }
 
+  /** Returns the job of a task, from the task's name. */
   private static String jobOf(String task) {
     return task.substring(0, task.indexOf('/'));
   }
--- a/src/test/java/wickdrift/sim/SimRulesTest.java
+++ b/src/test/java/wickdrift/sim/SimRulesTest.java
@@ -39,8 +39,8 @@
 
     final String violation;
 
-    Defect(String called) {
-      this.violation = called;
+    Defect(String violation) {
+      this.violation = violation;
     }
   }
 
@@ -59,6 +59,7 @@
     world.net.at(worker.address).serve("x", "POST", "/orders", body, a -> {});
   }
 
+  /** Introduces a defect. */
   private static void introduce(SimWorld world, Defect defect) {
     switch (defect) {
       case STARTS_AFTER_CONFIRMED_WITHDRAWAL -> {
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -28,10 +28,12 @@
  * that they need.
  */
 public final class SimState implements SimNet.Server {
-  private record Entry(Object value, long stamp, long lease) {}
+  /** A record of the store; lease 0 means that it belongs to no lease. */
+  private record Entry(Object value, long stamp, long leaseId) {}
 
   private record Change(String key, Object value, long stamp) {}
 
+  /** An open request for changes after a revision, answered at the first change or its deadline. */
   private record Watch(
       String from, String prefix, long afterRevision, Consumer<Answer> done, long deadlineMs) {}
 
@@ -136,7 +138,7 @@
     expireLeasesAndWatches();
   }
 
-  /** Makes the store unavailable to all nodes, or available again; then all leases start anew. */
+  /** Makes the store unavailable to all nodes, or available again; all leases are then renewed. */
   public void outage(boolean on) {
     unavailable = on;
     if (!on) {
@@ -149,7 +151,7 @@
 
   /** Drops the open watches of a node without an answer. */
   public void dropWatches(String node) {
-    watches.removeIf(w -> w.from.equals(node));
+    watches.removeIf(watch -> watch.from.equals(node));
   }
 
   /** Delays all answers to a node's watches, so that it works with outdated tables. */
@@ -227,6 +229,7 @@
     return writeLimitExceededCount;
   }
 
+  /** Counts the changes of a transaction against the rate limit. */
   private void consumeWriteTokens(int changes) {
     long now = clock.nowMs();
     writeTokens =
@@ -281,7 +284,7 @@
     List<String> expiredKeys = new ArrayList<>();
     entries.forEach(
         (k, e) -> {
-          if (e.lease == lease) {
+          if (e.leaseId == lease) {
             expiredKeys.add(k);
           }
         });
@@ -292,11 +295,11 @@
     }
   }
 
-  private void put(String key, Object value, long lease) {
+  private void put(String key, Object value, long leaseId) {
     if (value == null) {
       entries.remove(key);
     } else {
-      entries.put(key, new Entry(value, revision, lease));
+      entries.put(key, new Entry(value, revision, leaseId));
     }
     changes.add(new Change(key, value, revision));
   }
@@ -383,56 +386,57 @@
       if (path.startsWith("/store?")) {
         done.accept(listRecords(path));
       } else if (path.startsWith("/store/")) {
-        Entry e = entries.get(path.substring(7));
+        Entry entry = entries.get(path.substring(7));
         done.accept(
-            e == null
+            entry == null
                 ? answer(404, Map.of("ledgerRev", revision))
-                : answer(200, Map.of("key", path.substring(7), "v", e.value, "stamp", e.stamp)));
+                : answer(
+                    200, Map.of("key", path.substring(7), "v", entry.value, "stamp", entry.stamp)));
       } else if (path.equals("/commit")) {
-        Document d = withoutLevelRecords(from, Document.parse(body));
-        Fate f = fate.apply(from, d);
-        Answer a = f == Fate.LOST ? null : commit(d);
-        if (f == Fate.APPLIED) {
-          done.accept(a);
+        Document transaction = withoutLevelRecords(from, Document.parse(body));
+        Fate outcome = fate.apply(from, transaction);
+        Answer response = outcome == Fate.LOST ? null : commit(transaction);
+        if (outcome == Fate.APPLIED) {
+          done.accept(response);
         }
       } else if (path.equals("/grants")) {
-        long l = ++lastLeaseId;
-        long life = Document.parse(body).count("lifeMs");
-        leaseDurationMs.put(l, life);
-        leaseEndMs.put(l, clock.nowMs() + life);
-        done.accept(answer(200, Map.of("tether", l)));
+        long lease = ++lastLeaseId;
+        long durationMs = Document.parse(body).count("lifeMs");
+        leaseDurationMs.put(lease, durationMs);
+        leaseEndMs.put(lease, clock.nowMs() + durationMs);
+        done.accept(answer(200, Map.of("tether", lease)));
       } else if (method.equals("DELETE")) {
         expireLease(Long.parseLong(path.split("/")[2]));
         done.accept(answer(200, Map.of()));
       } else if (path.endsWith("/extend")) {
-        long l = Long.parseLong(path.split("/")[2]);
-        if (!leaseEndMs.containsKey(l)) {
+        long lease = Long.parseLong(path.split("/")[2]);
+        if (!leaseEndMs.containsKey(lease)) {
           done.accept(answer(404, Map.of()));
         } else {
-          leaseEndMs.put(l, clock.nowMs() + leaseDurationMs.get(l));
+          leaseEndMs.put(lease, clock.nowMs() + leaseDurationMs.get(lease));
           done.accept(answer(200, Map.of()));
         }
       } else if (path.startsWith("/follow?")) {
-        Map<String, String> q = parseQuery(path);
-        long r = Long.parseLong(q.get("from"));
+        Map<String, String> parameters = parseQuery(path);
+        long fromRevision = Long.parseLong(parameters.get("from"));
         if (!changes.isEmpty() && changes.size() > MAX_RECORDED_CHANGES) {
           changes.subList(0, changes.size() - MAX_RECORDED_CHANGES).clear();
         }
-        if (!changes.isEmpty() && r < changes.get(0).stamp - 1) {
+        if (!changes.isEmpty() && fromRevision < changes.get(0).stamp - 1) {
           done.accept(answer(410, Map.of()));
           return;
         }
-        Watch w =
+        Watch watch =
             new Watch(
                 from,
-                q.get("prefix"),
-                r,
+                parameters.get("prefix"),
+                fromRevision,
                 done,
-                clock.nowMs() + Long.parseLong(q.getOrDefault("holdMs", "0")));
-        if (w.deadlineMs <= clock.nowMs()) {
-          answerWatch(w);
+                clock.nowMs() + Long.parseLong(parameters.getOrDefault("holdMs", "0")));
+        if (watch.deadlineMs <= clock.nowMs()) {
+          answerWatch(watch);
         } else {
-          watches.add(w);
+          watches.add(watch);
           answerChangedWatches();
         }
       } else {
@@ -478,7 +482,16 @@
 
   /**
    * Records a violation if a transaction that is about to be applied lacks a condition that it
-   * needs to be safe against concurrent changes.
+   * needs to be safe against concurrent changes:
+   *
+   * <ul>
+   *   <li>Jobs, task chunks, archive buckets, partitions and log pages are written on condition of
+   *       their own stamp. Only jobs need it for a deletion too.
+   *   <li>The converted level is written only when no record is in an older encoding.
+   *   <li>A placement is written to the log of a member of the view, on condition of the member's
+   *       partition and of the job; from the level of {@link Gate#VIEWS} on also of the view, and
+   *       where the leader may claim machines of the partition, also of the claims.
+   * </ul>
    */
   private void checkConditions(Document transaction) throws BadMessage {
     Set<String> conditionKeys = new HashSet<>();
@@ -644,6 +657,7 @@
     answerChangedWatches();
   }
 
+  /** Applies a transaction if its conditions hold and it is within the limits. */
   private Answer commit(Document transaction) throws BadMessage {
     commitCount++;
     consumeWriteTokens(transaction.docs("then").size());
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -97,8 +97,8 @@
             "/api/jobs",
             body,
             5000,
-            a -> {
-              if (a.status() == 200 || a.status() == 201) {
+            answer -> {
+              if (answer.status() == 200 || answer.status() == 201) {
                 if (accepted.add(id)) {
                   world.rules.jobAccepted(id);
                   pollBurst(id);
@@ -107,8 +107,8 @@
                 if (withdrawAfterMs > 0) {
                   world.clock.after(withdrawAfterMs, () -> withdraw(id));
                 }
-              } else if (a.status() == 400 || a.status() == 422) {
-                world.rules.violations.add("refused " + id + " with " + a.status());
+              } else if (answer.status() == 400 || answer.status() == 422) {
+                world.rules.violations.add("refused " + id + " with " + answer.status());
               } else {
                 refusedSubmissions++;
                 world.clock.after(1000, () -> trySubmit(id, body, withdrawAfterMs));
@@ -138,13 +138,15 @@
             "/api/jobs",
             submissionBodies.get(id),
             5000,
-            a -> {
-              if (a.status() == 201 && accepted.contains(id)) {
+            answer -> {
+              if (answer.status() == 201 && accepted.contains(id)) {
                 world.rules.submissionAcceptedAsNew(id, requestSentMs);
-              } else if (a.status() == 200) {
+              } else if (answer.status() == 200) {
                 onAnswer.run();
-                phaseReceived(id, phase(a), requestSentMs);
-              } else if (a.status() == 400 || a.status() == 422 || a.status() == 404) {
+                phaseReceived(id, phase(answer), requestSentMs);
+              } else if (answer.status() == 400
+                  || answer.status() == 422
+                  || answer.status() == 404) {
                 phaseReceived(id, null, requestSentMs);
               }
             });
@@ -179,11 +181,11 @@
         node,
         id,
         2000,
-        a -> {
-          if (a.status() == 200) {
+        answer -> {
+          if (answer.status() == 200) {
             onAnswer.run();
-            phaseReceived(id, phase(a), requestSentMs);
-          } else if (a.status() == 404) {
+            phaseReceived(id, phase(answer), requestSentMs);
+          } else if (answer.status() == 404) {
             phaseReceived(id, null, requestSentMs);
           }
         });
@@ -202,9 +204,9 @@
     world.clock.after(5000, () -> poll(id));
   }
 
-  private static String phase(Answer a) {
+  private static String phase(Answer answer) {
     try {
-      return Document.parse(a.body()).text("phase");
+      return Document.parse(answer.body()).text("phase");
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
@@ -228,9 +230,9 @@
             "/api/jobs/" + id + "/withdraw",
             null,
             5000,
-            a -> {
-              if (a.status() == 200) {
-                String phase = phase(a);
+            answer -> {
+              if (answer.status() == 200) {
+                String phase = phase(answer);
                 if (phase.equals("withdrawn")) {
                   world.rules.withdrawn(id);
                   slowestWordMs =
@@ -238,7 +240,7 @@
                           slowestWordMs, world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
                 }
                 phaseReceived(id, phase, requestSentMs);
-              } else if (a.status() == 404) {
+              } else if (answer.status() == 404) {
                 phaseReceived(id, null, requestSentMs);
               } else {
                 world.clock.after(1000, () -> withdraw(id));
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -29,18 +29,30 @@
   final String zone;
   final boolean spot;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
+
+  /** The tasks completed on this machine; one that is started again ends as done at once. */
   private final List<String> completedTaskIds = new ArrayList<>();
+
   private final Set<String> images = new HashSet<>();
   private long tenure = 1;
   private int incarnation;
+
+  /** When a report was last scheduled soon because the epoch had risen. */
   private long lastImmediateReportMs = Long.MIN_VALUE / 2;
+
   long tick;
   private long epoch;
   private long leaseStartMs;
   int nodeIndex;
   private boolean terminated;
+
+  /** Whether the machine hangs: nothing on it makes progress, and it answers late. */
   boolean hung;
+
+  /** Whether every task that starts on this machine fails. */
   boolean sick;
+
+  /** How many tasks were killed because the lease expired. */
   int tasksKilledByLease;
 
   /** The time that fetching an image takes; 0: the default, a random time. */
@@ -66,6 +78,7 @@
       return name;
     }
 
+    /** Returns an id shared by the tasks of the same attempt of a gang. */
     String gangAttemptId() {
       return id.substring(0, id.indexOf('/')) + "#" + attempt;
     }
@@ -74,6 +87,7 @@
       return hung;
     }
 
+    /** Ends this task successfully. */
     void complete() {
       completedTaskIds.add(id);
       world.rules.taskDone(this);
@@ -161,6 +175,7 @@
     return tasks.values().stream().anyMatch(task -> "alone".equals(task.exitReason));
   }
 
+  /** Whether the machine holds no task. */
   boolean empty() {
     return tasks.isEmpty();
   }
@@ -183,8 +198,9 @@
         memory -= task.spec.memoryGb();
       }
     }
-    double n = Math.min(cpus / spec.cpus(), memory / spec.memoryGb());
-    return (int) Math.floor((spec.gpus() > 0 ? Math.min(n, gpus / spec.gpus()) : n) + 1e-6);
+    double capacity = Math.min(cpus / spec.cpus(), memory / spec.memoryGb());
+    return (int)
+        Math.floor((spec.gpus() > 0 ? Math.min(capacity, gpus / spec.gpus()) : capacity) + 1e-6);
   }
 
   /** Returns how many GPUs the tasks of a team hold on this machine, also while fetching images. */
@@ -227,6 +243,7 @@
     return clock.nowMs() - leaseStartMs > world.leaseMs && !world.workerLeasesNeverExpire;
   }
 
+  /** Kills all tasks and starts a new session, as a worker whose lease has expired must. */
   private void expireLease() {
     tasksKilledByLease += tasks.size();
     tasks.values().forEach(this::remove);
@@ -235,6 +252,7 @@
     leaseStartMs = clock.nowMs();
   }
 
+  /** Makes the machine hang, or resume; if its lease expired meanwhile, its tasks are killed. */
   void hang(boolean nowHung) {
     hung = nowHung;
     if (!nowHung && isLeaseExpired()) {
@@ -301,14 +319,14 @@
     try {
       if (answer.status() == 200) {
         Document response = Document.parse(answer.body());
-        long token = response.count("epoch");
+        long answerEpoch = response.count("epoch");
         // A higher epoch is reported soon, but no more often than twice within a lease's duration.
         boolean reportSoon = false;
-        if (sentSession == sessionId() && token >= epoch) {
+        if (sentSession == sessionId() && answerEpoch >= epoch) {
           long now = clock.nowMs();
-          reportSoon = token > epoch && now - lastImmediateReportMs >= world.leaseMs / 2;
+          reportSoon = answerEpoch > epoch && now - lastImmediateReportMs >= world.leaseMs / 2;
           lastImmediateReportMs = reportSoon ? now : lastImmediateReportMs;
-          epoch = token;
+          epoch = answerEpoch;
           leaseStartMs = Math.max(leaseStartMs, sentMs);
           applyCommands(response);
         }
@@ -454,12 +472,12 @@
         return;
       }
       Document message = Document.parse(body);
-      long token = message.count("epoch");
-      if (token < epoch || message.count("tenure") != tenure) {
+      long messageEpoch = message.count("epoch");
+      if (messageEpoch < epoch || message.count("tenure") != tenure) {
         done.accept(SimState.answer(409, buildReport(from)));
         return;
       }
-      epoch = token;
+      epoch = messageEpoch;
       applyCommands(message);
       done.accept(SimState.answer(200, buildReport(from)));
     } catch (BadMessage e) {
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -55,7 +55,10 @@
   final SimUsers users;
   final SimCloud cloud;
   final SimSetup setup;
+
+  /** The specifications of the submitted jobs, which users give to the workers. */
   final Map<String, JobSpec> specs = new HashMap<>();
+
   final long leaseMs;
   final long reportIntervalMs;
   final long cancelDeadlineMs;
@@ -94,7 +97,7 @@
   /** A controller process, which can be killed, or paused with its events queued. */
   private static final class NodeProcess {
     boolean alive = true;
-    boolean frozen;
+    boolean paused;
     Controller controller;
     final List<Runnable> pendingTimers = new ArrayList<>();
     final List<Runnable> pendingMessages = new ArrayList<>();
@@ -108,7 +111,7 @@
     }
 
     private void runOrQueue(Runnable action, List<Runnable> queue) {
-      if (alive && frozen) {
+      if (alive && paused) {
         queue.add(action);
       } else if (alive) {
         action.run();
@@ -162,9 +165,9 @@
   private void observePeriodically() {
     clock.after(500, this::observePeriodically);
     rules.check();
-    for (NodeProcess n : processes.values()) {
-      for (Machine m : n.controller.tables().machines()) {
-        lost |= m.phase() == Machine.Phase.LOST;
+    for (NodeProcess process : processes.values()) {
+      for (Machine machine : process.controller.tables().machines()) {
+        lost |= machine.phase() == Machine.Phase.LOST;
       }
     }
   }
@@ -274,12 +277,12 @@
   /** Returns the content of a node's settings file. */
   String settingsText(String node, String stateAddress) {
     int self = indexOfNode(node);
-    List<String> names = lists.getOrDefault(node, nodes);
+    List<String> configuredNames = lists.getOrDefault(node, nodes);
     StringBuilder text = new StringBuilder("host_name = \"" + node + "\"\n");
     text.append("location = \"").append(zoneOfNode(node)).append("\"\n");
     text.append("serve_on = \"10.0.0.").append(self).append(":1\"\nback = \"10.0.1.").append(self);
     text.append(":1\"\n");
-    for (String peer : names) {
+    for (String peer : configuredNames) {
       if (!peer.equals(node)) {
         text.append("[[peers]]\nhost_name = \"").append(peer).append("\"\npeer_addr = \"10.0.1.");
         text.append(indexOfNode(peer))
@@ -328,7 +331,7 @@
         """
             .formatted(
                 stateAddress,
-                names.size(),
+                configuredNames.size(),
                 setup.gpusMax(),
                 setup.soundGpusMax(),
                 setup.reportS(),
@@ -385,12 +388,12 @@
         };
     Settings settings = parseSettings(name);
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
-    for (Settings.Peer p : settings.peers()) {
+    for (Settings.Peer path : settings.peers()) {
       peers.put(
-          p.node(),
+          path.node(),
           f ->
               net.caller(name, () -> true)
-                  .call("peer:" + p.node(), "", "", toBytes(f), 1000, a -> {}));
+                  .call("peer:" + path.node(), "", "", toBytes(f), 1000, a -> {}));
     }
     process.controller =
         new Controller(
@@ -404,15 +407,15 @@
             levels.getOrDefault(name, LevelRange.BUILD));
     net.listen(
         "peer:" + name,
-        (from, m, p, body, done) -> {
+        (from, method, path, body, done) -> {
           if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.ANSWER) {
             process.receive(() -> process.controller.peerFrame(ByteBuffer.wrap(body)));
           }
         });
     net.listen(
         name,
-        (from, m, p, body, done) ->
-            process.receive(() -> process.controller.handle(exchange(m, p, body, done))));
+        (from, method, path, body, done) ->
+            process.receive(() -> process.controller.handle(exchange(method, path, body, done))));
     processes.put(name, process);
     process.controller.start();
   }
@@ -432,12 +435,12 @@
    */
   public void freeze(String name, long forMs, boolean timersFirst) {
     NodeProcess process = processes.get(name);
-    process.frozen = true;
+    process.paused = true;
     state.dropWatches(name);
     clock.after(
         forMs,
         () -> {
-          process.frozen = false;
+          process.paused = false;
           List<Runnable> due =
               new ArrayList<>(timersFirst ? process.pendingTimers : process.pendingMessages);
           due.addAll(timersFirst ? process.pendingMessages : process.pendingTimers);
