--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -62,7 +62,7 @@
     this.capacity = capacity;
   }
 
-  /** Rents machines that come up before the controllers start. */
+  /** Rents machines that are up from the start, without a boot time. */
   void bootAtOnce(int count) {
     for (int i = 0; i < count; i++) {
       boot(SimWorld.ZONES.get(i % SimWorld.ZONES.size()), false, 0);
--- a/src/test/java/wickdrift/sim/SimGang.java
+++ b/src/test/java/wickdrift/sim/SimGang.java
@@ -43,6 +43,7 @@
     scheduleCompletion((long) (spec.estimateS() * 1000));
   }
 
+  /** Completes the gang after a delay, or later if one of its machines hangs. */
   private void scheduleCompletion(long delayMs) {
     world.clock.after(
         delayMs,
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -110,6 +110,7 @@
   /** Called with each address at which a server starts to listen. */
   Consumer<String> listenObserver = a -> {};
 
+  /** Creates a network without servers and faults. */
   public SimNet(SimClock clock, Random random) {
     this.clock = clock;
     this.random = random;
@@ -152,6 +153,7 @@
     }
   }
 
+  /** Returns a random transmission delay of one message. */
   private long transmissionDelayMs() {
     // One message in 40 is lost and retransmitted.
     return 1 + random.nextInt(4) + (random.nextInt(40) == 0 ? 250 : 0);
@@ -249,6 +251,7 @@
     return true;
   }
 
+  /** Delivers a message after a transmission delay, unless its link is cut or blocked. */
   private void send(String from, String to, Runnable delivery) {
     if (deaf.contains(to)) {
       return;
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -161,6 +161,7 @@
     }
   }
 
+  /** Polls a job at all nodes, if a test has enabled it. */
   private void pollBurst(String id) {
     if (closeLooks != null) {
       closeLooks.pollAllNodes(id);
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -388,12 +388,12 @@
         };
     Settings settings = parseSettings(name);
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
-    for (Settings.Peer path : settings.peers()) {
+    for (Settings.Peer peer : settings.peers()) {
       peers.put(
-          path.node(),
+          peer.node(),
           f ->
               net.caller(name, () -> true)
-                  .call("peer:" + path.node(), "", "", toBytes(f), 1000, a -> {}));
+                  .call("peer:" + peer.node(), "", "", toBytes(f), 1000, a -> {}));
     }
     process.controller =
         new Controller(
--- a/src/test/java/wickdrift/sim/TcpProxy.java
+++ b/src/test/java/wickdrift/sim/TcpProxy.java
@@ -47,8 +47,8 @@
         .childHandler(
             new ChannelInitializer<SocketChannel>() {
               @Override
-              protected void initChannel(SocketChannel front) {
-                accept(front);
+              protected void initChannel(SocketChannel client) {
+                accept(client);
               }
             })
         .bind(listen);
@@ -106,8 +106,8 @@
   private static final class Forwarder extends ChannelInboundHandlerAdapter {
     private final Channel peer;
 
-    Forwarder(Channel other) {
-      this.peer = other;
+    Forwarder(Channel peer) {
+      this.peer = peer;
     }
 
     @Override
