--- a/src/test/java/wickdrift/sim/ControllerProcess.java
+++ b/src/test/java/wickdrift/sim/ControllerProcess.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A real controller process, with its settings file and its log. */
+/** A real controller process. */
 final class ControllerProcess {
-  private static final int END_S = 8;
-  private static final int SIGNAL_S = 5;
+  private static final int EXIT_TIMEOUT_S = 8;
+  private static final int SIGNAL_TIMEOUT_S = 5;
 
-  /** As the deployment's own, so that what is tested is what runs. */
-  private static final List<String> JVM =
+  /** The same JVM flags as in the deployment, so that the tests run what is deployed. */
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-Xms24m",
           "-Xmx112m",
@@ -33,11 +33,11 @@
     this.process = process;
   }
 
-  /** Starts one; its log is appended to a file. */
+  /** Starts a process whose output is appended to a log file. */
   static ControllerProcess start(Path jar, Path settings, Path log) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(JVM);
+    command.addAll(JVM_FLAGS);
     command.addAll(List.of("-jar", jar.toString(), "serve", "--config", settings.toString()));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("LOG_LEVEL", "info");
@@ -46,38 +46,44 @@
     return new ControllerProcess(builder.start());
   }
 
+  /** Whether the process runs. */
   boolean alive() {
     return process.isAlive();
   }
 
-  /** Ends it: with SIGTERM, or at once and without a chance to do anything. */
+  /**
+   * Ends the process and waits for its exit.
+   *
+   * @param orderly whether to send SIGTERM, or to kill it at once
+   */
   void end(boolean orderly) throws InterruptedException {
     if (orderly) {
       process.destroy();
     } else {
       process.destroyForcibly();
     }
-    if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("process " + process.pid() + " does not end");
+    if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
+      throw new IllegalStateException("process " + process.pid() + " did not exit in time");
     }
   }
 
-  /** Without waiting, whatever state it is in. */
+  /** Kills the process without waiting for its exit. */
   void destroy() {
     process.destroyForcibly();
   }
 
-  /** It stands still until it is resumed. */
+  /** Pauses the process (SIGSTOP) until {@link #resume}. */
   void pause() throws IOException, InterruptedException {
     signal("-STOP");
   }
 
+  /** Resumes the paused process (SIGCONT). */
   void resume() throws IOException, InterruptedException {
     signal("-CONT");
   }
 
   private void signal(String signal) throws IOException, InterruptedException {
     Process kill = new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
-    kill.waitFor(SIGNAL_S, TimeUnit.SECONDS);
+    kill.waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS);
   }
 }
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -28,148 +28,151 @@
 import wickdrift.transport.HttpServer;
 
 /**
- * Real controller processes on loopback, among this project's own stand-ins for the state service,
- * the cloud, workers and users, which live in this process and in real time. Whatever crosses a
- * link passes the simulated network of the stand-ins, so its faults hold for real processes too;
- * links between controllers pass a {@link TcpProxy} for each direction.
+ * Real controller processes on loopback, with stand-ins for the state service, the cloud, workers
+ * and users, which run in this process in real time. All requests between processes and stand-ins
+ * pass through the {@link SimNet} of the stand-ins, so that its faults apply to real processes too.
+ * Connections between controllers pass through one {@link TcpProxy} for each direction.
  */
 final class LoopbackStage implements AutoCloseable {
-  private static final long TURN_MS = 5;
-  private static final long ASK_S = 30;
-  private static final int CONNECTIONS = 4000;
+  private static final long CLOCK_UPDATE_INTERVAL_MS = 5;
+  private static final long LOOP_CALL_TIMEOUT_S = 30;
+  private static final int MAX_CONNECTIONS = 4000;
 
-  /** A watch is held open for up to a minute; whoever sends a request gives up by itself. */
-  private static final long REQUEST_MS = 70_000;
+  /** Longer than a watch is held open (up to a minute); senders have timeouts of their own. */
+  private static final long REQUEST_TIMEOUT_MS = 70_000;
 
   private static final long SIM_START_MS = 1000;
 
   final EventLoop loop = new EventLoop();
   final SimWorld world;
   final Path folder;
-  private final HttpClient client = new HttpClient(loop.group(), CONNECTIONS, Set.of());
+  private final HttpClient client = new HttpClient(loop.group(), MAX_CONNECTIONS, Set.of());
   private final Map<String, String> addresses = new HashMap<>();
   private final Map<String, ControllerProcess> processes = new TreeMap<>();
-  private final Map<String, TcpProxy> peerLinks = new HashMap<>();
+  private final Map<String, TcpProxy> peerProxies = new HashMap<>();
   private final List<CompletableFuture<Channel>> bindings = new ArrayList<>();
   private final long startedNs = System.nanoTime();
-  private long lastTurnNs;
+  private long lastClockUpdateNs;
   private long longestStallMs;
   private volatile Throwable failure;
 
   /**
-   * Opens all ports; no process is started yet.
+   * Creates the stand-ins and opens all ports. No process is started yet.
    *
-   * @param setup of the stand-ins, and of what the controllers' settings say
-   * @param folder for settings files and logs
+   * @param setup the configuration of the stand-ins and of the controllers' settings
+   * @param folder the folder for settings files and logs
    */
   LoopbackStage(SimSetup setup, Path folder) throws Exception {
     this.folder = Files.createDirectories(folder);
     world = ask(() -> new SimWorld(setup));
     ask(this::connect);
-    loop.execute(this::turn);
+    loop.execute(this::followRealTime);
   }
 
+  /** Replaces the simulated controllers by real addresses, and opens the ports of the stand-ins. */
   private Void connect() {
     world.nodes.forEach(world::kill);
     for (String node : world.nodes) {
-      addresses.put(node, loopback(LoopbackPorts.free()));
-      addresses.put(back(node), loopback(LoopbackPorts.free()));
-      world.net.outside.put(node, this::callProcess);
+      addresses.put(node, loopbackAddress(LoopbackPorts.allocate()));
+      addresses.put(peerAddressKey(node), loopbackAddress(LoopbackPorts.allocate()));
+      world.net.processCallers.put(node, this::callProcess);
     }
     for (String from : world.nodes) {
       for (String to : world.nodes) {
         if (!from.equals(to)) {
-          String address = loopback(LoopbackPorts.free());
-          addresses.put(link(from, to), address);
-          peerLinks.put(
-              link(from, to),
+          String address = loopbackAddress(LoopbackPorts.allocate());
+          addresses.put(linkKey(from, to), address);
+          peerProxies.put(
+              linkKey(from, to),
               new TcpProxy(
                   loop.group(),
                   HttpClient.parseAddress(address),
-                  HttpClient.parseAddress(addresses.get(back(to)))));
+                  HttpClient.parseAddress(addresses.get(peerAddressKey(to)))));
         }
       }
     }
-    world.net.opened = this::open;
-    open(SimWorld.STATE);
-    open(SimWorld.CLOUD);
-    world.workers().forEach(worker -> open(worker.address));
-    world.published = (address, node) -> addresses.getOrDefault(seenBy(address, node), address);
+    world.net.listenObserver = this::openPorts;
+    openPorts(SimWorld.STATE);
+    openPorts(SimWorld.CLOUD);
+    world.workers().forEach(worker -> openPorts(worker.address));
+    world.addressSeenByNode =
+        (address, node) -> addresses.getOrDefault(standInAddressKey(address, node), address);
     return null;
   }
 
-  private static String loopback(int port) {
+  private static String loopbackAddress(int port) {
     return "127.0.0.1:" + port;
   }
 
-  private static String back(String node) {
+  private static String peerAddressKey(String node) {
     return "back:" + node;
   }
 
-  private static String link(String from, String to) {
+  private static String linkKey(String from, String to) {
     return from + ">" + to;
   }
 
-  /** Each controller reaches a stand-in at an address of its own, which tells who calls. */
-  private static String seenBy(String address, String node) {
+  /** Each controller has its own address of a stand-in, by which its requests are recognized. */
+  private static String standInAddressKey(String address, String node) {
     return address + "@" + node;
   }
 
-  /** What a stand-in's or a controller's real address is. */
-  String address(String name) {
+  /** Returns the real address for a simulated name, or null. */
+  String realAddress(String name) {
     return addresses.get(name);
   }
 
-  /** Runs something on the loop that owns the stand-ins, and waits for it. */
-  <T> T ask(Supplier<T> what) throws Exception {
-    CompletableFuture<T> got = new CompletableFuture<>();
+  /** Runs an action on the event loop that owns the stand-ins, and waits for its result. */
+  <T> T ask(Supplier<T> action) throws Exception {
+    CompletableFuture<T> result = new CompletableFuture<>();
     loop.execute(
         () -> {
           try {
-            got.complete(what.get());
+            result.complete(action.get());
           } catch (RuntimeException | Error e) {
-            got.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
-    return got.get(ASK_S, TimeUnit.SECONDS);
+    return result.get(LOOP_CALL_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   // ---- time ----
 
-  /** Simulated time follows real time. */
-  private void turn() {
+  /** Advances the simulated time to the real time, periodically. */
+  private void followRealTime() {
     long now = System.nanoTime();
-    if (lastTurnNs > 0) {
-      longestStallMs = Math.max(longestStallMs, (now - lastTurnNs) / 1_000_000);
+    if (lastClockUpdateNs > 0) {
+      longestStallMs = Math.max(longestStallMs, (now - lastClockUpdateNs) / 1_000_000);
     }
-    lastTurnNs = now;
-    loop.after(TURN_MS, this::turn);
+    lastClockUpdateNs = now;
+    loop.after(CLOCK_UPDATE_INTERVAL_MS, this::followRealTime);
     try {
-      runUntil(SIM_START_MS + (now - startedNs) / 1_000_000);
+      advanceTo(SIM_START_MS + (now - startedNs) / 1_000_000);
     } catch (RuntimeException | Error e) {
       failure = e;
       throw e;
     }
   }
 
-  /** What a stand-in failed with, or null: nothing can be judged after that. */
+  /** Returns the error of a stand-in, or null. After an error the run has no valid result. */
   Throwable failure() {
     return failure;
   }
 
-  private void runUntil(long ms) {
+  private void advanceTo(long ms) {
     if (ms > world.clock.nowMs()) {
       world.clock.runUntil(ms);
     }
   }
 
-  /** The longest time for which the stand-ins stood still: no timing within it can be judged. */
+  /** Returns the longest pause of the stand-ins; measured times are not valid during a pause. */
   long longestStallMs() {
     return longestStallMs;
   }
 
   // ---- messages ----
 
+  /** Sends a request from a stand-in to a controller process. */
   private void callProcess(
       String node,
       String method,
@@ -177,7 +180,7 @@
       byte[] body,
       long timeoutMs,
       java.util.function.Consumer<Response> done) {
-    boolean ofUser = path.startsWith("/api/");
+    boolean fromUser = path.startsWith("/api/");
     client.call(
         addresses.get(node),
         method,
@@ -185,27 +188,28 @@
         body,
         timeoutMs,
         answer -> {
-          if (ofUser) {
-            // What was asked before this answer came is older than it, also within a millisecond.
-            runUntil(world.clock.nowMs() + 1);
+          if (fromUser) {
+            // Requests sent before this answer must have an earlier time than those sent after it.
+            advanceTo(world.clock.nowMs() + 1);
           }
           done.accept(answer);
         });
   }
 
-  private void open(String address) {
+  /** Opens a port for each controller to a stand-in. */
+  private void openPorts(String address) {
     if (world.nodes.contains(address) || address.startsWith("peer:")) {
       return;
     }
     for (String node : world.nodes) {
-      int port = LoopbackPorts.free();
-      if (addresses.putIfAbsent(seenBy(address, node), loopback(port)) == null) {
+      int port = LoopbackPorts.allocate();
+      if (addresses.putIfAbsent(standInAddressKey(address, node), loopbackAddress(port)) == null) {
         bind(port, address, node);
       }
     }
   }
 
-  /** From another thread: the loop's own may not wait for itself. */
+  /** Binds a port from another thread: the event loop's thread must not wait for itself. */
   private void bind(int port, String address, String node) {
     CompletableFuture<Channel> bound = new CompletableFuture<>();
     bindings.add(bound);
@@ -215,7 +219,10 @@
             () -> {
               try {
                 bound.complete(
-                    new HttpServer(loop.group(), CONNECTIONS, x -> pass(caller, address, x))
+                    new HttpServer(
+                            loop.group(),
+                            MAX_CONNECTIONS,
+                            exchange -> forward(caller, address, exchange))
                         .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)));
               } catch (IOException | InterruptedException e) {
                 bound.completeExceptionally(e);
@@ -225,25 +232,31 @@
     binder.start();
   }
 
-  private void pass(Caller caller, String address, Exchange x) {
-    caller.call(address, x.method(), x.path(), x.body(), REQUEST_MS, answer -> reply(x, answer));
+  private void forward(Caller caller, String address, Exchange exchange) {
+    caller.call(
+        address,
+        exchange.method(),
+        exchange.path(),
+        exchange.body(),
+        REQUEST_TIMEOUT_MS,
+        answer -> reply(exchange, answer));
   }
 
-  private static void reply(Exchange x, Response answer) {
+  private static void reply(Exchange exchange, Response answer) {
     if (answer.status() == 0) {
       return;
     }
     try {
       boolean empty = answer.body() == null || answer.body().length == 0;
-      x.reply(answer.status(), empty ? Map.of() : MessageCodec.decode(answer.body()));
+      exchange.reply(answer.status(), empty ? Map.of() : MessageCodec.decode(answer.body()));
     } catch (BadMessage e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** What becomes of what one controller sends to another. */
+  /** Sets the mode of the proxy for connections from one controller to another. */
   void peerLink(String from, String to, TcpProxy.Mode mode) {
-    peerLinks.get(link(from, to)).mode(mode);
+    peerProxies.get(linkKey(from, to)).setMode(mode);
   }
 
   // ---- processes ----
@@ -251,24 +264,25 @@
   /** Waits until every port is open. */
   void awaitPorts() throws Exception {
     for (CompletableFuture<Channel> bound : ask(() -> List.copyOf(bindings))) {
-      bound.get(ASK_S, TimeUnit.SECONDS);
+      bound.get(LOOP_CALL_TIMEOUT_S, TimeUnit.SECONDS);
     }
   }
 
-  /** Starts a controller's process. */
+  /** Writes a controller's settings file with real addresses, and starts its process. */
   void start(String node, Path jar) throws Exception {
     String text = ask(() -> world.settingsText(node, SimWorld.STATE));
-    Map<String, String> real = new LinkedHashMap<>();
-    real.put(SimWorld.STATE, addresses.get(seenBy(SimWorld.STATE, node)));
-    real.put(SimWorld.CLOUD, addresses.get(seenBy(SimWorld.CLOUD, node)));
+    Map<String, String> realAddresses = new LinkedHashMap<>();
+    realAddresses.put(SimWorld.STATE, addresses.get(standInAddressKey(SimWorld.STATE, node)));
+    realAddresses.put(SimWorld.CLOUD, addresses.get(standInAddressKey(SimWorld.CLOUD, node)));
     for (int i = 0; i < world.nodes.size(); i++) {
       String other = world.nodes.get(i);
       boolean self = other.equals(node);
-      real.put("10.0.0." + i + ":1", addresses.get(other));
-      real.put("10.0.1." + i + ":1", addresses.get(self ? back(node) : link(node, other)));
+      realAddresses.put("10.0.0." + i + ":1", addresses.get(other));
+      realAddresses.put(
+          "10.0.1." + i + ":1", addresses.get(self ? peerAddressKey(node) : linkKey(node, other)));
     }
-    for (Map.Entry<String, String> e : real.entrySet()) {
-      text = text.replace("\"" + e.getKey() + "\"", "\"" + e.getValue() + "\"");
+    for (Map.Entry<String, String> entry : realAddresses.entrySet()) {
+      text = text.replace("\"" + entry.getKey() + "\"", "\"" + entry.getValue() + "\"");
     }
     Path settings = folder.resolve(node + ".toml");
     Files.writeString(settings, text);
@@ -277,21 +291,22 @@
     }
   }
 
-  /** Where a controller's log is. */
+  /** Returns the path of a controller's log file. */
   Path log(String node) {
     return folder.resolve(node + ".log");
   }
 
+  /** Returns a controller's current process, or null if it was never started. */
   ControllerProcess process(String node) {
     synchronized (processes) {
       return processes.get(node);
     }
   }
 
-  /** What the state service holds, as a controller would read it. */
+  /** Loads the content of the state service into new tables, as a controller would. */
   Tables stored() {
     Tables tables = new Tables(world.nodes, LevelRange.BUILD, () -> {});
-    tables.load(world.state().all(), world.state().rev());
+    tables.load(world.state().all(), world.state().revision());
     return tables;
   }
 
--- a/src/test/java/wickdrift/sim/SimGang.java
+++ b/src/test/java/wickdrift/sim/SimGang.java
@@ -4,25 +4,28 @@
 import java.util.List;
 import wickdrift.protocol.JobSpec;
 
-/** One attempt of a gang: its tasks start together, are done together, and are lost together. */
+/** An attempt of a gang: its tasks start, finish and are lost together. */
 final class SimGang {
-  private static final long NOTICE_MS = 2000;
+  /** The time after which the members of a gang notice that one of them is lost. */
+  private static final long PEER_LOSS_NOTICE_MS = 2000;
+
   private final SimWorld world;
   private final JobSpec spec;
   private final List<SimWorker.Task> members = new ArrayList<>();
   private boolean started;
-  private boolean over;
+  private boolean ended;
 
   SimGang(SimWorld world, JobSpec spec) {
     this.world = world;
     this.spec = spec;
   }
 
-  void joined(SimWorker.Task t) {
-    members.add(t);
-    if (over) {
-      // Started again where it was lost: the others are on their way out.
-      world.clock.after(NOTICE_MS, t::mateGone);
+  /** A task of the gang is ready on its machine; the last one starts the gang. */
+  void addMember(SimWorker.Task task) {
+    members.add(task);
+    if (ended) {
+      // This task was restarted after the gang had lost a member; the others are about to end.
+      world.clock.after(PEER_LOSS_NOTICE_MS, task::onPeerLost);
       return;
     }
     if (started || members.size() < spec.tasks()) {
@@ -30,41 +33,44 @@
           30_000,
           () -> {
             if (!started) {
-              t.alone();
+              task.onGangWaitExpired();
             }
           });
       return;
     }
     started = true;
-    members.forEach(m -> m.phase = "running");
-    finishLater((long) (spec.estimatedRunS() * 1000));
+    members.forEach(member -> member.phase = "running");
+    scheduleCompletion((long) (spec.estimatedRunS() * 1000));
   }
 
-  private void finishLater(long ms) {
+  /** Completes the gang after a delay, or later if one of its machines hangs. */
+  private void scheduleCompletion(long delayMs) {
     world.clock.after(
-        ms,
+        delayMs,
         () -> {
-          if (over) {
+          if (ended) {
             return;
           }
-          if (members.stream().anyMatch(SimWorker.Task::stands)) {
-            finishLater(500);
+          if (members.stream().anyMatch(SimWorker.Task::isMachineHung)) {
+            scheduleCompletion(500);
             return;
           }
-          over = true;
+          ended = true;
           List.copyOf(members).forEach(SimWorker.Task::complete);
         });
   }
 
-  void left(SimWorker.Task t) {
-    members.remove(t);
+  /** A task of the gang has stopped; the other tasks of a running gang end after a delay. */
+  void removeMember(SimWorker.Task task) {
+    members.remove(task);
     if (started && members.isEmpty()) {
-      // Whoever starts the same attempt after that begins it.
-      world.gangs.remove(t.gang(), this);
+      // A task that starts with the same attempt number after this begins a new gang.
+      world.gangs.remove(task.gangAttemptId(), this);
     }
-    if (started && !over) {
-      over = true;
-      world.clock.after(NOTICE_MS, () -> List.copyOf(members).forEach(SimWorker.Task::mateGone));
+    if (started && !ended) {
+      ended = true;
+      world.clock.after(
+          PEER_LOSS_NOTICE_MS, () -> List.copyOf(members).forEach(SimWorker.Task::onPeerLost));
     }
   }
 }
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNet.java
@@ -11,15 +11,19 @@
 import java.util.function.Consumer;
 import wickdrift.transport.Caller;
 
-/** A network of hosts by name: delays, cuts that lose, and cuts that hold back and deliver late. */
+/**
+ * A simulated network of named hosts. It delays requests, and can cut links (requests are lost, or
+ * held until the link is healed), block one direction, duplicate, delay, replay and garble.
+ */
 public final class SimNet {
-  /** What listens at an address. */
+  /** Serves the requests to an address. */
   public interface Server {
+    /** Serves one request, and passes the answer, if any, to {@code done}. */
     void serve(
         String from, String method, String path, byte[] body, Consumer<Caller.Response> done);
 
-    /** Grows when what listens begins anew: what was on its way to the one before is lost. */
-    default long life() {
+    /** Returns a number that grows with each restart. Late requests to an earlier one are lost. */
+    default long incarnation() {
       return 0;
     }
   }
@@ -27,55 +31,53 @@
   private final SimClock clock;
   private final Random random;
   private final Map<String, Server> servers = new HashMap<>();
-  private final Set<String> cuts = new HashSet<>();
-  private final Map<String, List<Runnable>> held = new HashMap<>();
+  private final Set<String> cutLinks = new HashSet<>();
+  private final Map<String, List<Runnable>> heldByLink = new HashMap<>();
 
-  /** Hosts that nothing reaches, though what they send arrives. */
+  /** Hosts that receive nothing, although what they send arrives. */
   final Set<String> deaf = new HashSet<>();
 
-  /** Hosts whose own requests reach nobody, though what is sent to them arrives and is answered. */
+  /** Hosts whose own requests are lost, although requests to them arrive and are answered. */
   final Set<String> mute = new HashSet<>();
 
   /**
-   * A share of the requests to a path comes again, so much later at most, to one of these hosts.
+   * Duplicates a share of the requests to a path: a copy arrives within a time at one of the hosts.
    */
   record Copies(String path, double share, long withinMs, List<String> to) {}
 
   Copies copies;
 
-  /**
-   * A share of the requests to a path is held up on its way and arrives once, so much later; nobody
-   * gets an answer.
-   */
+  /** Delays a share of the requests to a path. They arrive once, and their answers are lost. */
   record Delay(String path, double share, long fromMs, long toMs) {}
 
   Delay delay;
 
-  /** Requests that arrived late by {@link #delay}. */
+  /** How many requests arrived late because of {@link #delay}. */
   int delayed;
 
-  /** What becomes of one request. */
+  /** What happens to a request. */
   enum Fate {
     DELIVERED,
-    /** It waits, unanswered, until {@link #releaseHeld} is called. */
+    /** The request is held without an answer until {@link #releaseHeld} is called. */
     HELD,
-    /** It arrives, and its answer does not. */
+    /** The request arrives; its answer is lost. */
     ANSWER_LOST,
-    /** It arrives, and the connection is reset before its answer comes. */
+    /** The request arrives; the connection is reset before the answer. */
     ANSWER_RESET,
-    /** It arrives so much later as {@link FaultScript#lateMs} says, and nobody gets an answer. */
+    /** The request arrives after {@link FaultScript#lateMs}; its answer is lost. */
     LATE,
-    /** It never arrives. */
+    /** The request never arrives, and its sender gets no answer. */
     LOST,
-    /** The connection is reset. */
+    /** The connection is reset before the request arrives. */
     RESET
   }
 
-  /** Decides the fate of each request. */
+  /** Decides what happens to each request. */
   interface FaultScript {
+    /** Returns what happens to a request. */
     Fate fateOf(String from, String to, String path, byte[] body);
 
-    /** How late the next request that is {@link Fate#LATE} arrives. */
+    /** Returns the delay of the next request that is {@link Fate#LATE}. */
     default long lateMs() {
       return 0;
     }
@@ -85,76 +87,80 @@
 
   private final List<Runnable> heldByScript = new ArrayList<>();
 
-  /** Hosts whose answers arrive as something that nobody can read. */
+  /** Hosts whose answers arrive with a body that cannot be decoded. */
   final Set<String> garbled = new HashSet<>();
 
-  /** How long a copy or a late request may take at a real process. */
-  private static final long OUTSIDE_MS = 5000;
+  /** The timeout of a duplicate or late request to a real process. */
+  private static final long PROCESS_TIMEOUT_MS = 5000;
 
-  private static final byte[] GARBLED = {(byte) 0xc1, 7, 7};
+  private static final byte[] GARBLED_BODY = {(byte) 0xc1, 7, 7};
 
-  /** Of this share of the reports a copy is kept until somebody releases it. */
+  /** The share of the reports that is recorded for {@link #releaseCopies}. */
   double keepShare;
 
-  /** Copies that were released. */
+  /** How many recorded reports were replayed. */
   int released;
 
-  private record Kept(String from, String path, byte[] body) {}
+  private record RecordedReport(String from, String path, byte[] body) {}
 
-  private final List<Kept> kept = new ArrayList<>();
+  private final List<RecordedReport> recordedReports = new ArrayList<>();
 
-  /** Hosts that are real processes, by name: how to call them. */
-  final Map<String, Caller> outside = new HashMap<>();
+  /** The callers of hosts that are real processes, by name. */
+  final Map<String, Caller> processCallers = new HashMap<>();
 
-  /** Told of whatever begins to listen. */
-  Consumer<String> opened = a -> {};
+  /** Called with each address at which a server starts to listen. */
+  Consumer<String> listenObserver = a -> {};
 
+  /** Creates a network without servers and faults. */
   public SimNet(SimClock clock, Random random) {
     this.clock = clock;
     this.random = random;
   }
 
+  /** Registers a server for an address, and notifies {@link #listenObserver}. */
   public void listen(String address, Server server) {
     servers.put(address, server);
-    opened.accept(address);
+    listenObserver.accept(address);
   }
 
+  /** Removes the server of an address. */
   public void close(String address) {
     servers.remove(address);
   }
 
-  /** What listens at an address, or null. */
+  /** Returns the server of an address, or null. */
   Server at(String address) {
     return servers.get(address);
   }
 
-  private static String link(String a, String b) {
+  private static String linkKey(String a, String b) {
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
-  /** Cuts two hosts from each other; requests sent meanwhile are lost, or held until healed. */
-  public void cut(String a, String b, boolean hold) {
-    cuts.add(link(a, b));
-    if (hold) {
-      held.putIfAbsent(link(a, b), new ArrayList<>());
+  /** Cuts the link between two hosts; requests are lost, or held until it is healed. */
+  public void cut(String a, String b, boolean holdRequests) {
+    cutLinks.add(linkKey(a, b));
+    if (holdRequests) {
+      heldByLink.putIfAbsent(linkKey(a, b), new ArrayList<>());
     }
   }
 
-  /** Joins two hosts again; what was held back arrives. */
+  /** Heals the link between two hosts; held requests and answers arrive. */
   public void heal(String a, String b) {
-    cuts.remove(link(a, b));
-    List<Runnable> late = held.remove(link(a, b));
-    if (late != null) {
-      late.forEach(r -> clock.after(delay(), r));
+    cutLinks.remove(linkKey(a, b));
+    List<Runnable> heldRequests = heldByLink.remove(linkKey(a, b));
+    if (heldRequests != null) {
+      heldRequests.forEach(request -> clock.after(transmissionDelayMs(), request));
     }
   }
 
-  private long delay() {
-    // Now and then a message is lost and sent again.
+  /** Returns a random transmission delay of one message. */
+  private long transmissionDelayMs() {
+    // One message in 40 is lost and retransmitted.
     return 1 + random.nextInt(4) + (random.nextInt(40) == 0 ? 250 : 0);
   }
 
-  private void copy(String from, String method, String path, byte[] body) {
+  private void duplicateIfSelected(String from, String method, String path, byte[] body) {
     if (copies != null && path.equals(copies.path) && random.nextDouble() < copies.share) {
       String to = copies.to.get(random.nextInt(copies.to.size()));
       clock.after(
@@ -163,7 +169,7 @@
     }
   }
 
-  /** Hands a request to whatever is at an address. */
+  /** Delivers a request to the process or server of an address, if there is one. */
   private void deliver(
       String from,
       String to,
@@ -171,10 +177,10 @@
       String path,
       byte[] body,
       Consumer<Caller.Response> done) {
-    Caller process = outside.get(to);
+    Caller process = processCallers.get(to);
     Server server = servers.get(to);
     if (process != null) {
-      process.call(to, method, path, body, OUTSIDE_MS, done);
+      process.call(to, method, path, body, PROCESS_TIMEOUT_MS, done);
     } else if (server != null) {
       server.serve(from, method, path, body, done);
     }
@@ -182,106 +188,112 @@
 
   private void deliverLate(String from, String to, String method, String path, byte[] body) {
     Server server = servers.get(to);
-    long life = server == null ? 0 : server.life();
+    long incarnation = server == null ? 0 : server.incarnation();
     clock.after(
         script.lateMs(),
         () -> {
-          Server now = servers.get(to);
-          // A connection to one that began anew meanwhile is gone, with all that was on its way.
-          if (now == null || now.life() == life) {
+          Server current = servers.get(to);
+          // A restart closes the connection, and the requests on their way are lost.
+          if (current == null || current.incarnation() == incarnation) {
             deliver(from, to, method, path, body, a -> {});
           }
         });
   }
 
-  private void keep(String from, String path, byte[] body) {
+  private void recordIfSelected(String from, String path, byte[] body) {
     if (keepShare > 0 && path.equals("/hello") && random.nextDouble() < keepShare) {
-      kept.add(new Kept(from, path, body));
+      recordedReports.add(new RecordedReport(from, path, body));
     }
   }
 
-  /** Every copy that was kept arrives at each of these hosts. */
+  /** Delivers every recorded report to each of the hosts. */
   void releaseCopies(List<String> hosts) {
-    for (Kept k : kept) {
+    for (RecordedReport report : recordedReports) {
       for (String host : hosts) {
         released++;
         clock.after(
-            delay(),
+            transmissionDelayMs(),
             () -> {
-              Server s = servers.get(host);
-              if (s != null) {
-                s.serve(k.from, "POST", k.path, k.body, a -> {});
+              Server server = servers.get(host);
+              if (server != null) {
+                server.serve(report.from, "POST", report.path, report.body, a -> {});
               }
             });
       }
     }
-    kept.clear();
+    recordedReports.clear();
   }
 
-  /** Every request that the script held arrives; nobody waits for its answer any more. */
+  /** Delivers every request that the script has held; the answers are discarded. */
   void releaseHeld() {
-    heldByScript.forEach(arrive -> clock.after(delay(), arrive));
+    heldByScript.forEach(delivery -> clock.after(transmissionDelayMs(), delivery));
     heldByScript.clear();
   }
 
-  private void hold(String from, String to, String method, String path, byte[] body) {
+  private void holdByScript(String from, String to, String method, String path, byte[] body) {
     heldByScript.add(() -> deliver(from, to, method, path, body, answer -> {}));
   }
 
-  private boolean holdUp(String from, String address, String method, String path, byte[] body) {
+  private boolean delayIfSelected(
+      String from, String address, String method, String path, byte[] body) {
     if (delay == null || !path.equals(delay.path) || random.nextDouble() >= delay.share) {
       return false;
     }
-    long ms = delay.fromMs + (long) (random.nextDouble() * (delay.toMs - delay.fromMs));
+    long delayMs = delay.fromMs + (long) (random.nextDouble() * (delay.toMs - delay.fromMs));
     clock.after(
-        ms,
+        delayMs,
         () -> {
-          Server s = servers.get(address);
-          if (s != null && !cuts.contains(link(from, address))) {
+          Server server = servers.get(address);
+          if (server != null && !cutLinks.contains(linkKey(from, address))) {
             delayed++;
-            s.serve(from, method, path, body, a -> {});
+            server.serve(from, method, path, body, a -> {});
           }
         });
     return true;
   }
 
-  private void send(String from, String to, Runnable arrive) {
+  /** Delivers a message after a transmission delay, unless its link is cut or blocked. */
+  private void send(String from, String to, Runnable delivery) {
     if (deaf.contains(to)) {
       return;
     }
-    String l = link(from, to);
-    if (cuts.contains(l)) {
-      if (held.containsKey(l)) {
-        held.get(l).add(arrive);
+    String link = linkKey(from, to);
+    if (cutLinks.contains(link)) {
+      if (heldByLink.containsKey(link)) {
+        heldByLink.get(link).add(delivery);
       }
       return;
     }
-    clock.after(delay(), arrive);
+    clock.after(transmissionDelayMs(), delivery);
   }
 
-  /** The caller's end for one host; {@code alive} tells whether the calling process still runs. */
+  /**
+   * Returns the client of a host.
+   *
+   * @param alive whether the calling process still runs; if not, it gets no more answers
+   */
   public Caller caller(String from, BooleanSupplier alive) {
     return (address, method, path, body, timeoutMs, done) -> {
       boolean[] finished = {false};
       Consumer<Caller.Response> once =
-          a -> {
+          answer -> {
             if (!finished[0] && alive.getAsBoolean()) {
               finished[0] = true;
-              done.accept(a);
+              done.accept(answer);
             }
           };
       clock.after(timeoutMs, () -> once.accept(Caller.Response.NO_RESPONSE));
       if (mute.contains(from)) {
         return;
       }
-      copy(from, method, path, body);
-      keep(from, path, body);
-      if (holdUp(from, address, method, path, body)) {
+      duplicateIfSelected(from, method, path, body);
+      recordIfSelected(from, path, body);
+      if (delayIfSelected(from, address, method, path, body)) {
         return;
       }
       Fate fate = script.fateOf(from, address, path, body);
       switch (fate) {
-        case HELD -> hold(from, address, method, path, body);
+        case HELD -> holdByScript(from, address, method, path, body);
         case LATE -> deliverLate(from, address, method, path, body);
         case RESET -> clock.after(1, () -> once.accept(Caller.Response.NO_RESPONSE));
         default -> {}
@@ -295,33 +307,34 @@
           from,
           address,
           () -> {
-            if (outside.containsKey(address)) {
-              Consumer<Caller.Response> got =
+            if (processCallers.containsKey(address)) {
+              Consumer<Caller.Response> delivered =
                   switch (fate) {
-                    case ANSWER_LOST -> a -> {};
-                    case ANSWER_RESET -> a -> once.accept(Caller.Response.NO_RESPONSE);
+                    case ANSWER_LOST -> answer -> {};
+                    case ANSWER_RESET -> answer -> once.accept(Caller.Response.NO_RESPONSE);
                     default -> once;
                   };
-              outside.get(address).call(address, method, path, body, timeoutMs, got);
+              processCallers.get(address).call(address, method, path, body, timeoutMs, delivered);
               return;
             }
-            Server s = servers.get(address);
-            if (s == null) {
+            Server server = servers.get(address);
+            if (server == null) {
               send(address, from, () -> once.accept(Caller.Response.NO_RESPONSE));
               return;
             }
-            s.serve(
+            server.serve(
                 from,
                 method,
                 path,
                 body,
-                a -> {
+                answer -> {
                   if (fate == Fate.ANSWER_LOST) {
                     return;
                   }
-                  boolean garble = garbled.contains(address) && a.body() != null;
-                  Caller.Response got = garble ? new Caller.Response(a.status(), GARBLED) : a;
-                  send(address, from, () -> once.accept(got));
+                  boolean garble = garbled.contains(address) && answer.body() != null;
+                  Caller.Response delivered =
+                      garble ? new Caller.Response(answer.status(), GARBLED_BODY) : answer;
+                  send(address, from, () -> once.accept(delivered));
                 });
           });
     };
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimState.java
@@ -22,145 +22,156 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.transport.Caller.Response;
 
-/** A stand-in for the state service: stamps, conditions, leases, watches, outages. */
+/**
+ * A stand-in for the state service: records with stamps, conditional transactions, leases and
+ * watches. It can be unavailable, slow or lossy, and checks that transactions have the conditions
+ * that they need.
+ */
 public final class SimState implements SimNet.Server {
-  private record Entry(Object value, long stamp, long lease) {}
+  /** A record of the store; lease 0 means that it belongs to no lease. */
+  private record Entry(Object value, long stamp, long leaseId) {}
 
   private record Change(String key, Object value, long stamp) {}
 
-  private record Watch(String from, String prefix, long rev, Consumer<Response> done, long until) {}
+  /** An open request for changes after a revision, answered at the first change or its deadline. */
+  private record Watch(
+      String from, String prefix, long afterRevision, Consumer<Response> done, long deadlineMs) {}
 
-  private static final int KEPT = 10_000;
-  private static final int VALUE_BYTES = 4096;
+  private static final int MAX_RECORDED_CHANGES = 10_000;
+  private static final int DEFAULT_MAX_VALUE_BYTES = 4096;
 
-  /** As many as the settings of this world say. */
-  int txnOps = 8;
+  /** The most changes in a transaction. */
+  int maxTransactionChanges = 8;
 
-  /** Writes a second, and so many at once, as the settings say. */
-  static final double WRITES = 100;
+  /** The default rate of changes, and the largest burst. */
+  static final double DEFAULT_WRITES_PER_SECOND = 100;
 
-  /** Changes a second, and as many at once. */
-  double writeRps;
+  /** The rate of changes, and the largest burst. Exceeding it is counted, not refused. */
+  double maxWritesPerSecond;
 
-  /** The same before a fall. */
-  final double writeRpsAtFirst;
+  /** {@link #maxWritesPerSecond} before the limits were lowered. */
+  final double initialMaxWritesPerSecond;
 
-  private int txnOpsBefore;
-  private int valueBytes = VALUE_BYTES;
+  private int previousMaxTransactionChanges;
+  private int maxValueBytes = DEFAULT_MAX_VALUE_BYTES;
 
-  /** Transactions that were refused for their size, by what was too large. */
+  /** What was too large in each transaction that was refused for its size. */
   final List<String> tooLarge = new ArrayList<>();
 
-  /** The limits fall, without notice. */
-  void fall(double valueKb, int ops, double writes) {
-    txnOpsBefore = txnOps;
-    valueBytes = (int) (valueKb * 1024);
-    txnOps = ops;
-    writeRps = writes;
+  /** Lowers the limits without notice. */
+  void fall(double maxValueKb, int maxChanges, double writesPerSecond) {
+    previousMaxTransactionChanges = maxTransactionChanges;
+    maxValueBytes = (int) (maxValueKb * 1024);
+    maxTransactionChanges = maxChanges;
+    maxWritesPerSecond = writesPerSecond;
   }
 
-  int txnOpsAtFirst() {
-    return txnOpsBefore > 0 ? txnOpsBefore : txnOps;
+  /** Returns the most changes in a transaction before the limits were lowered. */
+  int initialMaxTransactionChanges() {
+    return previousMaxTransactionChanges > 0
+        ? previousMaxTransactionChanges
+        : maxTransactionChanges;
   }
 
   private final SimClock clock;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private final Map<Long, Long> leaseEnds = new HashMap<>();
-  private final Map<Long, Long> leaseLives = new HashMap<>();
+  private final Map<Long, Long> leaseEndMs = new HashMap<>();
+  private final Map<Long, Long> leaseDurationMs = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
-  private final Map<String, Long> slowReads = new HashMap<>();
-  private long slowWritesMs;
+  private final Set<String> refusedNodes = new HashSet<>();
+  private final Map<String, Long> watchDelayMsByNode = new HashMap<>();
+  private long commitDelayMs;
 
-  /** A list of how jobs ended comes so much later. */
+  /** The delay of answers to listings of the job history. */
   long slowFinalsMs;
 
-  /** Transactions that were carried out late, after their sender had given up. */
+  /** How many transactions were delayed by {@link #lateCommits}. */
   int lateWrites;
 
-  /** Transactions that were carried out and not answered. */
+  /** How many transactions were applied without an answer by {@link #loseAnswers}. */
   int answersLost;
 
-  private double lateShare;
-  private long lateMs;
-  private Random late;
-  private final List<String> unfenced = new ArrayList<>();
+  private double delayedCommitShare;
+  private long delayedCommitMs;
+  private Random commitDelayRandom;
+  private final List<String> transactionViolations = new ArrayList<>();
 
-  /** Nodes whose build knows no levels: they announce nothing. */
+  /** Nodes whose build knows no levels and writes none to its node record. */
   final Set<String> levelless = new HashSet<>();
 
-  /** What becomes of a transaction on its way. */
+  /** What happens to a transaction on its way. */
   enum Fate {
     APPLIED,
-    /** It never arrives. */
+    /** The request never arrives. */
     LOST,
-    /** Its answer never does. */
+    /** The transaction is applied, but its answer never arrives. */
     UNANSWERED
   }
 
-  /** Decides on each transaction as it arrives, by its sender and itself. */
+  /** Decides what happens to a transaction, given its sender and its content. */
   BiFunction<String, Document, Fate> fate = (from, d) -> Fate.APPLIED;
 
-  /** Who sent transactions; a test clears it. */
+  /** The nodes that have sent transactions since a test last cleared the set. */
   final Set<String> writers = new HashSet<>();
 
-  private long rev;
-  private long leases;
-  private boolean out;
-  private int commits;
-  private int requests;
-  private long written;
-  private long read;
+  private long revision;
+  private long lastLeaseId;
+  private boolean unavailable;
+  private int commitCount;
+  private int requestCount;
+  private long bytesWritten;
+  private long bytesRead;
 
-  /** The writes that the limit still allows, and how often it was passed. */
-  private double allowed;
+  /** The number of changes that the rate limit allows now (a token bucket). */
+  private double writeTokens;
 
-  private long allowedAtMs;
-  private int overWritten;
+  private long writeTokensUpdatedMs;
+  private int writeLimitExceededCount;
 
-  /** An empty store that takes so many changes a second. */
+  /** Creates an empty store with the given limit of changes per second. */
   public SimState(SimClock clock, double writeRps) {
     this.clock = clock;
-    this.writeRps = writeRps;
-    this.writeRpsAtFirst = writeRps;
-    this.allowed = writeRps;
-    sweep();
+    this.maxWritesPerSecond = writeRps;
+    this.initialMaxWritesPerSecond = writeRps;
+    this.writeTokens = writeRps;
+    expireLeasesAndWatches();
   }
 
-  /** The store is away for all, or back. */
+  /** Makes the store unavailable to all nodes, or available again; all leases are then renewed. */
   public void outage(boolean on) {
-    out = on;
+    unavailable = on;
     if (!on) {
-      leaseLives.forEach(
-          (l, life) -> leaseEnds.computeIfPresent(l, (k, v) -> clock.nowMs() + life));
-      wake();
+      leaseDurationMs.forEach(
+          (lease, durationMs) ->
+              leaseEndMs.computeIfPresent(lease, (k, v) -> clock.nowMs() + durationMs));
+      answerChangedWatches();
     }
   }
 
-  /** The node's open watches are gone without an answer. */
+  /** Drops the open watches of a node without an answer. */
   public void dropWatches(String node) {
-    watches.removeIf(w -> w.from.equals(node));
+    watches.removeIf(watch -> watch.from.equals(node));
   }
 
-  /** What a node reads comes so much later: it goes on with old tables for that long. */
+  /** Delays all answers to a node's watches, so that it works with outdated tables. */
   public void slowReads(String node, long ms) {
-    slowReads.put(node, ms);
+    watchDelayMsByNode.put(node, ms);
   }
 
-  /** A share of the transactions is applied so much later, each by itself. */
+  /** Delays a random share of the transactions; those sent after them overtake them. */
   public void lateCommits(double share, long ms, long seed) {
-    lateShare = share;
-    lateMs = ms;
-    late = new Random(seed);
+    delayedCommitShare = share;
+    delayedCommitMs = ms;
+    commitDelayRandom = new Random(seed);
   }
 
-  /** Of a share of the transactions, carried out at once, only the answer is lost. */
+  /** Loses the answers to a random share of the transactions, which are applied at once. */
   void loseAnswers(double share, long seed) {
-    Random lost = new Random(seed);
+    Random random = new Random(seed);
     fate =
         (from, d) -> {
-          if (lost.nextDouble() >= share) {
+          if (random.nextDouble() >= share) {
             return Fate.APPLIED;
           }
           answersLost++;
@@ -168,151 +179,163 @@
         };
   }
 
-  /** Every transaction is applied so much later. */
+  /** Delays every transaction. */
   public void slowWrites(long ms) {
-    slowWritesMs = ms;
+    commitDelayMs = ms;
   }
 
-  /** The store refuses one node alone, or serves it again. */
+  /** Makes the store unavailable to a single node, or available again. */
   public void refuse(String node, boolean on) {
     if (on) {
-      refused.add(node);
+      refusedNodes.add(node);
     } else {
-      refused.remove(node);
-      wake();
+      refusedNodes.remove(node);
+      answerChangedWatches();
     }
   }
 
-  public long rev() {
-    return rev;
+  /** Returns the revision of the last change. */
+  public long revision() {
+    return revision;
   }
 
-  /** Every record, as a load would read them all at once. */
+  /** Returns every record, as if a node had read them all at once. */
   public List<StateServiceClient.Change> all() {
-    List<StateServiceClient.Change> out = new ArrayList<>();
+    List<StateServiceClient.Change> records = new ArrayList<>();
     entries.forEach(
-        (k, e) -> {
+        (key, entry) -> {
           try {
-            Object value = MessageCodec.decode(MessageCodec.encode(e.value));
-            out.add(new StateServiceClient.Change(k, value, e.stamp));
-          } catch (BadMessage x) {
-            throw new AssertionError(x);
+            Object value = MessageCodec.decode(MessageCodec.encode(entry.value));
+            records.add(new StateServiceClient.Change(key, value, entry.stamp));
+          } catch (BadMessage e) {
+            throw new AssertionError(e);
           }
         });
-    return out;
+    return records;
   }
 
+  /** Returns the keys of all records. */
   public Set<String> keys() {
     return entries.keySet();
   }
 
+  /** Returns how many requests have arrived. */
   public int requests() {
-    return requests;
+    return requestCount;
   }
 
-  /** How many transactions the limit of writes did not allow. */
+  /** Returns how many transactions exceeded the rate limit. */
   public int overWritten() {
-    return overWritten;
+    return writeLimitExceededCount;
   }
 
-  private void count(int changes) {
+  /** Counts the changes of a transaction against the rate limit. */
+  private void consumeWriteTokens(int changes) {
     long now = clock.nowMs();
-    allowed = Math.min(writeRps, allowed + writeRps * (now - allowedAtMs) / 1000.0);
-    allowedAtMs = now;
-    if (changes > allowed) {
-      overWritten++;
+    writeTokens =
+        Math.min(
+            maxWritesPerSecond,
+            writeTokens + maxWritesPerSecond * (now - writeTokensUpdatedMs) / 1000.0);
+    writeTokensUpdatedMs = now;
+    if (changes > writeTokens) {
+      writeLimitExceededCount++;
     } else {
-      allowed -= changes;
+      writeTokens -= changes;
     }
   }
 
-  /** Bytes of all transactions, and of all answers. */
+  /** Returns the total size of all transactions in bytes. */
   public long written() {
-    return written;
+    return bytesWritten;
   }
 
+  /** Returns the total size of all answers in bytes. */
   public long read() {
-    return read;
+    return bytesRead;
   }
 
+  /** Returns how many transactions were processed, applied or not. */
   public int commits() {
-    return commits;
+    return commitCount;
   }
 
-  private void sweep() {
-    clock.after(50, this::sweep);
-    if (out) {
+  private void expireLeasesAndWatches() {
+    clock.after(50, this::expireLeasesAndWatches);
+    if (unavailable) {
       return;
     }
-    for (Long l : List.copyOf(leaseEnds.keySet())) {
-      if (leaseEnds.get(l) <= clock.nowMs()) {
-        endLease(l);
+    for (Long lease : List.copyOf(leaseEndMs.keySet())) {
+      if (leaseEndMs.get(lease) <= clock.nowMs()) {
+        expireLease(lease);
       }
     }
     long now = clock.nowMs();
-    for (Watch w : List.copyOf(watches)) {
-      if (w.until <= now && !refused.contains(w.from)) {
-        watches.remove(w);
-        answerWatch(w);
+    for (Watch watch : List.copyOf(watches)) {
+      if (watch.deadlineMs <= now && !refusedNodes.contains(watch.from)) {
+        watches.remove(watch);
+        answerWatch(watch);
       }
     }
   }
 
-  private void endLease(long l) {
-    leaseEnds.remove(l);
-    leaseLives.remove(l);
-    List<String> gone = new ArrayList<>();
+  private void expireLease(long lease) {
+    leaseEndMs.remove(lease);
+    leaseDurationMs.remove(lease);
+    List<String> expiredKeys = new ArrayList<>();
     entries.forEach(
         (k, e) -> {
-          if (e.lease == l) {
-            gone.add(k);
+          if (e.leaseId == lease) {
+            expiredKeys.add(k);
           }
         });
-    if (!gone.isEmpty()) {
-      rev++;
-      gone.forEach(k -> put(k, null, 0));
-      wake();
+    if (!expiredKeys.isEmpty()) {
+      revision++;
+      expiredKeys.forEach(k -> put(k, null, 0));
+      answerChangedWatches();
     }
   }
 
-  private void put(String key, Object value, long lease) {
+  private void put(String key, Object value, long leaseId) {
     if (value == null) {
       entries.remove(key);
     } else {
-      entries.put(key, new Entry(value, rev, lease));
+      entries.put(key, new Entry(value, revision, leaseId));
     }
-    changes.add(new Change(key, value, rev));
+    changes.add(new Change(key, value, revision));
   }
 
-  private void wake() {
-    if (out) {
+  private void answerChangedWatches() {
+    if (unavailable) {
       return;
     }
-    for (Watch w : List.copyOf(watches)) {
-      boolean any = changes.stream().anyMatch(c -> c.stamp > w.rev && c.key.startsWith(w.prefix));
-      if (any && !refused.contains(w.from)) {
-        watches.remove(w);
-        answerWatch(w);
+    for (Watch watch : List.copyOf(watches)) {
+      boolean changed =
+          changes.stream()
+              .anyMatch(c -> c.stamp > watch.afterRevision && c.key.startsWith(watch.prefix));
+      if (changed && !refusedNodes.contains(watch.from)) {
+        watches.remove(watch);
+        answerWatch(watch);
       }
     }
   }
 
-  private void answerWatch(Watch w) {
+  private void answerWatch(Watch watch) {
     List<Object> news = new ArrayList<>();
-    for (Change c : changes) {
-      if (c.stamp > w.rev && c.key.startsWith(w.prefix)) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put(c.value == null ? "delete" : "write", c.key);
-        if (c.value != null) {
-          m.put("v", c.value);
+    for (Change change : changes) {
+      if (change.stamp > watch.afterRevision && change.key.startsWith(watch.prefix)) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(change.value == null ? "delete" : "write", change.key);
+        if (change.value != null) {
+          fields.put("v", change.value);
         }
-        m.put("stamp", c.stamp);
-        news.add(m);
+        fields.put("stamp", change.stamp);
+        news.add(fields);
       }
     }
-    w.done.accept(answer(200, Map.of("ledgerRev", rev, "news", news)));
+    watch.done.accept(answer(200, Map.of("ledgerRev", revision, "news", news)));
   }
 
+  /** Returns an answer with an encoded body. */
   static Response answer(int status, Object body) {
     return new Response(status, MessageCodec.encode(body));
   }
@@ -321,29 +344,31 @@
   public void serve(String from, String method, String path, byte[] body, Consumer<Response> done) {
     Consumer<Response> answer =
         a -> {
-          read += a.body() == null ? 0 : a.body().length;
+          bytesRead += a.body() == null ? 0 : a.body().length;
           done.accept(a);
         };
-    serveInTime(from, method, path, body, answer);
+    serveWithDelays(from, method, path, body, answer);
   }
 
-  private void serveInTime(
+  private void serveWithDelays(
       String from, String method, String path, byte[] body, Consumer<Response> done) {
-    long readLate =
+    long readDelayMs =
         path.startsWith("/follow")
-            ? slowReads.getOrDefault(from, 0L)
+            ? watchDelayMsByNode.getOrDefault(from, 0L)
             : path.startsWith("/store?prefix=w/d/") ? slowFinalsMs : 0;
     if (path.equals("/commit")) {
       writers.add(from);
     }
-    if (path.equals("/commit") && lateShare > 0 && late.nextDouble() < lateShare) {
-      // Its packets were lost and sent again, while other connections go on.
+    if (path.equals("/commit")
+        && delayedCommitShare > 0
+        && commitDelayRandom.nextDouble() < delayedCommitShare) {
+      // As if packets were lost and retransmitted, while other connections make progress.
       lateWrites++;
-      clock.after(lateMs, () -> serveNow(from, method, path, body, done));
-    } else if (path.equals("/commit") && slowWritesMs > 0) {
-      clock.after(slowWritesMs, () -> serveNow(from, method, path, body, done));
-    } else if (readLate > 0) {
-      serveNow(from, method, path, body, a -> clock.after(readLate, () -> done.accept(a)));
+      clock.after(delayedCommitMs, () -> serveNow(from, method, path, body, done));
+    } else if (path.equals("/commit") && commitDelayMs > 0) {
+      clock.after(commitDelayMs, () -> serveNow(from, method, path, body, done));
+    } else if (readDelayMs > 0) {
+      serveNow(from, method, path, body, a -> clock.after(readDelayMs, () -> done.accept(a)));
     } else {
       serveNow(from, method, path, body, done);
     }
@@ -351,67 +376,68 @@
 
   private void serveNow(
       String from, String method, String path, byte[] body, Consumer<Response> done) {
-    requests++;
-    written += path.equals("/commit") ? body.length : 0;
-    if (out || refused.contains(from)) {
+    requestCount++;
+    bytesWritten += path.equals("/commit") ? body.length : 0;
+    if (unavailable || refusedNodes.contains(from)) {
       done.accept(answer(503, Map.of("error", "away")));
       return;
     }
     try {
       if (path.startsWith("/store?")) {
-        done.accept(list(path));
+        done.accept(listRecords(path));
       } else if (path.startsWith("/store/")) {
-        Entry e = entries.get(path.substring(7));
+        Entry entry = entries.get(path.substring(7));
         done.accept(
-            e == null
-                ? answer(404, Map.of("ledgerRev", rev))
-                : answer(200, Map.of("key", path.substring(7), "v", e.value, "stamp", e.stamp)));
+            entry == null
+                ? answer(404, Map.of("ledgerRev", revision))
+                : answer(
+                    200, Map.of("key", path.substring(7), "v", entry.value, "stamp", entry.stamp)));
       } else if (path.equals("/commit")) {
-        Document d = asBuilt(from, Document.parse(body));
-        Fate f = fate.apply(from, d);
-        Response a = f == Fate.LOST ? null : commit(d);
-        if (f == Fate.APPLIED) {
-          done.accept(a);
+        Document transaction = withoutLevelRecords(from, Document.parse(body));
+        Fate outcome = fate.apply(from, transaction);
+        Response response = outcome == Fate.LOST ? null : commit(transaction);
+        if (outcome == Fate.APPLIED) {
+          done.accept(response);
         }
       } else if (path.equals("/grants")) {
-        long l = ++leases;
-        long life = Document.parse(body).count("lifeMs");
-        leaseLives.put(l, life);
-        leaseEnds.put(l, clock.nowMs() + life);
-        done.accept(answer(200, Map.of("tether", l)));
+        long lease = ++lastLeaseId;
+        long durationMs = Document.parse(body).count("lifeMs");
+        leaseDurationMs.put(lease, durationMs);
+        leaseEndMs.put(lease, clock.nowMs() + durationMs);
+        done.accept(answer(200, Map.of("tether", lease)));
       } else if (method.equals("DELETE")) {
-        endLease(Long.parseLong(path.split("/")[2]));
+        expireLease(Long.parseLong(path.split("/")[2]));
         done.accept(answer(200, Map.of()));
       } else if (path.endsWith("/extend")) {
-        long l = Long.parseLong(path.split("/")[2]);
-        if (!leaseEnds.containsKey(l)) {
+        long lease = Long.parseLong(path.split("/")[2]);
+        if (!leaseEndMs.containsKey(lease)) {
           done.accept(answer(404, Map.of()));
         } else {
-          leaseEnds.put(l, clock.nowMs() + leaseLives.get(l));
+          leaseEndMs.put(lease, clock.nowMs() + leaseDurationMs.get(lease));
           done.accept(answer(200, Map.of()));
         }
       } else if (path.startsWith("/follow?")) {
-        Map<String, String> q = query(path);
-        long r = Long.parseLong(q.get("from"));
-        if (!changes.isEmpty() && changes.size() > KEPT) {
-          changes.subList(0, changes.size() - KEPT).clear();
+        Map<String, String> parameters = parseQuery(path);
+        long fromRevision = Long.parseLong(parameters.get("from"));
+        if (!changes.isEmpty() && changes.size() > MAX_RECORDED_CHANGES) {
+          changes.subList(0, changes.size() - MAX_RECORDED_CHANGES).clear();
         }
-        if (!changes.isEmpty() && r < changes.get(0).stamp - 1) {
+        if (!changes.isEmpty() && fromRevision < changes.get(0).stamp - 1) {
           done.accept(answer(410, Map.of()));
           return;
         }
-        Watch w =
+        Watch watch =
             new Watch(
                 from,
-                q.get("prefix"),
-                r,
+                parameters.get("prefix"),
+                fromRevision,
                 done,
-                clock.nowMs() + Long.parseLong(q.getOrDefault("holdMs", "0")));
-        if (w.until <= clock.nowMs()) {
-          answerWatch(w);
+                clock.nowMs() + Long.parseLong(parameters.getOrDefault("holdMs", "0")));
+        if (watch.deadlineMs <= clock.nowMs()) {
+          answerWatch(watch);
         } else {
-          watches.add(w);
-          wake();
+          watches.add(watch);
+          answerChangedWatches();
         }
       } else {
         done.accept(answer(400, Map.of("error", "path")));
@@ -421,123 +447,153 @@
     }
   }
 
-  private static Map<String, String> query(String path) {
-    Map<String, String> q = new HashMap<>();
-    for (String p : path.substring(path.indexOf('?') + 1).split("&")) {
-      q.put(p.substring(0, p.indexOf('=')), p.substring(p.indexOf('=') + 1));
+  private static Map<String, String> parseQuery(String path) {
+    Map<String, String> parameters = new HashMap<>();
+    for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
+      parameters.put(
+          parameter.substring(0, parameter.indexOf('=')),
+          parameter.substring(parameter.indexOf('=') + 1));
     }
-    return q;
+    return parameters;
   }
 
-  private Response list(String path) {
-    Map<String, String> q = query(path);
-    List<Object> out = new ArrayList<>();
-    int most = Integer.parseInt(q.get("most"));
+  private Response listRecords(String path) {
+    Map<String, String> query = parseQuery(path);
+    List<Object> records = new ArrayList<>();
+    int limit = Integer.parseInt(query.get("most"));
     boolean truncated = false;
-    for (Map.Entry<String, Entry> e :
+    for (Map.Entry<String, Entry> entry :
         entries
-            .tailMap(q.getOrDefault("from", q.get("prefix")), !q.containsKey("from"))
+            .tailMap(query.getOrDefault("from", query.get("prefix")), !query.containsKey("from"))
             .entrySet()) {
-      if (!e.getKey().startsWith(q.get("prefix"))) {
+      if (!entry.getKey().startsWith(query.get("prefix"))) {
         break;
       }
-      if (out.size() == most) {
+      if (records.size() == limit) {
         truncated = true;
         break;
       }
-      out.add(Map.of("key", e.getKey(), "v", e.getValue().value, "stamp", e.getValue().stamp));
+      records.add(
+          Map.of(
+              "key", entry.getKey(), "v", entry.getValue().value, "stamp", entry.getValue().stamp));
     }
-    return answer(200, Map.of("entries", out, "truncated", truncated, "ledgerRev", rev));
-  }
-
-  /** What every transaction that is applied must have been conditional on. */
-  private void fencing(Document d) throws BadMessage {
-    Set<String> when = new HashSet<>();
-    for (Document w : d.documents("when")) {
-      when.add(w.text("key"));
+    return answer(200, Map.of("entries", records, "truncated", truncated, "ledgerRev", revision));
+  }
+
+  /**
+   * Records a violation if a transaction that is about to be applied lacks a condition that it
+   * needs to be safe against concurrent changes:
+   *
+   * <ul>
+   *   <li>Jobs, task chunks, archive buckets, partitions and log pages are written on condition of
+   *       their own stamp. Only jobs need it for a deletion too.
+   *   <li>The converted level is written only when no record is in an older encoding.
+   *   <li>A placement is written to the log of a member of the view, on condition of the member's
+   *       partition and of the job; from the level of {@link Gate#VIEWS} on also of the view, and
+   *       where the leader may claim machines of the partition, also of the claims.
+   * </ul>
+   */
+  private void checkConditions(Document transaction) throws BadMessage {
+    Set<String> conditionKeys = new HashSet<>();
+    for (Document condition : transaction.documents("when")) {
+      conditionKeys.add(condition.text("key"));
     }
-    for (Document t : d.documents("then")) {
-      String key = t.textOrNull("write") == null ? t.text("delete") : t.text("write");
-      if (key.startsWith("w/j/") && !when.contains(key)) {
-        unfenced.add(key + " without its own stamp");
+    for (Document change : transaction.documents("then")) {
+      String key =
+          change.textOrNull("write") == null ? change.text("delete") : change.text("write");
+      if (key.startsWith("w/j/") && !conditionKeys.contains(key)) {
+        transactionViolations.add(key + " without its own stamp");
       }
       if (key.startsWith("w/t/") || key.startsWith("w/h/") || key.startsWith("w/p/")) {
-        boolean mine = when.contains(key) || t.raw("v") == null;
-        if (!mine) {
-          unfenced.add(key + " without its own stamp");
+        boolean conditional = conditionKeys.contains(key) || change.raw("v") == null;
+        if (!conditional) {
+          transactionViolations.add(key + " without its own stamp");
         }
       }
-      if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && t.raw("v") != null) {
-        for (Map.Entry<String, Entry> e : entries.entrySet()) {
-          // A store that is being restored has a text in place of the view.
-          Object v = MessageCodec.decode(MessageCodec.encode(e.getValue().value));
-          boolean old =
-              !(v instanceof String)
-                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(e.getKey()))
-                      > Encoding.versionOf(v);
-          if (old) {
-            unfenced.add(key + " while " + e.getKey() + " is of an older form");
+      if (key.equals(NodeRegistry.CONVERTED_LEVEL_KEY) && change.raw("v") != null) {
+        for (Map.Entry<String, Entry> entry : entries.entrySet()) {
+          // While a store is being restored, a text stands in place of the view.
+          Object value = MessageCodec.decode(MessageCodec.encode(entry.getValue().value));
+          boolean inOldEncoding =
+              !(value instanceof String)
+                  && Math.min(Encoding.NUMBERED, Tables.newestReadableEncoding(entry.getKey()))
+                      > Encoding.versionOf(value);
+          if (inOldEncoding) {
+            transactionViolations.add(
+                key + " while " + entry.getKey() + " is in an older encoding");
           }
         }
       }
-      if (!key.startsWith("w/l/") || t.raw("v") == null) {
+      if (!key.startsWith("w/l/") || change.raw("v") == null) {
         continue;
       }
-      if (!when.contains(key)) {
-        unfenced.add(key + " without its own stamp");
+      if (!conditionKeys.contains(key)) {
+        transactionViolations.add(key + " without its own stamp");
       }
-      String part = "w/p/" + key.substring(4, key.lastIndexOf('/'));
-      List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
-      List<?> last = runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
-      // A run that says its revision was durable before: the page is only brought to another form.
-      boolean fresh = last.get(0).equals(0L);
-      for (Object o : fresh ? (List<?>) last.get(1) : List.of()) {
-        List<?> e = (List<?>) o;
-        String job = "w/j/" + e.get(1);
-        if (e.get(0).equals("p") && !inView(part.substring(4))) {
-          unfenced.add(key + " places " + e + " from outside the view");
+      String partitionKey = "w/p/" + key.substring(4, key.lastIndexOf('/'));
+      List<?> runs = Encoding.decode(change.raw("v"), Encoding.NUMBERED).list("g");
+      List<?> lastRun =
+          runs.isEmpty() ? List.of(1L, List.of()) : (List<?>) runs.get(runs.size() - 1);
+      // A run of entries with a revision was stored before: the page is only re-encoded.
+      boolean isNew = lastRun.get(0).equals(0L);
+      for (Object item : isNew ? (List<?>) lastRun.get(1) : List.of()) {
+        List<?> entry = (List<?>) item;
+        String jobKey = "w/j/" + entry.get(1);
+        if (entry.get(0).equals("p") && !isViewMember(partitionKey.substring(4))) {
+          transactionViolations.add(key + " places " + entry + " from outside the view");
         }
-        if (e.get(0).equals("p") && !(when.contains(part) && when.contains(job))) {
-          unfenced.add(key + " places " + e + " without " + part + ", " + job);
+        if (entry.get(0).equals("p")
+            && !(conditionKeys.contains(partitionKey) && conditionKeys.contains(jobKey))) {
+          transactionViolations.add(
+              key + " places " + entry + " without " + partitionKey + ", " + jobKey);
         }
-        if (e.get(0).equals("p") && !when.contains(View.KEY) && level() >= Gate.VIEWS.level()) {
-          unfenced.add(key + " places " + e + " without the view");
+        if (entry.get(0).equals("p")
+            && !conditionKeys.contains(View.KEY)
+            && storedLevel() >= Gate.VIEWS.level()) {
+          transactionViolations.add(key + " places " + entry + " without the view");
         }
-        if (e.get(0).equals("p") && !when.contains(Tables.CLAIMS_KEY) && mayBeTaken(part)) {
-          unfenced.add(key + " places " + e + " without " + Tables.CLAIMS_KEY);
+        if (entry.get(0).equals("p")
+            && !conditionKeys.contains(Tables.CLAIMS_KEY)
+            && isClaimable(partitionKey)) {
+          transactionViolations.add(key + " places " + entry + " without " + Tables.CLAIMS_KEY);
         }
       }
     }
   }
 
-  /** What of a transaction is larger than it may be, or null. */
-  private String oversized(Document d) throws BadMessage {
-    if (d.documents("when").size() > 4 * txnOps || d.documents("then").size() > txnOps) {
-      return d.documents("when").size() + " conditions, " + d.documents("then").size() + " changes";
+  /** Returns what exceeds the limits in a transaction, or null. */
+  private String describeOversized(Document transaction) throws BadMessage {
+    if (transaction.documents("when").size() > 4 * maxTransactionChanges
+        || transaction.documents("then").size() > maxTransactionChanges) {
+      return transaction.documents("when").size()
+          + " conditions, "
+          + transaction.documents("then").size()
+          + " changes";
     }
-    for (Document t : d.documents("then")) {
-      if (MessageCodec.jsonSize(t.raw("v")) > valueBytes) {
-        return t.text("write");
+    for (Document change : transaction.documents("then")) {
+      if (MessageCodec.jsonSize(change.raw("v")) > maxValueBytes) {
+        return change.text("write");
       }
     }
     return null;
   }
 
-  private long level() throws BadMessage {
+  private long storedLevel() throws BadMessage {
     return Encoding.decode(
             MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED)
         .count("level", 1);
   }
 
-  /** Whether a leader may take machines of that part together with others'. */
-  private boolean mayBeTaken(String part) throws BadMessage {
+  /** Whether the leader may claim machines of that partition. */
+  private boolean isClaimable(String partitionKey) throws BadMessage {
     Document view =
         Encoding.decode(MessageCodec.decode(MessageCodec.encode(value("w/v"))), Encoding.NUMBERED);
     return view.count("level", 1) >= Gate.TAKES.level()
-        && !part.equals("w/p/" + view.text("leader"));
+        && !partitionKey.equals("w/p/" + view.text("leader"));
   }
 
-  private boolean inView(String node) throws BadMessage {
+  /** Whether the stored view lists a node as a member. */
+  private boolean isViewMember(String node) throws BadMessage {
     Object view = value("w/v");
     return view != null
         && Document.of(
@@ -548,93 +604,98 @@
             != null;
   }
 
-  /** Transactions that lacked a condition; must stay empty. */
-  public List<String> unfenced() {
-    return unfenced;
+  /**
+   * Returns the transactions that lacked a condition, or exceeded the size limits although these
+   * had not been lowered. The list must stay empty.
+   */
+  public List<String> transactionViolations() {
+    return transactionViolations;
   }
 
-  /** What a build that knows no levels would have sent in place of this. */
-  private Document asBuilt(String from, Document d) throws BadMessage {
+  /** Returns a transaction as a build that knows no levels would have sent it. */
+  private Document withoutLevelRecords(String from, Document transaction) throws BadMessage {
     if (!levelless.contains(from)) {
-      return d;
+      return transaction;
     }
     List<Object> when = new ArrayList<>();
-    for (Document w : d.documents("when")) {
-      if (!w.text("key").startsWith("w/c/")) {
-        when.add(w.rawMap());
+    for (Document condition : transaction.documents("when")) {
+      if (!condition.text("key").startsWith("w/c/")) {
+        when.add(condition.rawMap());
       }
     }
     List<Object> then = new ArrayList<>();
-    for (Document t : d.documents("then")) {
-      String key = t.textOrNull("write") == null ? t.text("delete") : t.text("write");
+    for (Document change : transaction.documents("then")) {
+      String key =
+          change.textOrNull("write") == null ? change.text("delete") : change.text("write");
       if (key.startsWith("w/m/")) {
-        Map<String, Object> op = new LinkedHashMap<>(t.fieldsExcept());
-        op.put("v", Document.of(t.raw("v")).fieldsExcept("least", "most"));
-        then.add(op);
+        Map<String, Object> fields = new LinkedHashMap<>(change.fieldsExcept());
+        fields.put("v", Document.of(change.raw("v")).fieldsExcept("least", "most"));
+        then.add(fields);
       } else if (!key.startsWith("w/c/")) {
-        then.add(t.rawMap());
+        then.add(change.rawMap());
       }
     }
     return Document.of(Map.of("when", when, "then", then));
   }
 
-  /** A record as it is, or null. */
+  /** Returns the value of a record, or null. */
   Object value(String key) {
-    Entry e = entries.get(key);
-    return e == null ? null : e.value;
+    Entry entry = entries.get(key);
+    return entry == null ? null : entry.value;
   }
 
-  /** The whole content, as if it had been there before anything ran. */
-  public void preload(Map<String, Object> records, long stamp) {
-    rev = stamp;
-    records.forEach((k, v) -> entries.put(k, new Entry(v, stamp, 0)));
+  /** Sets the whole content of the store, before any node has started. */
+  public void preload(Map<String, Object> records, long recordRevision) {
+    revision = recordRevision;
+    records.forEach((k, v) -> entries.put(k, new Entry(v, recordRevision, 0)));
   }
 
-  /** Puts a record there past all conditions, as a fault or another build might. */
+  /** Writes a record without any condition, as a fault or another build might. */
   void force(String key, Object value) {
-    rev++;
+    revision++;
     put(key, value, 0);
-    wake();
+    answerChangedWatches();
   }
 
-  private Response commit(Document d) throws BadMessage {
-    commits++;
-    count(d.documents("then").size());
+  /** Applies a transaction if its conditions hold and it is within the limits. */
+  private Response commit(Document transaction) throws BadMessage {
+    commitCount++;
+    consumeWriteTokens(transaction.documents("then").size());
     List<Object> failed = new ArrayList<>();
-    for (Document w : d.documents("when")) {
-      Entry e = entries.get(w.text("key"));
-      if ((e == null ? 0 : e.stamp) != w.count("stamp")) {
-        failed.add(w.text("key"));
+    for (Document condition : transaction.documents("when")) {
+      Entry entry = entries.get(condition.text("key"));
+      if ((entry == null ? 0 : entry.stamp) != condition.count("stamp")) {
+        failed.add(condition.text("key"));
       }
     }
-    for (Document t : d.documents("then")) {
-      long lease = t.count("tether", 0);
-      if (lease > 0 && !leaseEnds.containsKey(lease)) {
+    for (Document change : transaction.documents("then")) {
+      long lease = change.count("tether", 0);
+      if (lease > 0 && !leaseEndMs.containsKey(lease)) {
         return answer(400, Map.of("error", "no such lease"));
       }
     }
-    String large = oversized(d);
-    if (large != null) {
-      tooLarge.add(large);
-      if (txnOpsBefore == 0) {
-        unfenced.add(large + " is larger than it may be");
+    String oversized = describeOversized(transaction);
+    if (oversized != null) {
+      tooLarge.add(oversized);
+      if (previousMaxTransactionChanges == 0) {
+        transactionViolations.add(oversized + " exceeds the limits");
       }
       return answer(400, Map.of("error", "too large"));
     }
     if (!failed.isEmpty()) {
-      return answer(409, Map.of("failed", failed, "ledgerRev", rev));
+      return answer(409, Map.of("failed", failed, "ledgerRev", revision));
     }
-    fencing(d);
-    rev++;
-    for (Document t : d.documents("then")) {
-      String key = t.textOrNull("write");
+    checkConditions(transaction);
+    revision++;
+    for (Document change : transaction.documents("then")) {
+      String key = change.textOrNull("write");
       if (key != null) {
-        put(key, t.raw("v"), t.count("tether", 0));
+        put(key, change.raw("v"), change.count("tether", 0));
       } else {
-        put(t.text("delete"), null, 0);
+        put(change.text("delete"), null, 0);
       }
     }
-    wake();
-    return answer(200, Map.of("ledgerRev", rev));
+    answerChangedWatches();
+    return answer(200, Map.of("ledgerRev", revision));
   }
 }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -35,11 +35,14 @@
 import wickdrift.transport.Exchange;
 import wickdrift.transport.Timers;
 
-/** Three controllers with stand-ins for all they deal with, on a simulated clock. */
+/**
+ * A simulated cluster on a simulated clock: controllers running the production code, and stand-ins
+ * for the network, the state service, the cloud, the workers and the users.
+ */
 public final class SimWorld {
-  static final double GPUS = 4;
-  static final double CPUS = 32;
-  static final double MEMORY_GB = 128;
+  static final double GPUS_PER_MACHINE = 4;
+  static final double CPUS_PER_MACHINE = 32;
+  static final double MEMORY_GB_PER_MACHINE = 128;
   static final String STATE = "10.2.0.1:1";
   static final String CLOUD = "10.2.0.2:1";
   static final List<String> ZONES = List.of("a", "b");
@@ -52,71 +55,84 @@
   final SimUsers users;
   final SimCloud cloud;
   final SimSetup setup;
+
+  /** The specifications of the submitted jobs, which users give to the workers. */
   final Map<String, JobSpec> specs = new HashMap<>();
+
   final long leaseMs;
-  final long reportMs;
-  final long cancelMs;
-  int refusals;
+  final long reportIntervalMs;
+  final long cancelDeadlineMs;
+
+  /** Run commands that a worker refused because another attempt of the task was still running. */
+  int refusedRunCommands;
 
-  /** Whether a machine was ever recorded as silent. */
+  /** Whether any controller has ever recorded a machine as lost. */
   boolean lost;
 
+  /** Attempts that ended as {@code full}: their machine had no GPUs left. */
   int full;
+
+  /** The gang attempts in progress, by {@link SimWorker.Task#gangAttemptId()}. */
   final Map<String, SimGang> gangs = new HashMap<>();
 
-  /** The addresses of the nodes; here a node's address is its name. */
+  /** The names of the nodes. In the simulated network a node's name is also its address. */
   final List<String> nodes = new ArrayList<>();
 
-  /** For tests that have no controllers. */
-  boolean workersKeepTheirLeases;
+  /** Set by tests without controllers, in which no worker could renew its lease. */
+  boolean workerLeasesNeverExpire;
 
-  /** How much longer than its job says a task of an array runs, by its name. */
+  /** The ratio of actual to estimated run time of a batch task, by task name. */
   ToDoubleFunction<String> pace = task -> 1;
 
-  /** What a worker of that address says to a node that its address is. */
-  BinaryOperator<String> published = (address, node) -> address;
+  /** Maps a worker's address and a node to the address that the worker reports to that node. */
+  BinaryOperator<String> addressSeenByNode = (address, node) -> address;
 
-  /** What happened, for whoever looks for the cause of a broken rule. */
+  /** Recent events, from which the cause of a broken rule can be found. */
   final SimHistory history = new SimHistory(clock);
 
-  private final Map<String, Node> running = new HashMap<>();
+  private final Map<String, NodeProcess> processes = new HashMap<>();
 
-  private int incarnations;
+  private int incarnationCount;
 
-  private static final class Node {
+  /** A controller process, which can be killed, or paused with its events queued. */
+  private static final class NodeProcess {
     boolean alive = true;
-    boolean frozen;
+    boolean paused;
     Controller controller;
-    final List<Runnable> timersDue = new ArrayList<>();
-    final List<Runnable> arrived = new ArrayList<>();
+    final List<Runnable> pendingTimers = new ArrayList<>();
+    final List<Runnable> pendingMessages = new ArrayList<>();
 
-    void timer(Runnable r) {
-      turn(r, timersDue);
+    void runTimer(Runnable action) {
+      runOrQueue(action, pendingTimers);
     }
 
-    void message(Runnable r) {
-      turn(r, arrived);
+    void receive(Runnable action) {
+      runOrQueue(action, pendingMessages);
     }
 
-    private void turn(Runnable r, List<Runnable> queue) {
-      if (alive && frozen) {
-        queue.add(r);
+    private void runOrQueue(Runnable action, List<Runnable> queue) {
+      if (alive && paused) {
+        queue.add(action);
       } else if (alive) {
-        r.run();
+        action.run();
       }
     }
   }
 
+  /** Creates a world with three controllers in one zone and the default quota. */
   public SimWorld(long seed, int machinesAtStart, int capacity) {
     this(new SimSetup(seed, machinesAtStart, capacity));
   }
 
+  /** Creates a world with this number of controllers, all in zone {@code a}. */
   public SimWorld(long seed, int machinesAtStart, int capacity, int controllers, double gpusMax) {
     this(seed, machinesAtStart, capacity, "a".repeat(controllers), gpusMax);
   }
 
   /**
-   * @param controllers the zone of each, a letter
+   * Creates a world with controllers in the given zones.
+   *
+   * @param controllers the zone of each controller, one letter each
    */
   public SimWorld(
       long seed, int machinesAtStart, int capacity, String controllers, double gpusMax) {
@@ -125,16 +141,17 @@
 
   SimWorld(SimSetup setup) {
     this.setup = setup;
-    cancelMs = (long) (setup.cancelS() * 1000);
+    cancelDeadlineMs = (long) (setup.cancelS() * 1000);
     leaseMs = (long) (setup.leaseS() * 1000);
-    reportMs = (long) (setup.reportS() * 1000);
+    reportIntervalMs = (long) (setup.reportS() * 1000);
     for (int i = 0; i < setup.controllers().length(); i++) {
       nodes.add("n" + i);
     }
     random = new Random(setup.seed());
     net = new SimNet(clock, random);
     state = new SimState(clock, setup.writeRps());
-    state.txnOps = setup.txnOps() > 0 ? setup.txnOps() : Math.max(8, nodes.size() + 1);
+    state.maxTransactionChanges =
+        setup.txnOps() > 0 ? setup.txnOps() : Math.max(8, nodes.size() + 1);
     rules = new SimRules(this);
     users = new SimUsers(this);
     cloud = new SimCloud(this, setup.capacity());
@@ -142,48 +159,51 @@
     net.listen(CLOUD, cloud);
     cloud.bootAtOnce(setup.machines());
     nodes.forEach(this::startNode);
-    tick();
+    observePeriodically();
   }
 
-  private void tick() {
-    clock.after(500, this::tick);
-    rules.tick();
-    for (Node n : running.values()) {
-      for (Machine m : n.controller.tables().machines()) {
-        lost |= m.phase() == Machine.Phase.LOST;
+  private void observePeriodically() {
+    clock.after(500, this::observePeriodically);
+    rules.check();
+    for (NodeProcess process : processes.values()) {
+      for (Machine machine : process.controller.tables().machines()) {
+        lost |= machine.phase() == Machine.Phase.LOST;
       }
     }
   }
 
+  /** Advances the simulated time and runs everything that falls due. */
   public void run(long ms) {
     clock.runUntil(clock.nowMs() + ms);
   }
 
-  /** The rules that were broken, and the transactions that lacked a condition. */
+  /** Returns the violations of {@link SimRules}, and those found in transactions. */
   public List<String> broken() {
-    List<String> all = new ArrayList<>(rules.broken);
-    all.addAll(state.unfenced());
-    return all;
+    List<String> violations = new ArrayList<>(rules.violations);
+    violations.addAll(state.transactionViolations());
+    return violations;
   }
 
   /**
-   * Compares what each node holds with a copy loaded anew: all must have drawn the same from the
-   * logs, whatever the order in which they read them. Null when they agree.
+   * Compares each node's tables with a copy freshly loaded from the state service. All must have
+   * derived the same state from the logs, whatever the order in which they read them.
+   *
+   * @return the two differing states, or null if all nodes that have caught up agree
    */
   public String diverged() {
     int compared = 0;
-    String fresh = "";
+    String freshDigest = "";
     for (int i = 0; i < 400 && compared < nodes.size(); i++) {
       run(7);
-      Tables t = new Tables(nodes, LevelRange.BUILD, () -> {});
-      t.load(state.all(), state.rev());
-      fresh = digest(t);
-      for (Node n : running.values()) {
-        if (n.alive && n.controller.tables().appliedRev() == state.rev()) {
+      Tables freshTables = new Tables(nodes, LevelRange.BUILD, () -> {});
+      freshTables.load(state.all(), state.revision());
+      freshDigest = digest(freshTables);
+      for (NodeProcess process : processes.values()) {
+        if (process.alive && process.controller.tables().appliedRev() == state.revision()) {
           compared++;
-          String held = digest(n.controller.tables());
-          if (!held.equals(fresh)) {
-            return "held: " + held + "\nloaded: " + fresh;
+          String nodeDigest = digest(process.controller.tables());
+          if (!nodeDigest.equals(freshDigest)) {
+            return "node: " + nodeDigest + "\nloaded: " + freshDigest;
           }
         }
       }
@@ -191,34 +211,38 @@
     return compared > 0 ? null : "no node caught up";
   }
 
-  static String digest(Tables t) {
-    StringBuilder b = new StringBuilder();
-    t.jobs().stream()
+  /** Renders jobs, tasks and machines as text, for comparing the tables of nodes. */
+  static String digest(Tables tables) {
+    StringBuilder text = new StringBuilder();
+    tables.jobs().stream()
         .sorted(Comparator.comparing(Job::id))
         .forEach(
-            j -> {
-              b.append(j.id())
-                  .append(j.withdrawnByUser() ? " off" : "")
+            job -> {
+              text.append(job.id())
+                  .append(job.withdrawnByUser() ? " off" : "")
                   .append(' ')
-                  .append(j.partition());
-              for (int i = 0; i < j.taskCount(); i++) {
-                TaskState s = j.task(i);
-                b.append(' ').append(s.phase()).append(s.attempt()).append(s.stop());
-                b.append(s.isLive() ? s.machine().name() : "");
+                  .append(job.partition());
+              for (int i = 0; i < job.taskCount(); i++) {
+                TaskState state = job.task(i);
+                text.append(' ').append(state.phase()).append(state.attempt()).append(state.stop());
+                text.append(state.isLive() ? state.machine().name() : "");
               }
-              b.append('\n');
+              text.append('\n');
             });
-    for (Machine m : t.machines()) {
-      if (m.info() != null) {
-        b.append(m.name()).append(m.info().phase()).append(m.slots().size()).append('\n');
+    for (Machine machine : tables.machines()) {
+      if (machine.info() != null) {
+        text.append(machine.name())
+            .append(machine.info().phase())
+            .append(machine.slots().size())
+            .append('\n');
       }
     }
-    return b.toString();
+    return text.toString();
   }
 
-  /** What ended controllers' settings and builds are changed before they start. */
-  void restartAll(LevelRange build, String nextLimits) {
-    next = nextLimits;
+  /** Kills all controllers and restarts them with another build and other announced limits. */
+  void restartAll(LevelRange build, String limitsToml) {
+    nextLimitsToml = limitsToml;
     for (String n : nodes) {
       kill(n);
       levels.put(n, build);
@@ -228,43 +252,46 @@
 
   // ---- nodes ----
 
-  /** The controllers that a node's settings name, where those are not all of {@link #nodes}. */
+  /** The controllers named in a node's settings, where they are not all of {@link #nodes}. */
   final Map<String, List<String>> lists = new HashMap<>();
 
-  /** The levels that a node's build speaks, where it is not this one. */
+  /** The levels supported by a node's build, where it is not the current build. */
   final Map<String, LevelRange> levels = new HashMap<>();
 
-  /** Nodes whose build does not know the frames about withdrawals, and passes them over. */
+  /** Nodes whose build does not know the peer frames about withdrawals and ignores them. */
   final Set<String> oldFrames = new HashSet<>();
 
-  /** A frame arrives at a node, whoever sent it. */
-  void frame(String node, PeerFrame f) {
-    net.at("peer:" + node).serve("peer", "", "", bytes(f.encode()), a -> {});
+  /** Delivers a peer frame to a node directly, as if any peer had sent it. */
+  void frame(String node, PeerFrame frame) {
+    net.at("peer:" + node).serve("peer", "", "", toBytes(frame.encode()), a -> {});
   }
 
-  private String zone(String node) {
-    return "" + setup.controllers().charAt(number(node) % setup.controllers().length());
+  private String zoneOfNode(String node) {
+    return "" + setup.controllers().charAt(indexOfNode(node) % setup.controllers().length());
   }
 
-  private static int number(String node) {
+  private static int indexOfNode(String node) {
     return Integer.parseInt(node.substring(1));
   }
 
-  /** The settings file of a node, in the platform's format. */
+  /** Returns the content of a node's settings file. */
   String settingsText(String node, String stateAddress) {
-    int self = number(node);
-    List<String> names = lists.getOrDefault(node, nodes);
-    StringBuilder b = new StringBuilder("host_name = \"" + node + "\"\n");
-    b.append("location = \"").append(zone(node)).append("\"\n");
-    b.append("serve_on = \"10.0.0.").append(self).append(":1\"\nback = \"10.0.1.").append(self);
-    b.append(":1\"\n");
-    for (String peer : names) {
+    int self = indexOfNode(node);
+    List<String> configuredNames = lists.getOrDefault(node, nodes);
+    StringBuilder text = new StringBuilder("host_name = \"" + node + "\"\n");
+    text.append("location = \"").append(zoneOfNode(node)).append("\"\n");
+    text.append("serve_on = \"10.0.0.").append(self).append(":1\"\nback = \"10.0.1.").append(self);
+    text.append(":1\"\n");
+    for (String peer : configuredNames) {
       if (!peer.equals(node)) {
-        b.append("[[peers]]\nhost_name = \"").append(peer).append("\"\npeer_addr = \"10.0.1.");
-        b.append(number(peer)).append(":1\"\nlocation = \"").append(zone(peer)).append("\"\n");
+        text.append("[[peers]]\nhost_name = \"").append(peer).append("\"\npeer_addr = \"10.0.1.");
+        text.append(indexOfNode(peer))
+            .append(":1\"\nlocation = \"")
+            .append(zoneOfNode(peer))
+            .append("\"\n");
       }
     }
-    b.append(
+    text.append(
         """
         [endpoints]
         cloud = "10.2.0.2:1"
@@ -304,28 +331,34 @@
         """
             .formatted(
                 stateAddress,
-                names.size(),
+                configuredNames.size(),
                 setup.gpusMax(),
                 setup.soundGpusMax(),
                 setup.reportS(),
                 setup.leaseS(),
                 setup.cancelS(),
-                state.writeRpsAtFirst,
-                state.txnOpsAtFirst(),
-                next));
-    return b.toString();
+                state.initialMaxWritesPerSecond,
+                state.initialMaxTransactionChanges(),
+                nextLimitsToml));
+    return text.toString();
   }
 
-  /** The limits to which the state service falls, as the settings tell them; empty: none. */
-  String next = "";
+  /**
+   * The section of the settings that announces lower limits of the state service; empty if none are
+   * announced.
+   */
+  String nextLimitsToml = "";
 
-  /** The limits of the state service as an operator's command has them. */
+  /**
+   * Returns the limits of the state service as operator commands use them: the gate of the
+   * announced next limits counts as open.
+   */
   StateServiceLimits limits() {
-    Settings s = settings(nodes.get(0));
+    Settings s = parseSettings(nodes.get(0));
     return new StateServiceLimits(s.stateLimits(), s.nextLimits(), () -> true);
   }
 
-  private Settings settings(String node) {
+  private Settings parseSettings(String node) {
     try {
       return Settings.parse(new TomlParser().parse(settingsText(node, STATE)));
     } catch (Settings.InvalidSettingsException e) {
@@ -333,9 +366,9 @@
     }
   }
 
-  /** Starts a controller's process. */
+  /** Starts a controller process with new, empty tables. */
   public void startNode(String name) {
-    Node n = new Node();
+    NodeProcess process = new NodeProcess();
     Timers timers =
         new Timers() {
           @Override
@@ -350,123 +383,137 @@
 
           @Override
           public void after(long delayMs, Runnable action) {
-            clock.after(delayMs, () -> n.timer(action));
+            clock.after(delayMs, () -> process.runTimer(action));
           }
         };
-    Settings s = settings(name);
+    Settings settings = parseSettings(name);
     Map<String, Consumer<ByteBuffer>> peers = new HashMap<>();
-    for (Settings.Peer p : s.peers()) {
+    for (Settings.Peer peer : settings.peers()) {
       peers.put(
-          p.node(),
+          peer.node(),
           f ->
               net.caller(name, () -> true)
-                  .call("peer:" + p.node(), "", "", bytes(f), 1000, a -> {}));
+                  .call("peer:" + peer.node(), "", "", toBytes(f), 1000, a -> {}));
     }
-    n.controller =
+    process.controller =
         new Controller(
-            s,
-            setup.tuning().apply(Tuning.defaults(s)),
+            settings,
+            setup.tuning().apply(Tuning.defaults(settings)),
             timers,
-            caller(name, n),
+            caller(name, process),
             peers,
-            "inc" + ++incarnations,
+            "inc" + ++incarnationCount,
             new Metrics(),
             levels.getOrDefault(name, LevelRange.BUILD));
     net.listen(
         "peer:" + name,
-        (from, m, p, body, done) -> {
+        (from, method, path, body, done) -> {
           if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.RELAYED_REPLY) {
-            n.message(() -> n.controller.handlePeerFrame(ByteBuffer.wrap(body)));
+            process.receive(() -> process.controller.handlePeerFrame(ByteBuffer.wrap(body)));
           }
         });
     net.listen(
         name,
-        (from, m, p, body, done) ->
-            n.message(() -> n.controller.handle(exchange(m, p, body, done))));
-    running.put(name, n);
-    n.controller.start();
+        (from, method, path, body, done) ->
+            process.receive(() -> process.controller.handle(exchange(method, path, body, done))));
+    processes.put(name, process);
+    process.controller.start();
   }
 
-  private Caller caller(String name, Node n) {
-    Caller c = net.caller(name, () -> n.alive);
+  private Caller caller(String name, NodeProcess process) {
+    Caller caller = net.caller(name, () -> process.alive);
     return (address, method, path, body, timeoutMs, done) ->
-        c.call(address, method, path, body, timeoutMs, a -> n.message(() -> done.accept(a)));
+        caller.call(
+            address, method, path, body, timeoutMs, a -> process.receive(() -> done.accept(a)));
   }
 
   /**
-   * The process stands still while its clocks run on; its connection with the watch is lost. When
-   * it wakes, all timers are due at once, and what has arrived waits behind them, or before.
+   * Pauses a process while its clocks run on; its open watch is lost. On resume all overdue timers
+   * and all messages received meanwhile run at once.
+   *
+   * @param timersFirst whether the timers run before the messages, or after them
    */
   public void freeze(String name, long forMs, boolean timersFirst) {
-    Node n = running.get(name);
-    n.frozen = true;
+    NodeProcess process = processes.get(name);
+    process.paused = true;
     state.dropWatches(name);
     clock.after(
         forMs,
         () -> {
-          n.frozen = false;
-          List<Runnable> due = new ArrayList<>(timersFirst ? n.timersDue : n.arrived);
-          due.addAll(timersFirst ? n.arrived : n.timersDue);
-          n.timersDue.clear();
-          n.arrived.clear();
-          for (Runnable r : due) {
-            if (n.alive) {
-              r.run();
+          process.paused = false;
+          List<Runnable> due =
+              new ArrayList<>(timersFirst ? process.pendingTimers : process.pendingMessages);
+          due.addAll(timersFirst ? process.pendingMessages : process.pendingTimers);
+          process.pendingTimers.clear();
+          process.pendingMessages.clear();
+          for (Runnable action : due) {
+            if (process.alive) {
+              action.run();
             }
           }
         });
   }
 
-  private static byte[] bytes(ByteBuffer f) {
-    byte[] b = new byte[f.remaining()];
-    f.duplicate().get(b);
-    return b;
+  private static byte[] toBytes(ByteBuffer frame) {
+    byte[] bytes = new byte[frame.remaining()];
+    frame.duplicate().get(bytes);
+    return bytes;
   }
 
-  public void crash(String name, long forMs) {
+  /** Kills a process without a signal, and starts it again after a while. */
+  public void crash(String name, long downMs) {
     kill(name);
-    clock.after(forMs, () -> startNode(name));
+    clock.after(downMs, () -> startNode(name));
   }
 
-  /** Ends a process with no signal; nobody starts it again. */
+  /** Kills a process without a signal. It is not started again. */
   public void kill(String name) {
-    Node n = running.get(name);
-    if (n != null) {
-      n.alive = false;
+    NodeProcess process = processes.get(name);
+    if (process != null) {
+      process.alive = false;
     }
     net.close(name);
     net.close("peer:" + name);
   }
 
-  /** Tells a process to end, as an operator does; it is started again so long after its end. */
-  public void restart(String name, long withinMs, long forMs) {
-    running.get(name).controller.shutDown(withinMs, () -> crash(name, forMs));
+  /**
+   * Shuts a process down in an orderly way, and starts it again.
+   *
+   * @param withinMs the time limit of the shutdown
+   * @param downMs the time from its end to its next start
+   */
+  public void restart(String name, long withinMs, long downMs) {
+    processes.get(name).controller.shutDown(withinMs, () -> crash(name, downMs));
   }
 
-  /** Tells a process to end that then does not: what it is by then matters, not that it is gone. */
+  /**
+   * Starts an orderly shutdown without ending the process afterwards, so that a test can examine
+   * the state that the process has reached.
+   */
   public void leave(String name, long withinMs) {
-    running.get(name).controller.shutDown(withinMs, () -> {});
+    processes.get(name).controller.shutDown(withinMs, () -> {});
   }
 
-  /** A node's tables; what it holds for durable. */
+  /** Returns the tables of a node: the stored state as the node knows it. */
   Tables tables(String node) {
-    return running.get(node).controller.tables();
+    return processes.get(node).controller.tables();
   }
 
   boolean alive(String node) {
-    return running.containsKey(node) && running.get(node).alive;
+    return processes.containsKey(node) && processes.get(node).alive;
   }
 
-  private static Exchange exchange(String m, String p, byte[] body, Consumer<Response> done) {
+  private static Exchange exchange(
+      String method, String path, byte[] body, Consumer<Response> done) {
     return new Exchange() {
       @Override
       public String method() {
-        return m;
+        return method;
       }
 
       @Override
       public String path() {
-        return p;
+        return path;
       }
 
       @Override
@@ -481,62 +528,72 @@
     };
   }
 
+  /**
+   * Cuts a node off from the state service.
+   *
+   * @param hold whether requests sent meanwhile arrive after the link is healed, or are lost
+   */
   public void cutFromState(String node, boolean hold) {
     net.cut(node, STATE, hold);
   }
 
+  /** Heals the link between a node and the state service. */
   public void healFromState(String node) {
     net.heal(node, STATE);
   }
 
-  /** One controller and all workers can't reach each other; it keeps everything else. */
+  /** Cuts the links between one controller and all workers; its other links keep working. */
   public void cutFromWorkers(String node) {
     workers().forEach(w -> net.cut(node, w.address, false));
   }
 
-  /** Frames between a controller and its peers are lost. */
+  /** Cuts or heals the links between a controller and its peers, in both directions. */
   public void cutFromPeers(String node, boolean cut) {
     for (String n : nodes) {
       if (!n.equals(node)) {
-        cut(node, "peer:" + n, cut);
-        cut(n, "peer:" + node, cut);
+        setCut(node, "peer:" + n, cut);
+        setCut(n, "peer:" + node, cut);
       }
     }
   }
 
+  /** Heals the links between a controller and all workers. */
   public void healFromWorkers(String node) {
     workers().forEach(w -> net.heal(node, w.address));
   }
 
   /**
-   * Cuts a node and all workers off together, as with their zone: from all else, not each other.
+   * Cuts a node and all workers off from everything else, but not from each other, as when their
+   * zone becomes unreachable.
    */
   public void isolate(String node) {
     cutOff(node, w -> true, true);
   }
 
-  /** Cuts a zone off from everything, its one controller and its workers with it, or heals it. */
+  /**
+   * Cuts a zone, with its only controller and its workers, off from everything else, or heals it.
+   */
   public void cutZone(String node, boolean cut) {
     String zone = "" + setup.controllers().charAt(nodes.indexOf(node));
     cutOff(node, w -> w.zone.equals(zone), cut);
   }
 
-  /** Parts a node and the workers with it from all others, or joins them again. */
-  private void cutOff(String node, Predicate<SimWorker> with, boolean cut) {
+  /** Cuts or heals all links between a node with the selected workers and everything else. */
+  private void cutOff(String node, Predicate<SimWorker> onSameSide, boolean cut) {
     cutFromPeers(node, cut);
     for (String other : List.of(STATE, CLOUD, "user")) {
-      cut(node, other, cut);
+      setCut(node, other, cut);
     }
     for (SimWorker w : workers()) {
       for (String n : nodes) {
-        if (n.equals(node) != with.test(w)) {
-          cut(n, w.address, cut);
+        if (n.equals(node) != onSameSide.test(w)) {
+          setCut(n, w.address, cut);
         }
       }
     }
   }
 
-  private void cut(String a, String b, boolean cut) {
+  private void setCut(String a, String b, boolean cut) {
     if (cut) {
       net.cut(a, b, false);
     } else {
@@ -544,113 +601,131 @@
     }
   }
 
-  /** How many tasks were killed by their workers' leases. */
+  /** Returns how many tasks were killed because their worker's lease expired. */
   public int killedByLease() {
-    return workers().stream().mapToInt(w -> w.killedByLease).sum();
+    return workers().stream().mapToInt(w -> w.tasksKilledByLease).sum();
   }
 
+  /** Returns the stand-in for the state service. */
   public SimState state() {
     return state;
   }
 
+  /** Returns the workers of the machines that are up, sorted by machine name. */
   public List<SimWorker> workers() {
     return cloud.workers();
   }
 
+  /** Cuts the links between a machine and all controllers. */
   public void cutMachine(int i, boolean hold) {
     SimWorker w = workers().get(i % cloud.workers().size());
     nodes.forEach(n -> net.cut(n, w.address, hold));
   }
 
-  /** All controllers but one reach the machine again. */
-  public void healMachine(int i, String but) {
+  /** Heals the links between a machine and all controllers but one. */
+  public void healMachine(int i, String unreachableNode) {
     SimWorker w = workers().get(i % cloud.workers().size());
-    nodes.stream().filter(n -> !n.equals(but)).forEach(n -> net.heal(n, w.address));
+    nodes.stream().filter(n -> !n.equals(unreachableNode)).forEach(n -> net.heal(n, w.address));
   }
 
+  /** Heals the links between all machines and all controllers. */
   public void healMachines() {
     for (SimWorker w : workers()) {
       nodes.forEach(n -> net.heal(n, w.address));
     }
   }
 
+  /** Terminates a machine with all its tasks. It does not come back. */
   public void killMachine(int i) {
     SimWorker w = workers().get(i % cloud.workers().size());
     w.die();
   }
 
+  /** Makes a machine hang for a while: nothing on it makes progress or answers. */
   public void hangMachine(int i, long forMs) {
     SimWorker w = workers().get(i % cloud.workers().size());
     w.hang(true);
     clock.after(forMs, () -> w.hang(false));
   }
 
+  /** Makes a machine fail every task that starts on it from now on. */
   public void sicken(int i) {
     workers().get(i % cloud.workers().size()).sick = true;
   }
 
+  /** Returns the last phase of a job that a user was told, or null. */
   public String lastTold(String id) {
-    return rules.last(id);
+    return rules.lastReportedPhase(id);
   }
 
+  /** Returns the epoch of the view that a node knows. */
   public long epoch(String node) {
-    return running.get(node).controller.tables().view().epoch();
+    return processes.get(node).controller.tables().view().epoch();
   }
 
-  /** Whose part a machine of that name would be in, as a node knows it. */
+  /**
+   * Returns the node whose partition a machine of that name in zone {@code a} belongs to, as a node
+   * knows it.
+   */
   public String owner(String node, String machine) {
-    return running.get(node).controller.tables().view().owner(machine, "a");
+    return processes.get(node).controller.tables().view().owner(machine, "a");
   }
 
-  /** A report of an empty machine; the answer is in the array once it has come. */
+  /**
+   * Sends a report of a machine without tasks to a node.
+   *
+   * @return an array of one element, which is set when the answer arrives
+   */
   public Response[] report(String node, String machine, long epoch) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("host", machine);
-    m.put("address", "10.1.9.9:1");
-    m.put("flavour", "g4");
-    m.put("region", "a");
-    m.put("tenure", 1);
-    m.put("tick", 1);
-    m.put("epoch", epoch);
-    m.put("shards", List.of());
-    Response[] got = new Response[1];
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("host", machine);
+    fields.put("address", "10.1.9.9:1");
+    fields.put("flavour", "g4");
+    fields.put("region", "a");
+    fields.put("tenure", 1);
+    fields.put("tick", 1);
+    fields.put("epoch", epoch);
+    fields.put("shards", List.of());
+    Response[] answer = new Response[1];
     net.caller("10.1.9.9:1", () -> true)
-        .call(node, "POST", "/hello", MessageCodec.encode(m), 4000, a -> got[0] = a);
-    return got;
+        .call(node, "POST", "/hello", MessageCodec.encode(fields), 4000, a -> answer[0] = a);
+    return answer;
   }
 
-  /** How many of a job's tasks are placed, as a node knows it. */
+  /** Returns how many of a job's tasks are placed, as a node knows it. */
   public int placed(String node, String id) {
-    Job j = running.get(node).controller.tables().job(id);
-    return j == null ? 0 : j.liveCount();
+    Job job = processes.get(node).controller.tables().job(id);
+    return job == null ? 0 : job.liveCount();
   }
 
-  /** Where a task is, or null. */
+  /** Returns the zone in which a task runs, or null if it does not run. */
   public String zoneOf(String task) {
     return rules.zoneOf(task);
   }
 
-  /** A figure of a node's metrics, as they are now. */
+  /** Returns the current value of one of a node's metrics. */
   public double metric(String node, String name) {
     try {
-      Response[] got = new Response[1];
-      running.get(node).controller.handle(exchange("GET", "/metrics", null, a -> got[0] = a));
-      Object v = Document.parse(got[0].body()).raw(name + ".VALUE");
-      return ((Number) v).doubleValue();
+      Response[] answer = new Response[1];
+      processes.get(node).controller.handle(exchange("GET", "/metrics", null, a -> answer[0] = a));
+      Object value = Document.parse(answer[0].body()).raw(name + ".VALUE");
+      return ((Number) value).doubleValue();
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
   }
 
-  /** The same of all nodes together. */
+  /** Returns the sum of a metric over all nodes. */
   public double total(String name) {
     return nodes.stream().mapToDouble(n -> metric(n, name)).sum();
   }
 
+  /** Returns how many attempts of tasks have started. */
   public int starts() {
-    return rules.starts;
+    return rules.startCount;
   }
 
+  /** Returns whether a task runs on any machine. */
   public boolean isOn(String task) {
     return rules.isOn(task);
   }
--- a/src/test/java/wickdrift/sim/TcpProxy.java
+++ b/src/test/java/wickdrift/sim/TcpProxy.java
@@ -17,25 +17,25 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Passes bytes between two processes, holds them back, or resets the connections. */
+/** A TCP proxy between two processes. It can hold back the bytes or reset the connections. */
 final class TcpProxy {
-  /** What becomes of the bytes. */
+  /** What the proxy does with connections and their bytes. */
   enum Mode {
     FORWARD,
-    /** Nothing arrives until the mode changes; then all of it does, in order. */
+    /** Bytes are held back until the mode changes to {@link #FORWARD}, and then arrive in order. */
     HOLD,
-    /** Connections are reset, and new ones too. */
+    /** Open and new connections are reset. */
     RESET
   }
 
-  private static final int CONNECT_MS = 1000;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
   private final EventLoopGroup group;
   private final InetSocketAddress target;
   private final Set<Channel> channels = new HashSet<>();
   private Mode mode = Mode.FORWARD;
 
-  /** Listens at a port of loopback, and connects to the target for each connection it takes. */
+  /** Listens at an address, and connects to the target for each connection that it accepts. */
   TcpProxy(EventLoopGroup group, InetSocketAddress listen, InetSocketAddress target) {
     this.group = group;
     this.target = target;
@@ -47,15 +47,15 @@
         .childHandler(
             new ChannelInitializer<SocketChannel>() {
               @Override
-              protected void initChannel(SocketChannel front) {
-                accept(front);
+              protected void initChannel(SocketChannel client) {
+                accept(client);
               }
             })
         .bind(listen);
   }
 
-  /** Changes what becomes of the bytes, on the event loop. */
-  void mode(Mode next) {
+  /** Changes the mode. Must be called on the event loop. */
+  void setMode(Mode next) {
     mode = next;
     for (Channel channel : Set.copyOf(channels)) {
       if (mode == Mode.RESET) {
@@ -71,9 +71,9 @@
     channel.close();
   }
 
-  private void accept(SocketChannel front) {
+  private void accept(SocketChannel client) {
     if (mode == Mode.RESET) {
-      reset(front);
+      reset(client);
       return;
     }
     ChannelFuture connected =
@@ -81,43 +81,43 @@
             .group(group)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.AUTO_READ, false)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-            .handler(new Pump(front))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+            .handler(new Forwarder(client))
             .connect(target);
-    front.pipeline().addLast(new Pump(connected.channel()));
+    client.pipeline().addLast(new Forwarder(connected.channel()));
     connected.addListener(
         done -> {
           if (!done.isSuccess() || mode == Mode.RESET) {
-            reset(front);
+            reset(client);
             return;
           }
-          join(front);
-          join(connected.channel());
+          startForwarding(client);
+          startForwarding(connected.channel());
         });
   }
 
-  private void join(Channel channel) {
+  private void startForwarding(Channel channel) {
     channels.add(channel);
     channel.closeFuture().addListener(closed -> channels.remove(channel));
     channel.config().setAutoRead(mode == Mode.FORWARD);
   }
 
-  /** Writes what one side sends to the other, and closes both together. */
-  private static final class Pump extends ChannelInboundHandlerAdapter {
-    private final Channel other;
+  /** Writes the bytes of one connection to its peer, and closes the peer when it is closed. */
+  private static final class Forwarder extends ChannelInboundHandlerAdapter {
+    private final Channel peer;
 
-    Pump(Channel other) {
-      this.other = other;
+    Forwarder(Channel peer) {
+      this.peer = peer;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-      other.writeAndFlush((ByteBuf) message);
+      peer.writeAndFlush((ByteBuf) message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      other.close();
+      peer.close();
     }
 
     @Override
