--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -179,7 +179,7 @@
       // shows an older epoch may be a copy from before such a restart, so it proves nothing.
       return;
     }
-    // An attempt that was told to wait again may start once more until a worker-initiated report
+    // An attempt that was told to wait again may start once more until a unsolicited report
     // arrives: by then the answer with that command has arrived or never will.
     boolean isOver =
         pass.scope.workerInitiated || pass.commands.gangWaitRestarts(attemptOf(entry)) == 0;
--- a/src/main/java/wickdrift/coordination/commands/Verdict.java
+++ b/src/main/java/wickdrift/coordination/commands/Verdict.java
@@ -9,7 +9,7 @@
   PROVEN,
   /** A run that was sent directly has no answer: it may arrive at any time. */
   DIRECT_RUN_UNANSWERED,
-  /** The answer to a report carries a run, and no later worker-initiated report has arrived. */
+  /** The answer to a report carries a run, and no later unsolicited report has arrived. */
   ANSWER_IN_FLIGHT,
   /**
    * The worker did not send the report on its own initiative: answers to earlier reports may still
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -10,7 +10,7 @@
 /**
  * The commands that were sent to one worker, and which of them may still take effect.
  *
- * <p>A command in the answer to a report has arrived, or never will, once a later worker-initiated
+ * <p>A command in the answer to a report has arrived, or never will, once a later unsolicited
  * report arrives. A direct command is <em>outstanding</em> until it is answered, or until the
  * worker is certain to refuse it: the worker has shown a higher epoch or a newer session in a
  * report that is no late copy. Each command counts separately: the answer to a later command for
