--- a/src/test/java/wickdrift/sim/MixedBuilds.java
+++ b/src/test/java/wickdrift/sim/MixedBuilds.java
@@ -161,7 +161,7 @@
   private int status(String node) throws Exception {
     CompletableFuture<Response> answer = new CompletableFuture<>();
     stage.loop.execute(
-        () -> world.net.outside.get(node).call(node, "GET", "/up", null, 3000, answer::complete));
+        () -> world.net.processCallers.get(node).call(node, "GET", "/up", null, 3000, answer::complete));
     return answer.get(5, TimeUnit.SECONDS).status();
   }
 
