--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -25,65 +25,65 @@
 /** What follows from who awaits whom, against a model that works it out anew each time. */
 class DependencyGraphTest {
   /** One job of the model. */
-  private static final class Node {
+  private static final class ModelJob {
     final int number;
-    final List<Integer> awaits;
-    final String rank;
+    final List<Integer> dependencies;
+    final String priority;
     final String team;
     boolean accepted;
-    boolean asked;
-    String over;
+    boolean withdrawalRequested;
+    String terminalPhase;
 
-    Node(int number, List<Integer> awaits, String rank, String team) {
+    ModelJob(int number, List<Integer> dependencies, String priority, String team) {
       this.number = number;
-      this.awaits = awaits;
-      this.rank = rank;
+      this.dependencies = dependencies;
+      this.priority = priority;
       this.team = team;
     }
   }
 
-  private final List<Node> nodes = new ArrayList<>();
-  private final TreeMap<String, Object> store = new TreeMap<>();
+  private final List<ModelJob> modelJobs = new ArrayList<>();
+  private final TreeMap<String, Object> storedValues = new TreeMap<>();
   private final Map<String, Long> stamps = new HashMap<>();
-  private long rev = 10;
+  private long revision = 10;
 
-  private static String id(int n) {
-    return String.format("req-%06d", n);
+  private static String jobId(int number) {
+    return String.format("req-%06d", number);
   }
 
-  private JobSpec spec(Node n) throws BadMessage {
-    Map<String, Object> m = SimJobs.job(n.number, "batch", 1, 1, 10);
-    m.put("rank", n.rank);
-    m.put("owner", n.team);
-    m.put("dueS", 100.0 + n.number % 5 * 20);
-    SimJobs.awaiting(m, n.awaits.stream().mapToInt(i -> i).toArray());
-    return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
+  private JobSpec specOf(ModelJob job) throws BadMessage {
+    Map<String, Object> fields = SimJobs.job(job.number, "batch", 1, 1, 10);
+    fields.put("rank", job.priority);
+    fields.put("owner", job.team);
+    fields.put("dueS", 100.0 + job.number % 5 * 20);
+    SimJobs.awaiting(fields, job.dependencies.stream().mapToInt(i -> i).toArray());
+    return JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
   }
 
-  private StateServiceClient.Change put(String key, Object value) throws BadMessage {
-    Object v = value == null ? null : MessageCodec.decode(MessageCodec.encode(value));
-    if (v == null) {
-      store.remove(key);
+  private StateServiceClient.Change storeValue(String key, Object value) throws BadMessage {
+    Object stored = value == null ? null : MessageCodec.decode(MessageCodec.encode(value));
+    if (stored == null) {
+      storedValues.remove(key);
     } else {
-      store.put(key, v);
+      storedValues.put(key, stored);
     }
-    stamps.put(key, rev);
-    return new StateServiceClient.Change(key, v, rev);
+    stamps.put(key, revision);
+    return new StateServiceClient.Change(key, stored, revision);
   }
 
   // ---- the model ----
 
-  private boolean off(Node n) {
-    return n.asked
-        || "withdrawn".equals(n.over)
-        || n.awaits.stream().anyMatch(a -> off(nodes.get(a)));
+  private boolean isWithdrawn(ModelJob job) {
+    return job.withdrawalRequested
+        || "withdrawn".equals(job.terminalPhase)
+        || job.dependencies.stream().anyMatch(a -> isWithdrawn(modelJobs.get(a)));
   }
 
-  private boolean ready(Node n) {
-    return n.awaits.stream().allMatch(a -> "done".equals(nodes.get(a).over));
+  private boolean isReady(ModelJob job) {
+    return job.dependencies.stream().allMatch(a -> "done".equals(modelJobs.get(a).terminalPhase));
   }
 
-  private static int rank(String wire) {
+  private static int priorityOrdinal(String wire) {
     for (JobSpec.Priority p : JobSpec.Priority.values()) {
       if (p.wire().equals(wire)) {
         return p.ordinal();
@@ -92,185 +92,217 @@
     throw new AssertionError(wire);
   }
 
-  private int lent(Node n, boolean sameTeam) {
-    int best = rank(n.rank);
-    for (Node d : nodes) {
-      if (d.accepted && d.over == null && d.awaits.contains(n.number)) {
-        boolean counts = !sameTeam || d.team.equals(n.team);
-        best = counts ? Math.min(best, lent(d, sameTeam)) : best;
+  private int inheritedPriority(ModelJob job, boolean sameTeam) {
+    int best = priorityOrdinal(job.priority);
+    for (ModelJob dependent : modelJobs) {
+      if (dependent.accepted
+          && dependent.terminalPhase == null
+          && dependent.dependencies.contains(job.number)) {
+        boolean counts = !sameTeam || dependent.team.equals(job.team);
+        best = counts ? Math.min(best, inheritedPriority(dependent, sameTeam)) : best;
       }
     }
     return best;
   }
 
-  private void compare(Tables t) {
-    for (Node n : nodes) {
-      Job j = t.job(id(n.number));
-      assertEquals(n.accepted && n.over == null, j != null, id(n.number));
-      if (j == null) {
+  private void assertMatchesModel(Tables tables) {
+    for (ModelJob modelJob : modelJobs) {
+      Job job = tables.job(jobId(modelJob.number));
+      assertEquals(
+          modelJob.accepted && modelJob.terminalPhase == null, job != null, jobId(modelJob.number));
+      if (job == null) {
         continue;
       }
-      assertEquals(off(n), j.withdrawn(), id(n.number) + " withdrawn");
+      assertEquals(isWithdrawn(modelJob), job.withdrawn(), jobId(modelJob.number) + " withdrawn");
+      assertEquals(
+          !isWithdrawn(modelJob) && isReady(modelJob)
+              || modelJob.withdrawalRequested && job.dependencyState() == Job.DependencyState.READY,
+          job.dependencyState() == Job.DependencyState.READY);
+      assertEquals(
+          inheritedPriority(modelJob, false),
+          job.effectivePriority().ordinal(),
+          jobId(modelJob.number) + " rank");
       assertEquals(
-          !off(n) && ready(n) || n.asked && j.dependencyState() == Job.DependencyState.READY,
-          j.dependencyState() == Job.DependencyState.READY);
-      assertEquals(lent(n, false), j.effectivePriority().ordinal(), id(n.number) + " rank");
-      assertEquals(lent(n, true), j.preemptionPriority().ordinal(), id(n.number) + " team rank");
+          inheritedPriority(modelJob, true),
+          job.preemptionPriority().ordinal(),
+          jobId(modelJob.number) + " team rank");
     }
-    assertTrue(t.dependencies().unresolved().isEmpty(), "unknown " + t.dependencies().unresolved());
+    assertTrue(
+        tables.dependencies().unresolved().isEmpty(),
+        "unknown " + tables.dependencies().unresolved());
   }
 
   /** Each step is one change of the store, as it would come; now and then all is loaded anew. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void drawsWhatTheModelDraws(long seed) throws BadMessage {
-    Random r = new Random(seed);
+  void dependencyStatesMatchTheModelAfterRandomChanges(long seed) throws BadMessage {
+    Random random = new Random(seed);
     int size = 24;
-    String[] ranks = {"production", "urgent", "standard", "idle"};
+    String[] priorities = {"production", "urgent", "standard", "idle"};
     for (int n = 0; n < size; n++) {
-      Set<Integer> awaits = new HashSet<>();
-      for (int k = r.nextInt(4); n > 0 && k > 0; k--) {
-        awaits.add(r.nextInt(n));
+      Set<Integer> dependencies = new HashSet<>();
+      for (int k = random.nextInt(4); n > 0 && k > 0; k--) {
+        dependencies.add(random.nextInt(n));
       }
-      nodes.add(new Node(n, List.copyOf(awaits), ranks[r.nextInt(4)], r.nextBoolean() ? "a" : "b"));
+      modelJobs.add(
+          new ModelJob(
+              n,
+              List.copyOf(dependencies),
+              priorities[random.nextInt(4)],
+              random.nextBoolean() ? "a" : "b"));
     }
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int step = 0; step < 400; step++) {
-      rev++;
-      Node n = nodes.get(r.nextInt(size));
-      List<StateServiceClient.Change> news = new ArrayList<>();
-      if (!n.accepted && n.awaits.stream().allMatch(a -> nodes.get(a).accepted)) {
+      revision++;
+      ModelJob n = modelJobs.get(random.nextInt(size));
+      List<StateServiceClient.Change> changes = new ArrayList<>();
+      if (!n.accepted && n.dependencies.stream().allMatch(a -> modelJobs.get(a).accepted)) {
         n.accepted = true;
-        news.add(put(Job.key(id(n.number)), Job.toStore(spec(n), null, rev, "n0", 0)));
-      } else if (n.accepted && n.over == null && r.nextInt(8) == 0) {
-        n.asked = true;
-        news.add(put(Job.key(id(n.number)), Job.toStore(spec(n), null, rev, "n0", rev)));
-      } else if (n.accepted && n.over == null && (off(n) || ready(n)) && r.nextInt(3) == 0) {
-        n.over = off(n) ? "withdrawn" : "done";
-        news.add(put(Job.key(id(n.number)), null));
-        news.add(
-            put(
-                Job.terminalStateKey(id(n.number)),
-                new TerminalState(n.over, 1, rev).toStore(true)));
+        changes.add(
+            storeValue(Job.key(jobId(n.number)), Job.toStore(specOf(n), null, revision, "n0", 0)));
+      } else if (n.accepted && n.terminalPhase == null && random.nextInt(8) == 0) {
+        n.withdrawalRequested = true;
+        changes.add(
+            storeValue(
+                Job.key(jobId(n.number)), Job.toStore(specOf(n), null, revision, "n0", revision)));
+      } else if (n.accepted
+          && n.terminalPhase == null
+          && (isWithdrawn(n) || isReady(n))
+          && random.nextInt(3) == 0) {
+        n.terminalPhase = isWithdrawn(n) ? "withdrawn" : "done";
+        changes.add(storeValue(Job.key(jobId(n.number)), null));
+        changes.add(
+            storeValue(
+                Job.terminalStateKey(jobId(n.number)),
+                new TerminalState(n.terminalPhase, 1, revision).toStore(true)));
       }
-      t.apply(news, rev);
-      resolve(t);
-      compare(t);
-      if (r.nextInt(40) == 0) {
-        t = loaded();
-        resolve(t);
-        compare(t);
+      tables.apply(changes, revision);
+      resolveTerminalStates(tables);
+      assertMatchesModel(tables);
+      if (random.nextInt(40) == 0) {
+        tables = reloadTables();
+        resolveTerminalStates(tables);
+        assertMatchesModel(tables);
       }
     }
   }
 
   /** A copy loaded anew, which knows no ends. */
-  private Tables loaded() throws BadMessage {
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
+  private Tables reloadTables() throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     List<StateServiceClient.Change> all = new ArrayList<>();
-    store.forEach(
+    storedValues.forEach(
         (k, v) -> {
           if (!k.startsWith("w/d/")) {
             all.add(new StateServiceClient.Change(k, v, stamps.get(k)));
           }
         });
-    t.load(all, rev);
-    return t;
+    tables.load(all, revision);
+    return tables;
   }
 
   /** Tells it how those ended of which it does not know, as one read does. */
-  private void resolve(Tables t) throws BadMessage {
-    for (String id : List.copyOf(t.dependencies().unresolved())) {
-      for (Job j : t.dependencies().dependents(id)) {
+  private void resolveTerminalStates(Tables tables) throws BadMessage {
+    for (String id : List.copyOf(tables.dependencies().unresolved())) {
+      for (Job job : tables.dependencies().dependents(id)) {
         assertTrue(
-            j.dependencyState() == Job.DependencyState.UNRESOLVED || j.withdrawn(),
-            j.id() + " is clear without " + id);
+            job.dependencyState() == Job.DependencyState.UNRESOLVED || job.withdrawn(),
+            job.id() + " is clear without " + id);
       }
-      t.rememberTerminalState(
-          id, TerminalState.parse(Document.of(store.get(Job.terminalStateKey(id)))));
+      tables.rememberTerminalState(
+          id, TerminalState.parse(Document.of(storedValues.get(Job.terminalStateKey(id)))));
     }
   }
 
   /** Haste: the last one's deadline, less what the stages between are expected to take. */
   @ParameterizedTest
   @CsvSource({"0, 61000", "1, 71000", "2, 81000", "3, 91000"})
-  void hasteIsCarriedBack(int job, long startBy) throws BadMessage {
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    for (int n = 0; n < 4; n++) {
-      Map<String, Object> m = SimJobs.job(n, "batch", 1, 1, 10);
-      if (n > 0) {
-        SimJobs.awaiting(m, n - 1);
+  void latestStartIsPropagatedToDependencies(int jobNumber, long expectedStartByMs)
+      throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    for (int number = 0; number < 4; number++) {
+      Map<String, Object> fields = SimJobs.job(number, "batch", 1, 1, 10);
+      if (number > 0) {
+        SimJobs.awaiting(fields, number - 1);
       }
-      if (n == 3) {
-        m.put("dueS", 100.0);
+      if (number == 3) {
+        fields.put("dueS", 100.0);
       }
-      JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
-      Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 1000, "n0", 0)));
-      t.apply(List.of(new StateServiceClient.Change(Job.key(s.id()), v, ++rev)), rev);
+      JobSpec spec = JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
+      Object stored =
+          MessageCodec.decode(MessageCodec.encode(Job.toStore(spec, null, 1000, "n0", 0)));
+      tables.apply(
+          List.of(new StateServiceClient.Change(Job.key(spec.id()), stored, ++revision)), revision);
     }
-    long is = t.job(id(job)).startByWallMs();
-    assertEquals(job == 3 ? Long.MAX_VALUE : startBy, is);
+    long actual = tables.job(jobId(jobNumber)).startByWallMs();
+    assertEquals(jobNumber == 3 ? Long.MAX_VALUE : expectedStartByMs, actual);
     // What it lends is taken back when it is withdrawn and gone.
-    t.apply(List.of(new StateServiceClient.Change(Job.key(id(3)), null, ++rev)), rev);
-    assertEquals(Long.MAX_VALUE, t.job(id(0)).startByWallMs());
+    tables.apply(
+        List.of(new StateServiceClient.Change(Job.key(jobId(3)), null, ++revision)), revision);
+    assertEquals(Long.MAX_VALUE, tables.job(jobId(0)).startByWallMs());
   }
 
   /** A thousand chains of six, one awaited by a thousand, and a chain of a hundred: in a blink. */
   @Test
-  void manyAtOnce() throws BadMessage {
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    int n = 0;
+  void aChangeExaminesOnlyTheJobsThatItAffects() throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    int next = 0;
     List<StateServiceClient.Change> all = new ArrayList<>();
-    for (int c = 0; c < 1000; c++) {
-      for (int s = 0; s < 6; s++) {
-        all.add(job(n, s == 0 ? -1 : n - 1));
-        n++;
+    for (int chain = 0; chain < 1000; chain++) {
+      for (int stage = 0; stage < 6; stage++) {
+        all.add(jobChange(next, stage == 0 ? -1 : next - 1));
+        next++;
       }
     }
-    int hub = n++;
-    all.add(job(hub, -1));
+    int hub = next++;
+    all.add(jobChange(hub, -1));
     for (int i = 0; i < 1000; i++) {
-      all.add(job(n++, hub));
+      all.add(jobChange(next++, hub));
     }
-    int first = n;
+    int firstOfLongChain = next;
     for (int i = 0; i < 100; i++) {
-      all.add(job(n, i == 0 ? -1 : n - 1));
-      n++;
+      all.add(jobChange(next, i == 0 ? -1 : next - 1));
+      next++;
     }
-    t.load(all, rev);
+    tables.load(all, revision);
     assertEquals(
         1000 + 1 + 1,
-        t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
-    rev++;
-    t.apply(
+        tables.jobs().stream()
+            .filter(job -> job.dependencyState() == Job.DependencyState.READY)
+            .count());
+    revision++;
+    tables.apply(
         List.of(
             new StateServiceClient.Change(
-                Job.terminalStateKey(id(hub)),
+                Job.terminalStateKey(jobId(hub)),
                 MessageCodec.decode(
                     MessageCodec.encode(new TerminalState("done", 1, 1).toStore(true))),
-                rev),
-            new StateServiceClient.Change(Job.key(id(hub)), null, rev)),
-        rev);
+                revision),
+            new StateServiceClient.Change(Job.key(jobId(hub)), null, revision)),
+        revision);
     assertEquals(
         2001,
-        t.jobs().stream().filter(j -> j.dependencyState() == Job.DependencyState.READY).count());
-    t.drainChangedJobs();
+        tables.jobs().stream()
+            .filter(job -> job.dependencyState() == Job.DependencyState.READY)
+            .count());
+    tables.drainChangedJobs();
     // A withdrawal of the first reaches the last, and nobody else is looked at.
-    rev++;
-    Job j = t.job(id(first));
-    Object off = MessageCodec.decode(MessageCodec.encode(j.toStore("n0", 5)));
-    t.apply(List.of(new StateServiceClient.Change(j.key(), off, rev)), rev);
-    assertTrue(t.job(id(first + 99)).withdrawn());
-    assertEquals(100, t.drainChangedJobs().size());
+    revision++;
+    Job job = tables.job(jobId(firstOfLongChain));
+    Object withdrawn = MessageCodec.decode(MessageCodec.encode(job.toStore("n0", 5)));
+    tables.apply(List.of(new StateServiceClient.Change(job.key(), withdrawn, revision)), revision);
+    assertTrue(tables.job(jobId(firstOfLongChain + 99)).withdrawn());
+    assertEquals(100, tables.drainChangedJobs().size());
   }
 
-  private StateServiceClient.Change job(int n, int awaits) throws BadMessage {
-    Map<String, Object> m = SimJobs.job(n, "batch", 1, 1, 10);
-    if (awaits >= 0) {
-      SimJobs.awaiting(m, awaits);
+  private StateServiceClient.Change jobChange(int number, int dependency) throws BadMessage {
+    Map<String, Object> fields = SimJobs.job(number, "batch", 1, 1, 10);
+    if (dependency >= 0) {
+      SimJobs.awaiting(fields, dependency);
     }
-    JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
-    Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 1000, "n0", 0)));
-    return new StateServiceClient.Change(Job.key(s.id()), v, rev);
+    JobSpec spec = JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
+    Object stored =
+        MessageCodec.decode(MessageCodec.encode(Job.toStore(spec, null, 1000, "n0", 0)));
+    return new StateServiceClient.Change(Job.key(spec.id()), stored, revision);
   }
 }
--- a/src/test/java/wickdrift/bookkeeping/MachineTest.java
+++ b/src/test/java/wickdrift/bookkeeping/MachineTest.java
@@ -38,45 +38,47 @@
     // A higher token has reached it.
     "7, 0:1/1/6 3:1/2/7! 6:1/3/8,          true,  false"
   })
-  void whatReportsProve(long epoch, String reports, boolean proved, boolean deaf) {
-    Machine m = new Machine("m", 0, x -> {});
-    for (String r : reports.trim().split(" ")) {
-      boolean hears = r.startsWith("h");
-      boolean ignored = r.endsWith("!");
-      String[] p = r.replace("h", "").replace("!", "").split("[:/]");
-      long now = Long.parseLong(p[0]) * 1000 + 1;
-      if (hears) {
-        m.markReachableForCommands();
+  void reportsShowWhetherTheWorkerIsAliveAndReachable(
+      long epoch, String reports, boolean provedAlive, boolean unreachableForCommands) {
+    Machine machine = new Machine("m", 0, x -> {});
+    for (String text : reports.trim().split(" ")) {
+      boolean commandAnswered = text.startsWith("h");
+      boolean runIgnored = text.endsWith("!");
+      String[] fields = text.replace("h", "").replace("!", "").split("[:/]");
+      long nowMs = Long.parseLong(fields[0]) * 1000 + 1;
+      if (commandAnswered) {
+        machine.markReachableForCommands();
       }
-      Report is =
+      Report report =
           new Report(
               "m",
               "a",
               "t",
               "z",
               false,
-              Long.parseLong(p[1]),
-              Long.parseLong(p[2]),
-              Long.parseLong(p[3]),
+              Long.parseLong(fields[1]),
+              Long.parseLong(fields[2]),
+              Long.parseLong(fields[3]),
               null,
               List.of());
-      boolean proves = m.receiveReport(is, epoch, now);
-      m.updateCommandReachability(is, proves, ignored, LEASE_MS, now);
-      m.recordAnswer(now, epoch);
+      boolean proves = machine.receiveReport(report, epoch, nowMs);
+      machine.updateCommandReachability(report, proves, runIgnored, LEASE_MS, nowMs);
+      machine.recordAnswer(nowMs, epoch);
     }
-    assertEquals(proved, m.provedAlive());
-    assertEquals(deaf, m.unreachableForCommandsSinceMs() > 0);
+    assertEquals(provedAlive, machine.provedAlive());
+    assertEquals(unreachableForCommands, machine.unreachableForCommandsSinceMs() > 0);
   }
 
   /** What came by itself makes older ones copies; of an earlier session too. */
   @ParameterizedTest
   @CsvSource({"1, 1, true", "1, 5, true", "1, 6, false", "2, 1, false"})
-  void whatIsOlderIsACopy(long tenure, long tick, boolean copy) {
-    Machine m = new Machine("m", 0, x -> {});
-    Report own = new Report("m", "a", "t", "z", false, 1, 5, 7, null, List.of());
-    m.updateCommandReachability(own, m.receiveReport(own, 7, 1), false, LEASE_MS, 1);
-    Report r = new Report("m", "a", "t", "z", false, tenure, tick, 7, null, List.of());
-    assertEquals(copy, m.hasNewerUnsolicitedReport(r));
+  void aReportOlderThanAnUnsolicitedOneIsADuplicate(long session, long tick, boolean duplicate) {
+    Machine machine = new Machine("m", 0, x -> {});
+    Report unsolicited = new Report("m", "a", "t", "z", false, 1, 5, 7, null, List.of());
+    machine.updateCommandReachability(
+        unsolicited, machine.receiveReport(unsolicited, 7, 1), false, LEASE_MS, 1);
+    Report report = new Report("m", "a", "t", "z", false, session, tick, 7, null, List.of());
+    assertEquals(duplicate, machine.hasNewerUnsolicitedReport(report));
   }
 
   /**
@@ -93,28 +95,29 @@
     "h1:1/1 a2 d30:2/5 d40:2/6,    30",
     "h1:1/1 a2 d30:2/5 d60:3/6 a61, 61",
   })
-  void aNewSessionIsANewLease(String events, long baseS) {
-    Machine m = new Machine("m", 0, x -> {});
-    long heardMs = 0;
-    for (String e : events.split(" ")) {
-      String[] p = e.substring(1).split("[:/]");
-      long now = Long.parseLong(p[0]) * 1000;
-      if (e.startsWith("a")) {
-        m.recordAnswer(now, 7);
+  void theLeaseIsCountedFromTheLastAnswerOrTheStartOfTheSession(
+      String events, long expectedRenewalS) {
+    Machine machine = new Machine("m", 0, x -> {});
+    long lastReportMs = 0;
+    for (String event : events.split(" ")) {
+      String[] fields = event.substring(1).split("[:/]");
+      long nowMs = Long.parseLong(fields[0]) * 1000;
+      if (event.startsWith("a")) {
+        machine.recordAnswer(nowMs, 7);
         continue;
       }
-      long tenure = Long.parseLong(p[1]);
-      long tick = Long.parseLong(p[2]);
-      Report r = new Report("m", "a", "t", "z", false, tenure, tick, 7, null, List.of());
-      if (e.startsWith("h")) {
-        m.receiveReport(r, 7, now);
-        heardMs = now;
+      long session = Long.parseLong(fields[1]);
+      long tick = Long.parseLong(fields[2]);
+      Report report = new Report("m", "a", "t", "z", false, session, tick, 7, null, List.of());
+      if (event.startsWith("h")) {
+        machine.receiveReport(report, 7, nowMs);
+        lastReportMs = nowMs;
       } else {
-        m.receiveReply(r, 7, now);
+        machine.receiveReply(report, 7, nowMs);
       }
     }
-    assertEquals(baseS * 1000, m.latestLeaseRenewalMs());
+    assertEquals(expectedRenewalS * 1000, machine.latestLeaseRenewalMs());
     // What it answers to commands is no report.
-    assertEquals(heardMs, m.silentSinceMs());
+    assertEquals(lastReportMs, machine.silentSinceMs());
   }
 }
--- /dev/null
+++ b/src/test/java/wickdrift/bookkeeping/StoredRecordsTest.java
@@ -0,0 +1,467 @@
+package wickdrift.bookkeeping;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import wickdrift.bookkeeping.level.Encoding;
+import wickdrift.bookkeeping.level.LevelRange;
+import wickdrift.protocol.BadMessage;
+import wickdrift.protocol.Document;
+import wickdrift.protocol.JobSpec;
+import wickdrift.protocol.MessageCodec;
+import wickdrift.sim.SimJobs;
+
+class StoredRecordsTest {
+  private static Document toDocument(Map<String, Object> m) throws BadMessage {
+    return Document.parse(MessageCodec.encode(m));
+  }
+
+  private static Object encodeAndDecode(Object value) throws BadMessage {
+    return MessageCodec.decode(MessageCodec.encode(value));
+  }
+
+  private static final String JOB = "req-000001";
+  private static final String JOB_KEY = "w/j/" + JOB;
+
+  private static StateServiceClient.Change jobChange(String shape, int tasks) throws BadMessage {
+    JobSpec s = JobSpec.parse(toDocument(SimJobs.job(1, shape, tasks, 1, 10)));
+    return new StateServiceClient.Change(
+        JOB_KEY, encodeAndDecode(Job.toStore(s, null, 5, "n0", 0)), 3);
+  }
+
+  private static Tables tablesWithJob(int tasks) throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    applyChanges(tables, jobChange("batch", tasks));
+    return tables;
+  }
+
+  private static Job jobChange(Tables tables, int number) {
+    try {
+      JobSpec s = JobSpec.parse(toDocument(SimJobs.job(number, "batch", 9, 1, 10)));
+      applyChanges(
+          tables,
+          new StateServiceClient.Change(
+              Job.key(s.id()), encodeAndDecode(Job.toStore(s, null, 5, "n0", 0)), number));
+      return tables.job(s.id());
+    } catch (BadMessage e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  private static void applyChanges(Tables tables, StateServiceClient.Change... changes) {
+    tables.apply(List.of(changes), changes[changes.length - 1].stamp());
+  }
+
+  private static StateServiceClient.Change pageWith(
+      Tables tables, String node, long stamp, List<Object> entry) throws BadMessage {
+    var last = tables.logPages(node).lastEntry();
+    LogPage previous = last == null ? null : last.getValue();
+    Object value = LogPage.encode(previous, 1, List.of(entry), (r, e) -> false);
+    return new StateServiceClient.Change(LogPage.key(node, 1), encodeAndDecode(value), stamp);
+  }
+
+  private static List<Object> entry(List<Object> head, Object... rest) {
+    head.addAll(List.of(rest));
+    return head;
+  }
+
+  @Test
+  void aChunkIsReadBackAsWritten() throws BadMessage {
+    Tables tables = tablesWithJob(100);
+    Job job = tables.job(JOB);
+    Machine machine = tables.getOrCreateMachine("i-1");
+    Map<Integer, TaskState> states = new HashMap<>();
+    for (int i = 64; i < 100; i++) {
+      states.put(i, i % 3 == 0 ? TaskState.FINISHED : TaskState.NEW);
+    }
+    states.put(70, TaskState.NEW.placed(4, machine, 2).stopping(TaskState.Stop.SAVE));
+    states.put(71, TaskState.waiting(9));
+    StateServiceClient.Change chunk =
+        new StateServiceClient.Change(
+            "w/t/req-000001/1", encodeAndDecode(job.encodeChunk(1, 9, states::get)), 10);
+    tables.reset();
+    tables.load(List.of(jobChange("batch", 100), chunk), 12);
+    Job reloaded = tables.job(JOB);
+    for (int i = 64; i < 100; i++) {
+      assertEquals(states.get(i).phase(), reloaded.task(i).phase(), "task " + i);
+      assertEquals(states.get(i).attempt(), reloaded.task(i).attempt(), "task " + i);
+      assertEquals(states.get(i).stop(), reloaded.task(i).stop(), "task " + i);
+    }
+    assertEquals(1, reloaded.liveCount());
+    assertEquals(1, tables.getOrCreateMachine("i-1").slots().size());
+    assertEquals(1.0, tables.usage().placedBy("vision", 2).gpus());
+    assertEquals(12, reloaded.doneCount());
+  }
+
+  /** 100,000 tasks must fit: a chunk of nothing but live attempts stays below the least limit. */
+  @Test
+  void aChunkOfLiveTasksFitsIntoTheSmallestValueLimit() throws BadMessage {
+    Tables tables = tablesWithJob(JobSpec.MAX_TASKS);
+    Job job = tables.job(JOB);
+    Machine machine = tables.getOrCreateMachine("i-123456");
+    TaskState live = TaskState.NEW.placed(123, machine, 2).stopping(TaskState.Stop.KILL);
+    int last = job.chunkCount() - 1;
+    int jsonBytes = MessageCodec.jsonSize(job.encodeChunk(last - 1, 123_456_789, i -> live));
+    assertTrue(jsonBytes < 4096, "a chunk takes " + jsonBytes);
+  }
+
+  @Test
+  void chunksOfATerminatedJobAreOrphaned() throws BadMessage {
+    Tables tables = tablesWithJob(100);
+    Job job = tables.job(JOB);
+    applyChanges(
+        tables,
+        new StateServiceClient.Change(
+            "w/t/req-000001/1",
+            encodeAndDecode(job.encodeChunk(1, 3, i -> TaskState.FINISHED)),
+            4));
+    applyChanges(
+        tables,
+        new StateServiceClient.Change(
+            "w/d/req-000001", encodeAndDecode(Map.of("phase", "done")), 5),
+        new StateServiceClient.Change(JOB_KEY, null, 5));
+    assertNull(tables.job(JOB));
+    assertEquals("done", tables.terminalState(JOB).phase());
+    assertEquals("w/t/req-000001/1", tables.orphanedKeys().first());
+  }
+
+  @Test
+  void anUnreadableRecordDoesNotChangeTheJob() throws BadMessage {
+    Tables tables = tablesWithJob(2);
+    applyChanges(
+        tables, new StateServiceClient.Change(JOB_KEY, encodeAndDecode(Map.of("off", "maybe")), 9));
+    assertFalse(tables.job(JOB).withdrawn());
+    assertEquals(3, tables.job(JOB).stamp());
+  }
+
+  // ---- logs ----
+
+  /**
+   * An exit that one node wrote follows on a placement that another wrote before it. Both pages
+   * come in one answer, the later first: applied as they come, the exit would be void and the task
+   * live for ever.
+   */
+  @Test
+  void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
+    Tables tables = tablesWithJob(2);
+    StateServiceClient.Change placed =
+        pageWith(tables, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    StateServiceClient.Change exited =
+        pageWith(tables, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
+    tables.apply(List.of(exited, placed), 11);
+    assertEquals(TaskState.Phase.DONE, tables.job(JOB).task(0).phase());
+    assertEquals(0, tables.getOrCreateMachine("i-1").slots().size());
+  }
+
+  /** Entries, one by one, and what the two tasks are after each. */
+  @Test
+  void entriesThatDoNotMatchTheStateHaveNoEffect() throws BadMessage {
+    Tables tables = tablesWithJob(2);
+    record Row(List<Object> entry, String expected) {}
+    List<Row> rows =
+        List.of(
+            new Row(entry(LogEntry.exited(JOB), 0, 1, 1), "WAITING0 WAITING0"),
+            new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1", 1, 1, "i-2"), "LIVE1 LIVE1"),
+            // Placed already: a second placement of it must not take effect.
+            new Row(entry(LogEntry.placed(JOB, 2), 0, 2, "i-9"), "LIVE1 LIVE1"),
+            new Row(entry(LogEntry.stopped(JOB, TaskState.Stop.SAVE), 0, 1), "LIVE1S LIVE1"),
+            // Of an attempt that is not the live one.
+            new Row(entry(LogEntry.exited(JOB), 1, 2, 1), "LIVE1S LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 0, 1, 0), "WAITING1 LIVE1"),
+            // An attempt's number is never used again.
+            new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1"), "WAITING1 LIVE1"),
+            new Row(entry(LogEntry.exited(JOB), 1, 1, 1), "WAITING1 DONE0"),
+            new Row(entry(LogEntry.placed(JOB, 1), 1, 5, "i-1"), "WAITING1 DONE0"));
+    long revision = 10;
+    for (Row row : rows) {
+      applyChanges(tables, pageWith(tables, "n0", revision++, row.entry));
+      String actual = "";
+      for (int i = 0; i < 2; i++) {
+        TaskState task = tables.job(JOB).task(i);
+        actual +=
+            " " + task.phase() + task.attempt() + (task.stop() == TaskState.Stop.NONE ? "" : "S");
+      }
+      assertEquals(row.expected, actual.trim(), row.entry.toString());
+    }
+  }
+
+  /** Two nodes report two members' ends at the same time; neither knows of the other's. */
+  @Test
+  void aGangIsDoneWhicheverNodesReportItsMembers() throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    applyChanges(tables, jobChange("ensemble", 2));
+    applyChanges(
+        tables,
+        pageWith(tables, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1", 1, 1, "i-2")));
+    applyChanges(tables, pageWith(tables, "n1", 11, entry(LogEntry.exited(JOB), 1, 1, 1)));
+    applyChanges(tables, pageWith(tables, "n2", 12, entry(LogEntry.exited(JOB), 0, 1, 0)));
+    assertEquals(2, tables.job(JOB).doneCount());
+  }
+
+  /** What was stored of a chunk stands for the entries that it holds, and for no later ones. */
+  @Test
+  void aLoadAppliesOnlyEntriesNewerThanTheChunk() throws BadMessage {
+    Tables tables = tablesWithJob(2);
+    applyChanges(tables, pageWith(tables, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1")));
+    Job job = tables.job(JOB);
+    StateServiceClient.Change chunk =
+        new StateServiceClient.Change(
+            job.chunkKey(0), encodeAndDecode(job.encodeChunk(0, 10, job::task)), 12);
+    StateServiceClient.Change exit =
+        pageWith(tables, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 0));
+    applyChanges(tables, exit);
+    applyChanges(tables, chunk);
+    StateServiceClient.Change secondPlacement =
+        pageWith(tables, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
+    applyChanges(tables, secondPlacement);
+    // The same from the start: the pages first, as they were read, then the rest.
+    Tables reloaded = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    reloaded.load(List.of(secondPlacement, exit, jobChange("batch", 2), chunk), 13);
+    for (Tables copy : List.of(tables, reloaded)) {
+      assertEquals(2, copy.job(JOB).task(0).attempt());
+      assertEquals("i-2", copy.job(JOB).task(0).machine().name());
+      assertEquals(1, copy.getOrCreateMachine("i-2").slots().size());
+      assertEquals(0, copy.getOrCreateMachine("i-1").slots().size());
+    }
+  }
+
+  /** Pages are listed one after the other: what is newer than the first waits for its turn. */
+  @Test
+  void aLoadLeavesEntriesNewerThanItsRevisionToTheWatch() throws BadMessage {
+    Tables tables = tablesWithJob(2);
+    StateServiceClient.Change exit =
+        pageWith(tables, "n1", 11, entry(LogEntry.exited(JOB), 0, 1, 1));
+    StateServiceClient.Change placed =
+        pageWith(tables, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
+    Tables reloaded = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
+    reloaded.load(List.of(exit, jobChange("batch", 2)), 9);
+    assertEquals(TaskState.Phase.WAITING, reloaded.job(JOB).task(0).phase());
+    reloaded.apply(List.of(placed, exit), 11);
+    assertEquals(TaskState.Phase.DONE, reloaded.job(JOB).task(0).phase());
+  }
+
+  /** The phases of a machine as its entries come, from whichever node; ! marks a void one. */
+  @ParameterizedTest
+  @CsvSource({
+    "BOOTING UP LOST UP DRAINING GONE, GONE",
+    "UP BOOTING, UP",
+    "UP GONE UP, GONE",
+    "UP DRAINING UP LOST, DRAINING",
+    "BOOTING GONE DRAINING, GONE",
+  })
+  void aMachineTakesOnlyAllowedPhaseTransitions(String phases, Machine.Phase expected)
+      throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    long revision = 1;
+    for (String phase : phases.split(" ")) {
+      Machine.Info info = new Machine.Info("g4", "a", false, Machine.Phase.valueOf(phase), 5);
+      applyChanges(
+          tables,
+          pageWith(tables, "n" + revision % 3, ++revision, LogEntry.machine("i-000001", info)));
+    }
+    assertEquals(expected, tables.machine("i-000001").phase());
+  }
+
+  @Test
+  void invalidTaskTransitionsAreRefused() {
+    Machine machine = new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("i");
+    TaskState live = TaskState.NEW.placed(1, machine, 0);
+    assertThrows(IllegalStateException.class, () -> live.placed(2, machine, 0));
+    assertThrows(IllegalStateException.class, () -> TaskState.waiting(3).placed(3, machine, 0));
+    assertThrows(IllegalStateException.class, () -> TaskState.FINISHED.exited("error"));
+    assertThrows(IllegalStateException.class, () -> TaskState.NEW.stopping(TaskState.Stop.KILL));
+    assertEquals(TaskState.FINISHED, live.exited("done"));
+    assertEquals(TaskState.waiting(1), live.exited(null));
+    // A stop only gets harder.
+    TaskState killed = live.stopping(TaskState.Stop.KILL);
+    assertEquals(killed, killed.stopping(TaskState.Stop.SAVE));
+  }
+
+  /**
+   * Exits in their order: the job, the machine, and + for one that was done. Then for how many
+   * seconds machine 1 is shunned, and whether job a is taken for one that fails everywhere.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "a1, 10, false",
+    "a1 a1 a1, 10, false",
+    "a1 b1, 120, false",
+    "a1 b1 c1, 240, false",
+    "a1 b1+ c1, 10, false",
+    "a1 b1 c1+, 0, false",
+    // A job with a mistake fails wherever it runs: no machine is shunned for it.
+    "a1 a2, 0, true",
+    "a1 a2 b1, 10, true",
+    // Both at once: a is taken for faulty, and the machine still fails two others.
+    "a1 a2 b1 c1, 120, true",
+    // It had met two faulty machines: once a task of it is done elsewhere, both are shunned.
+    "a1 a2 b1 a3+, 120, false",
+  })
+  void failuresAreAttributedToTheMachineOrToTheJob(
+      String exits, long quarantineS, boolean suspected) {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    Map<Character, Job> jobs = new TreeMap<>();
+    for (String exit : exits.split(" ")) {
+      Job job = jobs.computeIfAbsent(exit.charAt(0), k -> jobChange(tables, k));
+      int index = job.doneCount();
+      int attempt = job.task(index).attempt() + 1;
+      assertTrue(
+          job.applyPlacement(index, attempt, tables.getOrCreateMachine("i-" + exit.charAt(1)), 0));
+      assertTrue(
+          job.applyExit(
+              index, attempt, exit.endsWith("+") ? LogEntry.EXIT_DONE : LogEntry.EXIT_FAILED));
+    }
+    assertEquals(quarantineS * 1000, tables.getOrCreateMachine("i-1").quarantinedUntilMs(0));
+    assertEquals(suspected, jobs.get('a').isSuspected());
+  }
+
+  /** A suspect's tries are further and further apart, and failures of one wave count once. */
+  @Test
+  void aSuspectedJobIsRetriedWithIncreasingDelay() {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    Job job = jobChange(tables, 1);
+    long nowMs = 1_000_000;
+    for (int i = 0; i < 2; i++) {
+      assertTrue(job.applyPlacement(i, 1, tables.getOrCreateMachine("i-" + i), 0));
+      assertTrue(job.applyExit(i, 1, LogEntry.EXIT_FAILED));
+    }
+    for (long delayS : new long[] {4, 8, 16, 32, 64, 64}) {
+      job.backOffAfterFailures(nowMs);
+      job.backOffAfterFailures(nowMs + 1);
+      assertEquals(nowMs + delayS * 1000, job.retryAtMs());
+      nowMs = job.retryAtMs();
+      int attempt = job.task(0).attempt() + 1;
+      assertTrue(job.applyPlacement(0, attempt, tables.getOrCreateMachine("i-3"), 0));
+      assertTrue(job.applyExit(0, attempt, LogEntry.EXIT_FAILED));
+    }
+  }
+
+  private static Map<String, String> members(String s) {
+    Map<String, String> m = new TreeMap<>();
+    if (s != null) {
+      for (String p : s.split(" ")) {
+        m.put(p.substring(0, 1), p.substring(1));
+      }
+    }
+    return m;
+  }
+
+  /** Members as name and incarnation; the expected view as epoch and leader, or - for no change. */
+  @ParameterizedTest(name = "{0}, leader {1}, live {2}: {3}")
+  @CsvSource({
+    "a1 b1 c1, a, a1 b1 c1, -",
+    "a1 b1 c1, a, , -",
+    "a1 b1 c1, a, a1 b1, 8a",
+    "a1 b1 c1, a, b1 c1, 8b",
+    // The leader came back as another incarnation: it has to settle first, so another leads.
+    "a1 b1 c1, a, a2 b1 c1, 8b",
+    // All are new: someone must lead.
+    "a1 b1 c1, a, a2 b2 c2, 8a",
+    "b1, b, a1 b1, 8b",
+  })
+  void theNextViewFollowsTheLiveMembers(
+      String members, String leader, String live, String expected) {
+    View view = new View(7, members(members), leader);
+    View next = View.next(view, members(live), Map.of());
+    assertEquals(expected, next == null ? "-" : next.epoch() + next.leader());
+  }
+
+  /** Rendezvous: a member's going moves its own machines and no others. */
+  @Test
+  void onlyMachinesOfTheLostMemberChangeOwner() {
+    View all = new View(1, members("a1 b1 c1"), "a");
+    View remaining = new View(2, members("a1 b1"), "a");
+    int moved = 0;
+    Map<String, Integer> partitionSizes = new HashMap<>();
+    for (int i = 0; i < 300; i++) {
+      String name = String.format("i-%06d", i);
+      partitionSizes.merge(all.owner(name), 1, Integer::sum);
+      if (all.owner(name).equals("c")) {
+        moved++;
+        assertNotEquals("c", remaining.owner(name));
+      } else {
+        assertEquals(all.owner(name), remaining.owner(name));
+      }
+    }
+    assertTrue(moved > 60, "parts are uneven: " + partitionSizes);
+  }
+
+  /** A machine's owner is in its own zone, unless that has none, or too few for so many. */
+  @ParameterizedTest(name = "{0} in {1}, machine in {2}: {3}")
+  @CsvSource({
+    "a1 b1 c1, x y y, x, a",
+    "a1 b1 c1, x y y, y, b c",
+    "a1 b1 c1, x y y, z, a b c",
+    "a1 b1 c1, x y y, , a b c",
+    "a1 b1 c1 d1 e1, x y y y y, x, a b c d e",
+    "a1 b1 c1 d1 e1, x y y y y, y, b c d e",
+    "b1 c1, y y, x, b c",
+  })
+  void machinesAreOwnedByMembersOfTheirZone(
+      String members, String zones, String zone, String owners) {
+    Map<String, String> zoneByMember = new HashMap<>();
+    String[] memberList = members.split(" ");
+    for (int i = 0; i < memberList.length; i++) {
+      zoneByMember.put(memberList[i].substring(0, 1), zones.split(" ")[i]);
+    }
+    View view = new View(1, members(members), "a", zoneByMember);
+    Set<String> actualOwners = new TreeSet<>();
+    for (int i = 0; i < 200; i++) {
+      actualOwners.add(view.owner(String.format("i-%06d", i), zone));
+    }
+    assertEquals(owners, String.join(" ", actualOwners));
+  }
+
+  /**
+   * A chunk of 64 tasks that all run, with names and attempts so long that it would not fit: each
+   * machine is named once, and it is read as what it was.
+   */
+  @ParameterizedTest
+  @CsvSource({"1800, 8, 9, 2", "1800, 30, 9, 3", "1400, 8, 99999, 3", "1000, 8, 9, 3"})
+  void aChunkIsEncodedWithinTheValueLimit(
+      int maxBytes, int nameLength, int attempt, int encodingVersion) throws BadMessage {
+    Tables tables = tablesWithJob(64);
+    Job job = tables.job(JOB);
+    List<Object> placed = LogEntry.placed(JOB, 3);
+    for (int i = 0; i < 64; i++) {
+      String name = "i-" + "0".repeat(nameLength - 4) + (10 + i / 4);
+      placed.addAll(List.of(i, i % 5 == 0 ? attempt : 1, name));
+    }
+    tables.apply(
+        List.of(
+            new StateServiceClient.Change(
+                LogPage.key("n0", 1),
+                encodeAndDecode(LogPage.encode(null, 2, List.of(placed), (r, e) -> false)),
+                20)),
+        20);
+    assertEquals(64, job.liveCount());
+    Object stored = job.chunkToStore(0, 21, job::task, 2, maxBytes);
+    assertEquals(encodingVersion, Encoding.versionOf(encodeAndDecode(stored)));
+    assertTrue(MessageCodec.jsonSize(stored) <= maxBytes, "size " + MessageCodec.jsonSize(stored));
+    Tables reloaded = tablesWithJob(64);
+    reloaded.load(
+        List.of(
+            jobChange("batch", 64),
+            new StateServiceClient.Change(job.chunkKey(0), encodeAndDecode(stored), 21)),
+        21);
+    for (int i = 0; i < 64; i++) {
+      assertEquals(job.task(i).attempt(), reloaded.job(JOB).task(i).attempt());
+      assertEquals(job.task(i).machine().name(), reloaded.job(JOB).task(i).machine().name());
+      assertEquals(3, reloaded.job(JOB).task(i).placer());
+    }
+  }
+}
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -16,17 +16,17 @@
 
 /** When the level may rise, and what of it is malformed. */
 class LevelUpgradeTest {
-  private static Document doc(Map<String, Object> m) throws BadMessage {
+  private static Document toDocument(Map<String, Object> m) throws BadMessage {
     return Document.parse(MessageCodec.encode(m));
   }
 
   /** Names with the most that they speak: {@code a2 b1}. */
-  private static Map<String, Integer> levels(String text) {
-    Map<String, Integer> out = new TreeMap<>();
+  private static Map<String, Integer> parseLevels(String text) {
+    Map<String, Integer> maxLevels = new TreeMap<>();
     for (String s : text == null ? new String[0] : text.split(" ")) {
-      out.put(s.substring(0, 1), Integer.parseInt(s.substring(1)));
+      maxLevels.put(s.substring(0, 1), Integer.parseInt(s.substring(1)));
     }
-    return out;
+    return maxLevels;
   }
 
   @ParameterizedTest(name = "{0}: there {1}, announced {2}, named {3}, said {4}, done {5}")
@@ -61,86 +61,95 @@
     "3, a4 b4,    a4 b4 c3, a b c, ,          2, 3, c is down and spoke levels 1 to 3",
     "3, a4 b4 c4, a4 b4 c4, a b c, held awaits, 2, 3, gate awaits is held back"
   })
-  void theLevelRisesWhenAllThatMayActSpeakIt(
-      int now,
-      String there,
+  void theLevelIsUpgradedWhenAllControllersThatMayActSupportIt(
+      int currentLevel,
+      String liveNodes,
       String announced,
-      String named,
-      String said,
-      int done,
-      int then,
-      String why)
+      String configuredNodes,
+      String override,
+      int convertedLevel,
+      int expectedLevel,
+      String blocker)
       throws BadMessage {
     NodeRegistry registry = new NodeRegistry(List.of("a", "b", "c"));
     int stamp = 10;
-    for (Map.Entry<String, Integer> e : levels(announced).entrySet()) {
-      int n = e.getKey().charAt(0) - 'a';
+    for (Map.Entry<String, Integer> e : parseLevels(announced).entrySet()) {
+      int number = e.getKey().charAt(0) - 'a';
       List<String> peers = e.getKey().equals("d") ? List.of("d", "e") : List.of(e.getKey());
-      NodeRecord a = NodeRecord.create(n, e.getKey(), new LevelRange(1, e.getValue()), peers);
-      registry.apply("" + n, doc(a.toStore()), stamp++);
+      NodeRecord nodeRecord =
+          NodeRecord.create(number, e.getKey(), new LevelRange(1, e.getValue()), peers);
+      registry.apply("" + number, toDocument(nodeRecord.toStore()), stamp++);
     }
-    if (said != null) {
-      String[] word = said.split(" ");
-      OperatorOverrides w =
-          word[0].equals("held")
-              ? OperatorOverrides.NONE.withGateHeld(word[1], true)
-              : OperatorOverrides.NONE.withNodeIgnored(word[1], true);
-      registry.apply("word", doc(w.toStore()), 30);
+    if (override != null) {
+      String[] overrideFields = override.split(" ");
+      OperatorOverrides overrides =
+          overrideFields[0].equals("held")
+              ? OperatorOverrides.NONE.withGateHeld(overrideFields[1], true)
+              : OperatorOverrides.NONE.withNodeIgnored(overrideFields[1], true);
+      registry.apply("word", toDocument(overrides.toStore()), 30);
     }
-    if (done > 0) {
-      registry.apply("done", doc(NodeRegistry.encodeConvertedLevel(done)), 31);
+    if (convertedLevel > 0) {
+      registry.apply("done", toDocument(NodeRegistry.encodeConvertedLevel(convertedLevel)), 31);
     }
     Map<String, LevelRange> live = new TreeMap<>();
-    levels(there).forEach((n, most) -> live.put(n, new LevelRange(1, most)));
-    LevelUpgrade r =
-        LevelUpgrade.evaluate(now, new LevelRange(1, 5), live, List.of(named.split(" ")), registry);
-    assertEquals(then, r.level());
-    assertEquals(why.isEmpty() ? List.of() : List.of(why), r.blockers());
-    if (then > now) {
-      assertEquals(said == null ? 0L : 30L, r.conditions().get(OperatorOverrides.KEY));
-      for (String n : levels(announced).keySet()) {
+    parseLevels(liveNodes).forEach((number, most) -> live.put(number, new LevelRange(1, most)));
+    LevelUpgrade upgrade =
+        LevelUpgrade.evaluate(
+            currentLevel,
+            new LevelRange(1, 5),
+            live,
+            List.of(configuredNodes.split(" ")),
+            registry);
+    assertEquals(expectedLevel, upgrade.level());
+    assertEquals(blocker.isEmpty() ? List.of() : List.of(blocker), upgrade.blockers());
+    if (expectedLevel > currentLevel) {
+      assertEquals(override == null ? 0L : 30L, upgrade.conditions().get(OperatorOverrides.KEY));
+      for (String number : parseLevels(announced).keySet()) {
         // Of one that is down: that it has not come back, nor announced anything else.
-        boolean asked = r.conditions().containsKey("w/m/" + n);
-        assertEquals(!live.containsKey(n) && List.of(named.split(" ")).contains(n), asked, n);
+        boolean conditional = upgrade.conditions().containsKey("w/m/" + number);
+        assertEquals(
+            !live.containsKey(number) && List.of(configuredNodes.split(" ")).contains(number),
+            conditional,
+            number);
       }
     }
   }
 
   @ParameterizedTest
   @CsvSource({"0, 1", "2, 1", "-1, 2", "1, 99999999999", "1, ", ", 2"})
-  void aRangeThatIsNoneIsRefused(Long least, Long most) throws BadMessage {
-    Map<String, Object> m = new TreeMap<>();
-    if (least != null) {
-      m.put("least", least);
+  void anInvalidLevelRangeIsRefused(Long min, Long max) throws BadMessage {
+    Map<String, Object> fields = new TreeMap<>();
+    if (min != null) {
+      fields.put("least", min);
     }
-    if (most != null) {
-      m.put("most", most);
+    if (max != null) {
+      fields.put("most", max);
     }
-    Document d = doc(m);
-    assertThrows(BadMessage.class, () -> LevelRange.parse(d));
+    Document document = toDocument(fields);
+    assertThrows(BadMessage.class, () -> LevelRange.parse(document));
   }
 
   /** What is malformed leaves the roster as it was. */
   @ParameterizedTest
   @CsvSource({"70000, number", "what, number", "list, names one twice", "word, not a list"})
-  void aMalformedRecordOfTheRosterIsRefused(String name, String why) throws BadMessage {
+  void aMalformedRegistryRecordIsRefused(String key, String reason) throws BadMessage {
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
-    Document d =
-        doc(Map.of("name", "x", "peers", List.of(), "names", List.of("a", "a"), "held", 7L));
-    BadMessage e = assertThrows(BadMessage.class, () -> registry.apply(name, d, 5));
-    assertTrue(e.getMessage().contains(why), e.getMessage());
+    Document document =
+        toDocument(Map.of("name", "x", "peers", List.of(), "names", List.of("a", "a"), "held", 7L));
+    BadMessage e = assertThrows(BadMessage.class, () -> registry.apply(key, document, 5));
+    assertTrue(e.getMessage().contains(reason), e.getMessage());
     assertEquals(List.of("a", "b"), registry.initialNames());
     assertEquals(OperatorOverrides.NONE, registry.overrides());
   }
 
   /** A number is never given twice, whoever is gone. */
   @Test
-  void aNumberIsNeverGivenTwice() throws BadMessage {
+  void nodeNumbersAreNeverReused() throws BadMessage {
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
-    registry.apply("list", doc(NodeRegistry.encodeInitialNames(List.of("a", "b", "c"))), 1);
+    registry.apply("list", toDocument(NodeRegistry.encodeInitialNames(List.of("a", "b", "c"))), 1);
     assertEquals(3, registry.nextNumber());
     registry.apply(
-        "7", doc(NodeRecord.create(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
+        "7", toDocument(NodeRecord.create(7, "z", LevelRange.BUILD, List.of("z")).toStore()), 2);
     assertEquals(8, registry.nextNumber());
     assertEquals(7, registry.numberOf("z"));
     assertEquals("c", registry.name(2));
--- a/src/test/java/wickdrift/coordination/AdmissionQueueTest.java
+++ b/src/test/java/wickdrift/coordination/AdmissionQueueTest.java
@@ -19,12 +19,12 @@
 /** Who is let in next, and who makes way when the door is full. */
 class AdmissionQueueTest {
   /** Written as {@code team/class/rank}. */
-  private static JobSpec spec(String who) {
-    String[] w = who.split("/");
+  private static JobSpec spec(String submission) {
+    String[] fields = submission.split("/");
     Map<String, Object> job = SimJobs.job(1, "batch", 1, 1, 5);
-    job.put("owner", w[0]);
-    job.put("jobclass", w[1]);
-    job.put("rank", w[2]);
+    job.put("owner", fields[0]);
+    job.put("jobclass", fields[1]);
+    job.put("rank", fields[2]);
     try {
       return JobSpec.parse(Document.parse(MessageCodec.encode(job)));
     } catch (BadMessage e) {
@@ -32,21 +32,21 @@
     }
   }
 
-  private static AdmissionQueue<String> door(int most, String... waiting) {
-    AdmissionQueue<String> d = new AdmissionQueue<>(most);
-    for (String w : waiting) {
-      d.offer(spec(w), w);
+  private static AdmissionQueue<String> queueOf(int capacity, String... waiting) {
+    AdmissionQueue<String> queue = new AdmissionQueue<>(capacity);
+    for (String submission : waiting) {
+      queue.offer(spec(submission), submission);
     }
-    return d;
+    return queue;
   }
 
-  private static String order(AdmissionQueue<String> d, int n) {
-    StringBuilder b = new StringBuilder();
-    for (int i = 0; i < n; i++) {
-      String s = d.poll();
-      b.append(s == null ? "-" : s.substring(0, 1));
+  private static String pollFirstLetters(AdmissionQueue<String> queue, int count) {
+    StringBuilder order = new StringBuilder();
+    for (int i = 0; i < count; i++) {
+      String submission = queue.poll();
+      order.append(submission == null ? "-" : submission.substring(0, 1));
     }
-    return b.toString();
+    return order.toString();
   }
 
   /** Who waits, in the order in which they came, by team; and in which order they leave. */
@@ -58,62 +58,63 @@
     "aaaabbb, abababa",
     "aabbcc, abcabc"
   })
-  void teamsOfOneRankTakeTurns(String came, String leave) {
-    AdmissionQueue<String> d = new AdmissionQueue<>(99);
-    for (char c : came.toCharArray()) {
-      d.offer(spec(c + "/x/standard"), c + "/x/standard");
+  void teamsOfOnePriorityAlternate(String arrivals, String expectedOrder) {
+    AdmissionQueue<String> queue = new AdmissionQueue<>(99);
+    for (char team : arrivals.toCharArray()) {
+      queue.offer(spec(team + "/x/standard"), team + "/x/standard");
     }
-    assertEquals(leave, order(d, leave.length()));
+    assertEquals(expectedOrder, pollFirstLetters(queue, expectedOrder.length()));
   }
 
   /** Higher ranks leave more often, and none waits for ever. */
   @Test
-  void ranksLeaveByWeight() {
-    AdmissionQueue<String> d = new AdmissionQueue<>(1000);
-    for (String rank : List.of("production", "urgent", "standard", "idle")) {
+  void prioritiesAreServedByWeight() {
+    AdmissionQueue<String> queue = new AdmissionQueue<>(1000);
+    for (String priority : List.of("production", "urgent", "standard", "idle")) {
       for (int i = 0; i < 100; i++) {
-        d.offer(spec("t/" + rank + "/" + rank), rank);
+        queue.offer(spec("t/" + priority + "/" + priority), priority);
       }
     }
-    Map<String, Integer> left = new HashMap<>();
+    Map<String, Integer> polledByPriority = new HashMap<>();
     for (int i = 0; i < 100; i++) {
-      left.merge(d.poll(), 1, Integer::sum);
+      polledByPriority.merge(queue.poll(), 1, Integer::sum);
     }
-    assertEquals(Map.of("production", 40, "urgent", 30, "standard", 20, "idle", 10), left);
+    assertEquals(
+        Map.of("production", 40, "urgent", 30, "standard", 20, "idle", 10), polledByPriority);
   }
 
   @Test
-  void whoComesAnewHasSavedUpNothing() {
-    AdmissionQueue<String> d =
-        door(99, "a/x/standard", "a/x/standard", "a/x/standard", "a/x/standard");
-    assertEquals("aaa", order(d, 3));
-    d.offer(spec("a/x/standard"), "a");
+  void aTeamGainsNoCreditWhileItHasNothingQueued() {
+    AdmissionQueue<String> queue =
+        queueOf(99, "a/x/standard", "a/x/standard", "a/x/standard", "a/x/standard");
+    assertEquals("aaa", pollFirstLetters(queue, 3));
+    queue.offer(spec("a/x/standard"), "a");
     for (int i = 0; i < 3; i++) {
-      d.offer(spec("b/x/standard"), "b");
+      queue.offer(spec("b/x/standard"), "b");
     }
     // Not three of b first, for the three that a has had while b was away.
-    assertEquals("babab", order(d, 5));
+    assertEquals("babab", pollFirstLetters(queue, 5));
   }
 
   @Test
-  void aSwarmMakesWayForAnother() {
-    AdmissionQueue<String> d = new AdmissionQueue<>(3);
+  void theLongestLineLosesItsLastSubmissionWhenTheQueueIsFull() {
+    AdmissionQueue<String> queue = new AdmissionQueue<>(3);
     for (String s : List.of("1", "2", "3")) {
-      assertNull(d.offer(spec("swarm/x/idle"), s));
+      assertNull(queue.offer(spec("swarm/x/idle"), s));
     }
-    assertEquals("4", d.offer(spec("swarm/x/idle"), "4"), "its own are no longer than itself");
-    assertEquals("3", d.offer(spec("other/y/idle"), "o"), "the last that the swarm sent");
-    assertEquals(3, d.size());
-    assertEquals("o12-", order(d, 4));
+    assertEquals("4", queue.offer(spec("swarm/x/idle"), "4"), "its own are no longer than itself");
+    assertEquals("3", queue.offer(spec("other/y/idle"), "o"), "the last that the swarm sent");
+    assertEquals(3, queue.size());
+    assertEquals("o12-", pollFirstLetters(queue, 4));
   }
 
   @Test
-  void whatCouldNotBeWrittenIsNextAgain() {
-    AdmissionQueue<String> d = door(99, "a/x/standard", "b/x/standard");
-    d.offer(spec("a/x/standard"), "second");
-    String first = d.poll();
-    d.returnToFront(spec("a/x/standard"), first);
-    assertEquals("abs", order(d, 3));
-    assertTrue(d.isEmpty());
+  void aReturnedSubmissionIsPolledFirst() {
+    AdmissionQueue<String> queue = queueOf(99, "a/x/standard", "b/x/standard");
+    queue.offer(spec("a/x/standard"), "second");
+    String first = queue.poll();
+    queue.returnToFront(spec("a/x/standard"), first);
+    assertEquals("abs", pollFirstLetters(queue, 3));
+    assertTrue(queue.isEmpty());
   }
 }
--- a/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
+++ b/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
@@ -40,35 +40,39 @@
     // Many of one do not keep the other's one job waiting.
     "a1 a1 a1 a1 a1 a1 b1, a1, , b1 a1 a1 a1 a1 a1 a1"
   })
-  void nextIsWhoHoldsLeast(String jobs, String held, String guaranteed, String order)
-      throws BadMessage {
-    Tables t = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    Map<String, List<Job>> lines = new LinkedHashMap<>();
+  void theTeamWithTheSmallestDominantShareIsNext(
+      String jobs, String held, String guaranteed, String order) throws BadMessage {
+    Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
+    Map<String, List<Job>> jobsByTeam = new LinkedHashMap<>();
     Map<Job, String> names = new LinkedHashMap<>();
-    int n = 0;
-    for (String j : jobs.split(" ")) {
-      Map<String, Object> m = SimJobs.job(++n, "batch", 1, j.charAt(1) - '0', 5);
-      m.put("owner", j.substring(0, 1));
-      m.put("cores", 0.0);
-      JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
-      Object v = MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, n, "n0", 0)));
-      t.apply(List.of(new StateServiceClient.Change(Job.key(s.id()), v, n)), n);
-      lines.computeIfAbsent(s.team(), k -> new ArrayList<>()).add(t.job(s.id()));
-      names.put(t.job(s.id()), j);
+    int number = 0;
+    for (String name : jobs.split(" ")) {
+      Map<String, Object> fields = SimJobs.job(++number, "batch", 1, name.charAt(1) - '0', 5);
+      fields.put("owner", name.substring(0, 1));
+      fields.put("cores", 0.0);
+      JobSpec spec = JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
+      Object stored =
+          MessageCodec.decode(MessageCodec.encode(Job.toStore(spec, null, number, "n0", 0)));
+      tables.apply(
+          List.of(new StateServiceClient.Change(Job.key(spec.id()), stored, number)), number);
+      jobsByTeam.computeIfAbsent(spec.team(), team -> new ArrayList<>()).add(tables.job(spec.id()));
+      names.put(tables.job(spec.id()), name);
     }
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    amounts(guaranteed).forEach((k, g) -> teams.put(k, new Settings.Team(k, 0, 0, g, 0)));
-    Map<String, Double> holds = amounts(held);
-    DominantShareOrder f =
-        new DominantShareOrder(lines, k -> new QuotaShare(0, holds.getOrDefault(k, 0.0)), teams);
-    StringBuilder got = new StringBuilder();
-    while (f.hasNext()) {
-      got.append(got.isEmpty() ? "" : " ").append(names.get(f.next()));
+    gpusByTeam(guaranteed)
+        .forEach((team, gpus) -> teams.put(team, new Settings.Team(team, 0, 0, gpus, 0)));
+    Map<String, Double> heldGpus = gpusByTeam(held);
+    DominantShareOrder shareOrder =
+        new DominantShareOrder(
+            jobsByTeam, team -> new QuotaShare(0, heldGpus.getOrDefault(team, 0.0)), teams);
+    StringBuilder actual = new StringBuilder();
+    while (shareOrder.hasNext()) {
+      actual.append(actual.isEmpty() ? "" : " ").append(names.get(shareOrder.next()));
     }
-    assertEquals(order, got.toString());
+    assertEquals(order, actual.toString());
   }
 
-  private static Map<String, Double> amounts(String text) {
+  private static Map<String, Double> gpusByTeam(String text) {
     Map<String, Double> out = new LinkedHashMap<>();
     for (String s : text == null ? new String[0] : text.split(" ")) {
       out.put(s.substring(0, 1), Double.parseDouble(s.substring(1)));
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -39,25 +39,26 @@
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
   /** Machines m1..mn of falling capability, with the given booked shares of their GPUs. */
-  private static CapacityIndex fleet(String loads) throws BadMessage {
+  private static CapacityIndex capacityOf(String loads) throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    CapacityIndex rooms = new CapacityIndex();
-    String[] parts = loads.trim().split(" +");
-    for (int i = 0; i < parts.length; i++) {
+    CapacityIndex capacity = new CapacityIndex();
+    String[] shares = loads.trim().split(" +");
+    for (int i = 0; i < shares.length; i++) {
       double gpus = 100 - i;
       TypeInfo t = new TypeInfo("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
-      Machine m = machine(tables, "m" + (i + 1));
-      rooms.put(m, t, "n0", 0);
-      rooms.book(rooms.find(m), spec(0, Double.parseDouble(parts[i]) * gpus));
+      Machine m = addMachine(tables, "m" + (i + 1));
+      capacity.put(m, t, "n0", 0);
+      capacity.book(capacity.find(m), spec(0, Double.parseDouble(shares[i]) * gpus));
     }
-    return rooms;
+    return capacity;
   }
 
-  private static Machine machine(Tables tables, String name) throws BadMessage {
-    return machine(tables, name, UP);
+  private static Machine addMachine(Tables tables, String name) throws BadMessage {
+    return addMachine(tables, name, UP);
   }
 
-  private static Machine machine(Tables tables, String name, Machine.Info info) throws BadMessage {
+  private static Machine addMachine(Tables tables, String name, Machine.Info info)
+      throws BadMessage {
     var v = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
     long rev = 1 + tables.machines().size();
     StateServiceClient.Change c =
@@ -85,16 +86,16 @@
     // Nowhere is room: it waits.
     "1.0 1.0 1.0, 1, -",
   })
-  void choosesTheLeastLoadedOfTheLowerHalf(String loads, double gpus, String expected)
+  void choosesTheLeastLoadedMachineOfTheLeastCapableHalf(String loads, double gpus, String expected)
       throws BadMessage {
-    FreeCapacity r = fleet(loads).choose(spec(0, gpus), c -> true);
+    FreeCapacity r = capacityOf(loads).choose(spec(0, gpus), c -> true);
     assertEquals(expected, r == null ? "-" : r.machine().name());
   }
 
   @Test
-  void ranksCountAllowedMachinesOnly() throws BadMessage {
+  void ranksCountOnlyAllowedMachines() throws BadMessage {
     FreeCapacity r =
-        fleet("0.0 0.1 0.2 0.3")
+        capacityOf("0.0 0.1 0.2 0.3")
             .choose(spec(0, 1), c -> c.type.name().equals("t0") || c.type.name().equals("t3"));
     // Two are allowed, so both ranks count and the emptier wins.
     assertEquals("m1", r.machine().name());
@@ -112,24 +113,24 @@
 
   /** A second image fetched beside the first only delays it: such a machine has no room for it. */
   @Test
-  void aFetchUnderWayIsNotShared() throws BadMessage {
-    CapacityIndex rooms = new CapacityIndex();
+  void aMachineThatFetchesAnotherImageIsNotChosen() throws BadMessage {
+    CapacityIndex capacity = new CapacityIndex();
     TypeInfo t = new TypeInfo("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    Machine m = machine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
-    rooms.put(m, t, "n0", 0);
+    Machine m = addMachine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
+    capacity.put(m, t, "n0", 0);
     JobSpec first = spec(1, 1);
-    rooms.book(rooms.find(m), first);
-    assertNull(rooms.choose(drawn(1, 1, "other"), c -> true));
-    assertEquals(rooms.find(m), rooms.choose(first, c -> true));
+    capacity.book(capacity.find(m), first);
+    assertNull(capacity.choose(specWithImage(1, 1, "other"), c -> true));
+    assertEquals(capacity.find(m), capacity.choose(first, c -> true));
   }
 
   // ---- the index against the rule written out ----
 
-  private static JobSpec drawn(double cpus, double gpus, String image) throws BadMessage {
-    return drawn("batch", cpus, gpus, image);
+  private static JobSpec specWithImage(double cpus, double gpus, String image) throws BadMessage {
+    return specWithImage("batch", cpus, gpus, image);
   }
 
-  private static JobSpec drawn(String shape, double cpus, double gpus, String image)
+  private static JobSpec specWithImage(String shape, double cpus, double gpus, String image)
       throws BadMessage {
     var m = SimJobs.job(2, shape, 1, gpus, 10);
     m.put("apart", false);
@@ -140,7 +141,7 @@
   }
 
   /** Judged by its load alone: even where all that is booked were of the task's smallest share. */
-  private static boolean tooFull(FreeCapacity r, JobSpec s) {
+  private static boolean isTooLoaded(FreeCapacity r, JobSpec s) {
     double share =
         Math.min(
             Math.min(s.cpus() / r.type().cpus(), s.gpus() / r.type().gpus()),
@@ -148,31 +149,31 @@
     return r.load() > 1 - share + FreeCapacity.EPS;
   }
 
-  private static int group(FreeCapacity r, JobSpec s) {
-    if (tooFull(r, s) || r.isFetching() && !r.hasImage(s)) {
+  private static int fitRank(FreeCapacity r, JobSpec s) {
+    if (isTooLoaded(r, s) || r.isFetching() && !r.hasImage(s)) {
       return 1;
     }
     return r.hasImage(s) ? 2 : 0;
   }
 
   /** Definition 3 with the sets of Lemma 1, over all machines, sorted anew. */
-  private static FreeCapacity plain(List<FreeCapacity> rooms, JobSpec s) {
+  private static FreeCapacity chooseByFullScan(List<FreeCapacity> capacity, JobSpec s) {
     List<FreeCapacity> eligible = new ArrayList<>();
-    rooms.stream().filter(r -> r.type().canHold(s)).forEach(eligible::add);
+    capacity.stream().filter(r -> r.type().canHold(s)).forEach(eligible::add);
     eligible.sort(
         Comparator.comparingDouble((FreeCapacity r) -> -r.type().gpus())
-            .thenComparingInt(r -> group(r, s))
+            .thenComparingInt(r -> fitRank(r, s))
             .thenComparingInt(r -> LoadIndex.bucket(r.load()))
             .thenComparing(r -> r.machine().info().zone())
             .thenComparingDouble(FreeCapacity::load)
             .thenComparingInt(r -> r.machine().number()));
-    int i = eligible.size();
-    int first = (i + 1) / 2 - 1;
+    int eligibleCount = eligible.size();
+    int first = (eligibleCount + 1) / 2 - 1;
     FreeCapacity best = null;
-    for (FreeCapacity r : eligible.subList(Math.max(0, first), i)) {
-      boolean less = best == null || r.load() < best.load() - FreeCapacity.EPS;
+    for (FreeCapacity r : eligible.subList(Math.max(0, first), eligibleCount)) {
+      boolean lessLoaded = best == null || r.load() < best.load() - FreeCapacity.EPS;
       boolean tie = best != null && Math.abs(r.load() - best.load()) <= FreeCapacity.EPS;
-      if (r.fitsWithFetch(s) && (less || tie && r.hasImage(s) && !best.hasImage(s))) {
+      if (r.fitsWithFetch(s) && (lessLoaded || tie && r.hasImage(s) && !best.hasImage(s))) {
         best = r;
       }
     }
@@ -180,12 +181,12 @@
       return best;
     }
     for (FreeCapacity r : eligible) {
-      boolean image = best != null && r.hasImage(s) && !best.hasImage(s);
-      boolean full =
+      boolean imageGained = best != null && r.hasImage(s) && !best.hasImage(s);
+      boolean moreLoaded =
           best != null
               && r.hasImage(s) == best.hasImage(s)
               && r.load() > best.load() + FreeCapacity.EPS;
-      if (r.fitsWithFetch(s) && (best == null || image || full)) {
+      if (r.fitsWithFetch(s) && (best == null || imageGained || moreLoaded)) {
         best = r;
       }
     }
@@ -193,48 +194,50 @@
   }
 
   /** What matters of a choice: its load and its image; the rest is a tie. */
-  private static String told(FreeCapacity r, JobSpec s) {
+  private static String describe(FreeCapacity r, JobSpec s) {
     return r == null ? "-" : Math.round(r.load() * 1e6) + " " + r.hasImage(s) + r.type().name();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theIndexChoosesAsTheRuleSays(int seed) throws BadMessage {
+  void theIndexChoosesAsTheFullScan(int seed) throws BadMessage {
     Random random = new Random(seed);
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    CapacityIndex rooms = new CapacityIndex();
+    CapacityIndex capacity = new CapacityIndex();
     List<FreeCapacity> all = new ArrayList<>();
-    int kinds = 1 + seed % 3;
+    int typeCount = 1 + seed % 3;
     for (int i = 0; i < 60; i++) {
-      int kind = random.nextInt(kinds);
-      TypeInfo t = new TypeInfo("t" + kind, 32, 8 - kind, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
+      int typeNumber = random.nextInt(typeCount);
+      TypeInfo type =
+          new TypeInfo(
+              "t" + typeNumber, 32, 8 - typeNumber, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
       Machine.Info info =
-          new Machine.Info(t.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
-      Machine m = machine(tables, "m" + i, info);
+          new Machine.Info(type.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
+      Machine machine = addMachine(tables, "m" + i, info);
       for (int k = random.nextInt(4); k > 0; k--) {
-        m.markImageReady("img" + random.nextInt(4), 1, 0);
+        machine.markImageReady("img" + random.nextInt(4), 1, 0);
       }
-      rooms.put(m, t, "n0", 0);
-      all.add(rooms.find(m));
+      capacity.put(machine, type, "n0", 0);
+      all.add(capacity.find(machine));
     }
     int placed = 0;
     for (int n = 0; n < 600; n++) {
-      JobSpec s =
-          drawn(
+      JobSpec spec =
+          specWithImage(
               random.nextBoolean() ? "batch" : "daemon",
               1 + random.nextInt(6),
               random.nextInt(4),
               "img" + random.nextInt(5));
-      FreeCapacity expected = plain(all, s);
-      FreeCapacity chosen = rooms.choose(s, c -> true);
-      assertEquals(told(expected, s), told(chosen, s), "choice " + n);
+      FreeCapacity expected = chooseByFullScan(all, spec);
+      FreeCapacity chosen = capacity.choose(spec, c -> true);
+      assertEquals(describe(expected, spec), describe(chosen, spec), "choice " + n);
       if (chosen != null && random.nextInt(5) > 0) {
-        rooms.book(chosen, s);
+        capacity.book(chosen, spec);
         placed++;
       }
       if (random.nextInt(10) == 0) {
         FreeCapacity r = all.get(random.nextInt(all.size()));
-        rooms.put(r.machine(), r.type(), "n0", 0);
+        capacity.put(r.machine(), r.type(), "n0", 0);
       }
     }
     assertTrue(placed > 100, "placed " + placed);
@@ -242,25 +245,25 @@
 
   /** Twenty times the machines: about the same work for a choice. */
   @Test
-  void aChoiceDoesNotLookAtAllMachines() throws BadMessage {
-    JobSpec s = drawn(5, 1, "img");
-    long[] looked = new long[2];
+  void aChoiceExaminesFewMachinesOfALargeFleet() throws BadMessage {
+    JobSpec spec = specWithImage(5, 1, "img");
+    long[] examined = new long[2];
     for (int k = 0; k < 2; k++) {
       Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-      CapacityIndex rooms = new CapacityIndex();
-      TypeInfo t = new TypeInfo("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
+      CapacityIndex capacity = new CapacityIndex();
+      TypeInfo type = new TypeInfo("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
       for (int i = 0; i < (k == 0 ? 60 : 1200); i++) {
-        Machine m = machine(tables, "m" + i);
-        m.markImageReady("img", 1, 0);
-        rooms.put(m, t, "n0", 0);
+        Machine machine = addMachine(tables, "m" + i);
+        machine.markImageReady("img", 1, 0);
+        capacity.put(machine, type, "n0", 0);
       }
-      long before = rooms.machinesExamined();
+      long before = capacity.machinesExamined();
       for (int n = 0; n < 100; n++) {
-        rooms.book(rooms.choose(s, c -> true), s);
+        capacity.book(capacity.choose(spec, c -> true), spec);
       }
-      looked[k] = rooms.machinesExamined() - before;
+      examined[k] = capacity.machinesExamined() - before;
     }
     // The border of the half lies within one 64th of load, so some are counted one by one.
-    assertTrue(looked[1] < 100 * 700, "looked at " + looked[1]);
+    assertTrue(examined[1] < 100 * 700, "looked at " + examined[1]);
   }
 }
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -25,23 +25,25 @@
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
   private final Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-  private long rev;
+  private long revision;
 
-  private void apply(String key, Object value) throws BadMessage {
-    rev++;
+  private void applyValue(String key, Object value) throws BadMessage {
+    revision++;
     StateServiceClient.Change c =
-        new StateServiceClient.Change(key, MessageCodec.decode(MessageCodec.encode(value)), rev);
-    tables.apply(List.of(c), rev);
+        new StateServiceClient.Change(
+            key, MessageCodec.decode(MessageCodec.encode(value)), revision);
+    tables.apply(List.of(c), revision);
   }
 
-  private void log(List<Object> entry) throws BadMessage {
-    apply(LogPage.key("n0", rev), LogPage.encode(null, 1, List.of(entry), (r, e) -> false));
+  private void applyLogEntry(List<Object> entry) throws BadMessage {
+    applyValue(
+        LogPage.key("n0", revision), LogPage.encode(null, 1, List.of(entry), (r, e) -> false));
   }
 
-  private static JobSpec spec(int number, String rank, double gpus, String image)
+  private static JobSpec spec(int number, String priority, double gpus, String image)
       throws BadMessage {
     var m = SimJobs.job(number, "batch", 1, gpus, 10);
-    m.put("rank", rank);
+    m.put("rank", priority);
     m.put("cores", 1.0);
     m.put("memoryGb", 1.0);
     m.put("bundle", image);
@@ -67,39 +69,45 @@
     // Least lost first, three machines at most.
     "idle4 / idle3 / idle2 / idle1, urgent, LOW, m3:1 m2:1 m1:1",
   })
-  void whatGivesWay(String machines, String rank, JobSpec.Priority strongest, String expected)
+  void theCheapestVictimsAreChosen(
+      String machines, String priority, JobSpec.Priority strongestVictim, String expected)
       throws BadMessage {
-    int job = 1;
-    List<FreeCapacity> rooms = new ArrayList<>();
-    String[] each = machines.split(" / ");
-    for (int i = 0; i < each.length; i++) {
-      log(LogEntry.machine("m" + i, UP));
-      for (String task : each[i].split(" ")) {
-        boolean image = task.endsWith("i");
-        String t = image ? task.substring(0, task.length() - 1) : task;
-        double gpus = t.charAt(t.length() - 1) - '0';
-        JobSpec s = spec(job++, t.substring(0, t.length() - 1), gpus, image ? "img" : "other");
-        apply(Job.key(s.id()), Job.toStore(s, null, 1, "n0", 0));
-        List<Object> placed = LogEntry.placed(s.id(), 0);
+    int jobNumber = 1;
+    List<FreeCapacity> capacities = new ArrayList<>();
+    String[] machineTasks = machines.split(" / ");
+    for (int i = 0; i < machineTasks.length; i++) {
+      applyLogEntry(LogEntry.machine("m" + i, UP));
+      for (String task : machineTasks[i].split(" ")) {
+        boolean hasImage = task.endsWith("i");
+        String priorityAndGpus = hasImage ? task.substring(0, task.length() - 1) : task;
+        double gpus = priorityAndGpus.charAt(priorityAndGpus.length() - 1) - '0';
+        JobSpec spec =
+            spec(
+                jobNumber++,
+                priorityAndGpus.substring(0, priorityAndGpus.length() - 1),
+                gpus,
+                hasImage ? "img" : "other");
+        applyValue(Job.key(spec.id()), Job.toStore(spec, null, 1, "n0", 0));
+        List<Object> placed = LogEntry.placed(spec.id(), 0);
         placed.addAll(List.of(0, 1, "m" + i));
-        log(placed);
+        applyLogEntry(placed);
       }
-      Machine m = tables.machine("m" + i);
-      m.updateImages(0, 100);
-      rooms.add(new FreeCapacity(m, TYPE));
+      Machine machine = tables.machine("m" + i);
+      machine.updateImages(0, 100);
+      capacities.add(new FreeCapacity(machine, TYPE));
     }
-    StringBuilder got = new StringBuilder();
-    for (Preemption.Choice c :
+    StringBuilder actual = new StringBuilder();
+    for (Preemption.Choice choice :
         Preemption.cheapestChoices(
-            rooms,
-            spec(99, rank, 4, "img"),
-            spec(99, rank, 4, "img").priority(),
-            strongest,
+            capacities,
+            spec(99, priority, 4, "img"),
+            spec(99, priority, 4, "img").priority(),
+            strongestVictim,
             0,
             3)) {
-      got.append(got.isEmpty() ? "" : " ").append(c.machine().name());
-      got.append(":").append(c.victims().size());
+      actual.append(actual.isEmpty() ? "" : " ").append(choice.machine().name());
+      actual.append(":").append(choice.victims().size());
     }
-    assertEquals(expected, got.toString());
+    assertEquals(expected, actual.toString());
   }
 }
--- a/src/test/java/wickdrift/coordination/QueuedDemandTest.java
+++ b/src/test/java/wickdrift/coordination/QueuedDemandTest.java
@@ -18,7 +18,7 @@
 
 /** What waits at a part is counted as room that is taken. */
 class QueuedDemandTest {
-  private static final String ID = "req-000001";
+  private static final String JOB_ID = "req-000001";
 
   private static JobSpec spec(int tasks, double gpus) throws Exception {
     return JobSpec.parse(
@@ -26,15 +26,16 @@
   }
 
   private final Tables tables = new Tables(List.of("n1", "n2"), LevelRange.BUILD, () -> {});
-  private long rev;
+  private long revision;
 
   /** The job as it is in the tables once that is durable. */
-  private Job job(String part, int tasks, double gpus) throws Exception {
-    Object value = Job.toStore(spec(tasks, gpus), null, 1, part, 0);
+  private Job storeJob(String partition, int tasks, double gpus) throws Exception {
+    Object value = Job.toStore(spec(tasks, gpus), null, 1, partition, 0);
     Object stored = MessageCodec.decode(MessageCodec.encode(value));
-    rev++;
-    tables.apply(List.of(new StateServiceClient.Change(Job.key(ID), stored, rev)), rev);
-    return tables.job(ID);
+    revision++;
+    tables.apply(
+        List.of(new StateServiceClient.Change(Job.key(JOB_ID), stored, revision)), revision);
+    return tables.job(JOB_ID);
   }
 
   /** SimWorld's tasks want 4 CPUs and 16 GB each. */
@@ -48,29 +49,31 @@
     "3, 1, 4, 3",
     "4, 2, 4, 4"
   })
-  void countsTheScarcest(int waiting, double gpus, double next, double tasks) throws Exception {
-    QueuedDemand p = new QueuedDemand();
-    p.update(job("n1", 9, gpus), waiting);
-    assertEquals(tasks, p.equivalentTasks(spec(1, next), "n1"), 1e-9);
-    assertEquals(0, p.equivalentTasks(spec(1, next), "n2"), 1e-9);
-    assertEquals(waiting, p.tasksWithImage(spec(1, next), "n1"));
+  void demandIsCountedByTheScarcestResource(
+      int waiting, double gpusPerTask, double nextGpusPerTask, double expectedTasks)
+      throws Exception {
+    QueuedDemand demand = new QueuedDemand();
+    demand.update(storeJob("n1", 9, gpusPerTask), waiting);
+    assertEquals(expectedTasks, demand.equivalentTasks(spec(1, nextGpusPerTask), "n1"), 1e-9);
+    assertEquals(0, demand.equivalentTasks(spec(1, nextGpusPerTask), "n2"), 1e-9);
+    assertEquals(waiting, demand.tasksWithImage(spec(1, nextGpusPerTask), "n1"));
   }
 
   @Test
-  void followsAJob() throws Exception {
-    QueuedDemand p = new QueuedDemand();
-    Job j = job("n1", 9, 1);
-    p.update(j, 9);
-    p.update(j, 4);
-    assertEquals(4, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
-    p.add(spec(2, 1), "n1");
-    assertEquals(6, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
+  void demandFollowsTheWaitingTasksAndThePartitionOfAJob() throws Exception {
+    QueuedDemand demand = new QueuedDemand();
+    Job job = storeJob("n1", 9, 1);
+    demand.update(job, 9);
+    demand.update(job, 4);
+    assertEquals(4, demand.equivalentTasks(spec(1, 1), "n1"), 1e-9);
+    demand.add(spec(2, 1), "n1");
+    assertEquals(6, demand.equivalentTasks(spec(1, 1), "n1"), 1e-9);
     // Handed to another part.
-    assertSame(j, job("n2", 9, 1));
-    p.update(j, 4);
-    assertEquals(2, p.equivalentTasks(spec(1, 1), "n1"), 1e-9);
-    assertEquals(4, p.equivalentTasks(spec(1, 1), "n2"), 1e-9);
-    p.update(j, 0);
-    assertEquals(0, p.equivalentTasks(spec(1, 1), "n2"), 1e-9);
+    assertSame(job, storeJob("n2", 9, 1));
+    demand.update(job, 4);
+    assertEquals(2, demand.equivalentTasks(spec(1, 1), "n1"), 1e-9);
+    assertEquals(4, demand.equivalentTasks(spec(1, 1), "n2"), 1e-9);
+    demand.update(job, 0);
+    assertEquals(0, demand.equivalentTasks(spec(1, 1), "n2"), 1e-9);
   }
 }
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -19,40 +19,41 @@
 import wickdrift.sim.SimJobs;
 
 class TransactionBuilderTest {
-  private static final int PAGE = 3600;
+  private static final int MAX_PAGE_BYTES = 3600;
 
   /** A gang starts in one transaction: a large one takes several pages of one revision. */
   @ParameterizedTest
   @CsvSource({"2, 1", "60, 1", "300, 2"})
-  void aGangOfAnySizeIsPlacedInOneTransaction(int size, int leastPages) throws BadMessage {
-    Tables t = new Tables(List.of("n0"), LevelRange.BUILD, () -> {});
-    JobSpec s =
+  void aGangOfAnySizeIsPlacedInOneTransaction(int size, int minPages) throws BadMessage {
+    Tables tables = new Tables(List.of("n0"), LevelRange.BUILD, () -> {});
+    JobSpec spec =
         JobSpec.parse(Document.parse(MessageCodec.encode(SimJobs.job(1, "ensemble", size, 1, 10))));
     Object record =
-        MessageCodec.decode(MessageCodec.encode(Job.toStore(s, null, 5, Job.LEADER_PARTITION, 0)));
-    t.apply(List.of(new StateServiceClient.Change("w/j/req-000001", record, 3)), 3);
-    Job job = t.job("req-000001");
-    TransactionBuilder d = new TransactionBuilder(t, "n0", 16, 16, PAGE);
-    assertTrue(d.fitsWholeGang(job, size, 3));
+        MessageCodec.decode(
+            MessageCodec.encode(Job.toStore(spec, null, 5, Job.LEADER_PARTITION, 0)));
+    tables.apply(List.of(new StateServiceClient.Change("w/j/req-000001", record, 3)), 3);
+    Job job = tables.job("req-000001");
+    TransactionBuilder builder = new TransactionBuilder(tables, "n0", 16, 16, MAX_PAGE_BYTES);
+    assertTrue(builder.fitsWholeGang(job, size, 3));
     for (int i = 0; i < size; i++) {
       String machine = String.format("i-%06d", i);
-      d.changeTask(job, i, x -> x.placed(1, t.getOrCreateMachine(machine), 0));
+      builder.changeTask(job, i, task -> task.placed(1, tables.getOrCreateMachine(machine), 0));
     }
-    List<StateServiceClient.Change> news = new ArrayList<>();
-    for (Object o : (List<?>) d.build().toRequest().get("then")) {
-      Document w = Document.of(o);
+    List<StateServiceClient.Change> changes = new ArrayList<>();
+    for (Object operation : (List<?>) builder.build().toRequest().get("then")) {
+      Document write = Document.of(operation);
       assertTrue(
-          MessageCodec.jsonSize(w.raw("v")) <= PAGE,
-          "a page takes " + MessageCodec.jsonSize(w.raw("v")));
-      Object v = MessageCodec.decode(MessageCodec.encode(w.raw("v")));
-      news.add(new StateServiceClient.Change(w.text("write"), v, 4));
+          MessageCodec.jsonSize(write.raw("v")) <= MAX_PAGE_BYTES,
+          "a page takes " + MessageCodec.jsonSize(write.raw("v")));
+      Object value = MessageCodec.decode(MessageCodec.encode(write.raw("v")));
+      changes.add(new StateServiceClient.Change(write.text("write"), value, 4));
     }
-    assertTrue(news.size() >= leastPages && news.size() <= 13, "pages " + news.size());
+    assertTrue(changes.size() >= minPages && changes.size() <= 13, "pages " + changes.size());
     // Whatever the order in which the pages come.
-    Collections.reverse(news);
-    t.apply(news, 4);
+    Collections.reverse(changes);
+    tables.apply(changes, 4);
     assertEquals(size, job.liveCount());
     // One exit at a time must fit however large the gang is: it must not hold up the others'.
-    assertTrue(new TransactionBuilder(t, "n0", 16, 16, PAGE).fitsInPage(job, 1));
+    assertTrue(new TransactionBuilder(tables, "n0", 16, 16, MAX_PAGE_BYTES).fitsInPage(job, 1));
   }
 }
--- a/src/test/java/wickdrift/coordination/ZonesTest.java
+++ b/src/test/java/wickdrift/coordination/ZonesTest.java
@@ -10,8 +10,8 @@
 
 /** A zone that is cut off is told from machines that died, and from our own being cut off. */
 class ZonesTest {
-  private static final long QUIET = 1000;
-  private static final long NOW = 100_000;
+  private static final long REPORTS_OVERDUE_MS = 1000;
+  private static final long NOW_MS = 100_000;
 
   @ParameterizedTest(name = "{6}")
   @CsvSource({
@@ -25,39 +25,45 @@
     "0, 0, 0, 2, 99500, 200, two are recorded: false",
     "99500, 0, 1, 9, 0, 200, recorded and yet heard: false",
   })
-  void aZoneIsDark(
-      long heard, int silent, int up, int lost, long listening, long elsewhereAgo, String what) {
-    Zones z = new Zones(QUIET);
-    if (heard > 0) {
-      z.heard("a", heard);
+  void aZoneIsUnreachableOnlyWithEnoughEvidence(
+      long lastReportMs,
+      int silentMachines,
+      int recordedUp,
+      int recordedLost,
+      long listeningSinceMs,
+      long otherZoneReportAgeMs,
+      String situation) {
+    Zones zones = new Zones(REPORTS_OVERDUE_MS);
+    if (lastReportMs > 0) {
+      zones.heard("a", lastReportMs);
     }
-    if (elsewhereAgo >= 0) {
-      z.heard("b", NOW - elsewhereAgo);
+    if (otherZoneReportAgeMs >= 0) {
+      zones.heard("b", NOW_MS - otherZoneReportAgeMs);
     }
-    for (int i = 0; i < silent; i++) {
-      z.silent("a");
+    for (int i = 0; i < silentMachines; i++) {
+      zones.silent("a");
     }
-    for (int i = 0; i < up + lost; i++) {
-      z.recorded("a", i < lost);
+    for (int i = 0; i < recordedUp + recordedLost; i++) {
+      zones.recorded("a", i < recordedLost);
     }
-    z.judge(listening, NOW);
-    assertEquals(what.endsWith("true"), z.dark("a"));
-    assertFalse(z.dark("b"));
+    zones.judge(listeningSinceMs, NOW_MS);
+    assertEquals(situation.endsWith("true"), zones.dark("a"));
+    assertFalse(zones.dark("b"));
   }
 
   /** What is still recorded as silent when the first reports is not given up for that. */
   @Test
-  void aZoneThatIsBackHasTimeToReport() {
-    Zones z = new Zones(QUIET);
-    z.heard("b", NOW);
+  void aZoneIsRecoveringUntilItsWorkersHadTimeToReport() {
+    Zones zones = new Zones(REPORTS_OVERDUE_MS);
+    zones.heard("b", NOW_MS);
     for (int i = 0; i < 3; i++) {
-      z.silent("a");
+      zones.silent("a");
     }
-    z.judge(0, NOW);
-    assertTrue(z.dark("a") && z.away("a", NOW + 50_000));
-    z.heard("a", NOW + 60_000);
-    assertFalse(z.dark("a"));
-    assertTrue(z.away("a", NOW + 61_000));
-    assertFalse(z.away("a", NOW + 62_001));
+    zones.judge(0, NOW_MS);
+    assertTrue(zones.dark("a") && zones.away("a", NOW_MS + 50_000));
+    zones.heard("a", NOW_MS + 60_000);
+    assertFalse(zones.dark("a"));
+    assertTrue(zones.away("a", NOW_MS + 61_000));
+    assertFalse(zones.away("a", NOW_MS + 62_001));
   }
 }
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsWalkTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsRandomWalkTest.java
@@ -18,15 +18,15 @@
  * a model of the worker and the network that holds every message: whatever is cleared, ended or
  * confirmed must never start again.
  */
-class WorkerCommandsWalkTest {
+class WorkerCommandsRandomWalkTest {
   private static final int STEPS = 400;
   private static final int TASKS = 3;
 
   /** A command on its way to the worker. */
   private record Message(
-      long epoch, long session, TaskAttempt run, WorkerCommands.DirectRuns sent) {
+      long epoch, long session, TaskAttempt run, WorkerCommands.DirectRuns directRuns) {
     boolean isDirect() {
-      return sent != null;
+      return directRuns != null;
     }
   }
 
@@ -35,86 +35,86 @@
     long epoch;
     long session = 1;
     long tick;
-    final Set<TaskAttempt> held = new HashSet<>();
-    final Set<TaskAttempt> ended = new HashSet<>();
+    final Set<TaskAttempt> runningAttempts = new HashSet<>();
+    final Set<TaskAttempt> endedAttempts = new HashSet<>();
   }
 
   private final Random random;
   private final Worker worker = new Worker();
   private final WorkerCommands commands = new WorkerCommands();
-  private final List<Message> onTheWay = new ArrayList<>();
+  private final List<Message> inFlight = new ArrayList<>();
 
   /** A run that the answer to the last report carries; the next report means that it is settled. */
-  private final List<Message> inAnswer = new ArrayList<>();
+  private final List<Message> runsInLastAnswer = new ArrayList<>();
 
-  private final Map<String, Integer> booked = new HashMap<>();
-  private final Set<TaskAttempt> over = new HashSet<>();
+  private final Map<String, Integer> bookedAttempts = new HashMap<>();
+  private final Set<TaskAttempt> finishedAttempts = new HashSet<>();
   private long epoch = 1;
 
   /** The worker has begun anew, and counts once it shows this epoch. */
-  private long trustedFrom;
+  private long trustedFromEpoch;
 
-  private int ends;
-  private int clears;
+  private int endCount;
+  private int clearCount;
 
-  WorkerCommandsWalkTest() {
+  WorkerCommandsRandomWalkTest() {
     this.random = new Random();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
-  void nothingThatIsOverStartsAgain(int block) {
+  void finishedAttemptsNeverStartAgain(int block) {
     for (int seed = 1000 * block; seed < 1000 * block + 250; seed++) {
-      WorkerCommandsWalkTest walk = new WorkerCommandsWalkTest();
+      WorkerCommandsRandomWalkTest walk = new WorkerCommandsRandomWalkTest();
       walk.random.setSeed(seed);
-      walk.walk(seed);
-      assertTrue(walk.ends + walk.clears > 5, "seed " + seed + " has proved nothing");
+      walk.runSteps(seed);
+      assertTrue(walk.endCount + walk.clearCount > 5, "seed " + seed + " has proved nothing");
     }
   }
 
-  private void walk(int seed) {
+  private void runSteps(int seed) {
     for (int i = 0; i < TASKS; i++) {
-      booked.put("req-000001/" + i, 1);
+      bookedAttempts.put("req-000001/" + i, 1);
     }
     for (int step = 0; step < STEPS; step++) {
       switch (random.nextInt(10)) {
-        case 0, 1, 2 -> report();
+        case 0, 1, 2 -> receiveReport();
         case 3 -> sendDirectly();
         case 4, 5 -> deliver(seed);
-        case 6 -> endOne();
+        case 6 -> endFirstRunningAttempt();
         case 7 -> epoch += random.nextInt(4) == 0 ? 1 : 0;
-        case 8 -> lapse();
-        default -> restart();
+        case 8 -> expireLease();
+        default -> restartWorker();
       }
     }
   }
 
   private TaskAttempt attemptOf(String task) {
-    return new TaskAttempt(task, booked.get(task));
+    return new TaskAttempt(task, bookedAttempts.get(task));
   }
 
   private void sendDirectly() {
     String task = "req-000001/" + random.nextInt(TASKS);
     TaskAttempt run = attemptOf(task);
-    boolean synced = worker.epoch == epoch && worker.epoch >= trustedFrom;
-    if (synced && !worker.held.contains(run) && !commands.wasReported(run)) {
-      WorkerCommands.DirectRuns sent =
+    boolean synced = worker.epoch == epoch && worker.epoch >= trustedFromEpoch;
+    if (synced && !worker.runningAttempts.contains(run) && !commands.wasReported(run)) {
+      WorkerCommands.DirectRuns directRuns =
           new WorkerCommands.DirectRuns(epoch, worker.session, 0, List.of(run));
-      commands.directCommandSent(sent);
+      commands.directCommandSent(directRuns);
       commands.runSent(run, worker.tick, worker.session, 0);
-      onTheWay.add(new Message(epoch, worker.session, run, sent));
+      inFlight.add(new Message(epoch, worker.session, run, directRuns));
     }
   }
 
   /** Any command arrives, in any order; its answer may be lost, and what was lost never comes. */
   private void deliver(int seed) {
-    if (onTheWay.isEmpty()) {
+    if (inFlight.isEmpty()) {
       return;
     }
-    Message message = onTheWay.remove(random.nextInt(onTheWay.size()));
+    Message message = inFlight.remove(random.nextInt(inFlight.size()));
     execute(message, seed);
     if (random.nextInt(3) > 0) {
-      commands.directCommandAnswered(message.sent);
+      commands.directCommandAnswered(message.directRuns);
     }
   }
 
@@ -123,56 +123,58 @@
       return;
     }
     worker.epoch = message.epoch;
-    boolean known = worker.held.contains(message.run) || worker.ended.contains(message.run);
+    boolean known =
+        worker.runningAttempts.contains(message.run) || worker.endedAttempts.contains(message.run);
     if (!known) {
       assertFalse(
-          over.contains(message.run), "seed " + seed + ": " + message.run + " starts again");
-      worker.held.add(message.run);
+          finishedAttempts.contains(message.run),
+          "seed " + seed + ": " + message.run + " starts again");
+      worker.runningAttempts.add(message.run);
     }
   }
 
   /** The answer to the report before has arrived by now, or never will. */
-  private void report() {
-    for (Message message : inAnswer) {
+  private void receiveReport() {
+    for (Message message : runsInLastAnswer) {
       if (random.nextBoolean()) {
         execute(message, -1);
       }
     }
-    inAnswer.clear();
+    runsInLastAnswer.clear();
     worker.tick++;
-    boolean proves = worker.epoch == epoch && worker.epoch >= trustedFrom;
+    boolean proves = worker.epoch == epoch && worker.epoch >= trustedFromEpoch;
     if (!proves) {
       // It is answered, so that the next report shows our epoch.
       worker.epoch = Math.max(worker.epoch, epoch);
-      raiseForTheRestarted();
+      raiseEpochAfterRestart();
       return;
     }
     commands.epochReported(worker.epoch, worker.session);
-    for (TaskAttempt ended : Set.copyOf(worker.ended)) {
-      if (over.contains(ended) && commands.mayClear(ended, true, true).isAllowed()) {
-        worker.ended.remove(ended);
-        clears++;
+    for (TaskAttempt ended : Set.copyOf(worker.endedAttempts)) {
+      if (finishedAttempts.contains(ended) && commands.mayClear(ended, true, true).isAllowed()) {
+        worker.endedAttempts.remove(ended);
+        clearCount++;
       }
     }
-    for (String task : List.copyOf(booked.keySet())) {
-      planBooked(attemptOf(task));
+    for (String task : List.copyOf(bookedAttempts.keySet())) {
+      evaluateBooked(attemptOf(task));
     }
   }
 
-  private void raiseForTheRestarted() {
-    if (trustedFrom > epoch) {
-      epoch = trustedFrom;
+  private void raiseEpochAfterRestart() {
+    if (trustedFromEpoch > epoch) {
+      epoch = trustedFromEpoch;
     }
   }
 
-  private void planBooked(TaskAttempt attempt) {
-    if (worker.held.contains(attempt)) {
+  private void evaluateBooked(TaskAttempt attempt) {
+    if (worker.runningAttempts.contains(attempt)) {
       commands.attemptReported(attempt, worker.tick, worker.session);
       return;
     }
-    if (worker.ended.contains(attempt)) {
+    if (worker.endedAttempts.contains(attempt)) {
       commands.attemptReported(attempt, worker.tick, worker.session);
-      next(attempt);
+      finishAndBookNext(attempt);
       return;
     }
     boolean unwanted = random.nextInt(4) == 0;
@@ -182,38 +184,38 @@
             new WorkerCommands.AbsenceEvidence(true, true, worker.session, false, unwanted));
     if (verdict == Verdict.WORKER_RESTARTED) {
       commands.workerRestarted();
-      trustedFrom = epoch + 1;
+      trustedFromEpoch = epoch + 1;
     } else if (verdict.isAllowed()) {
-      ends++;
-      next(attempt);
+      endCount++;
+      finishAndBookNext(attempt);
     } else if (!commands.wasReported(attempt) && !unwanted) {
       commands.runSent(attempt, worker.tick, worker.session, 0);
-      inAnswer.add(new Message(epoch, worker.session, attempt, null));
+      runsInLastAnswer.add(new Message(epoch, worker.session, attempt, null));
     }
   }
 
   /** The attempt is over: the next one takes its place. */
-  private void next(TaskAttempt attempt) {
-    over.add(attempt);
-    booked.put(attempt.task(), attempt.attempt() + 1);
+  private void finishAndBookNext(TaskAttempt attempt) {
+    finishedAttempts.add(attempt);
+    bookedAttempts.put(attempt.task(), attempt.attempt() + 1);
   }
 
-  private void endOne() {
-    worker.held.stream()
+  private void endFirstRunningAttempt() {
+    worker.runningAttempts.stream()
         .findFirst()
         .ifPresent(
             attempt -> {
-              worker.held.remove(attempt);
-              worker.ended.add(attempt);
+              worker.runningAttempts.remove(attempt);
+              worker.endedAttempts.add(attempt);
             });
   }
 
-  private void lapse() {
+  private void expireLease() {
     if (random.nextInt(3) == 0) {
-      worker.held.clear();
-      worker.ended.clear();
+      worker.runningAttempts.clear();
+      worker.endedAttempts.clear();
       worker.session++;
-      inAnswer.clear();
+      runsInLastAnswer.clear();
     }
   }
 
@@ -222,14 +224,14 @@
    * one before in a later session is refused by this one until it gets there; in the model commands
    * of earlier sessions of the one before, and of ends before the restart, went with its machine.
    */
-  private void restart() {
+  private void restartWorker() {
     if (random.nextInt(6) > 0 || worker.session > 1) {
       return;
     }
-    worker.held.clear();
-    worker.ended.clear();
+    worker.runningAttempts.clear();
+    worker.endedAttempts.clear();
     worker.epoch = 0;
-    inAnswer.clear();
-    onTheWay.removeIf(message -> over.contains(message.run));
+    runsInLastAnswer.clear();
+    inFlight.removeIf(message -> finishedAttempts.contains(message.run));
   }
 }
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -42,11 +42,11 @@
     "ABa,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ABba,  PROVED,                PROVED,                PROVED"
   })
-  void whatIsProvedOfAnAttemptThatIsToEnd(
+  void verdictsFollowFromCommandsAndReports(
       String steps, Verdict clear, Verdict end, Verdict confirm) {
     WorkerCommands commands = new WorkerCommands();
-    WorkerCommands.DirectRuns first = direct();
-    WorkerCommands.DirectRuns second = direct();
+    WorkerCommands.DirectRuns first = directRuns();
+    WorkerCommands.DirectRuns second = directRuns();
     long session = SESSION;
     for (char step : steps.toCharArray()) {
       switch (step) {
@@ -70,7 +70,7 @@
     assertEquals(confirm, commands.verifyNoRunPending(JOB));
   }
 
-  private static WorkerCommands.DirectRuns direct() {
+  private static WorkerCommands.DirectRuns directRuns() {
     return new WorkerCommands.DirectRuns(EPOCH, SESSION, 0, List.of(ATTEMPT));
   }
 
@@ -86,25 +86,32 @@
     "true,  true,  3, true,  false, SESSION_GOES_ON",
     "true,  true,  4, true,  false, PROVED"
   })
-  void whatAbsenceProves(
-      boolean own, boolean epochShown, long session, boolean deaf, boolean unwanted, Verdict is) {
+  void anAttemptMissingFromAReportEndsOnlyWithEvidence(
+      boolean workerInitiated,
+      boolean epochReported,
+      long session,
+      boolean unreachableForCommands,
+      boolean unwanted,
+      Verdict expected) {
     WorkerCommands commands = new WorkerCommands();
     commands.runSent(ATTEMPT, 1, SESSION, 0);
     assertEquals(
-        is,
+        expected,
         commands.mayEnd(
-            ATTEMPT, new WorkerCommands.AbsenceEvidence(own, epochShown, session, deaf, unwanted)));
+            ATTEMPT,
+            new WorkerCommands.AbsenceEvidence(
+                workerInitiated, epochReported, session, unreachableForCommands, unwanted)));
   }
 
   @Test
-  void aClearIsRefusedWithoutAnOwnReportOrTheEpoch() {
+  void aClearIsRefusedWithoutAWorkerInitiatedReportOrTheEpoch() {
     WorkerCommands commands = new WorkerCommands();
     assertEquals(Verdict.NOT_WORKER_INITIATED, commands.mayClear(ATTEMPT, false, true));
     assertEquals(Verdict.EPOCH_NOT_REPORTED, commands.mayClear(ATTEMPT, true, false));
   }
 
   @Test
-  void anotherJobWhoseNameBeginsAlikeIsNotConcerned() {
+  void runsOfAJobWithTheSameNamePrefixAreIgnored() {
     WorkerCommands commands = new WorkerCommands();
     commands.directCommandSent(
         new WorkerCommands.DirectRuns(EPOCH, SESSION, 0, List.of(new TaskAttempt(JOB + "0/0", 1))));
@@ -112,9 +119,9 @@
   }
 
   @Test
-  void aRefusedClearIsOverdueUntilAHigherEpochIsShown() {
+  void aRefusedClearIsOverdueUntilAHigherEpochIsReported() {
     WorkerCommands commands = new WorkerCommands();
-    commands.directCommandSent(direct());
+    commands.directCommandSent(directRuns());
     assertFalse(commands.isClearOverdue(EPOCH, 100, 200), "no clear was refused yet");
     commands.mayClear(ATTEMPT, true, true);
     assertFalse(commands.isClearOverdue(EPOCH, 100, 100));
--- a/src/test/java/wickdrift/knownred/KnownRedExtension.java
+++ b/src/test/java/wickdrift/knownred/KnownRedExtension.java
@@ -16,9 +16,10 @@
  * test by {@code META-INF/services}.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
-  private static final Map<String, KnownRedList.Entry> LISTED = index(KnownRedList.load());
+  private static final Map<String, KnownRedList.Entry> ENTRY_BY_TEST =
+      indexByTest(KnownRedList.load());
 
-  private static Map<String, KnownRedList.Entry> index(List<KnownRedList.Entry> entries) {
+  private static Map<String, KnownRedList.Entry> indexByTest(List<KnownRedList.Entry> entries) {
     return entries.stream()
         .collect(Collectors.toMap(KnownRedList.Entry::test, Function.identity()));
   }
@@ -29,7 +30,7 @@
       ReflectiveInvocationContext<Method> context,
       ExtensionContext test)
       throws Throwable {
-    run(invocation, context, test.getDisplayName());
+    runAndReport(invocation, context, test.getDisplayName());
   }
 
   @Override
@@ -38,15 +39,15 @@
       ReflectiveInvocationContext<Method> context,
       ExtensionContext test)
       throws Throwable {
-    run(invocation, context, test.getDisplayName());
+    runAndReport(invocation, context, test.getDisplayName());
   }
 
-  private static void run(
+  private static void runAndReport(
       Invocation<Void> invocation, ReflectiveInvocationContext<Method> context, String name)
       throws Throwable {
     Method method = context.getExecutable();
     String id = method.getDeclaringClass().getName() + "." + method.getName();
-    KnownRedList.Entry entry = LISTED.get(id);
+    KnownRedList.Entry entry = ENTRY_BY_TEST.get(id);
     if (entry == null) {
       invocation.proceed();
       return;
@@ -54,13 +55,13 @@
     try {
       invocation.proceed();
     } catch (Throwable failure) {
-      print(id, name, "FAILED, as listed (" + entry.cause() + "; " + entry.issue() + ")");
+      printOutcome(id, name, "FAILED, as listed (" + entry.cause() + "; " + entry.issue() + ")");
       throw new TestAbortedException("known red: " + entry.cause(), failure);
     }
-    print(id, name, "passed, though it is listed");
+    printOutcome(id, name, "passed, though it is listed");
   }
 
-  private static void print(String id, String name, String outcome) {
+  private static void printOutcome(String id, String name, String outcome) {
     System.out.println("KNOWN RED " + id + " [" + name + "]: " + outcome);
   }
 }
--- a/src/test/java/wickdrift/knownred/KnownRedList.java
+++ b/src/test/java/wickdrift/knownred/KnownRedList.java
@@ -21,7 +21,7 @@
   /** More than this is no list of exceptions any more. */
   static final int MAX_ENTRIES = 3;
 
-  private static final int FIELDS = 3;
+  private static final int FIELDS_PER_LINE = 3;
 
   /** A test that may fail, why it does, and the issue in which it is to be mended. */
   record Entry(String test, String cause, String issue) {}
@@ -68,18 +68,19 @@
 
   private static Entry parseLine(String line) {
     String[] fields = line.split("\\|", -1);
-    boolean complete = fields.length == FIELDS && Arrays.stream(fields).noneMatch(String::isBlank);
+    boolean complete =
+        fields.length == FIELDS_PER_LINE && Arrays.stream(fields).noneMatch(String::isBlank);
     if (!complete) {
       throw new InvalidListException("not of the form 'test | cause | issue': " + line);
     }
     Entry entry = new Entry(fields[0].strip(), fields[1].strip(), fields[2].strip());
-    if (!exists(entry.test)) {
+    if (!testExists(entry.test)) {
       throw new InvalidListException("no such test: " + entry.test);
     }
     return entry;
   }
 
-  private static boolean exists(String test) {
+  private static boolean testExists(String test) {
     int dot = test.lastIndexOf('.');
     if (dot < 0) {
       return false;
--- a/src/test/java/wickdrift/knownred/KnownRedListTest.java
+++ b/src/test/java/wickdrift/knownred/KnownRedListTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void anEntryHasATestACauseAndAnIssue() {
+  void anEntryConsistsOfTestCauseAndIssue() {
     List<KnownRedList.Entry> entries =
         KnownRedList.parse(List.of("# comment", "", TEST + " | a cause | issue 44"));
     assertEquals(List.of(new KnownRedList.Entry(TEST, "a cause", "issue 44")), entries);
--- a/src/test/java/wickdrift/lab/ServedTest.java
+++ b/src/test/java/wickdrift/lab/ServedTest.java
@@ -17,7 +17,7 @@
           + "'b':{'jobs':4,'accepted':4,'started':1,'done':0}},"
           + "'teams':{'t':{'jobs':14,'started':9}}}";
 
-  private static String json(String s) {
+  private static String withDoubleQuotes(String s) {
     return s.replace('\'', '"');
   }
 
@@ -56,11 +56,11 @@
 
   @ParameterizedTest
   @MethodSource("reports")
-  void tellsTheLeastServed(String report, String line) throws BadInput {
-    assertEquals(line, Served.read(json(report)).line());
+  void theSummaryNamesTheLeastServed(String report, String line) throws BadInput {
+    assertEquals(line, Served.read(withDoubleQuotes(report)).line());
   }
 
-  static Stream<Arguments> bad() {
+  static Stream<Arguments> malformedReports() {
     return Stream.of(
         Arguments.of("[]", "not a JSON object"),
         Arguments.of("{'scenario':'d'}", "classes is missing"),
@@ -79,20 +79,20 @@
   }
 
   @ParameterizedTest
-  @MethodSource("bad")
-  void refusesAReportThatLacksAField(String report, String why) {
-    BadInput e = assertThrows(BadInput.class, () -> Served.read(json(report)));
-    assertEquals(why, e.getMessage());
+  @MethodSource("malformedReports")
+  void aMalformedReportIsRefused(String report, String reason) {
+    BadInput e = assertThrows(BadInput.class, () -> Served.read(withDoubleQuotes(report)));
+    assertEquals(reason, e.getMessage());
   }
 
   @Test
-  void everyRowIsTold() throws BadInput {
+  void theFullTextListsEveryRow() throws BadInput {
     assertEquals(
         """
         d: least served class b 0.250, FAILED
           class b: served 0.250 (asked 4, accepted 4, started 1, done 0)
           team t: served 0.643 (asked 14, accepted -, started 9, done -)
           class a: served 0.800 (asked 10, accepted 9, started 8, done 7)""",
-        Served.read(json(TWO_CLASSES)).text());
+        Served.read(withDoubleQuotes(TWO_CLASSES)).text());
   }
 }
--- a/src/test/java/wickdrift/lab/VariantTest.java
+++ b/src/test/java/wickdrift/lab/VariantTest.java
@@ -65,13 +65,13 @@
     return new TomlParser().parse(s);
   }
 
-  private static Config site(String variant) throws BadInput {
+  private static Config siteWith(String variant) throws BadInput {
     Config site = Toml.copy(parse(SITE));
     new Variant(parse("name = \"v\"\n" + variant)).apply(site);
     return site;
   }
 
-  private static String at(Config c, String path) {
+  private static String valueAt(Config c, String path) {
     Object v = c;
     for (String p : path.split("/")) {
       v = v instanceof List<?> l ? l.get(Integer.parseInt(p)) : ((Config) v).get(p);
@@ -115,11 +115,11 @@
 
   @ParameterizedTest
   @MethodSource("variants")
-  void changesWhatItNames(String variant, String path, String value) throws BadInput {
-    assertEquals(value, at(site(variant), path));
+  void aVariantChangesTheNamedSettings(String variant, String path, String value) throws BadInput {
+    assertEquals(value, valueAt(siteWith(variant), path));
   }
 
-  static Stream<Arguments> bad() {
+  static Stream<Arguments> invalidVariants() {
     return Stream.of(
         Arguments.of("machine = 2.0", "variant v: machine is not known"),
         Arguments.of("load = \"2\"", "variant v: load is no number of at least 0"),
@@ -129,12 +129,12 @@
   }
 
   @ParameterizedTest
-  @MethodSource("bad")
-  void refusesWhatItDoesNotKnow(String variant, String why) {
-    assertEquals(why, assertThrows(BadInput.class, () -> site(variant)).getMessage());
+  @MethodSource("invalidVariants")
+  void anInvalidVariantIsRefused(String variant, String reason) {
+    assertEquals(reason, assertThrows(BadInput.class, () -> siteWith(variant)).getMessage());
   }
 
-  static Stream<Arguments> faults() {
+  static Stream<Arguments> dayFaults() {
     return Stream.of(
         Arguments.of("at = 0.5, kind = \"state_outage\"", "at_s", "100.0"),
         Arguments.of("at_s = 7.0, kind = \"state_outage\"", "at_s", "7.0"),
@@ -153,24 +153,24 @@
   }
 
   @ParameterizedTest
-  @MethodSource("faults")
-  void putsADayOnASite(String fault, String field, String value) throws BadInput {
+  @MethodSource("dayFaults")
+  void faultsAreResolvedForTheSite(String fault, String field, String value) throws BadInput {
     Config day = new Day(parse("name = \"d\"\nfaults = [{" + fault + "}]")).on(parse(SITE));
-    assertEquals(value, at(day, "faults/0/" + field));
+    assertEquals(value, valueAt(day, "faults/0/" + field));
   }
 
   /** A day changes classes of the site; which it is may be told by its kind. */
   @ParameterizedTest
   @ValueSource(strings = {"@gang", "c"})
-  void aDayChangesClasses(String name) throws BadInput {
+  void aDayChangesAClassSelectedByNameOrKind(String name) throws BadInput {
     Config day =
         new Day(parse("name = \"d\"\njobs = [{name = \"" + name + "\", cancelled = 0.8}]"))
             .on(parse(SITE));
-    assertEquals("c 0.8", at(day, "jobs/0/name") + " " + at(day, "jobs/0/cancelled"));
+    assertEquals("c 0.8", valueAt(day, "jobs/0/name") + " " + valueAt(day, "jobs/0/cancelled"));
   }
 
   @Test
-  void aClassThatADayCanNotChangeIsNamed() {
+  void aDayThatChangesAnUnknownClassIsRefused() {
     BadInput e =
         assertThrows(
             BadInput.class,
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void aFaultThatComesAgainIsListedEachTime() throws BadInput {
+  void aRepeatedFaultIsListedForEachTime() throws BadInput {
     Config day =
         new Day(
                 parse(
@@ -194,7 +194,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"@2", "@x", "@"})
-  void aZoneThatTheSiteLacksIsNamed(String zone) {
+  void aFaultInAnUnknownZoneIsRefused(String zone) {
     String fault = "at_s = 1.0, kind = \"zone_cut\", zone = \"" + zone + "\"";
     BadInput e =
         assertThrows(
@@ -204,7 +204,7 @@
   }
 
   @Test
-  void aClassThatTheSiteLacksIsNamed() {
+  void aFaultForAnUnknownKindIsRefused() {
     BadInput e =
         assertThrows(
             BadInput.class,
--- a/src/test/java/wickdrift/protocol/MessagesTest.java
+++ b/src/test/java/wickdrift/protocol/MessagesTest.java
@@ -18,7 +18,7 @@
 
 class MessagesTest {
   @Test
-  void whatIsEncodedIsDecoded() throws BadMessage {
+  void anEncodedMessageIsDecodedUnchanged() throws BadMessage {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("text", "żółw");
     m.put("count", 1L << 40);
@@ -43,7 +43,7 @@
         "91919191919191919191919191919191", // too deep
         "81a161cfffffffffffffffff" // a count beyond 63 bits
       })
-  void hostileBytesAreRefused(String hex) {
+  void malformedBytesAreRefused(String hex) {
     byte[] b = new byte[hex.length() / 2];
     for (int i = 0; i < b.length; i++) {
       b[i] = (byte) Integer.parseInt(hex.substring(2 * i, 2 * i + 2), 16);
@@ -51,7 +51,7 @@
     assertThrows(BadMessage.class, () -> MessageCodec.decode(b));
   }
 
-  static List<Arguments> badSubmissions() {
+  static List<Arguments> invalidSubmissions() {
     List<Arguments> out = new ArrayList<>();
     for (String missing :
         List.of(
@@ -100,20 +100,20 @@
   }
 
   @ParameterizedTest(name = "{0} = {1}")
-  @MethodSource("badSubmissions")
-  void badSubmissionsNameTheField(String field, Object value) {
+  @MethodSource("invalidSubmissions")
+  void theErrorOfAnInvalidSubmissionNamesTheField(String field, Object value) {
     Map<String, Object> m = SimJobs.job(1, "batch", 2, 1, 10);
     m.put(field, value);
     byte[] body = MessageCodec.encode(m);
-    assertTrue(wrong(body).contains(field), wrong(body));
+    assertTrue(submissionError(body).contains(field), submissionError(body));
     m.remove(field);
     if (value == null) {
-      assertTrue(wrong(MessageCodec.encode(m)).contains(field));
+      assertTrue(submissionError(MessageCodec.encode(m)).contains(field));
     }
   }
 
   /** What the door finds wrong with a submission; empty: nothing. */
-  private static String wrong(byte[] body) {
+  private static String submissionError(byte[] body) {
     try {
       Document d = Document.parse(body);
       JobSpec.parse(d);
@@ -126,18 +126,18 @@
   /** What may be null may be left out, and what nobody knows is ignored. */
   @ParameterizedTest
   @ValueSource(strings = {"flavours", "region", "dueS", "awaits", "unknown"})
-  void whatMayBeNullMayBeLeftOut(String field) throws BadMessage {
+  void optionalFieldsMayBeNullOrAbsent(String field) throws BadMessage {
     Map<String, Object> m = SimJobs.job(1, "batch", 2, 1, 10);
     m.remove(field);
-    assertEquals("", wrong(MessageCodec.encode(m)));
+    assertEquals("", submissionError(MessageCodec.encode(m)));
     JobSpec without = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
     m.put(field, null);
-    assertEquals("", wrong(MessageCodec.encode(m)));
+    assertEquals("", submissionError(MessageCodec.encode(m)));
     assertEquals(without, JobSpec.parse(Document.parse(MessageCodec.encode(m))));
   }
 
   @Test
-  void aStoredJobReadsBackAsSubmitted() throws BadMessage {
+  void aStoredJobIsReadBackAsSubmitted() throws BadMessage {
     Map<String, Object> m = SimJobs.job(1, "daemon", 9, 1, 0);
     m.put("unknown", "ignored");
     m.put("flavours", List.of("g4"));
--- a/src/test/java/wickdrift/protocol/PeerFrameTest.java
+++ b/src/test/java/wickdrift/protocol/PeerFrameTest.java
@@ -15,22 +15,22 @@
 
 /** Frames between controllers of the same and of other builds. */
 class PeerFrameTest {
-  private static ByteBuffer hex(String s) {
+  private static ByteBuffer fromHex(String s) {
     return ByteBuffer.wrap(HexFormat.of().parseHex(s));
   }
 
   /** The bytes that dc24b21 writes, and reads, for the numbers that it has. */
   @Test
-  void theLayoutIsThatOfTheBuildBefore() throws BadMessage {
-    PeerFrame.Standing s = new PeerFrame.Standing(2, 41, true, 7);
-    ByteBuffer bytes = hex("0301020100000000000000" + "29" + "00000007");
-    assertEquals(bytes, s.encode());
-    assertEquals(s, PeerFrame.decode(bytes));
+  void theStatusLayoutMatchesTheFormerBuild() throws BadMessage {
+    PeerFrame.Standing status = new PeerFrame.Standing(2, 41, true, 7);
+    ByteBuffer bytes = fromHex("0301020100000000000000" + "29" + "00000007");
+    assertEquals(bytes, status.encode());
+    assertEquals(status, PeerFrame.decode(bytes));
   }
 
   /** More bytes than are known are a newer sender's. */
   @Test
-  void whatANewerSenderAddsIsIgnored() throws BadMessage {
+  void trailingBytesOfANewerSenderAreIgnored() throws BadMessage {
     ByteBuffer longer =
         ByteBuffer.allocate(32).put(new PeerFrame.Standing(1, 5, false, 0).encode());
     assertEquals(new PeerFrame.Standing(1, 5, false, 0), PeerFrame.decode(longer.rewind()));
@@ -38,44 +38,52 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 127, 128, 300, 65_535})
-  void anyNumberIsCarried(int from) throws BadMessage {
+  void anyNodeNumberIsEncoded(int from) throws BadMessage {
     assertEquals(from, PeerFrame.decode(new PeerFrame.Standing(from, 1, true, 2).encode()).from());
     byte[] body = {1, 2, 3};
-    PeerFrame.Relayed r =
+    PeerFrame.Relayed relayed =
         (PeerFrame.Relayed) PeerFrame.decode(new PeerFrame.Relayed(from, 9, body).encode());
-    assertEquals(from + " 9 [1, 2, 3]", r.from() + " " + r.id() + " " + Arrays.toString(r.body()));
-    PeerFrame.Answered a =
+    assertEquals(
+        from + " 9 [1, 2, 3]",
+        relayed.from() + " " + relayed.id() + " " + Arrays.toString(relayed.body()));
+    PeerFrame.Answered answered =
         (PeerFrame.Answered) PeerFrame.decode(new PeerFrame.Answered(from, 9, 421, body).encode());
-    assertEquals(from + " 421", a.from() + " " + a.status());
+    assertEquals(from + " 421", answered.from() + " " + answered.status());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 127, 128, 65_535})
-  void aWithdrawalAndWhoObeysAreCarried(int from) throws BadMessage {
-    PeerFrame.Withdrawn w =
+  void aWithdrawalAndItsConfirmationAreEncoded(int from) throws BadMessage {
+    PeerFrame.Withdrawn withdrawal =
         new PeerFrame.Withdrawn(from, 7, 41, 900, "req-000001", List.of("i-000001", "i-\u00e9"));
-    assertEquals(w, PeerFrame.decode(w.encode()));
-    PeerFrame.Obeyed o =
+    assertEquals(withdrawal, PeerFrame.decode(withdrawal.encode()));
+    PeerFrame.Obeyed confirmation =
         (PeerFrame.Obeyed) PeerFrame.decode(new PeerFrame.Obeyed(from, 7, new byte[] {5}).encode());
-    assertEquals(from + " 7 [5]", o.from() + " " + o.id() + " " + Arrays.toString(o.places()));
+    assertEquals(
+        from + " 7 [5]",
+        confirmation.from()
+            + " "
+            + confirmation.id()
+            + " "
+            + Arrays.toString(confirmation.places()));
   }
 
   /** However early it ends, it is malformed, and nothing is read past its end. */
   @Test
-  void aWithdrawalThatEndsEarlyIsMalformed() {
+  void aTruncatedWithdrawalIsMalformed() {
     ByteBuffer whole =
         new PeerFrame.Withdrawn(1, 7, 41, 900, "req-000001", List.of("i-000001")).encode();
-    for (int n = 0; n < whole.limit(); n++) {
-      ByteBuffer cut = ByteBuffer.wrap(Arrays.copyOf(whole.array(), n));
-      assertThrows(BadMessage.class, () -> PeerFrame.decode(cut), n + " bytes");
+    for (int length = 0; length < whole.limit(); length++) {
+      ByteBuffer truncated = ByteBuffer.wrap(Arrays.copyOf(whole.array(), length));
+      assertThrows(BadMessage.class, () -> PeerFrame.decode(truncated), length + " bytes");
     }
   }
 
   /** Of another layout or kind: not understood, and no reason to stop. */
   @ParameterizedTest
   @ValueSource(strings = {"040102", "030902", "03FF02", "030002", "031602000000", "030602"})
-  void whatIsNotKnownIsNoError(String bytes) throws BadMessage {
-    assertInstanceOf(PeerFrame.Unknown.class, PeerFrame.decode(hex(bytes)));
+  void anUnknownFrameIsNoError(String bytes) throws BadMessage {
+    assertInstanceOf(PeerFrame.Unknown.class, PeerFrame.decode(fromHex(bytes)));
   }
 
   @ParameterizedTest
@@ -91,7 +99,7 @@
     "0305020000",
     "031402000000"
   })
-  void aFrameThatEndsEarlyIsMalformed(String bytes) {
-    assertThrows(BadMessage.class, () -> PeerFrame.decode(hex(bytes)));
+  void aTruncatedFrameIsMalformed(String bytes) {
+    assertThrows(BadMessage.class, () -> PeerFrame.decode(fromHex(bytes)));
   }
 }
--- a/src/test/java/wickdrift/settings/SettingsTest.java
+++ b/src/test/java/wickdrift/settings/SettingsTest.java
@@ -12,7 +12,7 @@
 import wickdrift.bookkeeping.StateServiceLimits;
 
 class SettingsTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       host_name = "a"
       serve_on = "10.0.0.1:8080"
@@ -60,13 +60,13 @@
 
   @Test
   void unknownFieldsAreIgnored() throws Settings.Invalid {
-    Settings s = parse(GOOD);
+    Settings s = parse(VALID);
     assertEquals("a", s.node());
     assertEquals(16, s.stateLimits().txnOps());
     assertEquals(8.0, s.teams().get(0).gpusMax());
     // What the next limits do not name stays as it is; without them nothing changes.
     assertEquals(new StateServiceLimits.Bounds(250, 70, 2, 5), s.nextLimits());
-    assertNull(parse(GOOD.replace("[cluster.state.next]", "[cluster.later]")).nextLimits());
+    assertNull(parse(VALID.replace("[cluster.state.next]", "[cluster.later]")).nextLimits());
   }
 
   @ParameterizedTest(name = "{0} -> {1}")
@@ -90,8 +90,8 @@
         "txn_ops = 5                  | txn_ops = 3                 | cluster.state.next.txn_ops",
         "[cluster.state.next]         | next = 7\\n[cluster.other]   | cluster.state.next",
       })
-  void theFieldAtFaultIsNamed(String from, String to, String field) {
-    String toml = GOOD.replace(from, to.replace("\\n", "\n"));
+  void theErrorNamesTheInvalidField(String original, String replacement, String field) {
+    String toml = VALID.replace(original, replacement.replace("\\n", "\n"));
     Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> parse(toml));
     assertTrue(e.getMessage().contains(field), e.getMessage());
   }
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -27,28 +27,29 @@
 
 /** More workers than sockets: neither side of a controller may be kept from the others by them. */
 class SocketsTest {
-  private static final int MOST = 8;
+  private static final int MAX_CONNECTIONS = 8;
   private static final Map<String, Object> BODY = Map.of("ok", true);
 
   private final EventLoop loop = new EventLoop();
   private final List<Socket> sockets = new ArrayList<>();
 
   @AfterEach
-  void end() throws Exception {
+  void closeSockets() throws Exception {
     for (Socket s : sockets) {
       s.close();
     }
     loop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private InetSocketAddress serve(int most) throws IOException, InterruptedException {
-    HttpServer server = new HttpServer(loop.group(), most, x -> x.reply(200, BODY));
+  private InetSocketAddress startServer(int maxConnections)
+      throws IOException, InterruptedException {
+    HttpServer server = new HttpServer(loop.group(), maxConnections, x -> x.reply(200, BODY));
     return (InetSocketAddress)
         server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).localAddress();
   }
 
   /** Sends one request; the head of the answer, or nothing where the connection was closed. */
-  private String ask(Socket s, String method, String path) throws IOException {
+  private String request(Socket s, String method, String path) throws IOException {
     s.setSoTimeout(10_000);
     String head = method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
     s.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
@@ -68,58 +69,58 @@
     return "";
   }
 
-  private Socket open(InetSocketAddress to) throws IOException {
+  private Socket openConnection(InetSocketAddress to) throws IOException {
     Socket s = new Socket(to.getAddress(), to.getPort());
     sockets.add(s);
     return s;
   }
 
   @Test
-  void whereConnectionsRunShortWorkersDoNotKeepTheirs() throws Exception {
-    InetSocketAddress to = serve(MOST);
-    for (int i = 0; i < 3 * MOST; i++) {
-      String head = ask(open(to), "POST", "/hello");
+  void workerConnectionsAreClosedWhenConnectionsAreScarce() throws Exception {
+    InetSocketAddress to = startServer(MAX_CONNECTIONS);
+    for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
+      String head = request(openConnection(to), "POST", "/hello");
       assertTrue(head.startsWith("HTTP/1.1 200"), "every worker is answered: " + i);
-      assertEquals(i >= MOST * 3 / 4, head.contains("connection: close"), "worker " + i);
+      assertEquals(i >= MAX_CONNECTIONS * 3 / 4, head.contains("connection: close"), "worker " + i);
     }
-    String user = ask(open(to), "GET", "/up");
+    String user = request(openConnection(to), "GET", "/up");
     assertTrue(user.startsWith("HTTP/1.1 200") && !user.contains("connection: close"));
   }
 
   @Test
-  void aUserTakesThePlaceOfTheWorkerThatIsIdleForLongest() throws Exception {
-    InetSocketAddress to = serve(MOST);
-    Socket first = open(to);
-    ask(first, "POST", "/hello");
-    Socket second = open(to);
-    ask(second, "POST", "/hello");
-    for (int i = 0; i < MOST - 1; i++) {
-      assertTrue(ask(open(to), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
+  void aUserReplacesTheWorkerConnectionThatIsIdleLongest() throws Exception {
+    InetSocketAddress to = startServer(MAX_CONNECTIONS);
+    Socket first = openConnection(to);
+    request(first, "POST", "/hello");
+    Socket second = openConnection(to);
+    request(second, "POST", "/hello");
+    for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
+      assertTrue(request(openConnection(to), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
     }
-    assertEquals("", ask(first, "POST", "/hello"), "closed for the last user");
-    assertTrue(ask(second, "POST", "/hello").startsWith("HTTP/1.1 200"), "not for anyone else");
+    assertEquals("", request(first, "POST", "/hello"), "closed for the last user");
+    assertTrue(request(second, "POST", "/hello").startsWith("HTTP/1.1 200"), "not for anyone else");
   }
 
   @Test
-  void aClientWithManyWorkersStillReachesTheStore() throws Exception {
+  void aClientWithManyWorkersReachesTheStateService() throws Exception {
     List<String> workers = new ArrayList<>();
-    for (int i = 0; i < 3 * MOST; i++) {
-      InetSocketAddress a = serve(MOST);
+    for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
+      InetSocketAddress a = startServer(MAX_CONNECTIONS);
       workers.add(a.getAddress().getHostAddress() + ":" + a.getPort());
     }
-    InetSocketAddress s = serve(MOST);
-    String store = s.getAddress().getHostAddress() + ":" + s.getPort();
-    HttpClient client = new HttpClient(loop.group(), MOST, Set.of(store));
+    InetSocketAddress s = startServer(MAX_CONNECTIONS);
+    String stateService = s.getAddress().getHostAddress() + ":" + s.getPort();
+    HttpClient client = new HttpClient(loop.group(), MAX_CONNECTIONS, Set.of(stateService));
     for (String w : workers) {
-      assertEquals(200, call(client, w).get(10, TimeUnit.SECONDS), "one idle makes way");
+      assertEquals(200, callOnLoop(client, w).get(10, TimeUnit.SECONDS), "one idle makes way");
     }
     // All at once: more than may be open, and none idle to make way.
     List<CompletableFuture<Integer>> all = new ArrayList<>();
     CompletableFuture<CompletableFuture<Integer>> last = new CompletableFuture<>();
     loop.run(
         () -> {
-          workers.forEach(w -> all.add(callNow(client, w)));
-          last.complete(callNow(client, store));
+          workers.forEach(w -> all.add(callFromLoop(client, w)));
+          last.complete(callFromLoop(client, stateService));
         });
     assertEquals(200, last.get(10, TimeUnit.SECONDS).get(10, TimeUnit.SECONDS));
     int refused = 0;
@@ -129,13 +130,13 @@
     assertTrue(refused > 0, "some workers had to do without");
   }
 
-  private CompletableFuture<Integer> call(HttpClient c, String address) {
+  private CompletableFuture<Integer> callOnLoop(HttpClient c, String address) {
     CompletableFuture<Integer> f = new CompletableFuture<>();
-    loop.run(() -> callNow(c, address).thenAccept(f::complete));
+    loop.run(() -> callFromLoop(c, address).thenAccept(f::complete));
     return f;
   }
 
-  private static CompletableFuture<Integer> callNow(HttpClient c, String address) {
+  private static CompletableFuture<Integer> callFromLoop(HttpClient c, String address) {
     CompletableFuture<Integer> f = new CompletableFuture<>();
     c.call(address, "GET", "/up", null, 5000, a -> f.complete(a.status()));
     return f;
@@ -143,9 +144,9 @@
 
   /** The process that ended a moment ago listens still; then no longer, or for good. */
   @Test
-  void aPortThatIsTakenIsTriedAgain() throws Exception {
-    ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    InetSocketAddress address = (InetSocketAddress) former.getLocalSocketAddress();
+  void bindingIsRetriedWhileThePortIsInUse() throws Exception {
+    ServerSocket formerProcess = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    InetSocketAddress address = (InetSocketAddress) formerProcess.getLocalSocketAddress();
     ServerBootstrap server =
         new ServerBootstrap()
             .group(loop.group())
@@ -163,7 +164,7 @@
             9,
             () -> {
               try {
-                former.close();
+                formerProcess.close();
               } catch (IOException x) {
                 throw new AssertionError(x);
               }
