--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -22,9 +22,12 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
-/** What follows from who awaits whom, against a model that works it out anew each time. */
+/**
+ * Compares the incrementally updated dependency states, inherited priorities and latest start times
+ * of {@link DependencyGraph} with a model that computes them from scratch.
+ */
 class DependencyGraphTest {
-  /** One job of the model. */
+  /** A job of the model. */
   private static final class ModelJob {
     final int number;
     final List<Integer> dependencies;
@@ -71,7 +74,7 @@
     return new StateServiceClient.Change(key, stored, revision);
   }
 
-  // ---- the model ----
+  // ---- the reference model ----
 
   private boolean isWithdrawn(ModelJob job) {
     return job.withdrawalRequested
@@ -83,13 +86,13 @@
     return job.dependencies.stream().allMatch(a -> "done".equals(modelJobs.get(a).terminalPhase));
   }
 
-  private static int priorityOrdinal(String wire) {
+  private static int priorityOrdinal(String wireName) {
     for (JobSpec.Priority p : JobSpec.Priority.values()) {
-      if (p.wire().equals(wire)) {
+      if (p.wire().equals(wireName)) {
         return p.ordinal();
       }
     }
-    throw new AssertionError(wire);
+    throw new AssertionError(wireName);
   }
 
   private int inheritedPriority(ModelJob job, boolean sameTeam) {
@@ -121,32 +124,32 @@
       assertEquals(
           inheritedPriority(modelJob, false),
           job.effectivePriority().ordinal(),
-          jobId(modelJob.number) + " rank");
+          jobId(modelJob.number) + " effective priority");
       assertEquals(
           inheritedPriority(modelJob, true),
           job.preemptionPriority().ordinal(),
-          jobId(modelJob.number) + " team rank");
+          jobId(modelJob.number) + " preemption priority");
     }
     assertTrue(
         tables.dependencies().unresolved().isEmpty(),
-        "unknown " + tables.dependencies().unresolved());
+        "unresolved dependencies " + tables.dependencies().unresolved());
   }
 
-  /** Each step is one change of the store, as it would come; now and then all is loaded anew. */
+  /** Each step applies one random change; occasionally the tables are reloaded from the store. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void dependencyStatesMatchTheModelAfterRandomChanges(long seed) throws BadMessage {
     Random random = new Random(seed);
     int size = 24;
     String[] priorities = {"production", "urgent", "standard", "idle"};
-    for (int n = 0; n < size; n++) {
+    for (int number = 0; number < size; number++) {
       Set<Integer> dependencies = new HashSet<>();
-      for (int k = random.nextInt(4); n > 0 && k > 0; k--) {
-        dependencies.add(random.nextInt(n));
+      for (int k = random.nextInt(4); number > 0 && k > 0; k--) {
+        dependencies.add(random.nextInt(number));
       }
       modelJobs.add(
           new ModelJob(
-              n,
+              number,
               List.copyOf(dependencies),
               priorities[random.nextInt(4)],
               random.nextBoolean() ? "a" : "b"));
@@ -154,27 +157,29 @@
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int step = 0; step < 400; step++) {
       revision++;
-      ModelJob n = modelJobs.get(random.nextInt(size));
+      ModelJob job = modelJobs.get(random.nextInt(size));
       List<StateServiceClient.Change> changes = new ArrayList<>();
-      if (!n.accepted && n.dependencies.stream().allMatch(a -> modelJobs.get(a).accepted)) {
-        n.accepted = true;
+      if (!job.accepted && job.dependencies.stream().allMatch(a -> modelJobs.get(a).accepted)) {
+        job.accepted = true;
         changes.add(
-            storeValue(Job.key(jobId(n.number)), Job.toStore(specOf(n), null, revision, "n0", 0)));
-      } else if (n.accepted && n.terminalPhase == null && random.nextInt(8) == 0) {
-        n.withdrawalRequested = true;
+            storeValue(
+                Job.key(jobId(job.number)), Job.toStore(specOf(job), null, revision, "n0", 0)));
+      } else if (job.accepted && job.terminalPhase == null && random.nextInt(8) == 0) {
+        job.withdrawalRequested = true;
         changes.add(
             storeValue(
-                Job.key(jobId(n.number)), Job.toStore(specOf(n), null, revision, "n0", revision)));
-      } else if (n.accepted
-          && n.terminalPhase == null
-          && (isWithdrawn(n) || isReady(n))
+                Job.key(jobId(job.number)),
+                Job.toStore(specOf(job), null, revision, "n0", revision)));
+      } else if (job.accepted
+          && job.terminalPhase == null
+          && (isWithdrawn(job) || isReady(job))
           && random.nextInt(3) == 0) {
-        n.terminalPhase = isWithdrawn(n) ? "withdrawn" : "done";
-        changes.add(storeValue(Job.key(jobId(n.number)), null));
+        job.terminalPhase = isWithdrawn(job) ? "withdrawn" : "done";
+        changes.add(storeValue(Job.key(jobId(job.number)), null));
         changes.add(
             storeValue(
-                Job.terminalStateKey(jobId(n.number)),
-                new TerminalState(n.terminalPhase, 1, revision).toStore(true)));
+                Job.terminalStateKey(jobId(job.number)),
+                new TerminalState(job.terminalPhase, 1, revision).toStore(true)));
       }
       tables.apply(changes, revision);
       resolveTerminalStates(tables);
@@ -187,7 +192,7 @@
     }
   }
 
-  /** A copy loaded anew, which knows no ends. */
+  /** Loads new tables from the stored values except the terminal states of jobs. */
   private Tables reloadTables() throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     List<StateServiceClient.Change> all = new ArrayList<>();
@@ -201,20 +206,23 @@
     return tables;
   }
 
-  /** Tells it how those ended of which it does not know, as one read does. */
+  /** Resolves unknown dependencies from their stored terminal states, as a history lookup does. */
   private void resolveTerminalStates(Tables tables) throws BadMessage {
     for (String id : List.copyOf(tables.dependencies().unresolved())) {
       for (Job job : tables.dependencies().dependents(id)) {
         assertTrue(
             job.dependencyState() == Job.DependencyState.UNRESOLVED || job.withdrawn(),
-            job.id() + " is clear without " + id);
+            job.id() + " is resolved without " + id);
       }
       tables.rememberTerminalState(
           id, TerminalState.parse(Document.of(storedValues.get(Job.terminalStateKey(id)))));
     }
   }
 
-  /** Haste: the last one's deadline, less what the stages between are expected to take. */
+  /**
+   * A job's latest start is the deadline of the last dependent minus the expected run time of the
+   * stages between them.
+   */
   @ParameterizedTest
   @CsvSource({"0, 61000", "1, 71000", "2, 81000", "3, 91000"})
   void latestStartIsPropagatedToDependencies(int jobNumber, long expectedStartByMs)
@@ -236,13 +244,16 @@
     }
     long actual = tables.job(jobId(jobNumber)).startByWallMs();
     assertEquals(jobNumber == 3 ? Long.MAX_VALUE : expectedStartByMs, actual);
-    // What it lends is taken back when it is withdrawn and gone.
+    // A dependent's deadline no longer counts once its record is removed.
     tables.apply(
         List.of(new StateServiceClient.Change(Job.key(jobId(3)), null, ++revision)), revision);
     assertEquals(Long.MAX_VALUE, tables.job(jobId(0)).startByWallMs());
   }
 
-  /** A thousand chains of six, one awaited by a thousand, and a chain of a hundred: in a blink. */
+  /**
+   * Applies changes to a thousand chains of six jobs, one job with a thousand dependents and a
+   * chain of a hundred jobs.
+   */
   @Test
   void aChangeExaminesOnlyTheJobsThatItAffects() throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
@@ -286,7 +297,7 @@
             .filter(job -> job.dependencyState() == Job.DependencyState.READY)
             .count());
     tables.drainChangedJobs();
-    // A withdrawal of the first reaches the last, and nobody else is looked at.
+    // Withdrawing the first job of the long chain reaches its last one and changes no other job.
     revision++;
     Job job = tables.job(jobId(firstOfLongChain));
     Object withdrawn = MessageCodec.decode(MessageCodec.encode(job.toStore("n0", 5)));
--- a/src/test/java/wickdrift/bookkeeping/MachineTest.java
+++ b/src/test/java/wickdrift/bookkeeping/MachineTest.java
@@ -7,35 +7,36 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.protocol.Report;
 
-/** What a machine's reports prove: that it is there now, and that its worker hears. */
+/** What reports prove about a machine: that it is alive, and that commands reach its worker. */
 class MachineTest {
   private static final long LEASE_MS = 16_000;
 
   /**
-   * Reports as {@code second:tenure/tick/token}, each answered with the epoch in force; {@code !}:
-   * it lacks what it was told to run; {@code h}: a command sent straight was answered before it.
+   * Reports are written as {@code second:session/tick/token}, and each is answered with the current
+   * epoch. The suffix {@code !} means that the report lacks a run that was sent long before; the
+   * prefix {@code h} means that the worker answered a direct command before the report.
    */
-  @ParameterizedTest(name = "epoch {0}, {1}: proved {2}, deaf {3}")
+  @ParameterizedTest(name = "epoch {0}, {1}: alive {2}, unreachable for commands {3}")
   @CsvSource({
-    // Its first report shows an older epoch, or none: perhaps a copy. The next shows the answer's.
+    // A first report with an older epoch, or none, may be a duplicate; the next shows the answer's.
     "7, 0:1/1/0,                           false, false",
     "7, 0:1/1/6,                           false, false",
     "7, 0:1/1/0 3:1/2/7,                   true,  false",
-    // Of this epoch: no copy from before it.
+    // A report that shows the current epoch is no duplicate of an earlier one.
     "7, 0:1/1/7,                           true,  false",
-    // The token does not rise, though it was answered twice.
+    // The token does not rise although two reports were answered: commands don't arrive.
     "7, 0:1/1/6 5:1/2/6,                   false, false",
     "7, 0:1/1/6 5:1/2/6 10:1/3/6,          false, true",
     "7, 0:1/1/6 5:1/2/6 10:1/3/6 15:1/4/7, true,  false",
-    // Its lease ended sooner than one that was renewed by the last answer could have.
+    // The new session began before a lease renewed by the last answer could have expired.
     "7, 0:1/1/7 5:1/2/7 10:2/3/7,          true,  true",
-    // It was cut off for longer than that: its lease may have ended with nothing wrong.
+    // No report came for longer than the lease: it may have expired although commands arrive.
     "7, 0:1/1/7 5:1/2/7 22:2/3/7,          true,  false",
-    // It lacks what it was long since told to run; it hears once it answers a command.
+    // A run sent long before is missing; an answered command shows that commands arrive again.
     "7, 0:1/1/7 5:1/2/7!,                  true,  true",
     "7, 0:1/1/7 5:1/2/7! h8:1/3/7,         true,  false",
     "7, 0:1/1/7 5:1/2/7! 8:1/3/7,          true,  true",
-    // A higher token has reached it.
+    // A higher token shows that a command has arrived.
     "7, 0:1/1/6 3:1/2/7! 6:1/3/8,          true,  false"
   })
   void reportsShowWhetherTheWorkerIsAliveAndReachable(
@@ -69,7 +70,7 @@
     assertEquals(unreachableForCommands, machine.unreachableForCommandsSinceMs() > 0);
   }
 
-  /** What came by itself makes older ones copies; of an earlier session too. */
+  /** A report older than an unsolicited one is a duplicate, also across sessions. */
   @ParameterizedTest
   @CsvSource({"1, 1, true", "1, 5, true", "1, 6, false", "2, 1, false"})
   void aReportOlderThanAnUnsolicitedOneIsADuplicate(long session, long tick, boolean duplicate) {
@@ -82,9 +83,12 @@
   }
 
   /**
-   * Until when its worker's lease may last, as far as is known: from the last answer to a report of
-   * its own, and from the first that was heard of its session. A worker that reaches no controller
-   * begins a new session, and runs in it what it is told straight, long after the last answer.
+   * The worker's lease may last from the later of two times: the last answer to an unsolicited
+   * report, and the first message received in the current session. A worker that reaches no
+   * controller starts a new session and executes direct commands in it long after the last answer.
+   *
+   * <p>Events are {@code h} (an unsolicited report) and {@code d} (a reply to a direct command),
+   * both as {@code second:session/tick}, and {@code a} (an answer to a report) with its second.
    */
   @ParameterizedTest
   @CsvSource({
@@ -117,7 +121,7 @@
       }
     }
     assertEquals(expectedRenewalS * 1000, machine.latestLeaseRenewalMs());
-    // What it answers to commands is no report.
+    // A reply to a command doesn't count as a report.
     assertEquals(lastReportMs, machine.silentSinceMs());
   }
 }
--- a/src/test/java/wickdrift/bookkeeping/StoredRecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/StoredRecordsTest.java
@@ -24,9 +24,10 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
+/** Encoding of stored records, and what applying them does to jobs, tasks, machines and views. */
 class StoredRecordsTest {
-  private static Document toDocument(Map<String, Object> m) throws BadMessage {
-    return Document.parse(MessageCodec.encode(m));
+  private static Document toDocument(Map<String, Object> fields) throws BadMessage {
+    return Document.parse(MessageCodec.encode(fields));
   }
 
   private static Object encodeAndDecode(Object value) throws BadMessage {
@@ -48,7 +49,7 @@
     return tables;
   }
 
-  private static Job jobChange(Tables tables, int number) {
+  private static Job addJob(Tables tables, int number) {
     try {
       JobSpec s = JobSpec.parse(toDocument(SimJobs.job(number, "batch", 9, 1, 10)));
       applyChanges(
@@ -106,7 +107,7 @@
     assertEquals(12, reloaded.doneCount());
   }
 
-  /** 100,000 tasks must fit: a chunk of nothing but live attempts stays below the least limit. */
+  /** A full chunk of live attempts fits, so that a job of 100,000 tasks can be stored. */
   @Test
   void aChunkOfLiveTasksFitsIntoTheSmallestValueLimit() throws BadMessage {
     Tables tables = tablesWithJob(JobSpec.MAX_TASKS);
@@ -150,9 +151,9 @@
   // ---- logs ----
 
   /**
-   * An exit that one node wrote follows on a placement that another wrote before it. Both pages
-   * come in one answer, the later first: applied as they come, the exit would be void and the task
-   * live for ever.
+   * One node logs the exit of a task that another node placed, and a watch answer holds both pages,
+   * the later one first. If they were applied in that order, the exit would have no effect and the
+   * task would stay live for ever.
    */
   @Test
   void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
@@ -166,7 +167,7 @@
     assertEquals(0, tables.getOrCreateMachine("i-1").slots().size());
   }
 
-  /** Entries, one by one, and what the two tasks are after each. */
+  /** Each row holds a log entry and the states of the two tasks after it is applied. */
   @Test
   void entriesThatDoNotMatchTheStateHaveNoEffect() throws BadMessage {
     Tables tables = tablesWithJob(2);
@@ -175,13 +176,13 @@
         List.of(
             new Row(entry(LogEntry.exited(JOB), 0, 1, 1), "WAITING0 WAITING0"),
             new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1", 1, 1, "i-2"), "LIVE1 LIVE1"),
-            // Placed already: a second placement of it must not take effect.
+            // The task is placed already: a second placement has no effect.
             new Row(entry(LogEntry.placed(JOB, 2), 0, 2, "i-9"), "LIVE1 LIVE1"),
             new Row(entry(LogEntry.stopped(JOB, TaskState.Stop.SAVE), 0, 1), "LIVE1S LIVE1"),
-            // Of an attempt that is not the live one.
+            // The entry concerns an attempt that is not the live one.
             new Row(entry(LogEntry.exited(JOB), 1, 2, 1), "LIVE1S LIVE1"),
             new Row(entry(LogEntry.exited(JOB), 0, 1, 0), "WAITING1 LIVE1"),
-            // An attempt's number is never used again.
+            // Attempt numbers are never reused.
             new Row(entry(LogEntry.placed(JOB, 1), 0, 1, "i-1"), "WAITING1 LIVE1"),
             new Row(entry(LogEntry.exited(JOB), 1, 1, 1), "WAITING1 DONE0"),
             new Row(entry(LogEntry.placed(JOB, 1), 1, 5, "i-1"), "WAITING1 DONE0"));
@@ -198,7 +199,7 @@
     }
   }
 
-  /** Two nodes report two members' ends at the same time; neither knows of the other's. */
+  /** Two nodes log the exits of two gang members without knowing of each other's entry. */
   @Test
   void aGangIsDoneWhicheverNodesReportItsMembers() throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
@@ -211,7 +212,7 @@
     assertEquals(2, tables.job(JOB).doneCount());
   }
 
-  /** What was stored of a chunk stands for the entries that it holds, and for no later ones. */
+  /** A stored chunk replaces the log entries up to its revision, and none after it. */
   @Test
   void aLoadAppliesOnlyEntriesNewerThanTheChunk() throws BadMessage {
     Tables tables = tablesWithJob(2);
@@ -227,7 +228,7 @@
     StateServiceClient.Change secondPlacement =
         pageWith(tables, "n0", 13, entry(LogEntry.placed(JOB, 0), 0, 2, "i-2"));
     applyChanges(tables, secondPlacement);
-    // The same from the start: the pages first, as they were read, then the rest.
+    // A load gets the same records at once: first the pages, then the rest.
     Tables reloaded = new Tables(List.of(), LevelRange.BUILD, () -> {});
     reloaded.load(List.of(secondPlacement, exit, jobChange("batch", 2), chunk), 13);
     for (Tables copy : List.of(tables, reloaded)) {
@@ -238,7 +239,10 @@
     }
   }
 
-  /** Pages are listed one after the other: what is newer than the first waits for its turn. */
+  /**
+   * Log pages are listed one after the other. Entries newer than the revision of the first listing
+   * are left to the watch: they may depend on entries of pages that were listed before.
+   */
   @Test
   void aLoadLeavesEntriesNewerThanItsRevisionToTheWatch() throws BadMessage {
     Tables tables = tablesWithJob(2);
@@ -247,14 +251,14 @@
     StateServiceClient.Change placed =
         pageWith(tables, "n0", 10, entry(LogEntry.placed(JOB, 0), 0, 1, "i-1"));
     Tables reloaded = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    // Listed at revision 9, when n0's page was not there yet; n1's was listed later.
+    // The first listing, at revision 9, lacks the page of n0; the page of n1 was listed later.
     reloaded.load(List.of(exit, jobChange("batch", 2)), 9);
     assertEquals(TaskState.Phase.WAITING, reloaded.job(JOB).task(0).phase());
     reloaded.apply(List.of(placed, exit), 11);
     assertEquals(TaskState.Phase.DONE, reloaded.job(JOB).task(0).phase());
   }
 
-  /** The phases of a machine as its entries come, from whichever node; ! marks a void one. */
+  /** Log entries of several nodes with phases of one machine, and the machine's final phase. */
   @ParameterizedTest
   @CsvSource({
     "BOOTING UP LOST UP DRAINING GONE, GONE",
@@ -286,14 +290,14 @@
     assertThrows(IllegalStateException.class, () -> TaskState.NEW.stopping(TaskState.Stop.KILL));
     assertEquals(TaskState.FINISHED, live.exited("done"));
     assertEquals(TaskState.waiting(1), live.exited(null));
-    // A stop only gets harder.
+    // A stop can become stricter (SAVE to KILL), never milder.
     TaskState killed = live.stopping(TaskState.Stop.KILL);
     assertEquals(killed, killed.stopping(TaskState.Stop.SAVE));
   }
 
   /**
-   * Exits in their order: the job, the machine, and + for one that was done. Then for how many
-   * seconds machine 1 is shunned, and whether job a is taken for one that fails everywhere.
+   * The exits are in order, each with its job, its machine and {@code +} if the task was done. The
+   * expected values are the quarantine of machine 1 in seconds and whether job a is suspected.
    */
   @ParameterizedTest
   @CsvSource({
@@ -303,12 +307,12 @@
     "a1 b1 c1, 240, false",
     "a1 b1+ c1, 10, false",
     "a1 b1 c1+, 0, false",
-    // A job with a mistake fails wherever it runs: no machine is shunned for it.
+    // A faulty job fails on every machine: no machine is quarantined for it.
     "a1 a2, 0, true",
     "a1 a2 b1, 10, true",
-    // Both at once: a is taken for faulty, and the machine still fails two others.
+    // Both are faulty: job a is suspected, and machine 1 fails tasks of two other jobs too.
     "a1 a2 b1 c1, 120, true",
-    // It had met two faulty machines: once a task of it is done elsewhere, both are shunned.
+    // Job a met two faulty machines: once a task of it is done elsewhere, both are quarantined.
     "a1 a2 b1 a3+, 120, false",
   })
   void failuresAreAttributedToTheMachineOrToTheJob(
@@ -316,7 +320,7 @@
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Map<Character, Job> jobs = new TreeMap<>();
     for (String exit : exits.split(" ")) {
-      Job job = jobs.computeIfAbsent(exit.charAt(0), k -> jobChange(tables, k));
+      Job job = jobs.computeIfAbsent(exit.charAt(0), k -> addJob(tables, k));
       int index = job.doneCount();
       int attempt = job.task(index).attempt() + 1;
       assertTrue(
@@ -329,11 +333,11 @@
     assertEquals(suspected, jobs.get('a').isSuspected());
   }
 
-  /** A suspect's tries are further and further apart, and failures of one wave count once. */
+  /** The retry delay doubles up to 64 s, and failures that arrive together count once. */
   @Test
   void aSuspectedJobIsRetriedWithIncreasingDelay() {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    Job job = jobChange(tables, 1);
+    Job job = addJob(tables, 1);
     long nowMs = 1_000_000;
     for (int i = 0; i < 2; i++) {
       assertTrue(job.applyPlacement(i, 1, tables.getOrCreateMachine("i-" + i), 0));
@@ -350,26 +354,29 @@
     }
   }
 
-  private static Map<String, String> members(String s) {
-    Map<String, String> m = new TreeMap<>();
-    if (s != null) {
-      for (String p : s.split(" ")) {
-        m.put(p.substring(0, 1), p.substring(1));
+  private static Map<String, String> members(String text) {
+    Map<String, String> incarnations = new TreeMap<>();
+    if (text != null) {
+      for (String member : text.split(" ")) {
+        incarnations.put(member.substring(0, 1), member.substring(1));
       }
     }
-    return m;
+    return incarnations;
   }
 
-  /** Members as name and incarnation; the expected view as epoch and leader, or - for no change. */
+  /**
+   * Members are written as name and incarnation, the expected view as epoch and leader, or {@code
+   * -} for no change.
+   */
   @ParameterizedTest(name = "{0}, leader {1}, live {2}: {3}")
   @CsvSource({
     "a1 b1 c1, a, a1 b1 c1, -",
     "a1 b1 c1, a, , -",
     "a1 b1 c1, a, a1 b1, 8a",
     "a1 b1 c1, a, b1 c1, 8b",
-    // The leader came back as another incarnation: it has to settle first, so another leads.
+    // The leader is a new incarnation whose tables are not settled yet, so another member leads.
     "a1 b1 c1, a, a2 b1 c1, 8b",
-    // All are new: someone must lead.
+    // All members are new incarnations: one of them leads nevertheless.
     "a1 b1 c1, a, a2 b2 c2, 8a",
     "b1, b, a1 b1, 8b",
   })
@@ -380,7 +387,7 @@
     assertEquals(expected, next == null ? "-" : next.epoch() + next.leader());
   }
 
-  /** Rendezvous: a member's going moves its own machines and no others. */
+  /** Rendezvous hashing: only the machines of a lost member get another owner. */
   @Test
   void onlyMachinesOfTheLostMemberChangeOwner() {
     View all = new View(1, members("a1 b1 c1"), "a");
@@ -397,10 +404,13 @@
         assertEquals(all.owner(name), remaining.owner(name));
       }
     }
-    assertTrue(moved > 60, "parts are uneven: " + partitionSizes);
+    assertTrue(moved > 60, "partitions are uneven: " + partitionSizes);
   }
 
-  /** A machine's owner is in its own zone, unless that has none, or too few for so many. */
+  /**
+   * A machine is owned by a member in its zone, unless the zone has no member, or too few in
+   * proportion to all members.
+   */
   @ParameterizedTest(name = "{0} in {1}, machine in {2}: {3}")
   @CsvSource({
     "a1 b1 c1, x y y, x, a",
@@ -427,8 +437,8 @@
   }
 
   /**
-   * A chunk of 64 tasks that all run, with names and attempts so long that it would not fit: each
-   * machine is named once, and it is read as what it was.
+   * A chunk of 64 running tasks whose machine names and attempt numbers are too long for the value
+   * limit is stored in an encoding that names each machine once, and is read back unchanged.
    */
   @ParameterizedTest
   @CsvSource({"1800, 8, 9, 2", "1800, 30, 9, 3", "1400, 8, 99999, 3", "1000, 8, 9, 3"})
--- a/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
+++ b/src/test/java/wickdrift/bookkeeping/level/LevelUpgradeTest.java
@@ -14,13 +14,13 @@
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
 
-/** When the level may rise, and what of it is malformed. */
+/** When the level in force may be upgraded, and which records of it are malformed. */
 class LevelUpgradeTest {
-  private static Document toDocument(Map<String, Object> m) throws BadMessage {
-    return Document.parse(MessageCodec.encode(m));
+  private static Document toDocument(Map<String, Object> fields) throws BadMessage {
+    return Document.parse(MessageCodec.encode(fields));
   }
 
-  /** Names with the most that they speak: {@code a2 b1}. */
+  /** Parses node names with the highest level that each supports: {@code a2 b1}. */
   private static Map<String, Integer> parseLevels(String text) {
     Map<String, Integer> maxLevels = new TreeMap<>();
     for (String s : text == null ? new String[0] : text.split(" ")) {
@@ -29,9 +29,10 @@
     return maxLevels;
   }
 
-  @ParameterizedTest(name = "{0}: there {1}, announced {2}, named {3}, said {4}, done {5}")
+  @ParameterizedTest(
+      name = "{0}: live {1}, announced {2}, configured {3}, override {4}, converted {5}")
   @CsvSource({
-    // level | there | announced for good | settings name | operators say | done | then | why
+    // level, live, announced in records, configured, override, converted level, expected, blocker
     "1, a2 b2 c2, a2 b2 c2, a b c, ,          0, 2, ''",
     "1, a2 b2,    a2 b2 c2, a b c, ,          0, 2, ''",
     "1, a2 b2,    a2 b2,    a b c, ,          0, 1, c is down and has announced nothing",
@@ -41,21 +42,21 @@
     "1, a2 b2 c1, a2 b2,    a b c, without c, 0, 1, c speaks levels 1 to 1",
     "1, a2 b2 c2, a2 b2 c2, a b c, held numbers, 0, 1, gate numbers is held back",
     "1, a2 b2 c2, a2 b2 c2, a b c, held later, 0, 1, gate later is held back",
-    // One that nobody here names, but a member's settings do.
+    // A node counts although only the settings of a member name it: d's record names e.
     "1, a2 b2,    a2 b2,    a,     ,          0, 2, ''",
     "1, a2 b2 d2, a2 b2 d2, a b,   ,          0, 1, e is down and has announced nothing",
     "2, a3 b3,    a3 b3,    a b,   ,          2, 3, ''",
-    // Level 3 changes no form: it asks for no conversion, and comes in one step with level 2.
+    // Level 3 changes no encoding: it needs no conversion and comes in one step with level 2.
     "2, a3 b3,    a3 b3,    a b,   ,          0, 3, ''",
     "1, a3 b3 c3, a3 b3 c3, a b c, ,          0, 3, ''",
     "1, a3 b3 c2, a3 b3 c2, a b c, ,          0, 2, ''",
     "1, a3 b3 c3, a3 b3 c3, a b c, held takes, 0, 2, ''",
     "1, a3 b3 c3, a3 b3 c3, a b c, held numbers, 0, 1, gate numbers is held back",
-    // One that nobody here knows may change forms: it waits.
+    // Level 5 has no gate in this build and may change encodings: it waits for the conversion.
     "4, a5 b5,    a5 b5,    a b,   ,          2, 4, records of a form older than level 4 are left",
     "4, a5 b5,    a5 b5,    a b,   ,          4, 5, ''",
     "5, a5 b5,    a5 b5,    a b,   ,          5, 5, ''",
-    // Nor does level 4, however old the records are.
+    // Level 4 changes no encoding either and doesn't wait, however old the records are.
     "3, a4 b4,    a4 b4,    a b,   ,          0, 4, ''",
     "3, a4 b4 c3, a4 b4 c4, a b c, ,          2, 3, c speaks levels 1 to 3",
     "3, a4 b4,    a4 b4 c3, a b c, ,          2, 3, c is down and spoke levels 1 to 3",
@@ -92,7 +93,7 @@
       registry.apply("done", toDocument(NodeRegistry.encodeConvertedLevel(convertedLevel)), 31);
     }
     Map<String, LevelRange> live = new TreeMap<>();
-    parseLevels(liveNodes).forEach((number, most) -> live.put(number, new LevelRange(1, most)));
+    parseLevels(liveNodes).forEach((name, max) -> live.put(name, new LevelRange(1, max)));
     LevelUpgrade upgrade =
         LevelUpgrade.evaluate(
             currentLevel,
@@ -104,13 +105,13 @@
     assertEquals(blocker.isEmpty() ? List.of() : List.of(blocker), upgrade.blockers());
     if (expectedLevel > currentLevel) {
       assertEquals(override == null ? 0L : 30L, upgrade.conditions().get(OperatorOverrides.KEY));
-      for (String number : parseLevels(announced).keySet()) {
-        // Of one that is down: that it has not come back, nor announced anything else.
-        boolean conditional = upgrade.conditions().containsKey("w/m/" + number);
+      for (String name : parseLevels(announced).keySet()) {
+        // The upgrade is conditional on nodes that are down: they must not have come back.
+        boolean conditional = upgrade.conditions().containsKey("w/m/" + name);
         assertEquals(
-            !live.containsKey(number) && List.of(configuredNodes.split(" ")).contains(number),
+            !live.containsKey(name) && List.of(configuredNodes.split(" ")).contains(name),
             conditional,
-            number);
+            name);
       }
     }
   }
@@ -129,7 +130,7 @@
     assertThrows(BadMessage.class, () -> LevelRange.parse(document));
   }
 
-  /** What is malformed leaves the roster as it was. */
+  /** A malformed record leaves the node registry unchanged. */
   @ParameterizedTest
   @CsvSource({"70000, number", "what, number", "list, names one twice", "word, not a list"})
   void aMalformedRegistryRecordIsRefused(String key, String reason) throws BadMessage {
@@ -142,7 +143,7 @@
     assertEquals(OperatorOverrides.NONE, registry.overrides());
   }
 
-  /** A number is never given twice, whoever is gone. */
+  /** The next number is above all numbers ever assigned, also those of nodes that are gone. */
   @Test
   void nodeNumbersAreNeverReused() throws BadMessage {
     NodeRegistry registry = new NodeRegistry(List.of("a", "b"));
--- a/src/test/java/wickdrift/coordination/AdmissionQueueTest.java
+++ b/src/test/java/wickdrift/coordination/AdmissionQueueTest.java
@@ -16,9 +16,9 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
-/** Who is let in next, and who makes way when the door is full. */
+/** Which submission is admitted next, and which one is dropped when the queue is full. */
 class AdmissionQueueTest {
-  /** Written as {@code team/class/rank}. */
+  /** Parses a submission written as {@code team/class/priority}. */
   private static JobSpec spec(String submission) {
     String[] fields = submission.split("/");
     Map<String, Object> job = SimJobs.job(1, "batch", 1, 1, 5);
@@ -49,10 +49,10 @@
     return order.toString();
   }
 
-  /** Who waits, in the order in which they came, by team; and in which order they leave. */
+  /** The teams of the submissions in the order of arrival, and in the order of admission. */
   @ParameterizedTest
   @CsvSource({
-    // Alone: as they came. Two of one rank: in turns, however many more the first has sent.
+    // One team: in order of arrival. Several teams: in turns, however many each has queued.
     "aaa, aaa-",
     "aaaab, abaaa",
     "aaaabbb, abababa",
@@ -66,7 +66,7 @@
     assertEquals(expectedOrder, pollFirstLetters(queue, expectedOrder.length()));
   }
 
-  /** Higher ranks leave more often, and none waits for ever. */
+  /** Higher priorities are admitted more often, and none is starved. */
   @Test
   void prioritiesAreServedByWeight() {
     AdmissionQueue<String> queue = new AdmissionQueue<>(1000);
@@ -92,18 +92,19 @@
     for (int i = 0; i < 3; i++) {
       queue.offer(spec("b/x/standard"), "b");
     }
-    // Not three of b first, for the three that a has had while b was away.
+    // Team b isn't admitted three times first for the three that a had while b had none queued.
     assertEquals("babab", pollFirstLetters(queue, 5));
   }
 
   @Test
   void theLongestLineLosesItsLastSubmissionWhenTheQueueIsFull() {
     AdmissionQueue<String> queue = new AdmissionQueue<>(3);
-    for (String s : List.of("1", "2", "3")) {
-      assertNull(queue.offer(spec("swarm/x/idle"), s));
+    for (String submission : List.of("1", "2", "3")) {
+      assertNull(queue.offer(spec("swarm/x/idle"), submission));
     }
-    assertEquals("4", queue.offer(spec("swarm/x/idle"), "4"), "its own are no longer than itself");
-    assertEquals("3", queue.offer(spec("other/y/idle"), "o"), "the last that the swarm sent");
+    assertEquals("4", queue.offer(spec("swarm/x/idle"), "4"), "refused: no other line is longer");
+    assertEquals(
+        "3", queue.offer(spec("other/y/idle"), "o"), "dropped: the last of the longest line");
     assertEquals(3, queue.size());
     assertEquals("o12-", pollFirstLetters(queue, 4));
   }
--- a/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
+++ b/src/test/java/wickdrift/coordination/DominantShareOrderTest.java
@@ -20,28 +20,30 @@
 import wickdrift.settings.Settings;
 import wickdrift.sim.SimJobs;
 
-/** In which order jobs of several teams are looked at, by what their teams hold. */
+/**
+ * The order in which jobs of several teams are considered, by the resources that the teams hold.
+ */
 class DominantShareOrderTest {
-  /** Jobs as team and GPUs: a4 is one of team a that asks for four. */
+  /** Jobs are written as team and GPUs: a4 is a job of team a that requests four GPUs. */
   @ParameterizedTest(name = "{0}, held {1}, guaranteed {2}: {3}")
   @CsvSource({
-    // One team: its own order.
+    // The jobs of one team keep their order.
     "a1 a2 a3, , , a1 a2 a3",
-    // Two that hold nothing: in turn.
+    // Two teams that hold nothing alternate.
     "a1 a1 a1 b1 b1, , , a1 b1 a1 b1 a1",
-    // One holds four already: the other first, until it has as much.
+    // Team a holds four GPUs: team b is served first until it has as many.
     "a1 a1 b1 b1 b1 b1 b1, a4, , b1 b1 b1 b1 a1 b1 a1",
-    // A large job counts as what it is.
+    // A large job counts with all its GPUs.
     "a8 a1 b1 b1 b1, , , a8 b1 b1 b1 a1",
-    // Guaranteed twice as much: two for one.
+    // A team with twice the guarantee gets two GPUs for each one of the other.
     "a1 a1 a1 a1 b1 b1, , a20 b10, a1 b1 a1 a1 b1 a1",
-    // Without a guarantee one counts as the least that is guaranteed.
+    // A team without a guarantee counts as one with the smallest guarantee.
     "a1 a1 b1 b1, , a10, a1 b1 a1 b1",
-    // Many of one do not keep the other's one job waiting.
+    // Many jobs of one team don't delay the single job of another.
     "a1 a1 a1 a1 a1 a1 b1, a1, , b1 a1 a1 a1 a1 a1 a1"
   })
   void theTeamWithTheSmallestDominantShareIsNext(
-      String jobs, String held, String guaranteed, String order) throws BadMessage {
+      String jobs, String held, String guaranteed, String expectedOrder) throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     Map<String, List<Job>> jobsByTeam = new LinkedHashMap<>();
     Map<Job, String> names = new LinkedHashMap<>();
@@ -69,14 +71,14 @@
     while (shareOrder.hasNext()) {
       actual.append(actual.isEmpty() ? "" : " ").append(names.get(shareOrder.next()));
     }
-    assertEquals(order, actual.toString());
+    assertEquals(expectedOrder, actual.toString());
   }
 
   private static Map<String, Double> gpusByTeam(String text) {
-    Map<String, Double> out = new LinkedHashMap<>();
+    Map<String, Double> amounts = new LinkedHashMap<>();
     for (String s : text == null ? new String[0] : text.split(" ")) {
-      out.put(s.substring(0, 1), Double.parseDouble(s.substring(1)));
+      amounts.put(s.substring(0, 1), Double.parseDouble(s.substring(1)));
     }
-    return out;
+    return amounts;
   }
 }
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -24,13 +24,14 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
+/** Which machine a task is placed on, and how much work the choice takes. */
 class PlacementTest {
   private static JobSpec spec(double cpus, double gpus) {
-    var m = SimJobs.job(1, "batch", 1, gpus, 10);
-    m.put("cores", cpus);
-    m.put("memoryGb", 1.0);
+    var fields = SimJobs.job(1, "batch", 1, gpus, 10);
+    fields.put("cores", cpus);
+    fields.put("memoryGb", 1.0);
     try {
-      return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
+      return JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
@@ -38,17 +39,17 @@
 
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
-  /** Machines m1..mn of falling capability, with the given booked shares of their GPUs. */
+  /** Machines m1..mn of decreasing capability, with the given shares of their GPUs booked. */
   private static CapacityIndex capacityOf(String loads) throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     CapacityIndex capacity = new CapacityIndex();
     String[] shares = loads.trim().split(" +");
     for (int i = 0; i < shares.length; i++) {
       double gpus = 100 - i;
-      TypeInfo t = new TypeInfo("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
-      Machine m = addMachine(tables, "m" + (i + 1));
-      capacity.put(m, t, "n0", 0);
-      capacity.book(capacity.find(m), spec(0, Double.parseDouble(shares[i]) * gpus));
+      TypeInfo type = new TypeInfo("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
+      Machine machine = addMachine(tables, "m" + (i + 1));
+      capacity.put(machine, type, "n0", 0);
+      capacity.book(capacity.find(machine), spec(0, Double.parseDouble(shares[i]) * gpus));
     }
     return capacity;
   }
@@ -59,72 +60,72 @@
 
   private static Machine addMachine(Tables tables, String name, Machine.Info info)
       throws BadMessage {
-    var v = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
-    long rev = 1 + tables.machines().size();
-    StateServiceClient.Change c =
+    var page = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
+    long revision = 1 + tables.machines().size();
+    StateServiceClient.Change change =
         new StateServiceClient.Change(
-            LogPage.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
-    tables.apply(List.of(c), rev);
+            LogPage.key("n0", revision), MessageCodec.decode(MessageCodec.encode(page)), revision);
+    tables.apply(List.of(change), revision);
     return tables.machine(name);
   }
 
-  @ParameterizedTest(name = "{0} wants {1} GPUs: {2}")
+  @ParameterizedTest(name = "loads {0}, {1} GPUs requested: {2}")
   @CsvSource({
-    // One machine: ceil(1/2)..1.
+    // Of one machine, rank ceil(1/2)..1 is considered.
     "0.5, 1, m1",
-    // Of two, ranks 1..2.
+    // Of two machines, ranks 1..2 are considered.
     "0.1 0.2, 1, m1",
-    // Of three, ranks 2..3: the emptiest, m1, is not looked at.
+    // Of three machines, ranks 2..3 are considered; the least loaded, m1, is not.
     "0.0 0.4 0.3, 1, m3",
-    // Of four, ranks 2..4; of five, 3..5.
+    // Of four machines, ranks 2..4 are considered; of five, ranks 3..5.
     "0.0 0.1 0.4 0.3, 1, m2",
     "0.0 0.0 0.4 0.3 0.5, 1, m4",
-    // Eligible are the i that can hold it: with 97 GPUs wanted ranks are counted among m1..m4.
+    // Only machines that can hold the task are eligible: for 97 GPUs, ranks count m1..m4.
     "0.0 0.0 0.0 0.0 0.0 0.0, 97, m2",
-    // The half is full: any eligible machine with room.
+    // The less capable half is full: any eligible machine with free capacity is chosen.
     "0.5 1.0 1.0 1.0, 1, m1",
-    // Nowhere is room: it waits.
+    // No machine has free capacity: the task waits.
     "1.0 1.0 1.0, 1, -",
   })
   void choosesTheLeastLoadedMachineOfTheLeastCapableHalf(String loads, double gpus, String expected)
       throws BadMessage {
-    FreeCapacity r = capacityOf(loads).choose(spec(0, gpus), c -> true);
-    assertEquals(expected, r == null ? "-" : r.machine().name());
+    FreeCapacity chosen = capacityOf(loads).choose(spec(0, gpus), c -> true);
+    assertEquals(expected, chosen == null ? "-" : chosen.machine().name());
   }
 
   @Test
   void ranksCountOnlyAllowedMachines() throws BadMessage {
-    FreeCapacity r =
+    FreeCapacity chosen =
         capacityOf("0.0 0.1 0.2 0.3")
             .choose(spec(0, 1), c -> c.type.name().equals("t0") || c.type.name().equals("t3"));
-    // Two are allowed, so both ranks count and the emptier wins.
-    assertEquals("m1", r.machine().name());
+    // Two machines are allowed, so both are considered and the less loaded one is chosen.
+    assertEquals("m1", chosen.machine().name());
   }
 
   @Test
   void loadIsTheLargestBookedShare() {
-    TypeInfo t = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    FreeCapacity r =
+    TypeInfo type = new TypeInfo("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
+    FreeCapacity capacity =
         new FreeCapacity(
-            new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
-    r.book(spec(5, 1));
-    assertEquals(0.5, r.load(), 1e-9);
+            new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), type);
+    capacity.book(spec(5, 1));
+    assertEquals(0.5, capacity.load(), 1e-9);
   }
 
-  /** A second image fetched beside the first only delays it: such a machine has no room for it. */
+  /** A second image fetch would delay the first, so a machine that fetches counts as full. */
   @Test
   void aMachineThatFetchesAnotherImageIsNotChosen() throws BadMessage {
     CapacityIndex capacity = new CapacityIndex();
-    TypeInfo t = new TypeInfo("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    Machine m = addMachine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
-    capacity.put(m, t, "n0", 0);
+    TypeInfo type = new TypeInfo("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
+    Machine machine = addMachine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
+    capacity.put(machine, type, "n0", 0);
     JobSpec first = spec(1, 1);
-    capacity.book(capacity.find(m), first);
+    capacity.book(capacity.find(machine), first);
     assertNull(capacity.choose(specWithImage(1, 1, "other"), c -> true));
-    assertEquals(capacity.find(m), capacity.choose(first, c -> true));
+    assertEquals(capacity.find(machine), capacity.choose(first, c -> true));
   }
 
-  // ---- the index against the rule written out ----
+  // ---- the index compared with a full scan ----
 
   private static JobSpec specWithImage(double cpus, double gpus, String image) throws BadMessage {
     return specWithImage("batch", cpus, gpus, image);
@@ -140,7 +141,7 @@
     return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
   }
 
-  /** Judged by its load alone: even where all that is booked were of the task's smallest share. */
+  /** Whether the load leaves no room even for the smallest of the task's resource shares. */
   private static boolean isTooLoaded(FreeCapacity r, JobSpec s) {
     double share =
         Math.min(
@@ -156,7 +157,7 @@
     return r.hasImage(s) ? 2 : 0;
   }
 
-  /** Definition 3 with the sets of Lemma 1, over all machines, sorted anew. */
+  /** Definition 3 with the sets of Lemma 1, by sorting and scanning all machines. */
   private static FreeCapacity chooseByFullScan(List<FreeCapacity> capacity, JobSpec s) {
     List<FreeCapacity> eligible = new ArrayList<>();
     capacity.stream().filter(r -> r.type().canHold(s)).forEach(eligible::add);
@@ -193,7 +194,7 @@
     return best;
   }
 
-  /** What matters of a choice: its load and its image; the rest is a tie. */
+  /** The load, image and machine type of a choice; machines that agree in these are a tie. */
   private static String describe(FreeCapacity r, JobSpec s) {
     return r == null ? "-" : Math.round(r.load() * 1e6) + " " + r.hasImage(s) + r.type().name();
   }
@@ -243,7 +244,7 @@
     assertTrue(placed > 100, "placed " + placed);
   }
 
-  /** Twenty times the machines: about the same work for a choice. */
+  /** A choice among twenty times as many machines examines about as many of them. */
   @Test
   void aChoiceExaminesFewMachinesOfALargeFleet() throws BadMessage {
     JobSpec spec = specWithImage(5, 1, "img");
@@ -263,7 +264,7 @@
       }
       examined[k] = capacity.machinesExamined() - before;
     }
-    // The border of the half lies within one 64th of load, so some are counted one by one.
-    assertTrue(examined[1] < 100 * 700, "looked at " + examined[1]);
+    // The boundary of the half lies within one bucket of 1/64 load, which is scanned linearly.
+    assertTrue(examined[1] < 100 * 700, "examined " + examined[1]);
   }
 }
--- a/src/test/java/wickdrift/coordination/PreemptionTest.java
+++ b/src/test/java/wickdrift/coordination/PreemptionTest.java
@@ -19,6 +19,7 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
+/** Which machines and tasks are chosen for preemption. */
 class PreemptionTest {
   private static final TypeInfo TYPE =
       new TypeInfo("t", 64, 4, 128, 100, 0.5, 1, 1, 1, List.of("a"));
@@ -51,22 +52,23 @@
   }
 
   /**
-   * Machines by what runs there: priority, GPUs, and image if it is the wanted one ("idle2i"); then
-   * those chosen, in order, with how many tasks are stopped on each.
+   * Each machine is given by its running tasks: priority, GPUs, and {@code i} if the task has the
+   * image of the waiting job ({@code idle2i}). The expected result lists the chosen machines in
+   * order, each with its number of preemption victims.
    */
-  @ParameterizedTest(name = "{1} from {0}, up to {2}: {3}")
+  @ParameterizedTest(name = "{1} preempts {0}, victims up to {2}: {3}")
   @CsvSource({
     "idle4 / standard4, urgent, LOW, m0:1",
     "idle4 / standard4, urgent, HIGH, m0:1 m1:1",
-    // Equals are never stopped, however long it has waited.
+    // Tasks of the same priority are never preempted, however long the job has waited.
     "urgent4 / standard4, urgent, HIGH, m1:1",
-    // What may be stopped must be enough; what is free counts.
+    // Victims and free capacity together must suffice.
     "idle2 standard2 / idle4, urgent, LOW, m1:1",
     "idle1 / idle2 idle2, urgent, LOW, m0:1 m1:2",
     "idle2, urgent, LOW, m0:1",
-    // Of machines that cost alike, the one that has the image.
+    // Of machines with equal cost, the one that has the image is preferred.
     "idle4 / idle4i, urgent, LOW, m1:1 m0:1",
-    // Least lost first, three machines at most.
+    // The cheapest machines come first, three at most.
     "idle4 / idle3 / idle2 / idle1, urgent, LOW, m3:1 m2:1 m1:1",
   })
   void theCheapestVictimsAreChosen(
--- a/src/test/java/wickdrift/coordination/QueuedDemandTest.java
+++ b/src/test/java/wickdrift/coordination/QueuedDemandTest.java
@@ -16,7 +16,7 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
-/** What waits at a part is counted as room that is taken. */
+/** Tasks that wait at a partition count as used capacity of that partition. */
 class QueuedDemandTest {
   private static final String JOB_ID = "req-000001";
 
@@ -28,7 +28,7 @@
   private final Tables tables = new Tables(List.of("n1", "n2"), LevelRange.BUILD, () -> {});
   private long revision;
 
-  /** The job as it is in the tables once that is durable. */
+  /** Stores the job in the given partition and returns it as the tables hold it. */
   private Job storeJob(String partition, int tasks, double gpus) throws Exception {
     Object value = Job.toStore(spec(tasks, gpus), null, 1, partition, 0);
     Object stored = MessageCodec.decode(MessageCodec.encode(value));
@@ -38,14 +38,14 @@
     return tables.job(JOB_ID);
   }
 
-  /** SimWorld's tasks want 4 CPUs and 16 GB each. */
+  /** The simulated world's tasks request 4 CPUs and 16 GB of memory each. */
   @ParameterizedTest
   @CsvSource({
-    // waiting | GPUs each | the next wants GPUs | tasks that would take what is promised
+    // waiting tasks, GPUs per task, GPUs of the next task, tasks equivalent to the queued demand
     "0, 1, 1, 0",
     "3, 1, 1, 3",
     "3, 2, 1, 6",
-    // As many tasks as the scarcest of what is promised holds: here the memory.
+    // The scarcest resource counts, here the memory.
     "3, 1, 4, 3",
     "4, 2, 4, 4"
   })
@@ -68,7 +68,7 @@
     assertEquals(4, demand.equivalentTasks(spec(1, 1), "n1"), 1e-9);
     demand.add(spec(2, 1), "n1");
     assertEquals(6, demand.equivalentTasks(spec(1, 1), "n1"), 1e-9);
-    // Handed to another part.
+    // The job moves to another partition.
     assertSame(job, storeJob("n2", 9, 1));
     demand.update(job, 4);
     assertEquals(2, demand.equivalentTasks(spec(1, 1), "n1"), 1e-9);
--- a/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
+++ b/src/test/java/wickdrift/coordination/TransactionBuilderTest.java
@@ -18,10 +18,11 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
+/** Transactions that place and end the tasks of large gangs. */
 class TransactionBuilderTest {
   private static final int MAX_PAGE_BYTES = 3600;
 
-  /** A gang starts in one transaction: a large one takes several pages of one revision. */
+  /** A gang starts in one transaction; a large gang takes several log pages of one revision. */
   @ParameterizedTest
   @CsvSource({"2, 1", "60, 1", "300, 2"})
   void aGangOfAnySizeIsPlacedInOneTransaction(int size, int minPages) throws BadMessage {
@@ -49,11 +50,11 @@
       changes.add(new StateServiceClient.Change(write.text("write"), value, 4));
     }
     assertTrue(changes.size() >= minPages && changes.size() <= 13, "pages " + changes.size());
-    // Whatever the order in which the pages come.
+    // The order in which the pages arrive doesn't matter.
     Collections.reverse(changes);
     tables.apply(changes, 4);
     assertEquals(size, job.liveCount());
-    // One exit at a time must fit however large the gang is: it must not hold up the others'.
+    // A single exit fits however large the gang is, so it can't block the exits of other jobs.
     assertTrue(new TransactionBuilder(tables, "n0", 16, 16, MAX_PAGE_BYTES).fitsInPage(job, 1));
   }
 }
--- a/src/test/java/wickdrift/coordination/ZonesTest.java
+++ b/src/test/java/wickdrift/coordination/ZonesTest.java
@@ -8,22 +8,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A zone that is cut off is told from machines that died, and from our own being cut off. */
+/**
+ * Distinguishes an unreachable zone from machines that died by chance and from a controller that is
+ * isolated itself.
+ */
 class ZonesTest {
   private static final long REPORTS_OVERDUE_MS = 1000;
   private static final long NOW_MS = 100_000;
 
   @ParameterizedTest(name = "{6}")
   @CsvSource({
-    "0, 3, 9, 0, 0, 200, three of ours are silent: true",
-    "0, 2, 9, 0, 0, 200, two may have died: false",
-    "0, 3, 9, 0, 0, -1, nothing is heard from anywhere: false",
-    "0, 3, 9, 0, 99500, 200, we have not listened for long: false",
-    "99500, 3, 9, 0, 0, 200, someone there has reported: false",
-    "0, 0, 1, 4, 99500, 200, others have recorded four of five: true",
-    "0, 0, 2, 4, 99500, 200, others have recorded four of six: false",
-    "0, 0, 0, 2, 99500, 200, two are recorded: false",
-    "99500, 0, 1, 9, 0, 200, recorded and yet heard: false",
+    "0, 3, 9, 0, 0, 200, three of our machines are silent: true",
+    "0, 2, 9, 0, 0, 200, two machines may have died by chance: false",
+    "0, 3, 9, 0, 0, -1, no zone reports: false",
+    "0, 3, 9, 0, 99500, 200, this controller has received reports only for a short time: false",
+    "99500, 3, 9, 0, 0, 200, a worker of the zone has reported: false",
+    "0, 0, 1, 4, 99500, 200, four of five are recorded as lost: true",
+    "0, 0, 2, 4, 99500, 200, four of six are recorded as lost: false",
+    "0, 0, 0, 2, 99500, 200, only two are recorded as lost: false",
+    "99500, 0, 1, 9, 0, 200, recorded as lost although a worker has reported: false",
   })
   void aZoneIsUnreachableOnlyWithEnoughEvidence(
       long lastReportMs,
@@ -51,7 +54,10 @@
     assertFalse(zones.dark("b"));
   }
 
-  /** What is still recorded as silent when the first reports is not given up for that. */
+  /**
+   * When the first worker of a zone reports again, the others are still recorded as silent and need
+   * time to report: the zone counts as recovering for that long.
+   */
   @Test
   void aZoneIsRecoveringUntilItsWorkersHadTimeToReport() {
     Zones zones = new Zones(REPORTS_OVERDUE_MS);
--- a/src/test/java/wickdrift/coordination/commands/SafetyMonitorTest.java
+++ b/src/test/java/wickdrift/coordination/commands/SafetyMonitorTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is asserted at run time, and the record of the last events that goes with a violation. */
+/** Invariants that are checked at run time, and the recent events logged with a violation. */
 class SafetyMonitorTest {
   private static CommandEvent event(String machine, long atMs) {
     return new CommandEvent(
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void theRecordKeepsTheLastEventsOfAllMachinesTogether() {
+  void theLastEventsOfAllMachinesTogetherAreKept() {
     RecentEvents events = new RecentEvents(3);
     assertEquals(List.of(), events.eventsOf("a"));
     for (int i = 1; i <= 5; i++) {
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsRandomWalkTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsRandomWalkTest.java
@@ -14,15 +14,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random sequences of sends, losses, late arrivals, reports, sessions, epochs and restarts against
- * a model of the worker and the network that holds every message: whatever is cleared, ended or
- * confirmed must never start again.
+ * Applies random sequences of sent, lost and delayed commands, reports, lease expiries, epoch
+ * changes and worker restarts to {@link WorkerCommands} and to a model of the worker and the
+ * network that holds every message. It guards against an attempt that starts again after it was
+ * ended or cleared, because a command for it was still in flight.
  */
 class WorkerCommandsRandomWalkTest {
   private static final int STEPS = 400;
   private static final int TASKS = 3;
 
-  /** A command on its way to the worker. */
+  /** A command in flight to the worker. */
   private record Message(
       long epoch, long session, TaskAttempt run, WorkerCommands.DirectRuns directRuns) {
     boolean isDirect() {
@@ -30,7 +31,7 @@
     }
   }
 
-  /** What the worker is: the slow, obviously right side. */
+  /** The reference model of the worker. */
   private static final class Worker {
     long epoch;
     long session = 1;
@@ -44,14 +45,14 @@
   private final WorkerCommands commands = new WorkerCommands();
   private final List<Message> inFlight = new ArrayList<>();
 
-  /** A run that the answer to the last report carries; the next report means that it is settled. */
+  /** Runs in the answer to the last report; at the next report they have arrived or are lost. */
   private final List<Message> runsInLastAnswer = new ArrayList<>();
 
   private final Map<String, Integer> bookedAttempts = new HashMap<>();
   private final Set<TaskAttempt> finishedAttempts = new HashSet<>();
   private long epoch = 1;
 
-  /** The worker has begun anew, and counts once it shows this epoch. */
+  /** Reports of a restarted worker are trusted once they show at least this epoch. */
   private long trustedFromEpoch;
 
   private int endCount;
@@ -68,7 +69,9 @@
       WorkerCommandsRandomWalkTest walk = new WorkerCommandsRandomWalkTest();
       walk.random.setSeed(seed);
       walk.runSteps(seed);
-      assertTrue(walk.endCount + walk.clearCount > 5, "seed " + seed + " has proved nothing");
+      assertTrue(
+          walk.endCount + walk.clearCount > 5,
+          "seed " + seed + " ended and cleared too few attempts");
     }
   }
 
@@ -106,7 +109,7 @@
     }
   }
 
-  /** Any command arrives, in any order; its answer may be lost, and what was lost never comes. */
+  /** Delivers a random command that is in flight; its answer may be lost for good. */
   private void deliver(int seed) {
     if (inFlight.isEmpty()) {
       return;
@@ -133,7 +136,7 @@
     }
   }
 
-  /** The answer to the report before has arrived by now, or never will. */
+  /** At this report the answer to the previous one has arrived or is lost. */
   private void receiveReport() {
     for (Message message : runsInLastAnswer) {
       if (random.nextBoolean()) {
@@ -144,7 +147,7 @@
     worker.tick++;
     boolean proves = worker.epoch == epoch && worker.epoch >= trustedFromEpoch;
     if (!proves) {
-      // It is answered, so that the next report shows our epoch.
+      // The report is answered, so the next one shows the controller's epoch.
       worker.epoch = Math.max(worker.epoch, epoch);
       raiseEpochAfterRestart();
       return;
@@ -194,7 +197,7 @@
     }
   }
 
-  /** The attempt is over: the next one takes its place. */
+  /** Records the attempt as finished and books the next attempt of its task. */
   private void finishAndBookNext(TaskAttempt attempt) {
     finishedAttempts.add(attempt);
     bookedAttempts.put(attempt.task(), attempt.attempt() + 1);
@@ -220,9 +223,10 @@
   }
 
   /**
-   * The worker is back at once in its first session, with no epoch. What was sent straight to the
-   * one before in a later session is refused by this one until it gets there; in the model commands
-   * of earlier sessions of the one before, and of ends before the restart, went with its machine.
+   * Restarts the worker in its first session without an epoch. The restarted worker would refuse
+   * direct commands for a later session of its predecessor until it reaches that session itself, so
+   * the model restarts workers in their first session only. Commands in flight for attempts that
+   * finished before the restart are lost.
    */
   private void restartWorker() {
     if (random.nextInt(6) > 0 || worker.session > 1) {
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which knowledge of a worker's commands proves what. */
+/** What the sent commands and the received reports prove about a worker's attempts. */
 class WorkerCommandsTest {
   private static final TaskAttempt ATTEMPT = new TaskAttempt("req-000001/0", 1);
   private static final String JOB = "req-000001";
@@ -17,10 +17,11 @@
   private static final long SESSION = 3;
 
   /**
-   * Steps, and what they prove. {@code A}, {@code B}: the attempt's run is sent straight; {@code
-   * a}, {@code b}: that command is answered; {@code r}: it is sent with the answer to a report;
-   * {@code s}: a report shows the attempt; {@code e}: the worker shows a higher epoch; {@code n}:
-   * it shows the next session; {@code R}: it has begun anew.
+   * The verdicts after a sequence of steps. {@code A}, {@code B}: a direct command with the
+   * attempt's run is sent; {@code a}, {@code b}: that command is answered; {@code r}: the run is
+   * sent with the answer to a report; {@code s}: a report shows the attempt; {@code e}: the worker
+   * reports a higher epoch; {@code n}: the worker reports the next session; {@code R}: the worker
+   * has restarted.
    */
   @ParameterizedTest(name = "{0}: clear {1}, end {2}, confirm {3}")
   @CsvSource({
@@ -37,7 +38,7 @@
     "AR,    DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ArsR,  DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ArsRe, PROVED,                PROVED,                PROVED",
-    // The answer to one command tells nothing of another.
+    // The answer to one direct command proves nothing about another.
     "ABb,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ABa,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ABba,  PROVED,                PROVED,                PROVED"
@@ -74,7 +75,7 @@
     return new WorkerCommands.DirectRuns(EPOCH, SESSION, 0, List.of(ATTEMPT));
   }
 
-  /** What a report proves of an attempt that was sent with an answer in session 3 and not seen. */
+  /** A run was sent with an answer in session 3, and no report has shown the attempt since. */
   @ParameterizedTest
   @CsvSource({
     "false, true,  3, false, true,  NOT_AN_OWN_REPORT",
--- a/src/test/java/wickdrift/knownred/KnownRedExtension.java
+++ b/src/test/java/wickdrift/knownred/KnownRedExtension.java
@@ -11,9 +11,9 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests of {@link KnownRedList} as all others, prints how each ended, and reports a
- * failure of one of them, and of no other test, as aborted instead of failed. Registered for every
- * test by {@code META-INF/services}.
+ * Runs the tests of {@link KnownRedList} like all others, prints the outcome of each, and reports
+ * their failures as aborted instead of failed. Other tests are not affected. It is registered for
+ * all tests by {@code META-INF/services}.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
   private static final Map<String, KnownRedList.Entry> ENTRY_BY_TEST =
--- a/src/test/java/wickdrift/knownred/KnownRedList.java
+++ b/src/test/java/wickdrift/knownred/KnownRedList.java
@@ -10,23 +10,22 @@
 import java.util.List;
 
 /**
- * The tests that are known to fail for a real fault that is not mended yet, as {@code
- * KNOWN-RED.txt} at the root of the repository lists them: {@code test | cause | issue}, where the
- * test is {@code package.Class.method}. Empty lines and lines that begin with {@code #} don't
- * count.
+ * The tests that are known to fail because of a defect that is not fixed yet. {@code KNOWN-RED.txt}
+ * at the root of the repository lists them as {@code test | cause | issue}, where the test is
+ * {@code package.Class.method}. Empty lines and lines that begin with {@code #} are ignored.
  */
 final class KnownRedList {
   static final Path FILE = Path.of("KNOWN-RED.txt");
 
-  /** More than this is no list of exceptions any more. */
+  /** Bounds the number of failing tests that the build tolerates. */
   static final int MAX_ENTRIES = 3;
 
   private static final int FIELDS_PER_LINE = 3;
 
-  /** A test that may fail, why it does, and the issue in which it is to be mended. */
+  /** A test that may fail, the cause of its failure, and the issue that tracks the fix. */
   record Entry(String test, String cause, String issue) {}
 
-  /** Tells what is wrong with the list. */
+  /** Thrown if the list is malformed; the message says why. */
   static final class InvalidListException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -37,7 +36,7 @@
 
   private KnownRedList() {}
 
-  /** The list of this repository; no file means that no test is known to fail. */
+  /** Loads the list of this repository, empty if the file doesn't exist. */
   static List<Entry> load() {
     if (!Files.exists(FILE)) {
       return List.of();
@@ -50,7 +49,9 @@
   }
 
   /**
-   * Reads a list, and refuses one that is too long, malformed, or names a test that isn't there.
+   * Parses a list.
+   *
+   * @throws InvalidListException if the list is too long or malformed, or names an unknown test
    */
   static List<Entry> parse(List<String> lines) {
     List<Entry> entries = new ArrayList<>();
--- a/src/test/java/wickdrift/knownred/KnownRedListTest.java
+++ b/src/test/java/wickdrift/knownred/KnownRedListTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a list of known red tests may hold. */
+/** Which lists of known failing tests are valid. */
 class KnownRedListTest {
   private static final String TEST = "wickdrift.knownred.KnownRedListTest.theListIsValid";
 
-  /** An unknown test or a fourth line in the repository's own list fails the build here. */
+  /** Fails the build if the repository's own list has a fourth entry or names an unknown test. */
   @Test
   void theListIsValid() {
     assertDoesNotThrow(KnownRedList::load);
--- a/src/test/java/wickdrift/lab/ServedTest.java
+++ b/src/test/java/wickdrift/lab/ServedTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The arithmetic of who was served, on small made-up reports. */
+/** The served share of each class and team, computed from small sample reports. */
 class ServedTest {
   private static final String TWO_CLASSES =
       "{'scenario':'d','rules_broken':{'total':0},"
@@ -17,8 +17,8 @@
           + "'b':{'jobs':4,'accepted':4,'started':1,'done':0}},"
           + "'teams':{'t':{'jobs':14,'started':9}}}";
 
-  private static String withDoubleQuotes(String s) {
-    return s.replace('\'', '"');
+  private static String withDoubleQuotes(String text) {
+    return text.replace('\'', '"');
   }
 
   static Stream<Arguments> reports() {
@@ -26,18 +26,18 @@
         Arguments.of(TWO_CLASSES, "d: least served class b 0.250, FAILED"),
         Arguments.of(
             TWO_CLASSES.replace("'started':1", "'started':2"), "d: least served class b 0.500"),
-        // Of two that were served alike, a class is named before a team.
+        // Of a class and a team with equal shares, the class is named.
         Arguments.of(
             "{'scenario':'d','rules_broken':{'total':0},"
                 + "'classes':{'z':{'jobs':2,'accepted':2,'started':2,'done':2}},"
                 + "'teams':{'a':{'jobs':2,'started':2}}}",
             "d: least served class z 1.000"),
-        // Nothing was asked for: nobody went without.
+        // A class without jobs counts as fully served.
         Arguments.of(
             "{'scenario':'d','rules_broken':{'total':0},"
                 + "'classes':{'a':{'jobs':0,'accepted':0,'started':0,'done':0}},'teams':{}}",
             "d: least served class a 1.000"),
-        // Of a class's largest jobs less than half began in time.
+        // Less than half of a class's largest jobs started in time: the day has failed.
         Arguments.of(
             TWO_CLASSES
                 .replace("'started':1", "'started':4")
@@ -56,8 +56,8 @@
 
   @ParameterizedTest
   @MethodSource("reports")
-  void theSummaryNamesTheLeastServed(String report, String line) throws BadInput {
-    assertEquals(line, Served.read(withDoubleQuotes(report)).line());
+  void theSummaryNamesTheLeastServed(String report, String summaryLine) throws BadInput {
+    assertEquals(summaryLine, Served.read(withDoubleQuotes(report)).line());
   }
 
   static Stream<Arguments> malformedReports() {
--- a/src/test/java/wickdrift/lab/VariantTest.java
+++ b/src/test/java/wickdrift/lab/VariantTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Deployments and days made of a small made-up site. */
+/** Variants of a small sample site, and days of faults resolved for it. */
 class VariantTest {
   private static final String SITE =
       """
@@ -61,8 +61,8 @@
       ]
       """;
 
-  private static Config parse(String s) {
-    return new TomlParser().parse(s);
+  private static Config parse(String toml) {
+    return new TomlParser().parse(toml);
   }
 
   private static Config siteWith(String variant) throws BadInput {
@@ -71,12 +71,15 @@
     return site;
   }
 
-  private static String valueAt(Config c, String path) {
-    Object v = c;
-    for (String p : path.split("/")) {
-      v = v instanceof List<?> l ? l.get(Integer.parseInt(p)) : ((Config) v).get(p);
+  private static String valueAt(Config config, String path) {
+    Object value = config;
+    for (String key : path.split("/")) {
+      value =
+          value instanceof List<?> list
+              ? list.get(Integer.parseInt(key))
+              : ((Config) value).get(key);
     }
-    return String.valueOf(v);
+    return String.valueOf(value);
   }
 
   static Stream<Arguments> variants() {
@@ -97,7 +100,7 @@
         Arguments.of("largest = 0.1", "targets/0/within_s", "240.0"),
         Arguments.of("limits = 2.0", "teams/0/gpus", "20.0"),
         Arguments.of("controllers = 7", "nodes/count", "7"),
-        // What struck all three strikes all seven; what struck one strikes one.
+        // A fault of all three controllers becomes one of all seven; smaller counts stay.
         Arguments.of("controllers = 7", "day/0/faults/0/count", "7"),
         Arguments.of("controllers = 7", "day/0/faults/1/count", "1"),
         Arguments.of("controllers = 7", "day/0/faults/3/count", "2"),
@@ -148,7 +151,7 @@
         Arguments.of("at_s = 1.0, kind = \"zone_cut\", for_leases = 1.5", "for_s", "30.0"),
         Arguments.of("at_s = 1.0, kind = \"zone_cut\", for_cancels = 1.3", "for_s", "39.0"),
         Arguments.of("at_s = 1.0, kind = \"zone_cut\", for_cancels = 1.3", "for_cancels", "null"),
-        // Of other kinds a share is the fault's own.
+        // For other kinds of faults the share is a field of the fault and stays.
         Arguments.of("at_s = 7.0, kind = \"spot_taken\", share = 0.3", "share", "0.3"));
   }
 
@@ -159,7 +162,7 @@
     assertEquals(value, valueAt(day, "faults/0/" + field));
   }
 
-  /** A day changes classes of the site; which it is may be told by its kind. */
+  /** A day changes classes of the site, selected by their name or by their kind. */
   @ParameterizedTest
   @ValueSource(strings = {"@gang", "c"})
   void aDayChangesAClassSelectedByNameOrKind(String name) throws BadInput {
--- a/src/test/java/wickdrift/protocol/MessagesTest.java
+++ b/src/test/java/wickdrift/protocol/MessagesTest.java
@@ -16,23 +16,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.sim.SimJobs;
 
+/** Encoding of messages, and the validation of submitted jobs. */
 class MessagesTest {
   @Test
   void anEncodedMessageIsDecodedUnchanged() throws BadMessage {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("text", "żółw");
-    m.put("count", 1L << 40);
-    m.put("amount", 2.5);
-    m.put("flag", true);
-    m.put("none", null);
-    m.put("list", List.of(1L, "two", Map.of("k", 3L)));
-    assertEquals(m, MessageCodec.decode(MessageCodec.encode(m)));
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("text", "żółw");
+    fields.put("count", 1L << 40);
+    fields.put("amount", 2.5);
+    fields.put("flag", true);
+    fields.put("none", null);
+    fields.put("list", List.of(1L, "two", Map.of("k", 3L)));
+    assertEquals(fields, MessageCodec.decode(MessageCodec.encode(fields)));
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {
-        "", // nothing at all
+        "", // an empty message
         "c1", // a byte that MessagePack never uses
         "c40161", // binary data
         "81a161", // a map that ends early
@@ -40,19 +41,19 @@
         "df7fffffffa16101", // a map longer than its message
         "810101", // a key that is not text
         "81a1610101", // bytes after the end
-        "91919191919191919191919191919191", // too deep
+        "91919191919191919191919191919191", // nested too deeply
         "81a161cfffffffffffffffff" // a count beyond 63 bits
       })
   void malformedBytesAreRefused(String hex) {
-    byte[] b = new byte[hex.length() / 2];
-    for (int i = 0; i < b.length; i++) {
-      b[i] = (byte) Integer.parseInt(hex.substring(2 * i, 2 * i + 2), 16);
+    byte[] bytes = new byte[hex.length() / 2];
+    for (int i = 0; i < bytes.length; i++) {
+      bytes[i] = (byte) Integer.parseInt(hex.substring(2 * i, 2 * i + 2), 16);
     }
-    assertThrows(BadMessage.class, () -> MessageCodec.decode(b));
+    assertThrows(BadMessage.class, () -> MessageCodec.decode(bytes));
   }
 
   static List<Arguments> invalidSubmissions() {
-    List<Arguments> out = new ArrayList<>();
+    List<Arguments> submissions = new ArrayList<>();
     for (String missing :
         List.of(
             "ref",
@@ -72,9 +73,9 @@
             "expectS",
             "checkpointEveryS",
             "flushS")) {
-      out.add(Arguments.of(missing, null));
+      submissions.add(Arguments.of(missing, null));
     }
-    Object[][] wrong = {
+    Object[][] invalidValues = {
       {"ref", "job-1"},
       {"ref", "req-1/2"},
       {"ref", 7},
@@ -95,56 +96,56 @@
       {"dueS", -2.0},
       {"bundle", ""},
     };
-    Arrays.stream(wrong).forEach(w -> out.add(Arguments.of(w[0], w[1])));
-    return out;
+    Arrays.stream(invalidValues).forEach(w -> submissions.add(Arguments.of(w[0], w[1])));
+    return submissions;
   }
 
   @ParameterizedTest(name = "{0} = {1}")
   @MethodSource("invalidSubmissions")
   void theErrorOfAnInvalidSubmissionNamesTheField(String field, Object value) {
-    Map<String, Object> m = SimJobs.job(1, "batch", 2, 1, 10);
-    m.put(field, value);
-    byte[] body = MessageCodec.encode(m);
+    Map<String, Object> fields = SimJobs.job(1, "batch", 2, 1, 10);
+    fields.put(field, value);
+    byte[] body = MessageCodec.encode(fields);
     assertTrue(submissionError(body).contains(field), submissionError(body));
-    m.remove(field);
+    fields.remove(field);
     if (value == null) {
-      assertTrue(submissionError(MessageCodec.encode(m)).contains(field));
+      assertTrue(submissionError(MessageCodec.encode(fields)).contains(field));
     }
   }
 
-  /** What the door finds wrong with a submission; empty: nothing. */
+  /** The error with which admission refuses a submission, or an empty text if it is valid. */
   private static String submissionError(byte[] body) {
     try {
-      Document d = Document.parse(body);
-      JobSpec.parse(d);
-      return JobSpec.lacks(d) == null ? "" : JobSpec.lacks(d);
+      Document document = Document.parse(body);
+      JobSpec.parse(document);
+      return JobSpec.lacks(document) == null ? "" : JobSpec.lacks(document);
     } catch (BadMessage e) {
       return e.getMessage();
     }
   }
 
-  /** What may be null may be left out, and what nobody knows is ignored. */
+  /** Optional fields may be null or absent, and unknown fields are ignored. */
   @ParameterizedTest
   @ValueSource(strings = {"flavours", "region", "dueS", "awaits", "unknown"})
   void optionalFieldsMayBeNullOrAbsent(String field) throws BadMessage {
-    Map<String, Object> m = SimJobs.job(1, "batch", 2, 1, 10);
-    m.remove(field);
-    assertEquals("", submissionError(MessageCodec.encode(m)));
-    JobSpec without = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
-    m.put(field, null);
-    assertEquals("", submissionError(MessageCodec.encode(m)));
-    assertEquals(without, JobSpec.parse(Document.parse(MessageCodec.encode(m))));
+    Map<String, Object> fields = SimJobs.job(1, "batch", 2, 1, 10);
+    fields.remove(field);
+    assertEquals("", submissionError(MessageCodec.encode(fields)));
+    JobSpec without = JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
+    fields.put(field, null);
+    assertEquals("", submissionError(MessageCodec.encode(fields)));
+    assertEquals(without, JobSpec.parse(Document.parse(MessageCodec.encode(fields))));
   }
 
   @Test
   void aStoredJobIsReadBackAsSubmitted() throws BadMessage {
-    Map<String, Object> m = SimJobs.job(1, "daemon", 9, 1, 0);
-    m.put("unknown", "ignored");
-    m.put("flavours", List.of("g4"));
-    m.put("region", "a");
-    m.put("dueS", 9.5);
-    JobSpec s = JobSpec.parse(Document.parse(MessageCodec.encode(m)));
-    assertEquals(s, JobSpec.parse(Document.parse(MessageCodec.encode(s.toStore()))));
-    assertEquals(5, s.zoneLimit());
+    Map<String, Object> fields = SimJobs.job(1, "daemon", 9, 1, 0);
+    fields.put("unknown", "ignored");
+    fields.put("flavours", List.of("g4"));
+    fields.put("region", "a");
+    fields.put("dueS", 9.5);
+    JobSpec spec = JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
+    assertEquals(spec, JobSpec.parse(Document.parse(MessageCodec.encode(spec.toStore()))));
+    assertEquals(5, spec.zoneLimit());
   }
 }
--- a/src/test/java/wickdrift/protocol/PeerFrameTest.java
+++ b/src/test/java/wickdrift/protocol/PeerFrameTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames between controllers of the same and of other builds. */
+/** Frames between controllers of the same build and of other builds. */
 class PeerFrameTest {
-  private static ByteBuffer fromHex(String s) {
-    return ByteBuffer.wrap(HexFormat.of().parseHex(s));
+  private static ByteBuffer fromHex(String bytes) {
+    return ByteBuffer.wrap(HexFormat.of().parseHex(bytes));
   }
 
-  /** The bytes that dc24b21 writes, and reads, for the numbers that it has. */
+  /** The layout is fixed: controllers of build dc24b21 write and read exactly these bytes. */
   @Test
   void theStatusLayoutMatchesTheFormerBuild() throws BadMessage {
     PeerFrame.Standing status = new PeerFrame.Standing(2, 41, true, 7);
@@ -28,7 +28,7 @@
     assertEquals(status, PeerFrame.decode(bytes));
   }
 
-  /** More bytes than are known are a newer sender's. */
+  /** A newer build may append fields to a frame; an older one ignores them. */
   @Test
   void trailingBytesOfANewerSenderAreIgnored() throws BadMessage {
     ByteBuffer longer =
@@ -68,7 +68,7 @@
             + Arrays.toString(confirmation.places()));
   }
 
-  /** However early it ends, it is malformed, and nothing is read past its end. */
+  /** A frame truncated at any length is malformed, and nothing is read past its end. */
   @Test
   void aTruncatedWithdrawalIsMalformed() {
     ByteBuffer whole =
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Of another layout or kind: not understood, and no reason to stop. */
+  /** A frame of an unknown layout or kind is decoded as unknown instead of failing. */
   @ParameterizedTest
   @ValueSource(strings = {"040102", "030902", "03FF02", "030002", "031602000000", "030602"})
   void anUnknownFrameIsNoError(String bytes) throws BadMessage {
--- a/src/test/java/wickdrift/settings/SettingsTest.java
+++ b/src/test/java/wickdrift/settings/SettingsTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.bookkeeping.StateServiceLimits;
 
+/** Which settings are accepted, and which field the error of an invalid one names. */
 class SettingsTest {
   private static final String VALID =
       """
@@ -60,12 +61,12 @@
 
   @Test
   void unknownFieldsAreIgnored() throws Settings.Invalid {
-    Settings s = parse(VALID);
-    assertEquals("a", s.node());
-    assertEquals(16, s.stateLimits().txnOps());
-    assertEquals(8.0, s.teams().get(0).gpusMax());
-    // What the next limits do not name stays as it is; without them nothing changes.
-    assertEquals(new StateServiceLimits.Bounds(250, 70, 2, 5), s.nextLimits());
+    Settings settings = parse(VALID);
+    assertEquals("a", settings.node());
+    assertEquals(16, settings.stateLimits().txnOps());
+    assertEquals(8.0, settings.teams().get(0).gpusMax());
+    // Limits absent from [cluster.state.next] keep their values; without the table none change.
+    assertEquals(new StateServiceLimits.Bounds(250, 70, 2, 5), settings.nextLimits());
     assertNull(parse(VALID.replace("[cluster.state.next]", "[cluster.later]")).nextLimits());
   }
 
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Test;
 import wickdrift.protocol.MessageCodec;
 
-/** More workers than sockets: neither side of a controller may be kept from the others by them. */
+/**
+ * A controller has more workers than sockets: their connections must not keep users from its server
+ * side, nor its client side from the state service.
+ */
 class SocketsTest {
   private static final int MAX_CONNECTIONS = 8;
   private static final Map<String, Object> BODY = Map.of("ok", true);
@@ -48,19 +51,19 @@
         server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).localAddress();
   }
 
-  /** Sends one request; the head of the answer, or nothing where the connection was closed. */
-  private String request(Socket s, String method, String path) throws IOException {
-    s.setSoTimeout(10_000);
+  /** Sends one request and returns the head of the response, empty if the connection was closed. */
+  private String request(Socket socket, String method, String path) throws IOException {
+    socket.setSoTimeout(10_000);
     String head = method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
-    s.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-    StringBuilder got = new StringBuilder();
-    InputStream in = s.getInputStream();
+    socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+    StringBuilder response = new StringBuilder();
+    InputStream in = socket.getInputStream();
     try {
       for (int c = in.read(); c >= 0; c = in.read()) {
-        got.append((char) c);
-        if (got.indexOf("\r\n\r\n") >= 0) {
+        response.append((char) c);
+        if (response.indexOf("\r\n\r\n") >= 0) {
           in.readNBytes(MessageCodec.encode(BODY).length);
-          return got.toString();
+          return response.toString();
         }
       }
     } catch (java.net.SocketException e) {
@@ -70,9 +73,9 @@
   }
 
   private Socket openConnection(InetSocketAddress to) throws IOException {
-    Socket s = new Socket(to.getAddress(), to.getPort());
-    sockets.add(s);
-    return s;
+    Socket socket = new Socket(to.getAddress(), to.getPort());
+    sockets.add(socket);
+    return socket;
   }
 
   @Test
@@ -80,7 +83,7 @@
     InetSocketAddress to = startServer(MAX_CONNECTIONS);
     for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
       String head = request(openConnection(to), "POST", "/hello");
-      assertTrue(head.startsWith("HTTP/1.1 200"), "every worker is answered: " + i);
+      assertTrue(head.startsWith("HTTP/1.1 200"), "every worker gets a response: " + i);
       assertEquals(i >= MAX_CONNECTIONS * 3 / 4, head.contains("connection: close"), "worker " + i);
     }
     String user = request(openConnection(to), "GET", "/up");
@@ -97,8 +100,10 @@
     for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
       assertTrue(request(openConnection(to), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
     }
-    assertEquals("", request(first, "POST", "/hello"), "closed for the last user");
-    assertTrue(request(second, "POST", "/hello").startsWith("HTTP/1.1 200"), "not for anyone else");
+    assertEquals("", request(first, "POST", "/hello"), "connection closed for the last user");
+    assertTrue(
+        request(second, "POST", "/hello").startsWith("HTTP/1.1 200"),
+        "other worker connections stay open");
   }
 
   @Test
@@ -108,13 +113,17 @@
       InetSocketAddress a = startServer(MAX_CONNECTIONS);
       workers.add(a.getAddress().getHostAddress() + ":" + a.getPort());
     }
-    InetSocketAddress s = startServer(MAX_CONNECTIONS);
-    String stateService = s.getAddress().getHostAddress() + ":" + s.getPort();
+    InetSocketAddress serviceAddress = startServer(MAX_CONNECTIONS);
+    String stateService =
+        serviceAddress.getAddress().getHostAddress() + ":" + serviceAddress.getPort();
     HttpClient client = new HttpClient(loop.group(), MAX_CONNECTIONS, Set.of(stateService));
     for (String w : workers) {
-      assertEquals(200, callOnLoop(client, w).get(10, TimeUnit.SECONDS), "one idle makes way");
+      assertEquals(
+          200,
+          callOnLoop(client, w).get(10, TimeUnit.SECONDS),
+          "an idle connection is closed for the new one");
     }
-    // All at once: more than may be open, and none idle to make way.
+    // All calls at once: more than may be open, and no idle connection to close.
     List<CompletableFuture<Integer>> all = new ArrayList<>();
     CompletableFuture<CompletableFuture<Integer>> last = new CompletableFuture<>();
     loop.run(
@@ -127,22 +136,25 @@
     for (CompletableFuture<Integer> f : all) {
       refused += f.get(10, TimeUnit.SECONDS) == 0 ? 1 : 0;
     }
-    assertTrue(refused > 0, "some workers had to do without");
+    assertTrue(refused > 0, "no call to a worker was refused");
   }
 
-  private CompletableFuture<Integer> callOnLoop(HttpClient c, String address) {
-    CompletableFuture<Integer> f = new CompletableFuture<>();
-    loop.run(() -> callFromLoop(c, address).thenAccept(f::complete));
-    return f;
+  private CompletableFuture<Integer> callOnLoop(HttpClient client, String address) {
+    CompletableFuture<Integer> status = new CompletableFuture<>();
+    loop.run(() -> callFromLoop(client, address).thenAccept(status::complete));
+    return status;
   }
 
-  private static CompletableFuture<Integer> callFromLoop(HttpClient c, String address) {
-    CompletableFuture<Integer> f = new CompletableFuture<>();
-    c.call(address, "GET", "/up", null, 5000, a -> f.complete(a.status()));
-    return f;
+  private static CompletableFuture<Integer> callFromLoop(HttpClient client, String address) {
+    CompletableFuture<Integer> status = new CompletableFuture<>();
+    client.call(address, "GET", "/up", null, 5000, a -> status.complete(a.status()));
+    return status;
   }
 
-  /** The process that ended a moment ago listens still; then no longer, or for good. */
+  /**
+   * The port of a process that ended a moment ago may still be in use. Binding fails after the
+   * given number of attempts if it stays in use, and succeeds once it is free.
+   */
   @Test
   void bindingIsRetriedWhileThePortIsInUse() throws Exception {
     ServerSocket formerProcess = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -152,12 +164,13 @@
             .group(loop.group())
             .channel(NioServerSocketChannel.class)
             .childHandler(new ChannelInboundHandlerAdapter());
-    int[] pauses = {0};
+    int[] pauseCount = {0};
     IOException e =
-        assertThrows(IOException.class, () -> Ports.listen(server, address, 3, () -> pauses[0]++));
-    assertEquals(2, pauses[0]);
+        assertThrows(
+            IOException.class, () -> Ports.listen(server, address, 3, () -> pauseCount[0]++));
+    assertEquals(2, pauseCount[0]);
     assertTrue(e.getMessage().contains(String.valueOf(address.getPort())), e.getMessage());
-    Channel c =
+    Channel channel =
         Ports.listen(
             server,
             address,
@@ -169,7 +182,7 @@
                 throw new AssertionError(x);
               }
             });
-    assertEquals(address, c.localAddress());
-    c.close().sync();
+    assertEquals(address, channel.localAddress());
+    channel.close().sync();
   }
 }
