--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -140,9 +140,9 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void dependencyStatesMatchTheModelAfterRandomChanges(long seed) throws BadMessage {
     Random random = new Random(seed);
-    int size = 24;
+    int jobCount = 24;
     String[] priorities = {"production", "urgent", "standard", "idle"};
-    for (int number = 0; number < size; number++) {
+    for (int number = 0; number < jobCount; number++) {
       Set<Integer> dependencies = new HashSet<>();
       for (int k = random.nextInt(4); number > 0 && k > 0; k--) {
         dependencies.add(random.nextInt(number));
@@ -157,7 +157,7 @@
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     for (int step = 0; step < 400; step++) {
       revision++;
-      ModelJob job = modelJobs.get(random.nextInt(size));
+      ModelJob job = modelJobs.get(random.nextInt(jobCount));
       List<StateServiceClient.Change> changes = new ArrayList<>();
       if (!job.accepted && job.dependencies.stream().allMatch(a -> modelJobs.get(a).accepted)) {
         job.accepted = true;
@@ -195,14 +195,14 @@
   /** Loads new tables from the stored values except the terminal states of jobs. */
   private Tables reloadTables() throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    List<StateServiceClient.Change> all = new ArrayList<>();
+    List<StateServiceClient.Change> changes = new ArrayList<>();
     storedValues.forEach(
         (k, v) -> {
           if (!k.startsWith("w/d/")) {
-            all.add(new StateServiceClient.Change(k, v, stamps.get(k)));
+            changes.add(new StateServiceClient.Change(k, v, stamps.get(k)));
           }
         });
-    tables.load(all, revision);
+    tables.load(changes, revision);
     return tables;
   }
 
@@ -258,24 +258,24 @@
   void aChangeExaminesOnlyTheJobsThatItAffects() throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     int next = 0;
-    List<StateServiceClient.Change> all = new ArrayList<>();
+    List<StateServiceClient.Change> changes = new ArrayList<>();
     for (int chain = 0; chain < 1000; chain++) {
       for (int stage = 0; stage < 6; stage++) {
-        all.add(jobChange(next, stage == 0 ? -1 : next - 1));
+        changes.add(jobChange(next, stage == 0 ? -1 : next - 1));
         next++;
       }
     }
     int hub = next++;
-    all.add(jobChange(hub, -1));
+    changes.add(jobChange(hub, -1));
     for (int i = 0; i < 1000; i++) {
-      all.add(jobChange(next++, hub));
+      changes.add(jobChange(next++, hub));
     }
     int firstOfLongChain = next;
     for (int i = 0; i < 100; i++) {
-      all.add(jobChange(next, i == 0 ? -1 : next - 1));
+      changes.add(jobChange(next, i == 0 ? -1 : next - 1));
       next++;
     }
-    tables.load(all, revision);
+    tables.load(changes, revision);
     assertEquals(
         1000 + 1 + 1,
         tables.jobs().stream()
--- a/src/test/java/wickdrift/bookkeeping/StoredRecordsTest.java
+++ b/src/test/java/wickdrift/bookkeeping/StoredRecordsTest.java
@@ -38,9 +38,9 @@
   private static final String JOB_KEY = "w/j/" + JOB;
 
   private static StateServiceClient.Change jobChange(String shape, int tasks) throws BadMessage {
-    JobSpec s = JobSpec.parse(toDocument(SimJobs.job(1, shape, tasks, 1, 10)));
+    JobSpec spec = JobSpec.parse(toDocument(SimJobs.job(1, shape, tasks, 1, 10)));
     return new StateServiceClient.Change(
-        JOB_KEY, encodeAndDecode(Job.toStore(s, null, 5, "n0", 0)), 3);
+        JOB_KEY, encodeAndDecode(Job.toStore(spec, null, 5, "n0", 0)), 3);
   }
 
   private static Tables tablesWithJob(int tasks) throws BadMessage {
@@ -51,12 +51,12 @@
 
   private static Job addJob(Tables tables, int number) {
     try {
-      JobSpec s = JobSpec.parse(toDocument(SimJobs.job(number, "batch", 9, 1, 10)));
+      JobSpec spec = JobSpec.parse(toDocument(SimJobs.job(number, "batch", 9, 1, 10)));
       applyChanges(
           tables,
           new StateServiceClient.Change(
-              Job.key(s.id()), encodeAndDecode(Job.toStore(s, null, 5, "n0", 0)), number));
-      return tables.job(s.id());
+              Job.key(spec.id()), encodeAndDecode(Job.toStore(spec, null, 5, "n0", 0)), number));
+      return tables.job(spec.id());
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
@@ -153,7 +153,7 @@
   /**
    * One node logs the exit of a task that another node placed, and a watch answer holds both pages,
    * the later one first. If they were applied in that order, the exit would have no effect and the
-   * task would stay live for ever.
+   * task would stay live forever.
    */
   @Test
   void entriesOfDifferentLogsAreAppliedInOrder() throws BadMessage {
@@ -354,7 +354,7 @@
     }
   }
 
-  private static Map<String, String> members(String text) {
+  private static Map<String, String> parseMembers(String text) {
     Map<String, String> incarnations = new TreeMap<>();
     if (text != null) {
       for (String member : text.split(" ")) {
@@ -382,16 +382,16 @@
   })
   void theNextViewFollowsTheLiveMembers(
       String members, String leader, String live, String expected) {
-    View view = new View(7, members(members), leader);
-    View next = View.next(view, members(live), Map.of());
+    View view = new View(7, parseMembers(members), leader);
+    View next = View.next(view, parseMembers(live), Map.of());
     assertEquals(expected, next == null ? "-" : next.epoch() + next.leader());
   }
 
   /** Rendezvous hashing: only the machines of a lost member get another owner. */
   @Test
   void onlyMachinesOfTheLostMemberChangeOwner() {
-    View all = new View(1, members("a1 b1 c1"), "a");
-    View remaining = new View(2, members("a1 b1"), "a");
+    View all = new View(1, parseMembers("a1 b1 c1"), "a");
+    View remaining = new View(2, parseMembers("a1 b1"), "a");
     int moved = 0;
     Map<String, Integer> partitionSizes = new HashMap<>();
     for (int i = 0; i < 300; i++) {
@@ -428,7 +428,7 @@
     for (int i = 0; i < memberList.length; i++) {
       zoneByMember.put(memberList[i].substring(0, 1), zones.split(" ")[i]);
     }
-    View view = new View(1, members(members), "a", zoneByMember);
+    View view = new View(1, parseMembers(members), "a", zoneByMember);
     Set<String> actualOwners = new TreeSet<>();
     for (int i = 0; i < 200; i++) {
       actualOwners.add(view.owner(String.format("i-%06d", i), zone));
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -71,7 +71,7 @@
 
   @ParameterizedTest(name = "loads {0}, {1} GPUs requested: {2}")
   @CsvSource({
-    // Of one machine, rank ceil(1/2)..1 is considered.
+    // Of i eligible machines, ranks ceil(i/2)..i are considered; of one machine, rank 1.
     "0.5, 1, m1",
     // Of two machines, ranks 1..2 are considered.
     "0.1 0.2, 1, m1",
@@ -141,62 +141,74 @@
     return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
   }
 
-  /** Whether the load leaves no room even for the smallest of the task's resource shares. */
-  private static boolean isTooLoaded(FreeCapacity r, JobSpec s) {
+  /**
+   * Whether the load alone shows that the task doesn't fit, even if the most loaded resource is the
+   * one of which the task needs the smallest share.
+   */
+  private static boolean isTooLoaded(FreeCapacity candidate, JobSpec spec) {
     double share =
         Math.min(
-            Math.min(s.cpus() / r.type().cpus(), s.gpus() / r.type().gpus()),
-            s.memoryGb() / r.type().memoryGb());
-    return r.load() > 1 - share + FreeCapacity.EPS;
+            Math.min(spec.cpus() / candidate.type().cpus(), spec.gpus() / candidate.type().gpus()),
+            spec.memoryGb() / candidate.type().memoryGb());
+    return candidate.load() > 1 - share + FreeCapacity.EPS;
   }
 
-  private static int fitRank(FreeCapacity r, JobSpec s) {
-    if (isTooLoaded(r, s) || r.isFetching() && !r.hasImage(s)) {
+  /**
+   * Orders machines of equal capability: free without the image, unable to accept, with the image.
+   */
+  private static int fitRank(FreeCapacity candidate, JobSpec spec) {
+    if (isTooLoaded(candidate, spec) || candidate.isFetching() && !candidate.hasImage(spec)) {
       return 1;
     }
-    return r.hasImage(s) ? 2 : 0;
+    return candidate.hasImage(spec) ? 2 : 0;
   }
 
   /** Definition 3 with the sets of Lemma 1, by sorting and scanning all machines. */
-  private static FreeCapacity chooseByFullScan(List<FreeCapacity> capacity, JobSpec s) {
+  private static FreeCapacity chooseByFullScan(List<FreeCapacity> capacities, JobSpec spec) {
     List<FreeCapacity> eligible = new ArrayList<>();
-    capacity.stream().filter(r -> r.type().canHold(s)).forEach(eligible::add);
+    capacities.stream().filter(candidate -> candidate.type().canHold(spec)).forEach(eligible::add);
     eligible.sort(
-        Comparator.comparingDouble((FreeCapacity r) -> -r.type().gpus())
-            .thenComparingInt(r -> fitRank(r, s))
-            .thenComparingInt(r -> LoadIndex.bucket(r.load()))
-            .thenComparing(r -> r.machine().info().zone())
+        Comparator.comparingDouble((FreeCapacity candidate) -> -candidate.type().gpus())
+            .thenComparingInt(candidate -> fitRank(candidate, spec))
+            .thenComparingInt(candidate -> LoadIndex.bucket(candidate.load()))
+            .thenComparing(candidate -> candidate.machine().info().zone())
             .thenComparingDouble(FreeCapacity::load)
-            .thenComparingInt(r -> r.machine().number()));
+            .thenComparingInt(candidate -> candidate.machine().number()));
     int eligibleCount = eligible.size();
     int first = (eligibleCount + 1) / 2 - 1;
     FreeCapacity best = null;
-    for (FreeCapacity r : eligible.subList(Math.max(0, first), eligibleCount)) {
-      boolean lessLoaded = best == null || r.load() < best.load() - FreeCapacity.EPS;
-      boolean tie = best != null && Math.abs(r.load() - best.load()) <= FreeCapacity.EPS;
-      if (r.fitsWithFetch(s) && (lessLoaded || tie && r.hasImage(s) && !best.hasImage(s))) {
-        best = r;
+    for (FreeCapacity candidate : eligible.subList(Math.max(0, first), eligibleCount)) {
+      boolean lessLoaded = best == null || candidate.load() < best.load() - FreeCapacity.EPS;
+      boolean tie = best != null && Math.abs(candidate.load() - best.load()) <= FreeCapacity.EPS;
+      if (candidate.fitsWithFetch(spec)
+          && (lessLoaded || tie && candidate.hasImage(spec) && !best.hasImage(spec))) {
+        best = candidate;
       }
     }
     if (best != null) {
       return best;
     }
-    for (FreeCapacity r : eligible) {
-      boolean imageGained = best != null && r.hasImage(s) && !best.hasImage(s);
+    for (FreeCapacity candidate : eligible) {
+      boolean imageGained = best != null && candidate.hasImage(spec) && !best.hasImage(spec);
       boolean moreLoaded =
           best != null
-              && r.hasImage(s) == best.hasImage(s)
-              && r.load() > best.load() + FreeCapacity.EPS;
-      if (r.fitsWithFetch(s) && (best == null || imageGained || moreLoaded)) {
-        best = r;
+              && candidate.hasImage(spec) == best.hasImage(spec)
+              && candidate.load() > best.load() + FreeCapacity.EPS;
+      if (candidate.fitsWithFetch(spec) && (best == null || imageGained || moreLoaded)) {
+        best = candidate;
       }
     }
     return best;
   }
 
   /** The load, image and machine type of a choice; machines that agree in these are a tie. */
-  private static String describe(FreeCapacity r, JobSpec s) {
-    return r == null ? "-" : Math.round(r.load() * 1e6) + " " + r.hasImage(s) + r.type().name();
+  private static String describe(FreeCapacity candidate, JobSpec spec) {
+    return candidate == null
+        ? "-"
+        : Math.round(candidate.load() * 1e6)
+            + " "
+            + candidate.hasImage(spec)
+            + candidate.type().name();
   }
 
   @ParameterizedTest
@@ -237,8 +249,8 @@
         placed++;
       }
       if (random.nextInt(10) == 0) {
-        FreeCapacity r = all.get(random.nextInt(all.size()));
-        capacity.put(r.machine(), r.type(), "n0", 0);
+        FreeCapacity cleared = all.get(random.nextInt(all.size()));
+        capacity.put(cleared.machine(), cleared.type(), "n0", 0);
       }
     }
     assertTrue(placed > 100, "placed " + placed);
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -27,7 +27,8 @@
 
 /**
  * A controller has more workers than sockets: their connections must not keep users from its server
- * side, nor its client side from the state service.
+ * side, nor its client side from the state service. A controller that restarts also has to wait
+ * until the port of its predecessor is free.
  */
 class SocketsTest {
   private static final int MAX_CONNECTIONS = 8;
@@ -72,33 +73,34 @@
     return "";
   }
 
-  private Socket openConnection(InetSocketAddress to) throws IOException {
-    Socket socket = new Socket(to.getAddress(), to.getPort());
+  private Socket openConnection(InetSocketAddress server) throws IOException {
+    Socket socket = new Socket(server.getAddress(), server.getPort());
     sockets.add(socket);
     return socket;
   }
 
   @Test
   void workerConnectionsAreClosedWhenConnectionsAreScarce() throws Exception {
-    InetSocketAddress to = startServer(MAX_CONNECTIONS);
+    InetSocketAddress server = startServer(MAX_CONNECTIONS);
     for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
-      String head = request(openConnection(to), "POST", "/hello");
+      String head = request(openConnection(server), "POST", "/hello");
       assertTrue(head.startsWith("HTTP/1.1 200"), "every worker gets a response: " + i);
       assertEquals(i >= MAX_CONNECTIONS * 3 / 4, head.contains("connection: close"), "worker " + i);
     }
-    String user = request(openConnection(to), "GET", "/up");
+    String user = request(openConnection(server), "GET", "/up");
     assertTrue(user.startsWith("HTTP/1.1 200") && !user.contains("connection: close"));
   }
 
   @Test
   void aUserReplacesTheWorkerConnectionThatIsIdleLongest() throws Exception {
-    InetSocketAddress to = startServer(MAX_CONNECTIONS);
-    Socket first = openConnection(to);
+    InetSocketAddress server = startServer(MAX_CONNECTIONS);
+    Socket first = openConnection(server);
     request(first, "POST", "/hello");
-    Socket second = openConnection(to);
+    Socket second = openConnection(server);
     request(second, "POST", "/hello");
     for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
-      assertTrue(request(openConnection(to), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
+      assertTrue(
+          request(openConnection(server), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
     }
     assertEquals("", request(first, "POST", "/hello"), "connection closed for the last user");
     assertTrue(
@@ -110,31 +112,31 @@
   void aClientWithManyWorkersReachesTheStateService() throws Exception {
     List<String> workers = new ArrayList<>();
     for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
-      InetSocketAddress a = startServer(MAX_CONNECTIONS);
-      workers.add(a.getAddress().getHostAddress() + ":" + a.getPort());
+      InetSocketAddress worker = startServer(MAX_CONNECTIONS);
+      workers.add(worker.getAddress().getHostAddress() + ":" + worker.getPort());
     }
     InetSocketAddress serviceAddress = startServer(MAX_CONNECTIONS);
     String stateService =
         serviceAddress.getAddress().getHostAddress() + ":" + serviceAddress.getPort();
     HttpClient client = new HttpClient(loop.group(), MAX_CONNECTIONS, Set.of(stateService));
-    for (String w : workers) {
+    for (String worker : workers) {
       assertEquals(
           200,
-          callOnLoop(client, w).get(10, TimeUnit.SECONDS),
+          callOnLoop(client, worker).get(10, TimeUnit.SECONDS),
           "an idle connection is closed for the new one");
     }
     // All calls at once: more than may be open, and no idle connection to close.
-    List<CompletableFuture<Integer>> all = new ArrayList<>();
+    List<CompletableFuture<Integer>> statuses = new ArrayList<>();
     CompletableFuture<CompletableFuture<Integer>> last = new CompletableFuture<>();
     loop.run(
         () -> {
-          workers.forEach(w -> all.add(callFromLoop(client, w)));
+          workers.forEach(worker -> statuses.add(callFromLoop(client, worker)));
           last.complete(callFromLoop(client, stateService));
         });
     assertEquals(200, last.get(10, TimeUnit.SECONDS).get(10, TimeUnit.SECONDS));
     int refused = 0;
-    for (CompletableFuture<Integer> f : all) {
-      refused += f.get(10, TimeUnit.SECONDS) == 0 ? 1 : 0;
+    for (CompletableFuture<Integer> status : statuses) {
+      refused += status.get(10, TimeUnit.SECONDS) == 0 ? 1 : 0;
     }
     assertTrue(refused > 0, "no call to a worker was refused");
   }
