--- a/src/test/java/wickdrift/bookkeeping/MachineTest.java
+++ b/src/test/java/wickdrift/bookkeeping/MachineTest.java
@@ -7,82 +7,88 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wickdrift.protocol.Report;
 
-/** What a machine's reports prove: that it is there now, and that its worker hears. */
+/** What reports prove about a machine: that it is alive, and that commands reach its worker. */
 class MachineTest {
   private static final long LEASE_MS = 16_000;
 
   /**
-   * Reports as {@code second:tenure/tick/token}, each answered with the epoch in force; {@code !}:
-   * it lacks what it was told to run; {@code h}: a command sent straight was answered before it.
+   * Reports are written as {@code second:session/tick/token}, and each is answered with the current
+   * epoch. The suffix {@code !} means that the report lacks a run that was sent long before; the
+   * prefix {@code h} means that the worker answered a direct command before the report.
    */
-  @ParameterizedTest(name = "epoch {0}, {1}: proved {2}, deaf {3}")
+  @ParameterizedTest(name = "epoch {0}, {1}: alive {2}, unreachable for commands {3}")
   @CsvSource({
-    // Its first report shows an older epoch, or none: perhaps a copy. The next shows the answer's.
+    // A first report with an older epoch, or none, may be a duplicate; the next shows the answer's.
     "7, 0:1/1/0,                           false, false",
     "7, 0:1/1/6,                           false, false",
     "7, 0:1/1/0 3:1/2/7,                   true,  false",
-    // Of this epoch: no copy from before it.
+    // A report that shows the current epoch is no duplicate of an earlier one.
     "7, 0:1/1/7,                           true,  false",
-    // The token does not rise, though it was answered twice.
+    // The token does not rise although two reports were answered: commands don't arrive.
     "7, 0:1/1/6 5:1/2/6,                   false, false",
     "7, 0:1/1/6 5:1/2/6 10:1/3/6,          false, true",
     "7, 0:1/1/6 5:1/2/6 10:1/3/6 15:1/4/7, true,  false",
-    // Its lease ended sooner than one that was renewed by the last answer could have.
+    // The new session began before a lease renewed by the last answer could have expired.
     "7, 0:1/1/7 5:1/2/7 10:2/3/7,          true,  true",
-    // It was cut off for longer than that: its lease may have ended with nothing wrong.
+    // No report came for longer than the lease: it may have expired although commands arrive.
     "7, 0:1/1/7 5:1/2/7 22:2/3/7,          true,  false",
-    // It lacks what it was long since told to run; it hears once it answers a command.
+    // A run sent long before is missing; an answered command shows that commands arrive again.
     "7, 0:1/1/7 5:1/2/7!,                  true,  true",
     "7, 0:1/1/7 5:1/2/7! h8:1/3/7,         true,  false",
     "7, 0:1/1/7 5:1/2/7! 8:1/3/7,          true,  true",
-    // A higher token has reached it.
+    // A higher token shows that a command has arrived.
     "7, 0:1/1/6 3:1/2/7! 6:1/3/8,          true,  false"
   })
-  void whatReportsProve(long epoch, String reports, boolean proved, boolean deaf) {
-    Machine m = new Machine("m", 0, x -> {});
-    for (String r : reports.trim().split(" ")) {
-      boolean hears = r.startsWith("h");
-      boolean ignored = r.endsWith("!");
-      String[] p = r.replace("h", "").replace("!", "").split("[:/]");
-      long now = Long.parseLong(p[0]) * 1000 + 1;
-      if (hears) {
-        m.markReachableForCommands();
+  void reportsShowWhetherTheWorkerIsAliveAndReachable(
+      long epoch, String reports, boolean provedAlive, boolean unreachableForCommands) {
+    Machine machine = new Machine("m", 0, x -> {});
+    for (String text : reports.trim().split(" ")) {
+      boolean commandAnswered = text.startsWith("h");
+      boolean runIgnored = text.endsWith("!");
+      String[] fields = text.replace("h", "").replace("!", "").split("[:/]");
+      long nowMs = Long.parseLong(fields[0]) * 1000 + 1;
+      if (commandAnswered) {
+        machine.markReachableForCommands();
       }
-      Report is =
+      Report report =
           new Report(
               "m",
               "a",
               "t",
               "z",
               false,
-              Long.parseLong(p[1]),
-              Long.parseLong(p[2]),
-              Long.parseLong(p[3]),
+              Long.parseLong(fields[1]),
+              Long.parseLong(fields[2]),
+              Long.parseLong(fields[3]),
               null,
               List.of());
-      boolean proves = m.receiveReport(is, epoch, now);
-      m.updateCommandReachability(is, proves, ignored, LEASE_MS, now);
-      m.recordAnswer(now, epoch);
+      boolean proves = machine.receiveReport(report, epoch, nowMs);
+      machine.updateCommandReachability(report, proves, runIgnored, LEASE_MS, nowMs);
+      machine.recordAnswer(nowMs, epoch);
     }
-    assertEquals(proved, m.provedAlive());
-    assertEquals(deaf, m.unreachableForCommandsSinceMs() > 0);
+    assertEquals(provedAlive, machine.provedAlive());
+    assertEquals(unreachableForCommands, machine.unreachableForCommandsSinceMs() > 0);
   }
 
-  /** What came by itself makes older ones copies; of an earlier session too. */
+  /** A report older than an unsolicited one is a duplicate, also across sessions. */
   @ParameterizedTest
   @CsvSource({"1, 1, true", "1, 5, true", "1, 6, false", "2, 1, false"})
-  void whatIsOlderIsACopy(long tenure, long tick, boolean copy) {
-    Machine m = new Machine("m", 0, x -> {});
-    Report own = new Report("m", "a", "t", "z", false, 1, 5, 7, null, List.of());
-    m.updateCommandReachability(own, m.receiveReport(own, 7, 1), false, LEASE_MS, 1);
-    Report r = new Report("m", "a", "t", "z", false, tenure, tick, 7, null, List.of());
-    assertEquals(copy, m.hasNewerUnsolicitedReport(r));
+  void aReportOlderThanAnUnsolicitedOneIsADuplicate(long session, long tick, boolean duplicate) {
+    Machine machine = new Machine("m", 0, x -> {});
+    Report unsolicited = new Report("m", "a", "t", "z", false, 1, 5, 7, null, List.of());
+    machine.updateCommandReachability(
+        unsolicited, machine.receiveReport(unsolicited, 7, 1), false, LEASE_MS, 1);
+    Report report = new Report("m", "a", "t", "z", false, session, tick, 7, null, List.of());
+    assertEquals(duplicate, machine.hasNewerUnsolicitedReport(report));
   }
 
   /**
-   * Until when its worker's lease may last, as far as is known: from the last answer to a report of
-   * its own, and from the first that was heard of its session. A worker that reaches no controller
-   * begins a new session, and runs in it what it is told straight, long after the last answer.
+   * The worker's lease may last from the later of two times: the last answer to an unsolicited
+   * report, and the first message received in the current session. A worker that reaches no
+   * controller starts a new session and executes direct commands in it long after the last answer.
+   *
+   * <p>Events are {@code h} (an unsolicited report) and {@code d} (a reply to a direct command),
+   * both as {@code second:session/tick}, and {@code a} (an answer to a report) with its second.
    */
   @ParameterizedTest
   @CsvSource({
@@ -93,28 +99,29 @@
     "h1:1/1 a2 d30:2/5 d40:2/6,    30",
     "h1:1/1 a2 d30:2/5 d60:3/6 a61, 61",
   })
-  void aNewSessionIsANewLease(String events, long baseS) {
-    Machine m = new Machine("m", 0, x -> {});
-    long heardMs = 0;
-    for (String e : events.split(" ")) {
-      String[] p = e.substring(1).split("[:/]");
-      long now = Long.parseLong(p[0]) * 1000;
-      if (e.startsWith("a")) {
-        m.recordAnswer(now, 7);
+  void theLeaseIsCountedFromTheLastAnswerOrTheStartOfTheSession(
+      String events, long expectedRenewalS) {
+    Machine machine = new Machine("m", 0, x -> {});
+    long lastReportMs = 0;
+    for (String event : events.split(" ")) {
+      String[] fields = event.substring(1).split("[:/]");
+      long nowMs = Long.parseLong(fields[0]) * 1000;
+      if (event.startsWith("a")) {
+        machine.recordAnswer(nowMs, 7);
         continue;
       }
-      long tenure = Long.parseLong(p[1]);
-      long tick = Long.parseLong(p[2]);
-      Report r = new Report("m", "a", "t", "z", false, tenure, tick, 7, null, List.of());
-      if (e.startsWith("h")) {
-        m.receiveReport(r, 7, now);
-        heardMs = now;
+      long session = Long.parseLong(fields[1]);
+      long tick = Long.parseLong(fields[2]);
+      Report report = new Report("m", "a", "t", "z", false, session, tick, 7, null, List.of());
+      if (event.startsWith("h")) {
+        machine.receiveReport(report, 7, nowMs);
+        lastReportMs = nowMs;
       } else {
-        m.receiveReply(r, 7, now);
+        machine.receiveReply(report, 7, nowMs);
       }
     }
-    assertEquals(baseS * 1000, m.latestLeaseRenewalMs());
-    // What it answers to commands is no report.
-    assertEquals(heardMs, m.silentSinceMs());
+    assertEquals(expectedRenewalS * 1000, machine.latestLeaseRenewalMs());
+    // A reply to a command doesn't count as a report.
+    assertEquals(lastReportMs, machine.silentSinceMs());
   }
 }
--- a/src/test/java/wickdrift/coordination/PlacementTest.java
+++ b/src/test/java/wickdrift/coordination/PlacementTest.java
@@ -24,13 +24,14 @@
 import wickdrift.protocol.MessageCodec;
 import wickdrift.sim.SimJobs;
 
+/** Which machine a task is placed on, and how much work the choice takes. */
 class PlacementTest {
   private static JobSpec spec(double cpus, double gpus) {
-    var m = SimJobs.job(1, "batch", 1, gpus, 10);
-    m.put("cores", cpus);
-    m.put("memoryGb", 1.0);
+    var fields = SimJobs.job(1, "batch", 1, gpus, 10);
+    fields.put("cores", cpus);
+    fields.put("memoryGb", 1.0);
     try {
-      return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
+      return JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
@@ -38,98 +39,99 @@
 
   private static final Machine.Info UP = new Machine.Info("t", "a", false, Machine.Phase.UP, 0);
 
-  /** Machines m1..mn of falling capability, with the given booked shares of their GPUs. */
-  private static CapacityIndex fleet(String loads) throws BadMessage {
+  /** Machines m1..mn of decreasing capability, with the given shares of their GPUs booked. */
+  private static CapacityIndex capacityOf(String loads) throws BadMessage {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    CapacityIndex rooms = new CapacityIndex();
-    String[] parts = loads.trim().split(" +");
-    for (int i = 0; i < parts.length; i++) {
+    CapacityIndex capacity = new CapacityIndex();
+    String[] shares = loads.trim().split(" +");
+    for (int i = 0; i < shares.length; i++) {
       double gpus = 100 - i;
-      MachineType t = new MachineType("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
-      Machine m = machine(tables, "m" + (i + 1));
-      rooms.put(m, t, "n0", 0);
-      rooms.book(rooms.find(m), spec(0, Double.parseDouble(parts[i]) * gpus));
+      MachineType type = new MachineType("t" + i, 1000, gpus, 1000, 100, 1, 1, 1, 1, List.of("a"));
+      Machine machine = addMachine(tables, "m" + (i + 1));
+      capacity.put(machine, type, "n0", 0);
+      capacity.book(capacity.find(machine), spec(0, Double.parseDouble(shares[i]) * gpus));
     }
-    return rooms;
+    return capacity;
   }
 
-  private static Machine machine(Tables tables, String name) throws BadMessage {
-    return machine(tables, name, UP);
+  private static Machine addMachine(Tables tables, String name) throws BadMessage {
+    return addMachine(tables, name, UP);
   }
 
-  private static Machine machine(Tables tables, String name, Machine.Info info) throws BadMessage {
-    var v = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
-    long rev = 1 + tables.machines().size();
-    StateServiceClient.Change c =
+  private static Machine addMachine(Tables tables, String name, Machine.Info info)
+      throws BadMessage {
+    var page = LogPage.encode(null, 1, List.of(LogEntry.machine(name, info)), (r, e) -> false);
+    long revision = 1 + tables.machines().size();
+    StateServiceClient.Change change =
         new StateServiceClient.Change(
-            LogPage.key("n0", rev), MessageCodec.decode(MessageCodec.encode(v)), rev);
-    tables.apply(List.of(c), rev);
+            LogPage.key("n0", revision), MessageCodec.decode(MessageCodec.encode(page)), revision);
+    tables.apply(List.of(change), revision);
     return tables.machine(name);
   }
 
-  @ParameterizedTest(name = "{0} wants {1} GPUs: {2}")
+  @ParameterizedTest(name = "loads {0}, {1} GPUs requested: {2}")
   @CsvSource({
-    // One machine: ceil(1/2)..1.
+    // Of i eligible machines, ranks ceil(i/2)..i are considered; of one machine, rank 1.
     "0.5, 1, m1",
-    // Of two, ranks 1..2.
+    // Of two machines, ranks 1..2 are considered.
     "0.1 0.2, 1, m1",
-    // Of three, ranks 2..3: the emptiest, m1, is not looked at.
+    // Of three machines, ranks 2..3 are considered; the least loaded, m1, is not.
     "0.0 0.4 0.3, 1, m3",
-    // Of four, ranks 2..4; of five, 3..5.
+    // Of four machines, ranks 2..4 are considered; of five, ranks 3..5.
     "0.0 0.1 0.4 0.3, 1, m2",
     "0.0 0.0 0.4 0.3 0.5, 1, m4",
-    // Eligible are the i that can hold it: with 97 GPUs wanted ranks are counted among m1..m4.
+    // Only machines that can hold the task are eligible: for 97 GPUs, ranks count m1..m4.
     "0.0 0.0 0.0 0.0 0.0 0.0, 97, m2",
-    // The half is full: any eligible machine with room.
+    // The less capable half is full: any eligible machine with free capacity is chosen.
     "0.5 1.0 1.0 1.0, 1, m1",
-    // Nowhere is room: it waits.
+    // No machine has free capacity: the task waits.
     "1.0 1.0 1.0, 1, -",
   })
-  void choosesTheLeastLoadedOfTheLowerHalf(String loads, double gpus, String expected)
+  void choosesTheLeastLoadedMachineOfTheLeastCapableHalf(String loads, double gpus, String expected)
       throws BadMessage {
-    FreeCapacity r = fleet(loads).choose(spec(0, gpus), c -> true);
-    assertEquals(expected, r == null ? "-" : r.machine().name());
+    FreeCapacity chosen = capacityOf(loads).choose(spec(0, gpus), c -> true);
+    assertEquals(expected, chosen == null ? "-" : chosen.machine().name());
   }
 
   @Test
-  void ranksCountAllowedMachinesOnly() throws BadMessage {
-    FreeCapacity r =
-        fleet("0.0 0.1 0.2 0.3")
+  void ranksCountOnlyAllowedMachines() throws BadMessage {
+    FreeCapacity chosen =
+        capacityOf("0.0 0.1 0.2 0.3")
             .choose(spec(0, 1), c -> c.type.name().equals("t0") || c.type.name().equals("t3"));
-    // Two are allowed, so both ranks count and the emptier wins.
-    assertEquals("m1", r.machine().name());
+    // Two machines are allowed, so both are considered and the less loaded one is chosen.
+    assertEquals("m1", chosen.machine().name());
   }
 
   @Test
   void loadIsTheLargestBookedShare() {
-    MachineType t = new MachineType("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    FreeCapacity r =
+    MachineType type = new MachineType("t", 10, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
+    FreeCapacity capacity =
         new FreeCapacity(
-            new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), t);
-    r.book(spec(5, 1));
-    assertEquals(0.5, r.load(), 1e-9);
+            new Tables(List.of(), LevelRange.BUILD, () -> {}).getOrCreateMachine("m"), type);
+    capacity.book(spec(5, 1));
+    assertEquals(0.5, capacity.load(), 1e-9);
   }
 
-  /** A second image fetched beside the first only delays it: such a machine has no room for it. */
+  /** A second image fetch would delay the first, so a machine that fetches counts as full. */
   @Test
-  void aFetchUnderWayIsNotShared() throws BadMessage {
-    CapacityIndex rooms = new CapacityIndex();
-    MachineType t = new MachineType("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
-    Machine m = machine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
-    rooms.put(m, t, "n0", 0);
+  void aMachineThatFetchesAnotherImageIsNotChosen() throws BadMessage {
+    CapacityIndex capacity = new CapacityIndex();
+    MachineType type = new MachineType("t", 100, 4, 1000, 100, 1, 1, 1, 1, List.of("a"));
+    Machine machine = addMachine(new Tables(List.of(), LevelRange.BUILD, () -> {}), "m");
+    capacity.put(machine, type, "n0", 0);
     JobSpec first = spec(1, 1);
-    rooms.book(rooms.find(m), first);
-    assertNull(rooms.choose(drawn(1, 1, "other"), c -> true));
-    assertEquals(rooms.find(m), rooms.choose(first, c -> true));
+    capacity.book(capacity.find(machine), first);
+    assertNull(capacity.choose(specWithImage(1, 1, "other"), c -> true));
+    assertEquals(capacity.find(machine), capacity.choose(first, c -> true));
   }
 
-  // ---- the index against the rule written out ----
+  // ---- the index compared with a full scan ----
 
-  private static JobSpec drawn(double cpus, double gpus, String image) throws BadMessage {
-    return drawn("batch", cpus, gpus, image);
+  private static JobSpec specWithImage(double cpus, double gpus, String image) throws BadMessage {
+    return specWithImage("batch", cpus, gpus, image);
   }
 
-  private static JobSpec drawn(String shape, double cpus, double gpus, String image)
+  private static JobSpec specWithImage(String shape, double cpus, double gpus, String image)
       throws BadMessage {
     var m = SimJobs.job(2, shape, 1, gpus, 10);
     m.put("apart", false);
@@ -139,129 +141,142 @@
     return JobSpec.parse(Document.parse(MessageCodec.encode(m)));
   }
 
-  /** Judged by its load alone: even where all that is booked were of the task's smallest share. */
-  private static boolean tooFull(FreeCapacity r, JobSpec s) {
+  /**
+   * Whether the load alone shows that the task doesn't fit, even if the most loaded resource is the
+   * one of which the task needs the smallest share.
+   */
+  private static boolean isTooLoaded(FreeCapacity candidate, JobSpec spec) {
     double share =
         Math.min(
-            Math.min(s.cpus() / r.type().cpus(), s.gpus() / r.type().gpus()),
-            s.memoryGb() / r.type().memoryGb());
-    return r.load() > 1 - share + FreeCapacity.EPS;
+            Math.min(spec.cpus() / candidate.type().cpus(), spec.gpus() / candidate.type().gpus()),
+            spec.memoryGb() / candidate.type().memoryGb());
+    return candidate.load() > 1 - share + FreeCapacity.EPS;
   }
 
-  private static int group(FreeCapacity r, JobSpec s) {
-    if (tooFull(r, s) || r.isFetching() && !r.hasImage(s)) {
+  /**
+   * Orders machines of equal capability: free without the image, unable to accept, with the image.
+   */
+  private static int fitRank(FreeCapacity candidate, JobSpec spec) {
+    if (isTooLoaded(candidate, spec) || candidate.isFetching() && !candidate.hasImage(spec)) {
       return 1;
     }
-    return r.hasImage(s) ? 2 : 0;
+    return candidate.hasImage(spec) ? 2 : 0;
   }
 
-  /** Definition 3 with the sets of Lemma 1, over all machines, sorted anew. */
-  private static FreeCapacity plain(List<FreeCapacity> rooms, JobSpec s) {
+  /** Definition 3 with the sets of Lemma 1, by sorting and scanning all machines. */
+  private static FreeCapacity chooseByFullScan(List<FreeCapacity> capacities, JobSpec spec) {
     List<FreeCapacity> eligible = new ArrayList<>();
-    rooms.stream().filter(r -> r.type().canHold(s)).forEach(eligible::add);
+    capacities.stream().filter(candidate -> candidate.type().canHold(spec)).forEach(eligible::add);
     eligible.sort(
-        Comparator.comparingDouble((FreeCapacity r) -> -r.type().gpus())
-            .thenComparingInt(r -> group(r, s))
-            .thenComparingInt(r -> LoadIndex.bucket(r.load()))
-            .thenComparing(r -> r.machine().info().zone())
+        Comparator.comparingDouble((FreeCapacity candidate) -> -candidate.type().gpus())
+            .thenComparingInt(candidate -> fitRank(candidate, spec))
+            .thenComparingInt(candidate -> LoadIndex.bucket(candidate.load()))
+            .thenComparing(candidate -> candidate.machine().info().zone())
             .thenComparingDouble(FreeCapacity::load)
-            .thenComparingInt(r -> r.machine().number()));
-    int i = eligible.size();
-    int first = (i + 1) / 2 - 1;
+            .thenComparingInt(candidate -> candidate.machine().number()));
+    int eligibleCount = eligible.size();
+    int first = (eligibleCount + 1) / 2 - 1;
     FreeCapacity best = null;
-    for (FreeCapacity r : eligible.subList(Math.max(0, first), i)) {
-      boolean less = best == null || r.load() < best.load() - FreeCapacity.EPS;
-      boolean tie = best != null && Math.abs(r.load() - best.load()) <= FreeCapacity.EPS;
-      if (r.fitsWithFetch(s) && (less || tie && r.hasImage(s) && !best.hasImage(s))) {
-        best = r;
+    for (FreeCapacity candidate : eligible.subList(Math.max(0, first), eligibleCount)) {
+      boolean lessLoaded = best == null || candidate.load() < best.load() - FreeCapacity.EPS;
+      boolean tie = best != null && Math.abs(candidate.load() - best.load()) <= FreeCapacity.EPS;
+      if (candidate.fitsWithFetch(spec)
+          && (lessLoaded || tie && candidate.hasImage(spec) && !best.hasImage(spec))) {
+        best = candidate;
       }
     }
     if (best != null) {
       return best;
     }
-    for (FreeCapacity r : eligible) {
-      boolean image = best != null && r.hasImage(s) && !best.hasImage(s);
-      boolean full =
+    for (FreeCapacity candidate : eligible) {
+      boolean imageGained = best != null && candidate.hasImage(spec) && !best.hasImage(spec);
+      boolean moreLoaded =
           best != null
-              && r.hasImage(s) == best.hasImage(s)
-              && r.load() > best.load() + FreeCapacity.EPS;
-      if (r.fitsWithFetch(s) && (best == null || image || full)) {
-        best = r;
+              && candidate.hasImage(spec) == best.hasImage(spec)
+              && candidate.load() > best.load() + FreeCapacity.EPS;
+      if (candidate.fitsWithFetch(spec) && (best == null || imageGained || moreLoaded)) {
+        best = candidate;
       }
     }
     return best;
   }
 
-  /** What matters of a choice: its load and its image; the rest is a tie. */
-  private static String told(FreeCapacity r, JobSpec s) {
-    return r == null ? "-" : Math.round(r.load() * 1e6) + " " + r.hasImage(s) + r.type().name();
+  /** The load, image and machine type of a choice; machines that agree in these are a tie. */
+  private static String describe(FreeCapacity candidate, JobSpec spec) {
+    return candidate == null
+        ? "-"
+        : Math.round(candidate.load() * 1e6)
+            + " "
+            + candidate.hasImage(spec)
+            + candidate.type().name();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theIndexChoosesAsTheRuleSays(int seed) throws BadMessage {
+  void theIndexChoosesAsTheFullScan(int seed) throws BadMessage {
     Random random = new Random(seed);
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-    CapacityIndex rooms = new CapacityIndex();
+    CapacityIndex capacity = new CapacityIndex();
     List<FreeCapacity> all = new ArrayList<>();
-    int kinds = 1 + seed % 3;
+    int typeCount = 1 + seed % 3;
     for (int i = 0; i < 60; i++) {
-      int kind = random.nextInt(kinds);
-      MachineType t =
-          new MachineType("t" + kind, 32, 8 - kind, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
+      int typeNumber = random.nextInt(typeCount);
+      MachineType type =
+          new MachineType(
+              "t" + typeNumber, 32, 8 - typeNumber, 128, 100, 1, 1, 1, 1, List.of("a", "b"));
       Machine.Info info =
-          new Machine.Info(t.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
-      Machine m = machine(tables, "m" + i, info);
+          new Machine.Info(type.name(), i % 2 == 0 ? "a" : "b", false, Machine.Phase.UP, 0);
+      Machine machine = addMachine(tables, "m" + i, info);
       for (int k = random.nextInt(4); k > 0; k--) {
-        m.markImageReady("img" + random.nextInt(4), 1, 0);
+        machine.markImageReady("img" + random.nextInt(4), 1, 0);
       }
-      rooms.put(m, t, "n0", 0);
-      all.add(rooms.find(m));
+      capacity.put(machine, type, "n0", 0);
+      all.add(capacity.find(machine));
     }
     int placed = 0;
     for (int n = 0; n < 600; n++) {
-      JobSpec s =
-          drawn(
+      JobSpec spec =
+          specWithImage(
               random.nextBoolean() ? "batch" : "daemon",
               1 + random.nextInt(6),
               random.nextInt(4),
               "img" + random.nextInt(5));
-      FreeCapacity expected = plain(all, s);
-      FreeCapacity chosen = rooms.choose(s, c -> true);
-      assertEquals(told(expected, s), told(chosen, s), "choice " + n);
+      FreeCapacity expected = chooseByFullScan(all, spec);
+      FreeCapacity chosen = capacity.choose(spec, c -> true);
+      assertEquals(describe(expected, spec), describe(chosen, spec), "choice " + n);
       if (chosen != null && random.nextInt(5) > 0) {
-        rooms.book(chosen, s);
+        capacity.book(chosen, spec);
         placed++;
       }
       if (random.nextInt(10) == 0) {
-        FreeCapacity r = all.get(random.nextInt(all.size()));
-        rooms.put(r.machine(), r.type(), "n0", 0);
+        FreeCapacity cleared = all.get(random.nextInt(all.size()));
+        capacity.put(cleared.machine(), cleared.type(), "n0", 0);
       }
     }
     assertTrue(placed > 100, "placed " + placed);
   }
 
-  /** Twenty times the machines: about the same work for a choice. */
+  /** A choice among twenty times as many machines examines about as many of them. */
   @Test
-  void aChoiceDoesNotLookAtAllMachines() throws BadMessage {
-    JobSpec s = drawn(5, 1, "img");
-    long[] looked = new long[2];
+  void aChoiceExaminesFewMachinesOfALargeFleet() throws BadMessage {
+    JobSpec spec = specWithImage(5, 1, "img");
+    long[] examined = new long[2];
     for (int k = 0; k < 2; k++) {
       Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
-      CapacityIndex rooms = new CapacityIndex();
-      MachineType t = new MachineType("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
+      CapacityIndex capacity = new CapacityIndex();
+      MachineType type = new MachineType("t", 32, 4, 128, 100, 1, 1, 1, 1, List.of("a"));
       for (int i = 0; i < (k == 0 ? 60 : 1200); i++) {
-        Machine m = machine(tables, "m" + i);
-        m.markImageReady("img", 1, 0);
-        rooms.put(m, t, "n0", 0);
+        Machine machine = addMachine(tables, "m" + i);
+        machine.markImageReady("img", 1, 0);
+        capacity.put(machine, type, "n0", 0);
       }
-      long before = rooms.machinesExamined();
+      long before = capacity.machinesExamined();
       for (int n = 0; n < 100; n++) {
-        rooms.book(rooms.choose(s, c -> true), s);
+        capacity.book(capacity.choose(spec, c -> true), spec);
       }
-      looked[k] = rooms.machinesExamined() - before;
+      examined[k] = capacity.machinesExamined() - before;
     }
-    // The border of the half lies within one 64th of load, so some are counted one by one.
-    assertTrue(looked[1] < 100 * 700, "looked at " + looked[1]);
+    // The boundary of the half lies within one bucket of 1/64 load, which is scanned linearly.
+    assertTrue(examined[1] < 100 * 700, "examined " + examined[1]);
   }
 }
--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which knowledge of a worker's commands proves what. */
+/** What the sent commands and the received reports prove about a worker's attempts. */
 class WorkerCommandsTest {
   private static final TaskAttempt ATTEMPT = new TaskAttempt("req-000001/0", 1);
   private static final String JOB = "req-000001";
@@ -17,36 +17,37 @@
   private static final long SESSION = 3;
 
   /**
-   * Steps, and what they prove. {@code A}, {@code B}: the attempt's run is sent straight; {@code
-   * a}, {@code b}: that command is answered; {@code r}: it is sent with the answer to a report;
-   * {@code s}: a report shows the attempt; {@code e}: the worker shows a higher epoch; {@code n}:
-   * it shows the next session; {@code R}: it has begun anew.
+   * The verdicts after a sequence of steps. {@code A}, {@code B}: a direct command with the
+   * attempt's run is sent; {@code a}, {@code b}: that command is answered; {@code r}: the run is
+   * sent with the answer to a report; {@code s}: a report shows the attempt; {@code e}: the worker
+   * reports a higher epoch; {@code n}: the worker reports the next session; {@code R}: the worker
+   * has restarted.
    */
   @ParameterizedTest(name = "{0}: clear {1}, end {2}, confirm {3}")
   @CsvSource({
-    "-,     PROVEN,                PROVEN,                PROVEN",
-    "r,     PROVEN,                PROVEN,                ANSWER_IN_FLIGHT",
-    "rs,    PROVEN,                WORKER_RESTARTED,      PROVEN",
-    "rsn,   PROVEN,                PROVEN,                PROVEN",
-    "rsR,   PROVEN,                PROVEN,                PROVEN",
+    "-,     PROVED,                PROVED,                PROVED",
+    "r,     PROVED,                PROVED,                ANSWER_UNDER_WAY",
+    "rs,    PROVED,                WORKER_RESTARTED,      PROVED",
+    "rsn,   PROVED,                PROVED,                PROVED",
+    "rsR,   PROVED,                PROVED,                PROVED",
     "A,     DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
-    "Aa,    PROVEN,                PROVEN,                PROVEN",
-    "Ae,    PROVEN,                PROVEN,                PROVEN",
-    "An,    PROVEN,                PROVEN,                PROVEN",
+    "Aa,    PROVED,                PROVED,                PROVED",
+    "Ae,    PROVED,                PROVED,                PROVED",
+    "An,    PROVED,                PROVED,                PROVED",
     "Ars,   DIRECT_RUN_UNANSWERED, WORKER_RESTARTED,      DIRECT_RUN_UNANSWERED",
     "AR,    DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ArsR,  DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
-    "ArsRe, PROVEN,                PROVEN,                PROVEN",
-    // The answer to one command tells nothing of another.
+    "ArsRe, PROVED,                PROVED,                PROVED",
+    // The answer to one direct command proves nothing about another.
     "ABb,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ABa,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
-    "ABba,  PROVEN,                PROVEN,                PROVEN"
+    "ABba,  PROVED,                PROVED,                PROVED"
   })
-  void whatIsProvedOfAnAttemptThatIsToEnd(
+  void verdictsFollowFromCommandsAndReports(
       String steps, Verdict clear, Verdict end, Verdict confirm) {
     WorkerCommands commands = new WorkerCommands();
-    WorkerCommands.DirectRuns first = direct();
-    WorkerCommands.DirectRuns second = direct();
+    WorkerCommands.DirectRuns first = directRuns();
+    WorkerCommands.DirectRuns second = directRuns();
     long session = SESSION;
     for (char step : steps.toCharArray()) {
       switch (step) {
@@ -70,41 +71,48 @@
     assertEquals(confirm, commands.verifyNoRunPending(JOB));
   }
 
-  private static WorkerCommands.DirectRuns direct() {
+  private static WorkerCommands.DirectRuns directRuns() {
     return new WorkerCommands.DirectRuns(EPOCH, SESSION, 0, List.of(ATTEMPT));
   }
 
-  /** What a report proves of an attempt that was sent with an answer in session 3 and not seen. */
+  /** A run was sent with an answer in session 3, and no report has shown the attempt since. */
   @ParameterizedTest
   @CsvSource({
-    "false, true,  3, false, true,  NOT_UNSOLICITED",
-    "true,  true,  3, false, true,  PROVEN",
-    "true,  false, 3, false, true,  EPOCH_NOT_REPORTED",
-    "true,  false, 4, false, true,  PROVEN",
-    "true,  true,  3, false, false, SESSION_CONTINUES",
-    "true,  true,  4, false, false, SESSION_CONTINUES",
-    "true,  true,  3, true,  false, SESSION_CONTINUES",
-    "true,  true,  4, true,  false, PROVEN"
+    "false, true,  3, false, true,  NOT_AN_OWN_REPORT",
+    "true,  true,  3, false, true,  PROVED",
+    "true,  false, 3, false, true,  EPOCH_NOT_SHOWN",
+    "true,  false, 4, false, true,  PROVED",
+    "true,  true,  3, false, false, SESSION_GOES_ON",
+    "true,  true,  4, false, false, SESSION_GOES_ON",
+    "true,  true,  3, true,  false, SESSION_GOES_ON",
+    "true,  true,  4, true,  false, PROVED"
   })
-  void whatAbsenceProves(
-      boolean own, boolean epochShown, long session, boolean deaf, boolean unwanted, Verdict is) {
+  void anAttemptMissingFromAReportEndsOnlyWithEvidence(
+      boolean workerInitiated,
+      boolean epochReported,
+      long session,
+      boolean unreachableForCommands,
+      boolean unwanted,
+      Verdict expected) {
     WorkerCommands commands = new WorkerCommands();
     commands.runSent(ATTEMPT, 1, SESSION, 0);
     assertEquals(
-        is,
+        expected,
         commands.mayEnd(
-            ATTEMPT, new WorkerCommands.AbsenceEvidence(own, epochShown, session, deaf, unwanted)));
+            ATTEMPT,
+            new WorkerCommands.AbsenceEvidence(
+                workerInitiated, epochReported, session, unreachableForCommands, unwanted)));
   }
 
   @Test
-  void aClearIsRefusedWithoutAnOwnReportOrTheEpoch() {
+  void aClearIsRefusedWithoutAWorkerInitiatedReportOrTheEpoch() {
     WorkerCommands commands = new WorkerCommands();
     assertEquals(Verdict.NOT_UNSOLICITED, commands.mayClear(ATTEMPT, false, true));
     assertEquals(Verdict.EPOCH_NOT_REPORTED, commands.mayClear(ATTEMPT, true, false));
   }
 
   @Test
-  void anotherJobWhoseNameBeginsAlikeIsNotConcerned() {
+  void runsOfAJobWithTheSameNamePrefixAreIgnored() {
     WorkerCommands commands = new WorkerCommands();
     commands.directCommandSent(
         new WorkerCommands.DirectRuns(EPOCH, SESSION, 0, List.of(new TaskAttempt(JOB + "0/0", 1))));
@@ -112,9 +120,9 @@
   }
 
   @Test
-  void aRefusedClearIsOverdueUntilAHigherEpochIsShown() {
+  void aRefusedClearIsOverdueUntilAHigherEpochIsReported() {
     WorkerCommands commands = new WorkerCommands();
-    commands.directCommandSent(direct());
+    commands.directCommandSent(directRuns());
     assertFalse(commands.isClearOverdue(EPOCH, 100, 200), "no clear was refused yet");
     commands.mayClear(ATTEMPT, true, true);
     assertFalse(commands.isClearOverdue(EPOCH, 100, 100));
--- a/src/test/java/wickdrift/lab/VariantTest.java
+++ b/src/test/java/wickdrift/lab/VariantTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Deployments and days made of a small made-up site. */
+/** Variants of a small sample site, and days of faults resolved for it. */
 class VariantTest {
   private static final String SITE =
       """
@@ -61,22 +61,25 @@
       ]
       """;
 
-  private static Config parse(String s) {
-    return new TomlParser().parse(s);
+  private static Config parse(String toml) {
+    return new TomlParser().parse(toml);
   }
 
-  private static Config site(String variant) throws InvalidInputException {
+  private static Config siteWith(String variant) throws InvalidInputException {
     Config site = Toml.deepCopy(parse(SITE));
     new Variant(parse("name = \"v\"\n" + variant)).applyTo(site);
     return site;
   }
 
-  private static String at(Config c, String path) {
-    Object v = c;
-    for (String p : path.split("/")) {
-      v = v instanceof List<?> l ? l.get(Integer.parseInt(p)) : ((Config) v).get(p);
+  private static String valueAt(Config config, String path) {
+    Object value = config;
+    for (String key : path.split("/")) {
+      value =
+          value instanceof List<?> list
+              ? list.get(Integer.parseInt(key))
+              : ((Config) value).get(key);
     }
-    return String.valueOf(v);
+    return String.valueOf(value);
   }
 
   static Stream<Arguments> variants() {
@@ -97,7 +100,7 @@
         Arguments.of("largest = 0.1", "targets/0/within_s", "240.0"),
         Arguments.of("limits = 2.0", "teams/0/gpus", "20.0"),
         Arguments.of("controllers = 7", "nodes/count", "7"),
-        // What struck all three strikes all seven; what struck one strikes one.
+        // A fault of all three controllers becomes one of all seven; smaller counts stay.
         Arguments.of("controllers = 7", "day/0/faults/0/count", "7"),
         Arguments.of("controllers = 7", "day/0/faults/1/count", "1"),
         Arguments.of("controllers = 7", "day/0/faults/3/count", "2"),
@@ -115,11 +118,12 @@
 
   @ParameterizedTest
   @MethodSource("variants")
-  void changesWhatItNames(String variant, String path, String value) throws InvalidInputException {
-    assertEquals(value, at(site(variant), path));
+  void aVariantChangesTheNamedSettings(String variant, String path, String value)
+      throws InvalidInputException {
+    assertEquals(value, valueAt(siteWith(variant), path));
   }
 
-  static Stream<Arguments> bad() {
+  static Stream<Arguments> invalidVariants() {
     return Stream.of(
         Arguments.of("machine = 2.0", "variant v: machine is not known"),
         Arguments.of("load = \"2\"", "variant v: load is no number of at least 0"),
@@ -129,12 +133,13 @@
   }
 
   @ParameterizedTest
-  @MethodSource("bad")
-  void refusesWhatItDoesNotKnow(String variant, String why) {
-    assertEquals(why, assertThrows(InvalidInputException.class, () -> site(variant)).getMessage());
+  @MethodSource("invalidVariants")
+  void anInvalidVariantIsRefused(String variant, String reason) {
+    assertEquals(
+        reason, assertThrows(InvalidInputException.class, () -> siteWith(variant)).getMessage());
   }
 
-  static Stream<Arguments> faults() {
+  static Stream<Arguments> dayFaults() {
     return Stream.of(
         Arguments.of("at = 0.5, kind = \"state_outage\"", "at_s", "100.0"),
         Arguments.of("at_s = 7.0, kind = \"state_outage\"", "at_s", "7.0"),
@@ -148,29 +153,30 @@
         Arguments.of("at_s = 1.0, kind = \"zone_cut\", for_leases = 1.5", "for_s", "30.0"),
         Arguments.of("at_s = 1.0, kind = \"zone_cut\", for_cancels = 1.3", "for_s", "39.0"),
         Arguments.of("at_s = 1.0, kind = \"zone_cut\", for_cancels = 1.3", "for_cancels", "null"),
-        // Of other kinds a share is the fault's own.
+        // For other kinds of faults the share is a field of the fault and stays.
         Arguments.of("at_s = 7.0, kind = \"spot_taken\", share = 0.3", "share", "0.3"));
   }
 
   @ParameterizedTest
-  @MethodSource("faults")
-  void putsADayOnASite(String fault, String field, String value) throws InvalidInputException {
+  @MethodSource("dayFaults")
+  void faultsAreResolvedForTheSite(String fault, String field, String value)
+      throws InvalidInputException {
     Config day = new Day(parse("name = \"d\"\nfaults = [{" + fault + "}]")).resolveFor(parse(SITE));
-    assertEquals(value, at(day, "faults/0/" + field));
+    assertEquals(value, valueAt(day, "faults/0/" + field));
   }
 
-  /** A day changes classes of the site; which it is may be told by its kind. */
+  /** A day changes classes of the site, selected by their name or by their kind. */
   @ParameterizedTest
   @ValueSource(strings = {"@gang", "c"})
-  void aDayChangesClasses(String name) throws InvalidInputException {
+  void aDayChangesAClassSelectedByNameOrKind(String name) throws InvalidInputException {
     Config day =
         new Day(parse("name = \"d\"\njobs = [{name = \"" + name + "\", cancelled = 0.8}]"))
             .resolveFor(parse(SITE));
-    assertEquals("c 0.8", at(day, "jobs/0/name") + " " + at(day, "jobs/0/cancelled"));
+    assertEquals("c 0.8", valueAt(day, "jobs/0/name") + " " + valueAt(day, "jobs/0/cancelled"));
   }
 
   @Test
-  void aClassThatADayCanNotChangeIsNamed() {
+  void aDayThatChangesAnUnknownClassIsRefused() {
     InvalidInputException e =
         assertThrows(
             InvalidInputException.class,
@@ -179,7 +185,7 @@
   }
 
   @Test
-  void aFaultThatComesAgainIsListedEachTime() throws InvalidInputException {
+  void aRepeatedFaultIsListedForEachTime() throws InvalidInputException {
     Config day =
         new Day(
                 parse(
@@ -194,7 +200,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"@2", "@x", "@"})
-  void aZoneThatTheSiteLacksIsNamed(String zone) {
+  void aFaultInAnUnknownZoneIsRefused(String zone) {
     String fault = "at_s = 1.0, kind = \"zone_cut\", zone = \"" + zone + "\"";
     InvalidInputException e =
         assertThrows(
@@ -205,7 +211,7 @@
   }
 
   @Test
-  void aClassThatTheSiteLacksIsNamed() {
+  void aFaultForAnUnknownKindIsRefused() {
     InvalidInputException e =
         assertThrows(
             InvalidInputException.class,
--- a/src/test/java/wickdrift/transport/SocketsTest.java
+++ b/src/test/java/wickdrift/transport/SocketsTest.java
@@ -25,41 +25,46 @@
 import org.junit.jupiter.api.Test;
 import wickdrift.protocol.MessageCodec;
 
-/** More workers than sockets: neither side of a controller may be kept from the others by them. */
+/**
+ * A controller has more workers than sockets: their connections must not keep users from its server
+ * side, nor its client side from the state service. A controller that restarts also has to wait
+ * until the port of its predecessor is free.
+ */
 class SocketsTest {
-  private static final int MOST = 8;
+  private static final int MAX_CONNECTIONS = 8;
   private static final Map<String, Object> BODY = Map.of("ok", true);
 
   private final EventLoop loop = new EventLoop();
   private final List<Socket> sockets = new ArrayList<>();
 
   @AfterEach
-  void end() throws Exception {
+  void closeSockets() throws Exception {
     for (Socket s : sockets) {
       s.close();
     }
     loop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private InetSocketAddress serve(int most) throws IOException, InterruptedException {
-    HttpServer server = new HttpServer(loop.group(), most, x -> x.reply(200, BODY));
+  private InetSocketAddress startServer(int maxConnections)
+      throws IOException, InterruptedException {
+    HttpServer server = new HttpServer(loop.group(), maxConnections, x -> x.reply(200, BODY));
     return (InetSocketAddress)
         server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).localAddress();
   }
 
-  /** Sends one request; the head of the answer, or nothing where the connection was closed. */
-  private String ask(Socket s, String method, String path) throws IOException {
-    s.setSoTimeout(10_000);
+  /** Sends one request and returns the head of the response, empty if the connection was closed. */
+  private String request(Socket socket, String method, String path) throws IOException {
+    socket.setSoTimeout(10_000);
     String head = method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
-    s.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-    StringBuilder got = new StringBuilder();
-    InputStream in = s.getInputStream();
+    socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+    StringBuilder response = new StringBuilder();
+    InputStream in = socket.getInputStream();
     try {
       for (int c = in.read(); c >= 0; c = in.read()) {
-        got.append((char) c);
-        if (got.indexOf("\r\n\r\n") >= 0) {
+        response.append((char) c);
+        if (response.indexOf("\r\n\r\n") >= 0) {
           in.readNBytes(MessageCodec.encode(BODY).length);
-          return got.toString();
+          return response.toString();
         }
       }
     } catch (java.net.SocketException e) {
@@ -68,109 +73,119 @@
     return "";
   }
 
-  private Socket open(InetSocketAddress to) throws IOException {
-    Socket s = new Socket(to.getAddress(), to.getPort());
-    sockets.add(s);
-    return s;
+  private Socket openConnection(InetSocketAddress server) throws IOException {
+    Socket socket = new Socket(server.getAddress(), server.getPort());
+    sockets.add(socket);
+    return socket;
   }
 
   @Test
-  void whereConnectionsRunShortWorkersDoNotKeepTheirs() throws Exception {
-    InetSocketAddress to = serve(MOST);
-    for (int i = 0; i < 3 * MOST; i++) {
-      String head = ask(open(to), "POST", "/hello");
-      assertTrue(head.startsWith("HTTP/1.1 200"), "every worker is answered: " + i);
-      assertEquals(i >= MOST * 3 / 4, head.contains("connection: close"), "worker " + i);
+  void workerConnectionsAreClosedWhenConnectionsAreScarce() throws Exception {
+    InetSocketAddress server = startServer(MAX_CONNECTIONS);
+    for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
+      String head = request(openConnection(server), "POST", "/hello");
+      assertTrue(head.startsWith("HTTP/1.1 200"), "every worker gets a response: " + i);
+      assertEquals(i >= MAX_CONNECTIONS * 3 / 4, head.contains("connection: close"), "worker " + i);
     }
-    String user = ask(open(to), "GET", "/up");
+    String user = request(openConnection(server), "GET", "/up");
     assertTrue(user.startsWith("HTTP/1.1 200") && !user.contains("connection: close"));
   }
 
   @Test
-  void aUserTakesThePlaceOfTheWorkerThatIsIdleForLongest() throws Exception {
-    InetSocketAddress to = serve(MOST);
-    Socket first = open(to);
-    ask(first, "POST", "/hello");
-    Socket second = open(to);
-    ask(second, "POST", "/hello");
-    for (int i = 0; i < MOST - 1; i++) {
-      assertTrue(ask(open(to), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
+  void aUserReplacesTheWorkerConnectionThatIsIdleLongest() throws Exception {
+    InetSocketAddress server = startServer(MAX_CONNECTIONS);
+    Socket first = openConnection(server);
+    request(first, "POST", "/hello");
+    Socket second = openConnection(server);
+    request(second, "POST", "/hello");
+    for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
+      assertTrue(
+          request(openConnection(server), "GET", "/up").startsWith("HTTP/1.1 200"), "user " + i);
     }
-    assertEquals("", ask(first, "POST", "/hello"), "closed for the last user");
-    assertTrue(ask(second, "POST", "/hello").startsWith("HTTP/1.1 200"), "not for anyone else");
+    assertEquals("", request(first, "POST", "/hello"), "connection closed for the last user");
+    assertTrue(
+        request(second, "POST", "/hello").startsWith("HTTP/1.1 200"),
+        "other worker connections stay open");
   }
 
   @Test
-  void aClientWithManyWorkersStillReachesTheStore() throws Exception {
+  void aClientWithManyWorkersReachesTheStateService() throws Exception {
     List<String> workers = new ArrayList<>();
-    for (int i = 0; i < 3 * MOST; i++) {
-      InetSocketAddress a = serve(MOST);
-      workers.add(a.getAddress().getHostAddress() + ":" + a.getPort());
+    for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
+      InetSocketAddress worker = startServer(MAX_CONNECTIONS);
+      workers.add(worker.getAddress().getHostAddress() + ":" + worker.getPort());
     }
-    InetSocketAddress s = serve(MOST);
-    String store = s.getAddress().getHostAddress() + ":" + s.getPort();
-    HttpClient client = new HttpClient(loop.group(), MOST, Set.of(store));
-    for (String w : workers) {
-      assertEquals(200, call(client, w).get(10, TimeUnit.SECONDS), "one idle makes way");
+    InetSocketAddress serviceAddress = startServer(MAX_CONNECTIONS);
+    String stateService =
+        serviceAddress.getAddress().getHostAddress() + ":" + serviceAddress.getPort();
+    HttpClient client = new HttpClient(loop.group(), MAX_CONNECTIONS, Set.of(stateService));
+    for (String worker : workers) {
+      assertEquals(
+          200,
+          callOnLoop(client, worker).get(10, TimeUnit.SECONDS),
+          "an idle connection is closed for the new one");
     }
-    // All at once: more than may be open, and none idle to make way.
-    List<CompletableFuture<Integer>> all = new ArrayList<>();
+    // All calls at once: more than may be open, and no idle connection to close.
+    List<CompletableFuture<Integer>> statuses = new ArrayList<>();
     CompletableFuture<CompletableFuture<Integer>> last = new CompletableFuture<>();
     loop.execute(
         () -> {
-          workers.forEach(w -> all.add(callNow(client, w)));
-          last.complete(callNow(client, store));
+          workers.forEach(worker -> statuses.add(callFromLoop(client, worker)));
+          last.complete(callFromLoop(client, stateService));
         });
     assertEquals(200, last.get(10, TimeUnit.SECONDS).get(10, TimeUnit.SECONDS));
     int refused = 0;
-    for (CompletableFuture<Integer> f : all) {
-      refused += f.get(10, TimeUnit.SECONDS) == 0 ? 1 : 0;
+    for (CompletableFuture<Integer> status : statuses) {
+      refused += status.get(10, TimeUnit.SECONDS) == 0 ? 1 : 0;
     }
-    assertTrue(refused > 0, "some workers had to do without");
+    assertTrue(refused > 0, "no call to a worker was refused");
   }
 
-  private CompletableFuture<Integer> call(HttpClient c, String address) {
-    CompletableFuture<Integer> f = new CompletableFuture<>();
-    loop.execute(() -> callNow(c, address).thenAccept(f::complete));
-    return f;
+  private CompletableFuture<Integer> callOnLoop(HttpClient client, String address) {
+    CompletableFuture<Integer> status = new CompletableFuture<>();
+    loop.execute(() -> callFromLoop(client, address).thenAccept(status::complete));
+    return status;
   }
 
-  private static CompletableFuture<Integer> callNow(HttpClient c, String address) {
-    CompletableFuture<Integer> f = new CompletableFuture<>();
-    c.call(address, "GET", "/up", null, 5000, a -> f.complete(a.status()));
-    return f;
+  private static CompletableFuture<Integer> callFromLoop(HttpClient client, String address) {
+    CompletableFuture<Integer> status = new CompletableFuture<>();
+    client.call(address, "GET", "/up", null, 5000, a -> status.complete(a.status()));
+    return status;
   }
 
-  /** The process that ended a moment ago listens still; then no longer, or for good. */
+  /**
+   * The port of a process that ended a moment ago may still be in use. Binding fails after the
+   * given number of attempts if it stays in use, and succeeds once it is free.
+   */
   @Test
-  void aPortThatIsTakenIsTriedAgain() throws Exception {
-    ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    InetSocketAddress address = (InetSocketAddress) former.getLocalSocketAddress();
+  void bindingIsRetriedWhileThePortIsInUse() throws Exception {
+    ServerSocket formerProcess = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    InetSocketAddress address = (InetSocketAddress) formerProcess.getLocalSocketAddress();
     ServerBootstrap server =
         new ServerBootstrap()
             .group(loop.group())
             .channel(NioServerSocketChannel.class)
             .childHandler(new ChannelInboundHandlerAdapter());
-    int[] pauses = {0};
+    int[] pauseCount = {0};
     IOException e =
         assertThrows(
             IOException.class,
-            () -> PortBinder.bindWithRetry(server, address, 3, () -> pauses[0]++));
-    assertEquals(2, pauses[0]);
+            () -> PortBinder.bindWithRetry(server, address, 3, () -> pauseCount[0]++));
+    assertEquals(2, pauseCount[0]);
     assertTrue(e.getMessage().contains(String.valueOf(address.getPort())), e.getMessage());
-    Channel c =
+    Channel channel =
         PortBinder.bindWithRetry(
             server,
             address,
             9,
             () -> {
               try {
-                former.close();
+                formerProcess.close();
               } catch (IOException x) {
                 throw new AssertionError(x);
               }
             });
-    assertEquals(address, c.localAddress());
-    c.close().sync();
+    assertEquals(address, channel.localAddress());
+    channel.close().sync();
   }
 }
