--- a/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
+++ b/src/test/java/wickdrift/coordination/commands/WorkerCommandsTest.java
@@ -25,23 +25,23 @@
    */
   @ParameterizedTest(name = "{0}: clear {1}, end {2}, confirm {3}")
   @CsvSource({
-    "-,     PROVED,                PROVED,                PROVED",
-    "r,     PROVED,                PROVED,                ANSWER_UNDER_WAY",
-    "rs,    PROVED,                WORKER_RESTARTED,      PROVED",
-    "rsn,   PROVED,                PROVED,                PROVED",
-    "rsR,   PROVED,                PROVED,                PROVED",
+    "-,     PROVEN,                PROVEN,                PROVEN",
+    "r,     PROVEN,                PROVEN,                ANSWER_IN_FLIGHT",
+    "rs,    PROVEN,                WORKER_RESTARTED,      PROVEN",
+    "rsn,   PROVEN,                PROVEN,                PROVEN",
+    "rsR,   PROVEN,                PROVEN,                PROVEN",
     "A,     DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
-    "Aa,    PROVED,                PROVED,                PROVED",
-    "Ae,    PROVED,                PROVED,                PROVED",
-    "An,    PROVED,                PROVED,                PROVED",
+    "Aa,    PROVEN,                PROVEN,                PROVEN",
+    "Ae,    PROVEN,                PROVEN,                PROVEN",
+    "An,    PROVEN,                PROVEN,                PROVEN",
     "Ars,   DIRECT_RUN_UNANSWERED, WORKER_RESTARTED,      DIRECT_RUN_UNANSWERED",
     "AR,    DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ArsR,  DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
-    "ArsRe, PROVED,                PROVED,                PROVED",
+    "ArsRe, PROVEN,                PROVEN,                PROVEN",
     // The answer to one direct command proves nothing about another.
     "ABb,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
     "ABa,   DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED, DIRECT_RUN_UNANSWERED",
-    "ABba,  PROVED,                PROVED,                PROVED"
+    "ABba,  PROVEN,                PROVEN,                PROVEN"
   })
   void verdictsFollowFromCommandsAndReports(
       String steps, Verdict clear, Verdict end, Verdict confirm) {
@@ -78,14 +78,14 @@
   /** A run was sent with an answer in session 3, and no report has shown the attempt since. */
   @ParameterizedTest
   @CsvSource({
-    "false, true,  3, false, true,  NOT_AN_OWN_REPORT",
-    "true,  true,  3, false, true,  PROVED",
-    "true,  false, 3, false, true,  EPOCH_NOT_SHOWN",
-    "true,  false, 4, false, true,  PROVED",
-    "true,  true,  3, false, false, SESSION_GOES_ON",
-    "true,  true,  4, false, false, SESSION_GOES_ON",
-    "true,  true,  3, true,  false, SESSION_GOES_ON",
-    "true,  true,  4, true,  false, PROVED"
+    "false, true,  3, false, true,  NOT_UNSOLICITED",
+    "true,  true,  3, false, true,  PROVEN",
+    "true,  false, 3, false, true,  EPOCH_NOT_REPORTED",
+    "true,  false, 4, false, true,  PROVEN",
+    "true,  true,  3, false, false, SESSION_CONTINUES",
+    "true,  true,  4, false, false, SESSION_CONTINUES",
+    "true,  true,  3, true,  false, SESSION_CONTINUES",
+    "true,  true,  4, true,  false, PROVEN"
   })
   void anAttemptMissingFromAReportEndsOnlyWithEvidence(
       boolean workerInitiated,
--- a/src/test/java/wickdrift/sim/MixedBuilds.java
+++ b/src/test/java/wickdrift/sim/MixedBuilds.java
@@ -161,7 +161,12 @@
   private int status(String node) throws Exception {
     CompletableFuture<Response> answer = new CompletableFuture<>();
     stage.loop.execute(
-        () -> world.net.processCallers.get(node).call(node, "GET", "/up", null, 3000, answer::complete));
+        () ->
+            world
+                .net
+                .processCallers
+                .get(node)
+                .call(node, "GET", "/up", null, 3000, answer::complete));
     return answer.get(5, TimeUnit.SECONDS).status();
   }
 
