--- a/src/main/java/wickdrift/coordination/CommandPlanner.java
+++ b/src/main/java/wickdrift/coordination/CommandPlanner.java
@@ -41,11 +41,11 @@
    *
    * @param hasAuthority whether this node certainly holds authority; if not, nothing new is started
    *     and no conclusion is drawn from the report
-   * @param workerInitiated whether the worker sent the report on its own initiative, so that all
+   * @param unsolicited whether the worker sent the report on its own initiative, so that all
    *     answers to earlier reports have arrived or never will; only then does the absence of an
    *     attempt prove anything
    */
-  record Scope(boolean hasAuthority, boolean workerInitiated) {}
+  record Scope(boolean hasAuthority, boolean unsolicited) {}
 
   private final Timers timers;
   private final Tables tables;
@@ -154,8 +154,7 @@
     }
     TaskAttempt attempt = attemptOf(entry);
     Verdict verdict =
-        pass.commands.mayClear(
-            attempt, pass.scope.workerInitiated, pass.machine.epochAcknowledged());
+        pass.commands.mayClear(attempt, pass.scope.unsolicited, pass.machine.epochAcknowledged());
     if (verdict.isAllowed()) {
       addClear(pass, entry, verdict);
     }
@@ -164,7 +163,7 @@
   private void planExited(Pass pass, Job job, TaskState state, Report.Entry entry) {
     boolean gaveUpGangWait = Report.EXIT_ALONE.equals(entry.exitReason());
     if (gaveUpGangWait && pass.scope.hasAuthority && mayRestartGangWait(pass, job, state, entry)) {
-      if (pass.scope.workerInitiated) {
+      if (pass.scope.unsolicited) {
         // The wait restarts with the same attempt on the same machine, so the other members keep
         // the images they are fetching. The attempt is wanted, so a run that is still outstanding
         // does no harm after the clear.
@@ -182,7 +181,7 @@
     // An attempt that was told to wait again may start once more until a unsolicited report
     // arrives: by then the answer with that command has arrived or never will.
     boolean isOver =
-        pass.scope.workerInitiated || pass.commands.gangWaitRestarts(attemptOf(entry)) == 0;
+        pass.scope.unsolicited || pass.commands.gangWaitRestarts(attemptOf(entry)) == 0;
     if (pass.scope.hasAuthority && isOver) {
       handleExit(pass, job, entry);
     }
@@ -241,7 +240,7 @@
   // ---- what is assigned to the machine ----
 
   private void planAssigned(Pass pass) {
-    if (pass.scope.workerInitiated) {
+    if (pass.scope.unsolicited) {
       Set<String> assignedTasks = new HashSet<>();
       pass.machine.slots().forEach(slot -> assignedTasks.add(slot.taskName()));
       pass.commands.retainTasks(assignedTasks);
@@ -252,7 +251,7 @@
       if (entry != null && entry.attempt() == attempt.attempt()) {
         boolean firstReport =
             pass.commands.attemptReported(attempt, pass.report.tick(), pass.report.tenure());
-        if (firstReport && pass.scope.workerInitiated) {
+        if (firstReport && pass.scope.unsolicited) {
           // The worker was told to run this attempt and does, so commands reach it.
           pass.machine.markReachableForCommands();
         }
@@ -282,7 +281,7 @@
         pass.commands.mayEnd(
             attempt,
             new WorkerCommands.AbsenceEvidence(
-                pass.scope.workerInitiated,
+                pass.scope.unsolicited,
                 machine.epochAcknowledged(),
                 report.tenure(),
                 unreachable,
@@ -300,7 +299,7 @@
         pass.commands.runSent(attempt, report.tick(), report.tenure(), timers.nowMs());
       }
     } else if (machine.phase() != Machine.Phase.GONE
-        && (pass.scope.workerInitiated || !pass.commands.wasSentAfter(attempt, report.tick()))) {
+        && (pass.scope.unsolicited || !pass.commands.wasSentAfter(attempt, report.tick()))) {
       addRun(pass, slot, attempt);
     }
     return verdict;
@@ -313,7 +312,7 @@
   private void handleLoss(Pass pass, Machine.Slot slot, TaskAttempt attempt, Verdict verdict) {
     CommandEvent event =
         pass.newEvent(CommandEvent.Kind.ATTEMPT_ENDED, attempt, "not reported: " + verdict);
-    boolean isProven = pass.scope.workerInitiated && !pass.commands.isRunOutstanding(attempt);
+    boolean isProven = pass.scope.unsolicited && !pass.commands.isRunOutstanding(attempt);
     if (!monitor.check(Invariant.NO_END_WITHOUT_PROOF, isProven, event)) {
       return;
     }
@@ -333,7 +332,7 @@
 
   private void addRun(Pass pass, Machine.Slot slot, TaskAttempt attempt) {
     CommandEvent.Kind kind =
-        pass.scope.workerInitiated ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
+        pass.scope.unsolicited ? CommandEvent.Kind.RUN_IN_ANSWER : CommandEvent.Kind.RUN_DIRECT;
     CommandEvent event = pass.newEvent(kind, attempt, "assigned, not reported");
     boolean isCancelled = slot.job().withdrawnOrAnnounced();
     boolean isAssigned = slot.state().isLive() && slot.state().machine() == pass.machine;
--- a/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
+++ b/src/main/java/wickdrift/coordination/commands/WorkerCommands.java
@@ -51,7 +51,7 @@
   /**
    * What is known when a report does not show an attempt.
    *
-   * @param workerInitiated whether the worker sent the report on its own initiative, so that all
+   * @param unsolicited whether the worker sent the report on its own initiative, so that all
    *     answers to earlier reports have arrived or never will
    * @param epochReported whether the worker has shown the current epoch
    * @param session the session that the report shows
@@ -59,7 +59,7 @@
    * @param endRequested whether the attempt is to end
    */
   public record AbsenceEvidence(
-      boolean workerInitiated,
+      boolean unsolicited,
       boolean epochReported,
       long session,
       boolean unreachable,
@@ -209,8 +209,8 @@
    * Whether an ended attempt may be cleared from the worker, after which a run would start it
    * again.
    */
-  public Verdict mayClear(TaskAttempt attempt, boolean workerInitiated, boolean epochReported) {
-    if (!workerInitiated) {
+  public Verdict mayClear(TaskAttempt attempt, boolean unsolicited, boolean epochReported) {
+    if (!unsolicited) {
       return Verdict.NOT_UNSOLICITED;
     }
     if (!epochReported) {
@@ -225,7 +225,7 @@
 
   /** Whether an attempt that a report does not show is over. */
   public Verdict mayEnd(TaskAttempt attempt, AbsenceEvidence absence) {
-    if (!absence.workerInitiated) {
+    if (!absence.unsolicited) {
       return Verdict.NOT_UNSOLICITED;
     }
     LastRun lastRun = lastRun(attempt);
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/Hold.java
@@ -38,7 +38,7 @@
     }
     System.gc();
     long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    System.out.println("heap in use: " + usedBytes / 1024 / 1024 + " MB");
+    System.out.println("held in " + usedBytes / 1024 / 1024 + " MB");
   }
 
   /**
