--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -30,117 +30,124 @@
   private static final long REFUSED_AT_MS = 24_000;
 
   /** Whom the state service refuses alone. */
-  enum Refused {
+  enum RefusedNode {
     LEADER,
-    OTHER,
+    FOLLOWER,
     /** The one whom users ask. */
-    CONFIRMER
+    LEADER_AS_CONFIRMER
   }
 
   /** What happens a moment before the state service is away for all. */
-  enum Beside {
-    NOTHING,
-    CONFIRMER_BACK_AT_ONCE,
-    REFUSED_BACK_AT_ONCE,
-    REFUSED_ENDS,
-    REFUSED_LOSES_PEERS,
-    REFUSED_STANDS_STILL,
-    LEADERS_CHANGE,
-    DEAF,
-    MUTE,
-    HANGS
+  enum ConcurrentFault {
+    NONE,
+    CONFIRMER_RESTARTS,
+    REFUSED_NODE_RESTARTS,
+    REFUSED_NODE_CRASHES,
+    REFUSED_NODE_LOSES_PEERS,
+    REFUSED_NODE_PAUSES,
+    CONTROLLERS_RESTART_IN_TURN,
+    MACHINES_UNREACHABLE_FOR_COMMANDS,
+    MACHINES_CANNOT_REPORT,
+    MACHINES_HANG
   }
 
   /** When users call jobs off. */
-  enum When {
-    BEFORE,
-    IN_THE_REFUSAL,
-    AT_THE_END_OF_JOBS
+  enum WithdrawalTime {
+    BEFORE_REFUSAL,
+    DURING_REFUSAL,
+    AS_JOBS_END
   }
 
-  static Stream<Arguments> cases() {
-    return Arrays.stream(Refused.values())
+  static Stream<Arguments> faultCases() {
+    return Arrays.stream(RefusedNode.values())
         .flatMap(
             r ->
-                Arrays.stream(Beside.values())
+                Arrays.stream(ConcurrentFault.values())
                     .flatMap(
-                        b -> Arrays.stream(When.values()).map(when -> Arguments.of(r, b, when))));
+                        b ->
+                            Arrays.stream(WithdrawalTime.values())
+                                .map(when -> Arguments.of(r, b, when))));
   }
 
-  static String id(int i) {
-    return String.format("req-%06d", i);
+  static String jobId(int number) {
+    return String.format("req-%06d", number);
   }
 
   /** Of several images, so that the tasks come to machines of all parts. */
-  private static Map<String, Object> job(int i, String shape, int tasks, double seconds) {
-    Map<String, Object> job = SimJobs.job(i, shape, tasks, 1, seconds);
-    job.put("bundle", "img-" + i);
+  private static Map<String, Object> job(int number, String shape, int tasks, double seconds) {
+    Map<String, Object> job = SimJobs.job(number, shape, tasks, 1, seconds);
+    job.put("bundle", "img-" + number);
     return job;
   }
 
   /** How many tasks a node's machines have, as it knows it. */
-  private static int tasks(SimWorld w, String node) {
-    return w.tables(node).machines().stream()
-        .filter(m -> node.equals(m.owner(w.tables(node).view())))
+  private static int ownedTaskCount(SimWorld world, String node) {
+    return world.tables(node).machines().stream()
+        .filter(m -> node.equals(m.owner(world.tables(node).view())))
         .mapToInt(m -> m.slots().size())
         .sum();
   }
 
   /** Jobs run, some on machines of every controller: of these seeds the first of which it holds. */
-  static SimWorld running(long seed, double seconds) {
-    for (long s = seed; s < seed + 100_000; s += 1000) {
-      SimWorld w = new SimWorld(s, 14, 22, "aab", 60);
-      w.run(8000);
+  static SimWorld worldWithRunningJobs(long firstSeed, double seconds) {
+    for (long seed = firstSeed; seed < firstSeed + 100_000; seed += 1000) {
+      SimWorld world = new SimWorld(seed, 14, 22, "aab", 60);
+      world.run(8000);
       for (int i = 0; i < JOBS; i++) {
-        w.users.submit(job(i, i % 3 == 0 ? "ensemble" : "batch", 1 + i % 3, seconds), 0);
+        world.users.submit(job(i, i % 3 == 0 ? "ensemble" : "batch", 1 + i % 3, seconds), 0);
       }
-      w.run(REFUSED_AT_MS - 8000);
-      if (w.starts() > JOBS && w.nodes.stream().allMatch(n -> tasks(w, n) > 0)) {
-        return w;
+      world.run(REFUSED_AT_MS - 8000);
+      if (world.starts() > JOBS
+          && world.nodes.stream().allMatch(n -> ownedTaskCount(world, n) > 0)) {
+        return world;
       }
     }
     throw new AssertionError("nothing runs at some controller, whatever the seed");
   }
 
-  static int number(SimWorld w, String node) {
-    return w.tables(node).registry().numberOf(node);
+  static int controllerNumber(SimWorld world, String node) {
+    return world.tables(node).registry().numberOf(node);
   }
 
-  static String other(SimWorld w, String than, String and) {
-    return w.nodes.stream().filter(n -> !n.equals(than) && !n.equals(and)).findFirst().get();
+  static String otherController(SimWorld world, String excluded, String alsoExcluded) {
+    return world.nodes.stream()
+        .filter(n -> !n.equals(excluded) && !n.equals(alsoExcluded))
+        .findFirst()
+        .get();
   }
 
-  private static void beside(SimWorld w, Beside b, String refused, String confirmer) {
-    switch (b) {
-      case NOTHING -> {}
-      case CONFIRMER_BACK_AT_ONCE -> w.crash(confirmer, 300);
-      case REFUSED_BACK_AT_ONCE -> w.crash(refused, 300);
-      case REFUSED_ENDS -> w.crash(refused, 100_000);
-      case REFUSED_LOSES_PEERS -> {
-        w.cutFromPeers(refused, true);
-        w.clock.after(50_000, () -> w.cutFromPeers(refused, false));
+  private static void injectConcurrentFault(
+      SimWorld world, ConcurrentFault fault, String refusedNode, String confirmer) {
+    switch (fault) {
+      case NONE -> {}
+      case CONFIRMER_RESTARTS -> world.crash(confirmer, 300);
+      case REFUSED_NODE_RESTARTS -> world.crash(refusedNode, 300);
+      case REFUSED_NODE_CRASHES -> world.crash(refusedNode, 100_000);
+      case REFUSED_NODE_LOSES_PEERS -> {
+        world.cutFromPeers(refusedNode, true);
+        world.clock.after(50_000, () -> world.cutFromPeers(refusedNode, false));
       }
-      case REFUSED_STANDS_STILL -> w.freeze(refused, 30_000, true);
-      case LEADERS_CHANGE -> {
+      case REFUSED_NODE_PAUSES -> world.freeze(refusedNode, 30_000, true);
+      case CONTROLLERS_RESTART_IN_TURN -> {
         for (int i = 0; i < 10; i++) {
-          String n = w.nodes.get(i % w.nodes.size());
-          w.clock.after(6000L * i, () -> w.crash(n, 300));
+          String n = world.nodes.get(i % world.nodes.size());
+          world.clock.after(6000L * i, () -> world.crash(n, 300));
         }
       }
-      case DEAF -> {
-        w.workers().stream().limit(3).forEach(m -> w.net.deaf.add(m.address));
-        w.clock.after(50_000, w.net.deaf::clear);
+      case MACHINES_UNREACHABLE_FOR_COMMANDS -> {
+        world.workers().stream().limit(3).forEach(m -> world.net.deaf.add(m.address));
+        world.clock.after(50_000, world.net.deaf::clear);
       }
-      case MUTE -> {
-        w.workers().stream().limit(3).forEach(m -> w.net.mute.add(m.address));
-        w.clock.after(50_000, w.net.mute::clear);
+      case MACHINES_CANNOT_REPORT -> {
+        world.workers().stream().limit(3).forEach(m -> world.net.mute.add(m.address));
+        world.clock.after(50_000, world.net.mute::clear);
       }
-      case HANGS -> {
+      case MACHINES_HANG -> {
         for (int i = 0; i < 4; i++) {
-          w.hangMachine(i, 9000 + 4000L * i);
+          world.hangMachine(i, 9000 + 4000L * i);
         }
       }
-      default -> throw new AssertionError(b);
+      default -> throw new AssertionError(fault);
     }
   }
 
@@ -149,44 +156,53 @@
    * is told to be withdrawn, or done, and nothing of it is left.
    */
   @ParameterizedTest(name = "{0}, {1}, called off {2}")
-  @MethodSource("cases")
-  void theWordIsKept(Refused r, Beside b, When when) {
-    long seed = 4000 + 100 * r.ordinal() + 10 * b.ordinal() + when.ordinal();
-    SimWorld w = running(seed, when == When.AT_THE_END_OF_JOBS ? 15.5 : 90);
-    String leader = w.tables("n0").view().leader();
-    String refused = r == Refused.OTHER ? other(w, leader, "") : leader;
-    String confirmer = r == Refused.CONFIRMER ? refused : other(w, leader, refused);
-    int told = when == When.BEFORE ? -300 : 700;
+  @MethodSource("faultCases")
+  void confirmedWithdrawalHoldsThroughLaterFaults(
+      RefusedNode role, ConcurrentFault fault, WithdrawalTime withdrawalTime) {
+    long seed = 4000 + 100 * role.ordinal() + 10 * fault.ordinal() + withdrawalTime.ordinal();
+    SimWorld world =
+        worldWithRunningJobs(seed, withdrawalTime == WithdrawalTime.AS_JOBS_END ? 15.5 : 90);
+    String leader = world.tables("n0").view().leader();
+    String refusedNode = role == RefusedNode.FOLLOWER ? otherController(world, leader, "") : leader;
+    String confirmer =
+        role == RefusedNode.LEADER_AS_CONFIRMER
+            ? refusedNode
+            : otherController(world, leader, refusedNode);
+    int withdrawalOffsetMs = withdrawalTime == WithdrawalTime.BEFORE_REFUSAL ? -300 : 700;
     for (int i = 0; i < JOBS; i += 2) {
-      String id = id(i);
-      w.clock.after(1000 + told + 30L * i, () -> w.users.withdraw(id, confirmer));
+      String id = jobId(i);
+      world.clock.after(
+          1000 + withdrawalOffsetMs + 30L * i, () -> world.users.withdraw(id, confirmer));
     }
-    w.clock.after(1000, () -> w.state().refuse(refused, true));
-    w.clock.after(2900, () -> beside(w, b, refused, confirmer));
-    w.clock.after(3000, () -> w.state().outage(true));
-    w.clock.after(12_000, () -> w.state().refuse(refused, false));
-    w.clock.after(48_000, () -> w.state().outage(false));
-    w.run(3000);
-    long known = w.users.asked.stream().filter(w.rules::toldWithdrawn).count();
-    w.run(57_000);
-    w.rules.calmSinceMs = w.clock.nowMs() + 45_000;
-    w.run(240_000);
-    List<String> finite = new ArrayList<>();
+    world.clock.after(1000, () -> world.state().refuse(refusedNode, true));
+    world.clock.after(2900, () -> injectConcurrentFault(world, fault, refusedNode, confirmer));
+    world.clock.after(3000, () -> world.state().outage(true));
+    world.clock.after(12_000, () -> world.state().refuse(refusedNode, false));
+    world.clock.after(48_000, () -> world.state().outage(false));
+    world.run(3000);
+    long confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).count();
+    world.run(57_000);
+    world.rules.calmSinceMs = world.clock.nowMs() + 45_000;
+    world.run(240_000);
+    List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       if (i % 2 > 0) {
-        finite.add(id(i));
+        finiteJobs.add(jobId(i));
         continue;
       }
-      String last = w.lastTold(id(i));
-      assertTrue("withdrawn".equals(last) || "done".equals(last), id(i) + " is " + last);
+      String lastPhase = world.lastTold(jobId(i));
+      assertTrue(
+          "withdrawn".equals(lastPhase) || "done".equals(lastPhase), jobId(i) + " is " + lastPhase);
       for (int k = 0; k < 3; k++) {
-        assertTrue(!w.isOn(id(i) + "/" + k), "left: " + id(i) + "/" + k);
+        assertTrue(!world.isOn(jobId(i) + "/" + k), "left: " + jobId(i) + "/" + k);
       }
     }
-    ClusterTest.check(w, finite);
-    if (when == When.IN_THE_REFUSAL && r != Refused.CONFIRMER) {
+    ClusterTest.check(world, finiteJobs);
+    if (withdrawalTime == WithdrawalTime.DURING_REFUSAL
+        && role != RefusedNode.LEADER_AS_CONFIRMER) {
       // Else the meeting did not take place: the word was given, and then had to be kept.
-      assertTrue(known >= JOBS / 4, "only " + known + " were told before the state service went");
+      assertTrue(
+          confirmed >= JOBS / 4, "only " + confirmed + " were told before the state service went");
     }
   }
 
@@ -196,37 +212,37 @@
    * none of it begin after that.
    */
   @ParameterizedTest(name = "{0}, {1} ms after it was placed")
-  @MethodSource("moments")
-  void nothingBeginsAfterTheWord(boolean hang, long afterMs) {
-    SimWorld w = new SimWorld(4600 + afterMs, 14, 14, "aab", 60);
-    w.run(8000);
-    w.workers().forEach(m -> m.slowFetchMs = 5000);
+  @MethodSource("faultTimes")
+  void noTaskStartsAfterItsWithdrawalIsConfirmed(boolean hang, long afterMs) {
+    SimWorld world = new SimWorld(4600 + afterMs, 14, 14, "aab", 60);
+    world.run(8000);
+    world.workers().forEach(m -> m.slowFetchMs = 5000);
     for (int i = 0; i < JOBS; i++) {
-      w.users.submit(job(i, "batch", 2, 60), 0);
+      world.users.submit(job(i, "batch", 2, 60), 0);
     }
-    while (w.placed("n0", id(JOBS / 2)) == 0) {
-      w.run(1);
+    while (world.placed("n0", jobId(JOBS / 2)) == 0) {
+      world.run(1);
     }
-    w.run(afterMs);
+    world.run(afterMs);
     for (int m = 0; m < 14; m++) {
       if (hang) {
-        w.hangMachine(m, 7000);
+        world.hangMachine(m, 7000);
       } else {
-        w.cutMachine(m, true);
+        world.cutMachine(m, true);
       }
     }
     if (!hang) {
-      w.clock.after(9000, w::healMachines);
+      world.clock.after(9000, world::healMachines);
     }
-    List<String> off = List.copyOf(w.users.accepted);
-    assertTrue(off.size() >= JOBS / 2);
-    off.forEach(id -> w.users.withdraw(id, w.nodes.get(off.indexOf(id) % 3)));
-    w.run(120_000);
-    off.forEach(id -> assertEquals("withdrawn", w.lastTold(id)));
-    ClusterTest.check(w, List.of());
+    List<String> withdrawn = List.copyOf(world.users.accepted);
+    assertTrue(withdrawn.size() >= JOBS / 2);
+    withdrawn.forEach(id -> world.users.withdraw(id, world.nodes.get(withdrawn.indexOf(id) % 3)));
+    world.run(120_000);
+    withdrawn.forEach(id -> assertEquals("withdrawn", world.lastTold(id)));
+    ClusterTest.check(world, List.of());
   }
 
-  static Stream<Arguments> moments() {
+  static Stream<Arguments> faultTimes() {
     return Stream.of(true, false)
         .flatMap(
             hang ->
@@ -241,71 +257,72 @@
    */
   @ParameterizedTest(name = "cancel_s {0}, hangs: {1}")
   @CsvSource({"9, true", "9, false", "14, true", "14, false", "16, true", "16, false"})
-  void aLeaseThatOutlastsACancellation(double cancelS, boolean hang) {
-    SimWorld w =
+  void withdrawalIsNotConfirmedWhileALongerLeaseKeepsTasksRunning(double cancelS, boolean hang) {
+    SimWorld world =
         new SimWorld(
             new SimSetup(4990 + (long) cancelS, 14, 22).controllers("aab").cancelS(cancelS));
-    w.run(8000);
+    world.run(8000);
     for (int i = 0; i < JOBS; i++) {
-      w.users.submit(job(i, "batch", 1 + i % 2, 200), 0);
+      world.users.submit(job(i, "batch", 1 + i % 2, 200), 0);
     }
-    w.run(14_000);
-    w.nodes.forEach(n -> w.net.cut(n, SimWorld.CLOUD, false));
+    world.run(14_000);
+    world.nodes.forEach(n -> world.net.cut(n, SimWorld.CLOUD, false));
     for (int m = 0; m < 7; m++) {
       if (hang) {
-        w.hangMachine(m, 15_500);
+        world.hangMachine(m, 15_500);
       } else {
-        w.cutMachine(m, true);
+        world.cutMachine(m, true);
       }
     }
     for (int i = 0; i < JOBS; i++) {
-      String id = id(i);
-      w.clock.after(20L * i, () -> w.users.withdraw(id, w.nodes.get(id.charAt(9) % 3)));
+      String id = jobId(i);
+      world.clock.after(20L * i, () -> world.users.withdraw(id, world.nodes.get(id.charAt(9) % 3)));
     }
-    w.clock.after(15_500, w::healMachines);
-    w.run(100_000);
+    world.clock.after(15_500, world::healMachines);
+    world.run(100_000);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals("withdrawn", w.lastTold(id(i)));
+      assertEquals("withdrawn", world.lastTold(jobId(i)));
     }
-    ClusterTest.check(w, List.of());
+    ClusterTest.check(world, List.of());
   }
 
   /** An owner that the state service refuses and a peer tells stops what is called off at once. */
   @Test
-  void anOwnerThatIsToldStopsAtOnce() {
-    SimWorld w = running(4980, 200);
-    String leader = w.tables("n0").view().leader();
-    w.state().refuse(leader, true);
+  void refusedOwnerStopsTasksAtOnceWhenAPeerReportsTheWithdrawal() {
+    SimWorld world = worldWithRunningJobs(4980, 200);
+    String leader = world.tables("n0").view().leader();
+    world.state().refuse(leader, true);
     for (int i = 0; i < JOBS; i++) {
-      w.users.withdraw(id(i), other(w, leader, ""));
+      world.users.withdraw(jobId(i), otherController(world, leader, ""));
     }
-    w.run(600);
+    world.run(600);
     for (int i = 0; i < JOBS; i++) {
-      assertTrue(w.rules.toldWithdrawn(id(i)), "no word of " + id(i));
+      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no word of " + jobId(i));
       for (int k = 0; k < 3; k++) {
-        assertTrue(!w.isOn(id(i) + "/" + k), "not stopped: " + id(i) + "/" + k);
+        assertTrue(!world.isOn(jobId(i) + "/" + k), "not stopped: " + jobId(i) + "/" + k);
       }
     }
-    w.state().refuse(leader, false);
-    w.run(60_000);
-    ClusterTest.check(w, List.of());
+    world.state().refuse(leader, false);
+    world.run(60_000);
+    ClusterTest.check(world, List.of());
   }
 
   /** Where nothing fails the word comes within a second, whoever owns the machines. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void theWordComesAtOnceWhereNothingFails(long seed) {
-    SimWorld w = new SimWorld(4900 + seed, 12, 20, "aab", 60);
-    w.run(8000);
+  void withdrawalIsConfirmedWithinASecondWithoutFaults(long seed) {
+    SimWorld world = new SimWorld(4900 + seed, 12, 20, "aab", 60);
+    world.run(8000);
     for (int i = 0; i < JOBS; i++) {
-      w.users.submit(job(i, i % 4 == 0 ? "daemon" : "batch", 1 + i % 3, 60), 14_000 + 10 * i);
+      world.users.submit(job(i, i % 4 == 0 ? "daemon" : "batch", 1 + i % 3, 60), 14_000 + 10 * i);
     }
-    w.run(60_000);
+    world.run(60_000);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals("withdrawn", w.lastTold(id(i)));
+      assertEquals("withdrawn", world.lastTold(jobId(i)));
     }
-    assertTrue(w.users.slowestWordMs < 1000, "the word took " + w.users.slowestWordMs + " ms");
-    ClusterTest.check(w, List.of());
+    assertTrue(
+        world.users.slowestWordMs < 1000, "the word took " + world.users.slowestWordMs + " ms");
+    ClusterTest.check(world, List.of());
   }
 
   /**
@@ -315,24 +332,24 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void noWordWhileAnOwnerCanNotKnow(boolean forged) {
-    SimWorld w = running(4950, 200);
-    String leader = w.tables("n0").view().leader();
-    w.state().refuse(leader, true);
-    w.cutFromPeers(leader, true);
-    String confirmer = other(w, leader, "");
+  void noConfirmationWhileAnIsolatedOwnerMayRunTheTasks(boolean forged) {
+    SimWorld world = worldWithRunningJobs(4950, 200);
+    String leader = world.tables("n0").view().leader();
+    world.state().refuse(leader, true);
+    world.cutFromPeers(leader, true);
+    String confirmer = otherController(world, leader, "");
     for (int i = 0; i < JOBS; i++) {
-      w.users.withdraw(id(i), confirmer);
+      world.users.withdraw(jobId(i), confirmer);
     }
     // A question is no back door: the word is not in its answer either.
     Set<String> polled = new HashSet<>();
     for (int k = 1; k < 8; k++) {
       for (int i = 0; i < JOBS; i++) {
-        String id = id(i);
-        w.clock.after(
+        String id = jobId(i);
+        world.clock.after(
             100L * k,
             () ->
-                w.users.poll(
+                world.users.poll(
                     confirmer,
                     id,
                     2000,
@@ -343,36 +360,38 @@
                     }));
       }
     }
-    w.run(300);
+    world.run(300);
     if (forged) {
       // Answers that nobody was asked for, by all who might be, and one who is no controller.
-      byte[] all = {-1, -1, -1, -1};
+      byte[] allMachines = {-1, -1, -1, -1};
       for (int from : new int[] {0, 1, 2, 77}) {
-        for (long question = 0; from != number(w, leader) && question < 200; question++) {
-          w.frame(confirmer, new PeerFrame.Obeyed(from, question, all));
+        for (long question = 0;
+            from != controllerNumber(world, leader) && question < 200;
+            question++) {
+          world.frame(confirmer, new PeerFrame.Obeyed(from, question, allMachines));
         }
       }
     }
-    w.run(600);
-    w.state().outage(true);
-    w.run(45_000);
+    world.run(600);
+    world.state().outage(true);
+    world.run(45_000);
     // The others owned some of it, and the word came for that.
-    List<String> told = w.users.asked.stream().filter(w.rules::toldWithdrawn).toList();
-    polled.addAll(told);
+    List<String> confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).toList();
+    polled.addAll(confirmed);
     for (String id : polled) {
       for (int k = 0; k < 2; k++) {
-        assertTrue(!w.isOn(id + "/" + k), "told, and still there: " + id);
+        assertTrue(!world.isOn(id + "/" + k), "told, and still there: " + id);
       }
     }
-    assertTrue(told.size() < JOBS, "the leader owned nothing of this");
-    w.state().outage(false);
-    w.state().refuse(leader, false);
-    w.cutFromPeers(leader, false);
-    w.run(200_000);
+    assertTrue(confirmed.size() < JOBS, "the leader owned nothing of this");
+    world.state().outage(false);
+    world.state().refuse(leader, false);
+    world.cutFromPeers(leader, false);
+    world.run(200_000);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals("withdrawn", w.lastTold(id(i)));
+      assertEquals("withdrawn", world.lastTold(jobId(i)));
     }
-    ClusterTest.check(w, List.of());
+    ClusterTest.check(world, List.of());
   }
 
   /**
@@ -381,65 +400,67 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3})
-  void anOldBuildCountsAsOneThatDoesNotKnow(int old) {
-    SimWorld w = running(4960 + old, 200);
-    w.nodes.subList(0, old).forEach(w.oldFrames::add);
+  void withdrawalIsConfirmedThoughOlderBuildsDoNotAnswerPeers(int olderNodes) {
+    SimWorld world = worldWithRunningJobs(4960 + olderNodes, 200);
+    world.nodes.subList(0, olderNodes).forEach(world.oldFrames::add);
     for (int i = 0; i < JOBS; i++) {
-      w.users.withdraw(id(i), w.nodes.get(i % 3));
+      world.users.withdraw(jobId(i), world.nodes.get(i % 3));
     }
-    w.run(15_000);
+    world.run(15_000);
     for (int i = 0; i < JOBS; i++) {
-      assertTrue(w.rules.toldWithdrawn(id(i)), "no word of " + id(i));
+      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no word of " + jobId(i));
     }
-    ClusterTest.check(w, List.of());
+    ClusterTest.check(world, List.of());
   }
 
   /** Frames that are malformed or of no known kind are dropped and counted; nothing changes. */
   @Test
-  void badFramesAreDroppedAndCounted() {
-    SimWorld w = running(4990, 60);
-    String before = SimWorld.digest(w.tables("n1"));
+  void malformedAndUnknownFramesAreDroppedAndCounted() {
+    SimWorld world = worldWithRunningJobs(4990, 60);
+    String before = SimWorld.digest(world.tables("n1"));
     for (byte[] b : new byte[][] {{}, {3}, {3, 4, 1}, {3, 4, 1, 0, 0}, {3, 9, 1}, {9, 4, 1, 1}}) {
-      w.net.at("peer:n1").serve("peer", "", "", b, a -> {});
+      world.net.at("peer:n1").serve("peer", "", "", b, a -> {});
     }
-    assertEquals(4, w.metric("n1", "wickdrift.peers.malformed"));
-    assertEquals(2, w.metric("n1", "wickdrift.peers.unknown"));
-    assertEquals(before, SimWorld.digest(w.tables("n1")));
+    assertEquals(4, world.metric("n1", "wickdrift.peers.malformed"));
+    assertEquals(2, world.metric("n1", "wickdrift.peers.unknown"));
+    assertEquals(before, SimWorld.digest(world.tables("n1")));
   }
 
   /** Whatever is asked about a job that is withdrawn, or can't be, is answered at once. */
   @Test
-  void whatCanNotBeWithdrawnIsAnsweredAtOnce() {
-    SimWorld w = new SimWorld(4970, 4, 4, "aab", 60);
-    w.run(8000);
-    w.users.submit(SimJobs.job(1, "batch", 1, 1, 2), 0);
-    w.users.submit(SimJobs.job(2, "batch", 1, 1, 200), 0);
-    w.users.submit(SimJobs.job(3, "batch", 1, 1, 200), 0);
-    w.run(12_000);
-    assertEquals("200 done", withdraw(w, "n0", "req-000001"));
-    assertEquals("200 withdrawn", withdraw(w, "n0", "req-000002"));
-    assertEquals("200 withdrawn", withdraw(w, "n1", "req-000002"));
-    assertEquals("404", withdraw(w, "n2", "req-000009"));
-    assertEquals("404", withdraw(w, "n2", "req-9"));
-    w.state().outage(true);
-    w.run(3000);
-    assertEquals("200 done", withdraw(w, "n0", "req-000001"));
-    assertEquals("503", withdraw(w, "n0", "req-000003"));
-    assertEquals("503", withdraw(w, "n0", "req-000009"));
-    w.crash("n2", 100);
-    w.run(1000);
-    assertEquals("503", withdraw(w, "n2", "req-000003"), "while it loads");
-    w.state().outage(false);
-    w.run(12_000);
-    assertEquals("200 withdrawn", withdraw(w, "n2", "req-000003"));
-    assertEquals(List.of(), w.broken());
+  void withdrawRequestIsAnsweredAtOnceInEveryJobState() {
+    SimWorld world = new SimWorld(4970, 4, 4, "aab", 60);
+    world.run(8000);
+    world.users.submit(SimJobs.job(1, "batch", 1, 1, 2), 0);
+    world.users.submit(SimJobs.job(2, "batch", 1, 1, 200), 0);
+    world.users.submit(SimJobs.job(3, "batch", 1, 1, 200), 0);
+    world.run(12_000);
+    assertEquals("200 done", withdraw(world, "n0", "req-000001"));
+    assertEquals("200 withdrawn", withdraw(world, "n0", "req-000002"));
+    assertEquals("200 withdrawn", withdraw(world, "n1", "req-000002"));
+    assertEquals("404", withdraw(world, "n2", "req-000009"));
+    assertEquals("404", withdraw(world, "n2", "req-9"));
+    world.state().outage(true);
+    world.run(3000);
+    assertEquals("200 done", withdraw(world, "n0", "req-000001"));
+    assertEquals("503", withdraw(world, "n0", "req-000003"));
+    assertEquals("503", withdraw(world, "n0", "req-000009"));
+    world.crash("n2", 100);
+    world.run(1000);
+    assertEquals("503", withdraw(world, "n2", "req-000003"), "while it loads");
+    world.state().outage(false);
+    world.run(12_000);
+    assertEquals("200 withdrawn", withdraw(world, "n2", "req-000003"));
+    assertEquals(List.of(), world.broken());
   }
 
-  private static String withdraw(SimWorld w, String node, String id) {
-    w.users.asked.add(id);
-    var a = w.users.ask(node, "POST", "/api/jobs/" + id + "/withdraw", new byte[0]);
+  private static String withdraw(SimWorld world, String node, String id) {
+    world.users.asked.add(id);
+    var answer = world.users.ask(node, "POST", "/api/jobs/" + id + "/withdraw", new byte[0]);
     try {
-      return a.status() == 200 ? "200 " + Document.parse(a.body()).text("phase") : "" + a.status();
+      return answer.status() == 200
+          ? "200 " + Document.parse(answer.body()).text("phase")
+          : "" + answer.status();
     } catch (BadMessage e) {
       throw new AssertionError(e);
     }
--- /dev/null
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -0,0 +1,405 @@
+package wickdrift.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Random;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import wickdrift.bookkeeping.Machine;
+import wickdrift.bookkeeping.level.LevelRange;
+
+/**
+ * Troubles that no page listed, alone and in pairs with those that are: machines that nothing
+ * reaches, late copies of reports, a controller with its workers only. When they are over, every
+ * job is done, and questions are answered.
+ */
+class CombinedFaultsTest {
+  /** What is not on the operators' lists. */
+  enum PrimaryFault {
+    ONE_MACHINE_UNREACHABLE_FOR_COMMANDS,
+    HALF_A_ZONE_UNREACHABLE_FOR_COMMANDS,
+    MACHINES_REPEATEDLY_UNREACHABLE_FOR_COMMANDS,
+    DUPLICATE_REPORTS_SECONDS_LATE,
+    DUPLICATE_REPORTS_LATER_THAN_A_LEASE,
+    DUPLICATE_REPORTS_AND_MACHINE_DEATHS,
+    IMMEDIATE_WORKER_RESTARTS,
+    IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS,
+    ISOLATED_FOLLOWER,
+    ISOLATED_LEADER,
+    ISOLATED_LEADER_AND_FOLLOWER
+  }
+
+  /** What comes with it. */
+  enum ConcurrentFault {
+    NONE,
+    LEADER_CRASHES,
+    VIEW_CHANGES,
+    STATE_SERVICE_OUTAGE,
+    CONTROLLER_PAUSED,
+    LEVEL_UPGRADE
+  }
+
+  static Stream<Arguments> faultPairs() {
+    return Arrays.stream(PrimaryFault.values())
+        .flatMap(u -> Arrays.stream(ConcurrentFault.values()).map(b -> Arguments.of(u, b)));
+  }
+
+  private static void at(SimWorld world, long delayMs, Runnable action) {
+    world.clock.after(delayMs, action);
+  }
+
+  /** As the first node knows it that knows a view. */
+  private static String currentLeader(SimWorld world) {
+    return world.nodes.stream()
+        .filter(n -> world.tables(n).view() != null)
+        .findFirst()
+        .map(n -> world.tables(n).view().leader())
+        .orElse(world.nodes.get(0));
+  }
+
+  private static void setIsolated(SimWorld world, String node, boolean isolated) {
+    if (isolated) {
+      world.cutFromState(node, false);
+    } else {
+      world.healFromState(node);
+    }
+    world.cutFromPeers(node, isolated);
+  }
+
+  private static void setUnreachableForCommands(SimWorld world, int machines, boolean unreachable) {
+    int seen = 0;
+    for (SimWorker worker : world.workers()) {
+      if (worker.zone.equals("a") && seen++ < machines) {
+        if (unreachable) {
+          world.net.deaf.add(worker.address);
+        } else {
+          world.net.deaf.remove(worker.address);
+        }
+      }
+    }
+  }
+
+  private static void injectPrimaryFault(SimWorld world, PrimaryFault fault, Random random) {
+    switch (fault) {
+      case ONE_MACHINE_UNREACHABLE_FOR_COMMANDS ->
+          at(world, 14_000, () -> setUnreachableForCommands(world, 1, true));
+      case HALF_A_ZONE_UNREACHABLE_FOR_COMMANDS -> {
+        at(world, 14_000, () -> setUnreachableForCommands(world, 3, true));
+        at(world, 90_000, () -> setUnreachableForCommands(world, 99, false));
+      }
+      case MACHINES_REPEATEDLY_UNREACHABLE_FOR_COMMANDS -> {
+        for (int i = 0; i < 4; i++) {
+          at(world, 14_000 + 9000 * i, () -> setUnreachableForCommands(world, 2, true));
+          at(world, 20_000 + 9000 * i, () -> setUnreachableForCommands(world, 99, false));
+        }
+      }
+      case DUPLICATE_REPORTS_SECONDS_LATE ->
+          world.net.copies = new SimNet.Copies("/hello", 0.4, 8000, world.nodes);
+      case DUPLICATE_REPORTS_LATER_THAN_A_LEASE ->
+          world.net.copies = new SimNet.Copies("/hello", 0.3, 45_000, world.nodes);
+      case DUPLICATE_REPORTS_AND_MACHINE_DEATHS -> {
+        world.net.copies = new SimNet.Copies("/hello", 0.3, 45_000, world.nodes);
+        for (int i = 0; i < 3; i++) {
+          at(world, 15_000 + 6000 * i, () -> world.killMachine(random.nextInt(4)));
+        }
+      }
+      case IMMEDIATE_WORKER_RESTARTS, IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS -> {
+        if (fault == PrimaryFault.IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS) {
+          world.net.copies = new SimNet.Copies("/hello", 0.3, 20_000, world.nodes);
+        }
+        for (int i = 0; i < 8; i++) {
+          int n = i;
+          at(world, 13_000 + 4000 * i, () -> world.workers().get(n % 5).restart());
+        }
+      }
+      case ISOLATED_FOLLOWER, ISOLATED_LEADER, ISOLATED_LEADER_AND_FOLLOWER ->
+          at(
+              world,
+              14_000,
+              () -> {
+                String leader = currentLeader(world);
+                List<String> cut = new ArrayList<>();
+                if (fault != PrimaryFault.ISOLATED_FOLLOWER) {
+                  cut.add(leader);
+                }
+                for (String n : world.nodes) {
+                  if (!n.equals(leader)
+                      && cut.size()
+                          < (fault == PrimaryFault.ISOLATED_LEADER_AND_FOLLOWER ? 2 : 1)) {
+                    cut.add(n);
+                  }
+                }
+                cut.forEach(n -> setIsolated(world, n, true));
+                at(world, 45_000, () -> cut.forEach(n -> setIsolated(world, n, false)));
+              });
+      default -> throw new AssertionError(fault);
+    }
+  }
+
+  private static void injectConcurrentFault(SimWorld world, ConcurrentFault fault) {
+    switch (fault) {
+      case NONE -> {}
+      case LEADER_CRASHES -> {
+        at(world, 20_000, () -> world.crash(currentLeader(world), 300));
+        at(world, 33_000, () -> world.crash(currentLeader(world), 4000));
+      }
+      case VIEW_CHANGES -> {
+        for (int i = 0; i < 8; i++) {
+          String n = world.nodes.get(i % world.nodes.size());
+          at(world, 16_000 + 3500L * i, () -> world.crash(n, 300));
+        }
+      }
+      case STATE_SERVICE_OUTAGE -> {
+        at(world, 22_000, () -> world.state().outage(true));
+        at(world, 31_000, () -> world.state().outage(false));
+      }
+      case CONTROLLER_PAUSED -> at(world, 21_000, () -> world.freeze("n1", 9000, true));
+      case LEVEL_UPGRADE -> {
+        for (String n : world.nodes) {
+          at(
+              world,
+              15_000 + 3000L * world.nodes.indexOf(n),
+              () -> {
+                world.levels.remove(n);
+                world.crash(n, 500);
+              });
+        }
+      }
+      default -> throw new AssertionError(fault);
+    }
+  }
+
+  @ParameterizedTest
+  @MethodSource("faultPairs")
+  void everyJobFinishesAndNoRequestStaysUnanswered(
+      PrimaryFault primary, ConcurrentFault concurrent) {
+    long seed = 900 + 10L * primary.ordinal() + concurrent.ordinal();
+    SimWorld world = new SimWorld(seed, 12, 30, "aab", 60);
+    if (concurrent == ConcurrentFault.LEVEL_UPGRADE) {
+      world.restartAll(new LevelRange(1, 3), "");
+    }
+    Random random = new Random(seed);
+    List<String> finiteJobs = world.users.submitSmall(random, 6000, 40_000, 15_000, n -> 4 + n % 9);
+    injectPrimaryFault(world, primary, random);
+    injectConcurrentFault(world, concurrent);
+    at(
+        world,
+        100_000,
+        () -> {
+          world.net.copies = null;
+          world.rules.calmSinceMs = world.clock.nowMs();
+        });
+    world.run(300_000);
+    int rented = world.cloud.rented;
+    ClusterTest.check(world, finiteJobs);
+    // No storm: at most as many as could be there at once came anew.
+    assertTrue(rented <= 12 + 30, "rented " + rented);
+    assertEquals(LevelRange.BUILD.max(), world.tables("n0").level());
+  }
+
+  /** Once a machine is known to be deaf nothing more is placed there, until it hears. */
+  @Test
+  void nothingIsPlacedOnAMachineUnreachableForCommands() {
+    SimWorld world = new SimWorld(990, 4, 4, "aaa", 60);
+    world.run(10_000);
+    SimWorker worker = world.workers().get(0);
+    world.net.deaf.add(worker.address);
+    int[] slotsBefore = {-1};
+    int[] placedWhileUnreachable = {0};
+    int[] timesUpAgain = {0};
+    long[] emptyAtMs = {0};
+    boolean[] lost = {false};
+    for (int t = 0; t < 90; t++) {
+      at(
+          world,
+          500L * t,
+          () -> {
+            Machine knownMachine = world.tables("n0").machine(worker.name);
+            String owner =
+                knownMachine == null ? "n0" : knownMachine.owner(world.tables("n0").view());
+            Machine ownedMachine = world.tables(owner).machine(worker.name);
+            if (ownedMachine != null
+                && (ownedMachine.unreachableForCommandsSinceMs() > 0
+                    || ownedMachine.phase() != Machine.Phase.UP)) {
+              placedWhileUnreachable[0] +=
+                  slotsBefore[0] >= 0
+                      ? Math.max(0, ownedMachine.slots().size() - slotsBefore[0])
+                      : 0;
+              slotsBefore[0] = ownedMachine.slots().size();
+              emptyAtMs[0] =
+                  emptyAtMs[0] == 0 && ownedMachine.slots().isEmpty()
+                      ? world.clock.nowMs()
+                      : emptyAtMs[0];
+              timesUpAgain[0] += lost[0] && ownedMachine.phase() == Machine.Phase.UP ? 1 : 0;
+              lost[0] |= ownedMachine.phase() != Machine.Phase.UP;
+            }
+          });
+    }
+    // More than the others hold, all the time.
+    for (int i = 0; i < 60; i++) {
+      int n = i;
+      at(world, 300L * i, () -> world.users.submit(SimJobs.job(n, "batch", 1, 1, 12), 0));
+    }
+    world.run(45_000);
+    assertTrue(slotsBefore[0] >= 0, "it was never found deaf");
+    assertEquals(0, placedWhileUnreachable[0], "placed on a deaf machine");
+    // Its session ends within a lease; what was never seen there is over with that.
+    assertTrue(emptyAtMs[0] > 0 && emptyAtMs[0] < 10_000 + 36_000, "empty at " + emptyAtMs[0]);
+    assertTrue(lost[0], "it was not recorded as silent");
+    assertEquals(0, timesUpAgain[0], "up again, and nothing reaches it");
+    world.net.deaf.remove(worker.address);
+    world.run(200_000);
+    assertEquals(List.of(), world.broken());
+    for (int i = 0; i < 60; i++) {
+      assertEquals("done", world.lastTold(String.format("req-%06d", i)));
+    }
+  }
+
+  /**
+   * A machine whose worker reaches no controller, while commands reach it, loses what it has with
+   * its lease, again and again: that it answers commands does not keep it from being recorded as
+   * silent a lease after its last report, and from then on nothing is placed there.
+   */
+  @Test
+  void machineThatCannotReportIsRecordedAsSilent() {
+    SimWorld world = new SimWorld(995, 4, 8, "aaa", 60);
+    world.run(10_000);
+    SimWorker worker = world.workers().get(0);
+    world.net.mute.add(worker.address);
+    int[] timesWithTasks = new int[1];
+    for (int i = 0; i < 60; i++) {
+      int n = i;
+      at(world, 300L * i, () -> world.users.submit(SimJobs.job(n, "batch", 1, 1, 12), 0));
+    }
+    // The lease, and a second to notice and write it.
+    for (int t = 0; t < 40; t++) {
+      at(world, 17_500 + 500L * t, () -> timesWithTasks[0] += worker.empty() ? 0 : 1);
+    }
+    world.run(17_500);
+    assertTrue(world.lost, "it was not recorded as silent");
+    world.run(20_500);
+    assertEquals(0, timesWithTasks[0], "it was given tasks");
+    world.run(120_000);
+    assertEquals(List.of(), world.broken());
+    for (int i = 0; i < 60; i++) {
+      assertEquals("done", world.lastTold(String.format("req-%06d", i)));
+    }
+  }
+
+  /**
+   * A single report of a machine that is not there, as a late copy of one that was deleted: nothing
+   * is recorded of it, and nothing placed there.
+   */
+  @Test
+  void lateReportOfADeletedMachineIsIgnored() {
+    SimWorld world = new SimWorld(991, 1, 1, "aaa", 60);
+    world.run(10_000);
+    world.users.submit(SimJobs.job(1, "batch", 12, 1, 10), 0);
+    for (int k = 0; k < 3; k++) {
+      world.nodes.forEach(n -> world.report(n, "i-000777", 0));
+      world.run(2000);
+    }
+    for (String n : world.nodes) {
+      Machine machine = world.tables(n).machine("i-000777");
+      assertTrue(machine == null || machine.info() == null && machine.slots().isEmpty(), "at " + n);
+    }
+    world.run(120_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals("done", world.lastTold("req-000001"));
+  }
+
+  /**
+   * A machine dies with what runs on it, and late copies of its reports go on coming for much
+   * longer than its lease, to all controllers, of which one has just come back: its tasks are over
+   * when they would be without the copies.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void duplicateReportsOfADeadMachineDoNotDelayItsExpiry(boolean ownerRestarts) {
+    SimWorld world = new SimWorld(992, 3, 3, "aaa", 60);
+    world.net.copies = new SimNet.Copies("/hello", 1.0, 60_000, world.nodes);
+    world.run(10_000);
+    world.users.submit(SimJobs.job(1, "batch", 12, 1, 100), 0);
+    world.run(20_000);
+    SimWorker worker = world.workers().get(0);
+    String owner = world.owner("n0", worker.name);
+    assertTrue(!world.tables("n0").machine(worker.name).slots().isEmpty(), "nothing runs there");
+    world.killMachine(0);
+    if (ownerRestarts) {
+      world.crash(owner, 300);
+    }
+    // The lease, and for a new owner the grace before it; and a few seconds to notice.
+    world.run(16_000 + (ownerRestarts ? 3 * 16_000 : 0) + 6000);
+    Machine machine = world.tables("n0").machine(worker.name);
+    assertTrue(machine == null || machine.slots().isEmpty(), "its tasks still count as there");
+    assertTrue(machine == null || machine.phase() != Machine.Phase.UP, "it still counts as up");
+    world.net.copies = null;
+    world.run(250_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals("done", world.lastTold("req-000001"));
+  }
+
+  /**
+   * A job that must be in two zones came to a part while the other zone had no controller, and the
+   * part had machines of both. The controller is back, and has those of its zone; what the job
+   * loses there is placed there again.
+   */
+  @Test
+  void partitionWithoutAZoneTransfersJobsThatNeedTheZone() {
+    SimWorld world = new SimWorld(994, 12, 12, "aab", 60);
+    world.run(8000);
+    world.crash("n2", 30_000);
+    world.run(10_000);
+    for (int i = 0; i < 4; i++) {
+      world.users.submit(SimJobs.job(i, "daemon", 2, 1, 0), 0);
+    }
+    world.run(10_000);
+    assertEquals(8, world.starts());
+    for (int i = 0; i < 4; i++) {
+      assertTrue(!world.tables("n0").job(String.format("req-%06d", i)).partition().equals("*"));
+    }
+    world.run(25_000);
+    assertEquals(3, world.tables("n0").view().members().size());
+    for (SimWorker worker : world.workers()) {
+      if (worker.zone.equals("b") && !worker.empty()) {
+        worker.die();
+      }
+    }
+    world.run(45_000);
+    for (int i = 0; i < 4; i++) {
+      for (int k = 0; k < 2; k++) {
+        assertTrue(world.isOn(String.format("req-%06d/%d", i, k)), "job " + i + " lacks task " + k);
+      }
+    }
+    assertEquals(List.of(), world.broken());
+  }
+
+  /** A machine that is back at once is found out in seconds, long before its silence would be. */
+  @Test
+  void tasksOfAnImmediatelyRestartedWorkerRunAgain() {
+    SimWorld world = new SimWorld(993, 2, 2, "aaa", 60);
+    world.run(10_000);
+    world.users.submit(SimJobs.job(1, "batch", 8, 1, 30), 0);
+    world.run(12_000);
+    world.workers().get(0).restart();
+    world.run(9000);
+    // What ran there runs there again.
+    int running = 0;
+    for (int i = 0; i < 8; i++) {
+      running += world.isOn("req-000001/" + i) ? 1 : 0;
+    }
+    assertEquals(8, running);
+    assertEquals(2, world.cloud.rented);
+    world.run(90_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals("done", world.lastTold("req-000001"));
+  }
+}
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -12,22 +12,22 @@
 /** One run of fault scenarios in a simulated world: its jobs, and what scripts are written with. */
 final class FaultRun {
   /** Jobs that each run has. */
-  static final int JOBS = 30;
+  static final int BASE_JOBS = 30;
 
   /** Numbers from here on are of jobs that scenarios submit beside those. */
-  private static final int MORE = 100;
+  private static final int FIRST_ADDITIONAL_JOB = 100;
 
-  private static final long FAULTS_OVER_MS = 130_000;
-  private static final long CALM_MS = 250_000;
+  private static final long FAULTS_END_MS = 130_000;
+  private static final long FAULT_FREE_MS = 250_000;
 
   final SimWorld world;
   final Random random;
 
   /** Whether the combination of faults took place. */
-  boolean reached;
+  boolean faultsOccurred;
 
   private final TreeSet<String> submitted = new TreeSet<>();
-  private int nextNumber = MORE;
+  private int nextNumber = FIRST_ADDITIONAL_JOB;
 
   FaultRun(SimWorld world, Random random) {
     this.world = world;
@@ -39,56 +39,57 @@
     return new SimSetup(seed, 12, 30).controllers("aab");
   }
 
-  static String id(int number) {
+  static String jobId(int number) {
     return String.format("req-%06d", number);
   }
 
   /** Plays the scenarios at once, and asserts what must hold in the end. */
-  void play(IntFunction<FaultScenario> about, List<FaultScenario> scenarios) {
-    for (int i = 0; i < JOBS; i++) {
-      Map<String, Object> job = job(about.apply(i), i);
+  void run(IntFunction<FaultScenario> scenarioOfJob, List<FaultScenario> scenarios) {
+    for (int i = 0; i < BASE_JOBS; i++) {
+      Map<String, Object> job = job(scenarioOfJob.apply(i), i);
       at(8000 + random.nextInt(12_000), () -> submit(job, 0));
     }
     scenarios.forEach(s -> s.script.accept(this));
     at(
-        FAULTS_OVER_MS,
+        FAULTS_END_MS,
         () -> {
           world.net.copies = null;
           world.rules.calmSinceMs = world.clock.nowMs();
         });
-    world.run(FAULTS_OVER_MS + CALM_MS);
-    List<String> finite = new ArrayList<>();
+    world.run(FAULTS_END_MS + FAULT_FREE_MS);
+    List<String> finiteJobs = new ArrayList<>();
     for (String id : submitted) {
       if (!world.users.asked.contains(id)) {
-        finite.add(id);
+        finiteJobs.add(id);
         continue;
       }
-      String last = world.lastTold(id);
-      assertTrue("withdrawn".equals(last) || "done".equals(last), id + " is " + last);
+      String lastPhase = world.lastTold(id);
+      assertTrue(
+          "withdrawn".equals(lastPhase) || "done".equals(lastPhase), id + " is " + lastPhase);
     }
-    ClusterTest.check(world, finite);
+    ClusterTest.check(world, finiteJobs);
   }
 
   /** The shape of the i-th job, which the scenarios choose by what they are about. */
-  private Map<String, Object> job(FaultScenario about, int i) {
+  private Map<String, Object> job(FaultScenario scenario, int number) {
     double seconds = 15 + random.nextInt(25);
-    boolean isLong = about == FaultScenario.A_LEADER_ENDS_AND_MACHINES_DO_NOT_HEAR_THE_NEXT;
-    String shape = i % 5 == 4 ? "ensemble" : "batch";
-    int tasks = shape.equals("ensemble") ? 1 + i % 2 : 1 + i % 3;
-    Map<String, Object> job = SimJobs.job(i, shape, tasks, 1, isLong ? 70 : seconds);
-    if (about == FaultScenario.JOBS_OF_ONE_ZONE_LOSE_MACHINES) {
-      if (i % 2 == 0) {
-        job.put("region", i % 4 == 0 ? "a" : "b");
+    boolean isLong = scenario == FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
+    String shape = number % 5 == 4 ? "ensemble" : "batch";
+    int tasks = shape.equals("ensemble") ? 1 + number % 2 : 1 + number % 3;
+    Map<String, Object> job = SimJobs.job(number, shape, tasks, 1, isLong ? 70 : seconds);
+    if (scenario == FaultScenario.ZONE_BOUND_JOBS_LOSE_MACHINES) {
+      if (number % 2 == 0) {
+        job.put("region", number % 4 == 0 ? "a" : "b");
       } else {
         job.put("oneZone", true);
       }
     }
-    if (about == FaultScenario.MORE_WORK_THAN_ROOM) {
+    if (scenario == FaultScenario.DEMAND_EXCEEDS_CAPACITY) {
       job.put("gpus", 2.0);
-      job.put("rank", i % 4 == 0 ? "urgent" : i % 4 == 1 ? "idle" : "standard");
+      job.put("rank", number % 4 == 0 ? "urgent" : number % 4 == 1 ? "idle" : "standard");
     }
-    if (about == FaultScenario.EVERY_TEAM_AT_ITS_LIMIT_MACHINES_OF_CANCELLED_JOBS_AWAY) {
-      job.put("owner", i % 2 == 0 ? "vision" : "sound");
+    if (scenario == FaultScenario.ALL_TEAMS_AT_LIMIT_AND_MACHINES_OF_CANCELLED_JOBS_UNREACHABLE) {
+      job.put("owner", number % 2 == 0 ? "vision" : "sound");
       job.put("gpus", 2.0);
     }
     return job;
@@ -107,7 +108,7 @@
   }
 
   /** Small jobs of both teams, beside those of every run. */
-  void submitMore(int count, long fromMs, int spanMs) {
+  void submitAdditional(int count, long fromMs, int spanMs) {
     for (int i = 0; i < count; i++) {
       Map<String, Object> job =
           SimJobs.job(nextNumber(), "batch", 1 + i % 2, 1, 8 + random.nextInt(20));
@@ -135,7 +136,7 @@
   }
 
   /** Users cancel running jobs whose machines hang, or lose the network, at that moment. */
-  void cancelBehindFaults(int count, boolean hang, long forMs) {
+  void cancelOnFailingMachines(int count, boolean hang, long forMs) {
     int left = count;
     for (String id : cancellable()) {
       String machine = world.rules.machineOf(id + "/0");
@@ -179,7 +180,7 @@
   }
 
   /** Jobs of which users were told that they are cancelled. */
-  long cancelled() {
+  long cancelledCount() {
     return submitted.stream().filter(world.rules::toldWithdrawn).count();
   }
 
@@ -192,8 +193,8 @@
   // ---- controllers ----
 
   /** So long from now; in a script, from the start. */
-  void at(long ms, Runnable action) {
-    world.clock.after(ms, action);
+  void at(long delayMs, Runnable action) {
+    world.clock.after(delayMs, action);
   }
 
   String leader() {
@@ -205,7 +206,7 @@
   }
 
   /** The newest epoch that any controller knows. */
-  long epoch() {
+  long newestEpoch() {
     return world.nodes.stream().filter(world::alive).mapToLong(this::epochOf).max().orElse(0);
   }
 
@@ -215,7 +216,7 @@
   }
 
   /** The leader ends and is back soon, or stands still until it was deposed. */
-  void endLeader(boolean pause) {
+  void crashOrPauseLeader(boolean pause) {
     if (pause) {
       world.freeze(leader(), 9000, random.nextBoolean());
     } else {
@@ -224,11 +225,11 @@
   }
 
   /** A controller's work goes to others: it crashes, leaves in order, or stands still. */
-  void handOver(String node, int how) {
+  void forceHandover(String node, int method) {
     if (!world.alive(node)) {
       return;
     }
-    switch (how % 3) {
+    switch (method % 3) {
       case 0 -> world.crash(node, 300 + random.nextInt(4000));
       case 1 -> world.restart(node, 3000, 300);
       default -> world.freeze(node, 9000, random.nextBoolean());
@@ -237,7 +238,7 @@
 
   // ---- machines ----
 
-  void cut(int machines, boolean hold, long forMs) {
+  void cutMachines(int machines, boolean hold, long forMs) {
     for (int m = 0; m < machines; m++) {
       world.cutMachine(m, hold);
     }
@@ -245,9 +246,9 @@
   }
 
   /** A machine that is back at once, with nothing on it. */
-  void restartMachine(int i) {
+  void restartMachine(int index) {
     List<SimWorker> all = world.workers();
-    all.get(i % all.size()).restart();
+    all.get(index % all.size()).restart();
   }
 
   void killMachines(int count) {
@@ -275,7 +276,7 @@
   }
 
   /** Copies of reports that were kept reach every controller as a new leader begins. */
-  void releaseCopiesAtEachNewLeader(long fromMs, long untilMs) {
+  void replayReportsAtLeaderChanges(long fromMs, long untilMs) {
     String[] last = new String[1];
     for (long t = fromMs; t < untilMs; t += 4) {
       at(
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -5,14 +5,14 @@
 
 /**
  * Combinations of faults that the operators name, each as a script of a simulated world. A script
- * sets {@link FaultRun#reached} once the combination took place; docs/meetings.md tells which other
- * tests bring them about.
+ * sets {@link FaultRun#faultsOccurred} once the combination took place; docs/meetings.md tells
+ * which other tests bring them about.
  */
 enum FaultScenario {
-  LEADERS_CHANGE_TEN_TIMES_ALSO_IN_AN_OUTAGE(
+  REPEATED_LEADER_CRASHES_AND_STATE_SERVICE_OUTAGE(
       run -> {
         long[] first = new long[1];
-        run.at(19_000, () -> first[0] = run.epoch());
+        run.at(19_000, () -> first[0] = run.newestEpoch());
         for (int i = 0; i < 10; i++) {
           run.at(
               20_000 + 9000L * i,
@@ -21,16 +21,16 @@
         run.at(60_000, () -> run.world.state().outage(true));
         run.at(61_000, () -> run.cancelRunning(4));
         run.at(85_000, () -> run.world.state().outage(false));
-        run.at(120_000, () -> run.reached = run.epoch() >= first[0] + 7);
+        run.at(120_000, () -> run.faultsOccurred = run.newestEpoch() >= first[0] + 7);
       }),
-  A_ZONE_WITH_ITS_CONTROLLER_IS_AWAY(
+  ZONE_AND_ITS_CONTROLLER_PARTITIONED(
       run -> {
         run.at(22_000, () -> run.world.cutZone("n2", true));
         run.at(24_000, () -> run.cancelRunning(5));
         run.at(70_000, () -> run.world.cutZone("n2", false));
-        run.at(60_000, () -> run.reached = run.epoch() > run.epochOf("n2"));
+        run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() > run.epochOf("n2"));
       }),
-  ALL_CONTROLLERS_ARE_AWAY(
+  ALL_CONTROLLERS_CRASH(
       run -> {
         run.at(22_000, () -> run.cancelRunning(5));
         run.at(
@@ -38,18 +38,18 @@
             () ->
                 run.world.nodes.forEach(
                     n -> run.world.crash(n, 22_000 + run.random.nextInt(4000))));
-        run.at(60_000, () -> run.reached = run.world.killedByLease() > 0);
+        run.at(60_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
       }),
-  TASKS_END_FAR_APART_ACROSS_A_CHANGE_OF_LEADER(
+  UNEVEN_TASK_DURATIONS_ACROSS_LEADER_CHANGES(
       run -> {
         run.world.pace = task -> task.endsWith("/1") ? 2.5 : task.endsWith("/2") ? 0.2 : 0.7;
         for (int i = 0; i < 5; i++) {
           run.at(20_000 + 11_000L * i, () -> run.world.crash(run.leader(), 400));
         }
         run.at(40_000, () -> run.cancelRunning(4));
-        run.at(50_000, () -> run.reached = run.world.starts() > FaultRun.JOBS);
+        run.at(50_000, () -> run.faultsOccurred = run.world.starts() > FaultRun.BASE_JOBS);
       }),
-  WORKERS_ARE_MUTE(
+  WORKERS_CANNOT_REPORT(
       run -> {
         run.at(
             22_000,
@@ -59,40 +59,40 @@
                     .forEach(x -> run.world.net.mute.add(x.address)));
         run.at(24_000, () -> run.cancelRunning(5));
         run.at(30_000, () -> run.world.crash(run.leader(), 300));
-        run.at(48_000, () -> run.reached = run.world.killedByLease() > 0);
+        run.at(48_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
         run.at(50_000, run.world.net.mute::clear);
       }),
-  A_LIMIT_IS_REACHED_AND_MACHINES_CAN_NOT_BE_ASKED(
+  LIMIT_REACHED_AND_MACHINES_UNREACHABLE(
       setup -> setup.gpusMax(15),
       run -> {
-        run.at(24_000, () -> run.cut(4, false, 30_000));
+        run.at(24_000, () -> run.cutMachines(4, false, 30_000));
         run.at(25_000, () -> run.world.crash(run.leader(), 2000));
         run.at(26_000, () -> run.cancelRunning(6));
         run.at(40_000, () -> run.world.crash(run.leader(), 300));
-        run.at(23_000, () -> run.reached = run.atLimit("vision"));
+        run.at(23_000, () -> run.faultsOccurred = run.atLimit("vision"));
       }),
-  JOBS_OF_ONE_ZONE_LOSE_MACHINES(
+  ZONE_BOUND_JOBS_LOSE_MACHINES(
       run -> {
         for (int i = 0; i < 5; i++) {
           int n = i;
           run.at(20_000 + 6000L * i, () -> run.world.killMachine(2 * n));
-          run.at(23_000 + 6000L * i, () -> run.cut(3, true, 5000));
+          run.at(23_000 + 6000L * i, () -> run.cutMachines(3, true, 5000));
         }
         run.at(30_000, () -> run.cancelRunning(3));
         run.at(45_000, () -> run.world.crash(run.leader(), 300));
-        run.at(60_000, () -> run.reached = run.world.lost);
+        run.at(60_000, () -> run.faultsOccurred = run.world.lost);
       }),
-  COMMANDS_ARE_HELD_AND_THE_MACHINE_GOES_ON(
+  COMMANDS_HELD_AND_MACHINES_HANG(
       run -> {
         for (int i = 0; i < 6; i++) {
-          run.at(12_000 + 9000L * i, () -> run.cut(5, true, 6000));
+          run.at(12_000 + 9000L * i, () -> run.cutMachines(5, true, 6000));
           run.at(12_500 + 9000L * i, () -> run.cancelRunning(2));
           int n = i;
           run.at(14_000 + 9000L * i, () -> run.world.hangMachine(n, 8000));
         }
-        run.at(13_000, () -> run.reached = true);
+        run.at(13_000, () -> run.faultsOccurred = true);
       }),
-  ALL_END_AND_ONE_IS_BACK_AT_ONCE(
+  ALL_CONTROLLERS_CRASH_AND_ONE_RESTARTS_AT_ONCE(
       run -> {
         for (int i = 0; i < 4; i++) {
           int first = i % 3;
@@ -107,9 +107,9 @@
                 }
               });
         }
-        run.at(100_000, () -> run.reached = run.epoch() >= 5);
+        run.at(100_000, () -> run.faultsOccurred = run.newestEpoch() >= 5);
       }),
-  THE_STORE_IS_SLOW_THEN_REFUSES_THEN_IS_AWAY(
+  STATE_SERVICE_SLOW_THEN_REFUSING_THEN_UNAVAILABLE(
       run -> {
         run.at(20_000, () -> run.world.state().slowWrites(700));
         run.at(20_000, () -> run.world.nodes.forEach(n -> run.world.state().slowReads(n, 600)));
@@ -121,19 +121,19 @@
         run.at(76_000, () -> run.world.state().outage(false));
         run.at(80_000, () -> run.world.state().slowWrites(0));
         run.at(80_000, () -> run.world.nodes.forEach(n -> run.world.state().slowReads(n, 0)));
-        run.at(75_000, () -> run.reached = !run.world.users.asked.isEmpty());
+        run.at(75_000, () -> run.faultsOccurred = !run.world.users.asked.isEmpty());
       }),
-  REPORTS_ARE_HELD_UNTIL_A_NEW_LEADER_HAS_ACTED(
+  REPORTS_DELAYED_PAST_A_LEADER_CHANGE(
       run -> {
         run.world.net.copies = new SimNet.Copies("/hello", 0.3, 20_000, run.world.nodes);
         for (int i = 0; i < 4; i++) {
-          run.at(20_000 + 15_000L * i, () -> run.cut(6, true, 9000));
+          run.at(20_000 + 15_000L * i, () -> run.cutMachines(6, true, 9000));
           run.at(21_000 + 15_000L * i, () -> run.world.crash(run.leader(), 300));
           run.at(24_000 + 15_000L * i, () -> run.cancelRunning(2));
         }
-        run.at(60_000, () -> run.reached = run.epoch() >= 4);
+        run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() >= 4);
       }),
-  A_LEADER_HAS_ONLY_WORKERS_AND_USERS(
+  LEADER_ISOLATED_FROM_STATE_SERVICE_AND_PEERS(
       run -> {
         String[] alone = new String[1];
         run.at(
@@ -145,7 +145,7 @@
             });
         run.at(23_000, () -> run.cancelRunning(3));
         run.at(34_000, () -> run.cancelRunning(3));
-        run.at(60_000, () -> run.reached = !run.leader().equals(alone[0]));
+        run.at(60_000, () -> run.faultsOccurred = !run.leader().equals(alone[0]));
         run.at(
             80_000,
             () -> {
@@ -153,7 +153,7 @@
               run.world.cutFromPeers(alone[0], false);
             });
       }),
-  MORE_WORK_THAN_ROOM(
+  DEMAND_EXCEEDS_CAPACITY(
       setup -> setup.capacity(12),
       run -> {
         run.world.workers().forEach(x -> x.slowFetchMs = 4000);
@@ -162,11 +162,11 @@
         run.at(
             25_000,
             () ->
-                run.reached =
+                run.faultsOccurred =
                     run.world.users.accepted.stream()
                         .anyMatch(j -> run.world.placed("n0", j) == 0));
       }),
-  TRANSACTIONS_ARE_LATE_AFTER_NEWER_ONES(
+  TRANSACTIONS_REORDERED(
       run -> {
         run.at(
             12_000,
@@ -178,9 +178,9 @@
         run.at(40_000, () -> run.cancelRunning(5));
         run.at(60_000, () -> run.world.crash(run.leader(), 300));
         run.at(100_000, () -> run.world.state().lateCommits(0, 0, 1));
-        run.at(100_000, () -> run.reached = run.world.state().lateWrites > 5);
+        run.at(100_000, () -> run.faultsOccurred = run.world.state().lateWrites > 5);
       }),
-  OLD_REPORTS_ARRIVE_AFTER_NEWER_ONES(
+  OLD_REPORTS_ARRIVE_AFTER_NEWER_REPORTS(
       run -> {
         run.world.net.copies = new SimNet.Copies("/hello", 0.5, 50_000, run.world.nodes);
         for (int i = 0; i < 5; i++) {
@@ -192,40 +192,41 @@
         }
         run.at(35_000, () -> run.cancelRunning(4));
         run.at(40_000, () -> run.world.crash(run.leader(), 300));
-        run.at(90_000, () -> run.reached = run.world.killedByLease() > 0);
+        run.at(90_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
       }),
-  REQUESTS_MEET_THE_END_OF_A_JOB(
+  REQUESTS_RACE_WITH_JOB_COMPLETION(
       run -> {
-        boolean[] over = new boolean[FaultRun.JOBS];
+        boolean[] over = new boolean[FaultRun.BASE_JOBS];
         for (int t = 0; t < 9000; t++) {
           run.at(
               10_000 + 10L * t,
               () -> {
-                for (int i = 0; i < FaultRun.JOBS; i++) {
+                for (int i = 0; i < FaultRun.BASE_JOBS; i++) {
                   // The last of its tasks has just left: whatever is asked now meets its end.
                   if (!over[i]
-                      && run.world.users.accepted.contains(FaultRun.id(i))
-                      && run.world.rules.allDone(FaultRun.id(i))) {
+                      && run.world.users.accepted.contains(FaultRun.jobId(i))
+                      && run.world.rules.allDone(FaultRun.jobId(i))) {
                     over[i] = true;
-                    run.reached = true;
+                    run.faultsOccurred = true;
                     if (i % 3 == 0) {
-                      run.world.users.withdraw(FaultRun.id(i), run.world.nodes.get(i % 3));
+                      run.world.users.withdraw(FaultRun.jobId(i), run.world.nodes.get(i % 3));
                     }
-                    run.world.users.submitAgain(FaultRun.id(i), SimJobs.job(i, "batch", 1, 1, 5));
+                    run.world.users.submitAgain(
+                        FaultRun.jobId(i), SimJobs.job(i, "batch", 1, 1, 5));
                     int n = i;
                     for (long k = 1; k < 200; k += 17) {
                       run.at(
                           k,
                           () ->
                               run.world.users.submitAgain(
-                                  FaultRun.id(n), SimJobs.job(n, "batch", 1, 1, 5)));
+                                  FaultRun.jobId(n), SimJobs.job(n, "batch", 1, 1, 5)));
                     }
                   }
                 }
               });
         }
       }),
-  A_LEADER_ENDS_AND_MACHINES_DO_NOT_HEAR_THE_NEXT(
+  LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS(
       run -> {
         for (int i = 0; i < 3; i++) {
           run.at(22_000 + 30_000L * i, () -> run.world.crash(run.leader(), 300 + 4000));
@@ -238,9 +239,9 @@
           run.at(23_000 + 30_000L * i, () -> run.cancelRunning(2));
           run.at(34_000 + 30_000L * i, run.world.net.deaf::clear);
         }
-        run.at(60_000, () -> run.reached = run.epoch() >= 3);
+        run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() >= 3);
       }),
-  COMMANDS_OF_AN_ENDED_LEADER_ARRIVE_AFTER_THE_NEXT_ONES(
+  COMMANDS_OF_A_FORMER_LEADER_ARRIVE_LATE(
       run -> {
         SimNet.Delay delay = new SimNet.Delay("/orders", 0.4, 2000, 16_000);
         run.at(10_000, () -> run.world.net.delay = delay);
@@ -248,49 +249,54 @@
           long at = 22_000 + 18_000L * i;
           boolean pause = i % 2 == 1;
           run.at(at - 500, () -> run.cancelRunning(2));
-          run.at(at, () -> run.endLeader(pause));
+          run.at(at, () -> run.crashOrPauseLeader(pause));
           run.at(at + 1500, () -> run.cancelRunning(2));
         }
         run.at(95_000, () -> run.world.net.delay = null);
-        run.at(95_000, () -> run.reached = run.world.net.delayed > 5 && run.epoch() >= 3);
+        run.at(
+            95_000, () -> run.faultsOccurred = run.world.net.delayed > 5 && run.newestEpoch() >= 3);
       }),
-  CANCELLATIONS_WHILE_WORK_CHANGES_HANDS(
+  CANCELLATIONS_DURING_HANDOVERS(
       run -> {
-        run.submitMore(60, 10_000, 70_000);
+        run.submitAdditional(60, 10_000, 70_000);
         long[] first = new long[1];
-        run.at(19_000, () -> first[0] = run.epoch());
+        run.at(19_000, () -> first[0] = run.newestEpoch());
         for (int i = 0; i < 6; i++) {
           long at = 20_000 + 12_000L * i;
           String node = run.world.nodes.get(i % 3);
           int how = i;
-          run.at(at, () -> run.handOver(node, how));
+          run.at(at, () -> run.forceHandover(node, how));
           for (long after : new long[] {-400, -30, 5, 60, 300, 900, 1500, 2600, 4000}) {
             run.at(at + after, () -> run.cancelRunning(1));
           }
         }
-        run.at(100_000, () -> run.reached = run.epoch() >= first[0] + 4 && run.cancelled() > 15);
+        run.at(
+            100_000,
+            () ->
+                run.faultsOccurred =
+                    run.newestEpoch() >= first[0] + 4 && run.cancelledCount() > 15);
       }),
-  OLD_REPORTS_REACH_EVERYONE_AS_A_LEADER_BEGINS(
+  OLD_REPORTS_REPLAYED_AT_LEADER_CHANGES(
       run -> {
         run.at(12_000, () -> run.world.net.keepShare = 0.3);
-        run.releaseCopiesAtEachNewLeader(12_000, 100_000);
+        run.replayReportsAtLeaderChanges(12_000, 100_000);
         for (int i = 0; i < 4; i++) {
           int n = i;
           long at = 22_000 + 17_000L * i;
           run.at(at - 1500, () -> run.world.hangMachine(n, 9000));
           run.at(at - 1000, () -> run.world.killMachine(n + 4));
           run.at(at - 800, () -> run.restartMachine(n + 8));
-          run.at(at, () -> run.endLeader(n % 2 == 1));
+          run.at(at, () -> run.crashOrPauseLeader(n % 2 == 1));
           run.at(at + 500, () -> run.cancelRunning(2));
         }
         run.at(100_000, () -> run.world.net.keepShare = 0);
-        run.at(100_000, () -> run.reached = run.world.net.released > 20);
+        run.at(100_000, () -> run.faultsOccurred = run.world.net.released > 20);
       }),
-  NEW_MACHINES_WORK_AT_ONCE_WHILE_WRITES_LAG_AND_THE_LEADER_ENDS(
+  NEW_MACHINES_START_WHILE_WRITES_LAG_AND_LEADERS_CRASH(
       setup -> setup.machines(1),
       run -> {
         run.world.cloud.bootMs = 200 + run.random.nextInt(1600);
-        run.submitMore(20, 20_000, 50_000);
+        run.submitAdditional(20, 20_000, 50_000);
         run.at(
             6000,
             () ->
@@ -304,25 +310,26 @@
             8000,
             () -> {
               ended[0]++;
-              run.endLeader(false);
+              run.crashOrPauseLeader(false);
             });
         run.at(45_000, () -> run.killMachines(6));
         run.at(50_000, () -> run.cancelRunning(3));
         run.at(90_000, () -> run.world.state().lateCommits(0, 0, 1));
-        run.at(90_000, () -> run.reached = ended[0] >= 2 && run.world.state().lateWrites > 3);
+        run.at(
+            90_000, () -> run.faultsOccurred = ended[0] >= 2 && run.world.state().lateWrites > 3);
       }),
-  USERS_ASK_ALL_NODES_AT_ONCE_AND_REPEAT(
+  REPEATED_USER_REQUESTS_TO_ALL_NODES(
       run -> {
         run.world.users.closeLooks = new SimCloseLooks(run.world);
-        run.submitMore(40, 10_000, 60_000);
+        run.submitAdditional(40, 10_000, 60_000);
         for (int i = 0; i < 40; i++) {
           run.at(11_000 + 1500L * i, () -> run.cancelNewest(1));
         }
-        run.at(30_000, () -> run.endLeader(false));
-        run.at(50_000, () -> run.endLeader(true));
-        run.at(100_000, () -> run.reached = run.world.users.closeLooks.answered() > 2000);
+        run.at(30_000, () -> run.crashOrPauseLeader(false));
+        run.at(50_000, () -> run.crashOrPauseLeader(true));
+        run.at(100_000, () -> run.faultsOccurred = run.world.users.closeLooks.answered() > 2000);
       }),
-  ONE_TASK_JOBS_FOUR_A_SECOND(
+  FOUR_ONE_TASK_JOBS_PER_SECOND(
       setup -> setup.machines(16).writeRps(50),
       run -> {
         for (int i = 0; i < 240; i++) {
@@ -333,37 +340,37 @@
               12_000 + 250L * i,
               () -> run.submit(SimJobs.job(number, "batch", 1, 1, seconds), off));
         }
-        run.at(35_000, () -> run.endLeader(false));
-        run.at(55_000, () -> run.endLeader(true));
-        run.at(100_000, () -> run.reached = run.cancelled() > 30);
+        run.at(35_000, () -> run.crashOrPauseLeader(false));
+        run.at(55_000, () -> run.crashOrPauseLeader(true));
+        run.at(100_000, () -> run.faultsOccurred = run.cancelledCount() > 30);
       }),
-  ONLY_THE_ANSWERS_OF_TRANSACTIONS_ARE_LOST(
+  TRANSACTION_RESPONSES_LOST(
       run -> {
         run.world.users.closeLooks = new SimCloseLooks(run.world);
-        run.submitMore(30, 10_000, 60_000);
+        run.submitAdditional(30, 10_000, 60_000);
         run.at(10_000, () -> run.world.state().loseAnswers(0.3, run.random.nextLong()));
         for (int i = 0; i < 20; i++) {
           run.at(20_000 + 3000L * i, () -> run.cancelRunning(1));
         }
-        run.at(40_000, () -> run.endLeader(false));
-        run.at(60_000, () -> run.endLeader(true));
+        run.at(40_000, () -> run.crashOrPauseLeader(false));
+        run.at(60_000, () -> run.crashOrPauseLeader(true));
         run.at(90_000, () -> run.world.state().loseAnswers(0, 1));
-        run.at(90_000, () -> run.reached = run.world.state().answersLost > 20);
+        run.at(90_000, () -> run.faultsOccurred = run.world.state().answersLost > 20);
       }),
-  EVERY_TEAM_AT_ITS_LIMIT_MACHINES_OF_CANCELLED_JOBS_AWAY(
+  ALL_TEAMS_AT_LIMIT_AND_MACHINES_OF_CANCELLED_JOBS_UNREACHABLE(
       setup -> setup.gpusMax(15).soundGpusMax(11),
       run -> {
-        run.submitMore(80, 8000, 50_000);
+        run.submitAdditional(80, 8000, 50_000);
         boolean[] full = new boolean[1];
         for (int i = 0; i < 5; i++) {
           long at = 22_000 + 14_000L * i;
           boolean hang = i % 2 == 0;
           run.at(at, () -> full[0] |= run.atLimit("vision") && run.atLimit("sound"));
-          run.at(at, () -> run.cancelBehindFaults(3, hang, hang ? 12_000 : 25_000));
-          run.at(at + 600, () -> run.endLeader(!hang));
+          run.at(at, () -> run.cancelOnFailingMachines(3, hang, hang ? 12_000 : 25_000));
+          run.at(at + 600, () -> run.crashOrPauseLeader(!hang));
           run.at(at + 900, () -> run.cancelRunning(1));
         }
-        run.at(100_000, () -> run.reached = full[0] && run.cancelled() > 8);
+        run.at(100_000, () -> run.faultsOccurred = full[0] && run.cancelledCount() > 8);
       });
 
   final Consumer<FaultRun> script;
--- a/src/test/java/wickdrift/sim/FaultScenariosTest.java
+++ b/src/test/java/wickdrift/sim/FaultScenariosTest.java
@@ -20,50 +20,50 @@
   private static final int SEEDS = Integer.getInteger("wickdrift.scenarioSeeds", 4);
   private static final int FIRST_SEED = Integer.getInteger("wickdrift.scenarioFirstSeed", 0);
 
-  private static final FaultScenario LAST_PAIRED =
-      FaultScenario.A_LEADER_ENDS_AND_MACHINES_DO_NOT_HEAR_THE_NEXT;
+  private static final FaultScenario LAST_SCENARIO_PAIRED_BY_DEFAULT =
+      FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
 
   /** Whether every pair is played, and not only those of the first scenarios: that takes long. */
-  private static final boolean ALL_PAIRS = Boolean.getBoolean("wickdrift.allPairs");
+  private static final boolean TEST_ALL_PAIRS = Boolean.getBoolean("wickdrift.allPairs");
 
   /** Scenarios of which every pair is played. */
-  private static final List<FaultScenario> PAIRED =
+  private static final List<FaultScenario> PAIRED_SCENARIOS =
       Arrays.stream(FaultScenario.values())
-          .filter(s -> ALL_PAIRS || s.ordinal() <= LAST_PAIRED.ordinal())
+          .filter(s -> TEST_ALL_PAIRS || s.ordinal() <= LAST_SCENARIO_PAIRED_BY_DEFAULT.ordinal())
           .toList();
 
-  static Stream<Arguments> rows() {
+  static Stream<Arguments> scenariosAndSeeds() {
     return Arrays.stream(FaultScenario.values())
         .flatMap(
             m -> IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS).mapToObj(s -> Arguments.of(m, s)));
   }
 
   @ParameterizedTest(name = "{0}, seed {1}")
-  @MethodSource("rows")
-  void noRuleBreaks(FaultScenario scenario, int s) {
-    long seed = 7000 + 1000L * scenario.ordinal() + s;
+  @MethodSource("scenariosAndSeeds")
+  void invariantsHoldInEachScenario(FaultScenario scenario, int seedOffset) {
+    long seed = 7000 + 1000L * scenario.ordinal() + seedOffset;
     FaultRun run = new FaultRun(new SimWorld(scenario.setup(seed)), new Random(seed));
-    run.play(i -> scenario, List.of(scenario));
-    assertTrue(run.reached, "the faults did not meet");
+    run.run(i -> scenario, List.of(scenario));
+    assertTrue(run.faultsOccurred, "the faults did not meet");
   }
 
   /** Two of the scenarios at once; a seed, and a size, for each. */
-  static Stream<Arguments> pairs() {
-    return PAIRED.stream()
+  static Stream<Arguments> scenarioPairs() {
+    return PAIRED_SCENARIOS.stream()
         .flatMap(
             a ->
-                PAIRED.stream()
+                PAIRED_SCENARIOS.stream()
                     .filter(b -> b.ordinal() > a.ordinal())
                     .map(b -> Arguments.of(a, b)));
   }
 
   @ParameterizedTest(name = "{0} and {1}")
-  @MethodSource("pairs")
-  void noRuleBreaksInTwoAtOnce(FaultScenario a, FaultScenario b) {
-    long seed = 300_000 + 1000L * a.ordinal() + 20 * b.ordinal();
-    boolean five = (a.ordinal() + b.ordinal()) % 3 == 1;
-    SimSetup setup = FaultRun.setup(seed).controllers(five ? "aabab" : "aab");
+  @MethodSource("scenarioPairs")
+  void invariantsHoldInTwoConcurrentScenarios(FaultScenario first, FaultScenario second) {
+    long seed = 300_000 + 1000L * first.ordinal() + 20 * second.ordinal();
+    boolean fiveControllers = (first.ordinal() + second.ordinal()) % 3 == 1;
+    SimSetup setup = FaultRun.setup(seed).controllers(fiveControllers ? "aabab" : "aab");
     FaultRun run = new FaultRun(new SimWorld(setup), new Random(seed));
-    run.play(i -> i % 2 == 0 ? a : b, List.of(a, b));
+    run.run(i -> i % 2 == 0 ? first : second, List.of(first, second));
   }
 }
--- a/src/test/java/wickdrift/sim/GangsOnFewMachinesTest.java
+++ b/src/test/java/wickdrift/sim/GangsOnFewMachinesTest.java
@@ -10,14 +10,14 @@
 class GangsOnFewMachinesTest {
   @ParameterizedTest(name = "{1} gangs of {0} on {2} machines")
   @CsvSource({"2, 1, 1", "4, 1, 1", "2, 2, 2", "3, 2, 2", "4, 2, 2", "2, 4, 2", "3, 4, 4"})
-  void startBesideEachOther(int tasks, int gangs, int machines) {
-    SimWorld w = new SimWorld(510 + tasks, machines, machines, "aab", 60);
-    w.run(8000);
+  void gangMembersShareMachines(int tasks, int gangs, int machines) {
+    SimWorld world = new SimWorld(510 + tasks, machines, machines, "aab", 60);
+    world.run(8000);
     for (int i = 0; i < gangs; i++) {
-      w.users.submit(SimJobs.job(i, "ensemble", tasks, 1, 300), 0);
+      world.users.submit(SimJobs.job(i, "ensemble", tasks, 1, 300), 0);
     }
-    w.run(25_000);
-    assertEquals(gangs * tasks, w.starts(), "members that started");
-    assertEquals(List.of(), w.broken());
+    world.run(25_000);
+    assertEquals(gangs * tasks, world.starts(), "members that started");
+    assertEquals(List.of(), world.broken());
   }
 }
--- a/src/test/java/wickdrift/sim/JobMixTest.java
+++ b/src/test/java/wickdrift/sim/JobMixTest.java
@@ -15,42 +15,43 @@
 class JobMixTest {
   private static final int JOBS = 40;
   private static final int SEEDS = Integer.getInteger("wickdrift.mixSeeds", 12);
-  private static final String[] RANKS = {"production", "urgent", "standard", "idle"};
+  private static final String[] PRIORITIES = {"production", "urgent", "standard", "idle"};
 
   static LongStream seeds() {
     return LongStream.range(0, SEEDS);
   }
 
-  private static Map<String, Object> job(int number, Random r) {
-    String shape = r.nextInt(3) == 0 ? "ensemble" : "batch";
-    double gpus = new double[] {0, 1, 1, 2, 4}[r.nextInt(5)];
-    Map<String, Object> job = SimJobs.job(number, shape, 1 + r.nextInt(4), gpus, 8 + r.nextInt(40));
-    job.put("owner", r.nextBoolean() ? "vision" : "sound");
-    job.put("rank", RANKS[r.nextInt(RANKS.length)]);
-    job.put("cores", new double[] {1, 4, 8}[r.nextInt(3)]);
-    job.put("oneZone", r.nextBoolean());
-    job.put("region", r.nextInt(4) == 0 ? (r.nextBoolean() ? "a" : "b") : null);
+  private static Map<String, Object> job(int number, Random random) {
+    String shape = random.nextInt(3) == 0 ? "ensemble" : "batch";
+    double gpus = new double[] {0, 1, 1, 2, 4}[random.nextInt(5)];
+    Map<String, Object> job =
+        SimJobs.job(number, shape, 1 + random.nextInt(4), gpus, 8 + random.nextInt(40));
+    job.put("owner", random.nextBoolean() ? "vision" : "sound");
+    job.put("rank", PRIORITIES[random.nextInt(PRIORITIES.length)]);
+    job.put("cores", new double[] {1, 4, 8}[random.nextInt(3)]);
+    job.put("oneZone", random.nextBoolean());
+    job.put("region", random.nextInt(4) == 0 ? (random.nextBoolean() ? "a" : "b") : null);
     return job;
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void nobodyWaitsBesideRoom(long seed) {
-    Random r = new Random(seed);
+  void noJobWaitsWhileItFitsFreeCapacity(long seed) {
+    Random random = new Random(seed);
     SimSetup setup =
-        new SimSetup(900 + seed, 3 + r.nextInt(4), 7)
-            .controllers(r.nextBoolean() ? "aab" : "ab")
+        new SimSetup(900 + seed, 3 + random.nextInt(4), 7)
+            .controllers(random.nextBoolean() ? "aab" : "ab")
             .gpusMax(16)
             .soundGpusMax(18);
-    SimWorld w = new SimWorld(setup);
-    List<String> finite = new ArrayList<>();
-    w.clock.after(20_000, () -> w.rules.calmSinceMs = w.clock.nowMs());
+    SimWorld world = new SimWorld(setup);
+    List<String> finiteJobs = new ArrayList<>();
+    world.clock.after(20_000, () -> world.rules.calmSinceMs = world.clock.nowMs());
     for (int i = 0; i < JOBS; i++) {
-      Map<String, Object> job = job(i, r);
-      w.clock.after(8000 + r.nextInt(60_000), () -> w.users.submit(job, 0));
-      finite.add((String) job.get("ref"));
+      Map<String, Object> job = job(i, random);
+      world.clock.after(8000 + random.nextInt(60_000), () -> world.users.submit(job, 0));
+      finiteJobs.add((String) job.get("ref"));
     }
-    w.run(900_000);
-    ClusterTest.check(w, finite);
+    world.run(900_000);
+    ClusterTest.check(world, finiteJobs);
   }
 }
--- /dev/null
+++ b/src/test/java/wickdrift/sim/LargestJobStartTimeTest.java
@@ -0,0 +1,86 @@
+package wickdrift.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * The largest job of a class begins within four minutes of its submission, whatever swarm of small
+ * ones fills the fleet, and the small ones go on being served.
+ */
+class LargestJobStartTimeTest {
+  private static final long START_LIMIT_MS = 240_000;
+
+  @ParameterizedTest(name = "a {0} of {1} beside {2} small ones, {3}")
+  @CsvSource({
+    "ensemble, 4, swarm, quiet",
+    "ensemble, 5, swarm, quiet",
+    "ensemble, 5, swarm, leader crashes",
+    "ensemble, 5, swarm, machines die",
+    "ensemble, 5, gangs, quiet",
+    "ensemble, 5, limit, quiet",
+    "batch, 300, swarm, quiet",
+    "batch, 300, gangs, machines die",
+    "daemon, 12, swarm, quiet",
+    "daemon, 12, gangs, leader crashes"
+  })
+  void largestJobStartsWithinFourMinutes(
+      String shape, int tasks, String backgroundLoad, String fault) {
+    // As many machines as there will ever be: what is large has to wait for what runs.
+    double limit = backgroundLoad.equals("limit") ? 36 : 1000;
+    SimWorld world = new SimWorld(1100 + tasks, 12, 12, "aab", limit);
+    world.run(8000);
+    int smallJobs = backgroundLoad.equals("gangs") ? 150 : 400;
+    for (int i = 0; i < smallJobs; i++) {
+      int n = i;
+      Map<String, Object> job =
+          backgroundLoad.equals("gangs")
+              ? SimJobs.job(n, "ensemble", 1 + n % 2, 4, 8 + n % 9)
+              : SimJobs.job(n, "batch", 2 + n % 3, 1, 8 + n % 9);
+      world.clock.after(400_000L * i / smallJobs, () -> world.users.submit(job, 0));
+    }
+    world.run(60_000);
+    double gpus = shape.equals("ensemble") ? 4 : 1;
+    world.users.submit(SimJobs.job(9000, shape, tasks, gpus, shape.equals("daemon") ? 0 : 10), 0);
+    switch (fault) {
+      case "leader crashes" -> {
+        for (int k = 0; k < 3; k++) {
+          world.clock.after(
+              8000 + 25_000L * k, () -> world.crash(world.tables("n0").view().leader(), 300));
+        }
+      }
+      case "machines die" -> {
+        for (int k = 0; k < 4; k++) {
+          world.clock.after(10_000 + 20_000L * k, () -> world.killMachine(3));
+        }
+      }
+      default -> {}
+    }
+    long startMs = world.clock.nowMs();
+    while (!hasStarted(world, tasks, shape) && world.clock.nowMs() - startMs < START_LIMIT_MS) {
+      world.run(1000);
+    }
+    assertTrue(hasStarted(world, tasks, shape), "not begun within four minutes");
+    world.run(600_000 - world.clock.nowMs() + startMs);
+    assertEquals(List.of(), world.broken());
+    long done = 0;
+    for (int i = 0; i < smallJobs; i++) {
+      done += "done".equals(world.lastTold(String.format("req-%06d", i))) ? 1 : 0;
+    }
+    assertTrue(done > smallJobs / 2, "small ones done: " + done + " of " + smallJobs);
+  }
+
+  /** Of a gang all its tasks, of others the first. */
+  private static boolean hasStarted(SimWorld world, int tasks, String shape) {
+    int running = 0;
+    for (int i = 0; i < tasks; i++) {
+      running += world.isOn("req-009000/" + i) ? 1 : 0;
+    }
+    return running >= (shape.equals("ensemble") ? tasks : 1)
+        || "done".equals(world.lastTold("req-009000"));
+  }
+}
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -19,28 +19,28 @@
   private static final int JOB = 1;
   private static final String JOB_ID = "req-000001";
   private static final String TASK = JOB_ID + "/0";
-  private static final int FILLER = 2;
+  private static final int OTHER_JOB = 2;
   private static final long STEP_MS = 5;
-  private static final long PATIENCE_MS = 60_000;
+  private static final long WAIT_TIMEOUT_MS = 60_000;
 
   /** Why the attempt is over when the command arrives. */
   enum Ending {
     /** The job's cancellation was confirmed. */
     CANCELLED,
     /** It failed, and its task runs on another machine. */
-    MOVED
+    FAILED_AND_RESTARTED_ELSEWHERE
   }
 
   private SimWorld world;
   private SimWorker worker;
 
   /** How many commands to run the task were sent straight to its worker. */
-  private int directRuns;
+  private int directRunCommands;
 
-  private boolean answersLost;
+  private boolean loseReportAnswers;
 
   @BeforeEach
-  void holdTheFirstRun() {
+  void holdTheFirstRunCommand() {
     world = new SimWorld(new SimSetup(4401, 2, 2));
     world.run(10_000);
     world.net.script = this::fateOf;
@@ -48,12 +48,12 @@
 
   private SimNet.Fate fateOf(String from, String to, String path, byte[] body) {
     if (path.equals("/orders") && runsTheTask(body)) {
-      directRuns++;
+      directRunCommands++;
       worker = worker == null ? workerAt(to) : worker;
-      return directRuns == 1 ? SimNet.Fate.HELD : SimNet.Fate.DELIVERED;
+      return directRunCommands == 1 ? SimNet.Fate.HELD : SimNet.Fate.DELIVERED;
     }
     boolean report = path.equals("/hello") && worker != null && from.equals(worker.address);
-    return report && answersLost ? SimNet.Fate.ANSWER_LOST : SimNet.Fate.DELIVERED;
+    return report && loseReportAnswers ? SimNet.Fate.ANSWER_LOST : SimNet.Fate.DELIVERED;
   }
 
   private static boolean runsTheTask(byte[] body) {
@@ -70,13 +70,16 @@
   }
 
   private SimWorker workerAt(String address) {
-    return world.workers().stream().filter(w -> w.address.equals(address)).findFirst().get();
+    return world.workers().stream()
+        .filter(candidate -> candidate.address.equals(address))
+        .findFirst()
+        .get();
   }
 
-  private void runUntil(String what, BooleanSupplier reached) {
-    long end = world.clock.nowMs() + PATIENCE_MS;
+  private void runUntil(String condition, BooleanSupplier reached) {
+    long deadlineMs = world.clock.nowMs() + WAIT_TIMEOUT_MS;
     while (!reached.getAsBoolean()) {
-      assertTrue(world.clock.nowMs() < end, "not reached: " + what);
+      assertTrue(world.clock.nowMs() < deadlineMs, "not reached: " + condition);
       world.run(STEP_MS);
     }
   }
@@ -84,27 +87,28 @@
   /** Submits the job, and waits until the first command to run its task is under way. */
   private void submit() {
     world.users.submit(SimJobs.job(JOB, "batch", 1, 1, 100), 0);
-    runUntil("the first run is held", () -> directRuns == 1);
+    runUntil("the first run is held", () -> directRunCommands == 1);
   }
 
-  private String machine() {
+  private String machineOfTask() {
     return world.rules.machineOf(TASK);
   }
 
   /** The attempt ends on its machine, for good, and the worker no longer knows of it. */
-  private void end(Ending ending) {
+  private void endAttempt(Ending ending) {
     if (ending == Ending.CANCELLED) {
       world.users.withdraw(JOB_ID, world.nodes.get(0));
       runUntil("confirmed", () -> world.rules.toldWithdrawn(JOB_ID));
     } else {
       worker.sick = true;
       worker.fail(TASK);
-      runUntil("runs elsewhere", () -> machine() != null && !machine().equals(worker.name));
+      runUntil(
+          "runs elsewhere", () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
     }
     runUntil("cleared", () -> !worker.holds(TASK));
   }
 
-  private void theHeldRunStartsNothing() {
+  private void assertHeldRunCommandStartsNothing() {
     int starts = world.starts();
     world.net.releaseHeld();
     world.run(30_000);
@@ -118,20 +122,20 @@
    */
   @ParameterizedTest
   @EnumSource(Ending.class)
-  void aSecondRunIsAnsweredBeforeTheFirstArrives(Ending ending) {
-    answersLost = true;
+  void firstRunCommandArrivesAfterTheSecondWasAnswered(Ending ending) {
+    loseReportAnswers = true;
     submit();
     long tick = worker.tick;
     // The first is given up, and a report comes whose answer is lost.
     world.run(4000);
     runUntil("a report", () -> worker.tick > tick);
-    world.users.submit(SimJobs.job(FILLER, "batch", 6, 1, 100), 0);
-    runUntil("the second run is sent", () -> directRuns == 2);
-    answersLost = false;
-    runUntil("it runs", () -> worker.name.equals(machine()));
+    world.users.submit(SimJobs.job(OTHER_JOB, "batch", 6, 1, 100), 0);
+    runUntil("the second run is sent", () -> directRunCommands == 2);
+    loseReportAnswers = false;
+    runUntil("it runs", () -> worker.name.equals(machineOfTask()));
     world.run(5000);
-    end(ending);
-    theHeldRunStartsNothing();
+    endAttempt(ending);
+    assertHeldRunCommandStartsNothing();
   }
 
   /**
@@ -140,20 +144,21 @@
    */
   @ParameterizedTest
   @EnumSource(Ending.class)
-  void theMachineIsBackAtOnceAndCountsInTheSameSession(Ending ending) {
+  void runCommandArrivesAfterTheWorkerRestartedInTheSameSession(Ending ending) {
     submit();
-    runUntil("it runs", () -> worker.name.equals(machine()));
+    runUntil("it runs", () -> worker.name.equals(machineOfTask()));
     world.run(5000);
     long tick = worker.tick;
     worker.restart();
     worker.tick = tick + 1;
-    worker.sick = ending == Ending.MOVED;
+    worker.sick = ending == Ending.FAILED_AND_RESTARTED_ELSEWHERE;
     if (ending == Ending.CANCELLED) {
       world.run(2000);
-      end(ending);
+      endAttempt(ending);
     } else {
-      runUntil("runs elsewhere", () -> machine() != null && !machine().equals(worker.name));
+      runUntil(
+          "runs elsewhere", () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
     }
-    theHeldRunStartsNothing();
+    assertHeldRunCommandStartsNothing();
   }
 }
--- /dev/null
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -0,0 +1,130 @@
+package wickdrift.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import wickdrift.protocol.MessageCodec;
+
+/** Transactions whose answers are lost, or that are held up, keep users and placements waiting. */
+class LostTransactionResponsesTest {
+  private static final long STARTUP_MS = 8000;
+
+  /** How long each submission waited for its answer, by job; none yet: not in it. */
+  private static final class SubmissionAnswers {
+    final Map<String, Long> waitMsByJob = new TreeMap<>();
+    final List<Integer> statuses = new ArrayList<>();
+  }
+
+  private static SimWorld startedWorld(long seed) {
+    SimWorld world = new SimWorld(seed, 8, 8, "aab", 60);
+    world.run(STARTUP_MS);
+    return world;
+  }
+
+  private static void submit(SimWorld world, String node, int number, SubmissionAnswers answers) {
+    Map<String, Object> job = SimJobs.job(number, "batch", 1, 1, 5);
+    world.users.describe(job);
+    long submittedAtMs = world.clock.nowMs();
+    world
+        .net
+        .caller("user", () -> true)
+        .call(
+            node,
+            "POST",
+            "/api/jobs",
+            MessageCodec.encode(job),
+            5000,
+            answer -> {
+              answers.statuses.add(answer.status());
+              answers.waitMsByJob.put((String) job.get("ref"), world.clock.nowMs() - submittedAtMs);
+            });
+  }
+
+  private static boolean allAccepted(SubmissionAnswers answers) {
+    return answers.statuses.stream().allMatch(s -> s == 200 || s == 201);
+  }
+
+  /** Only the answers are lost: what is durable shows in the tables, and is answered from there. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void durableSubmissionsAreAnsweredThoughTransactionResponsesAreLost(long seed) {
+    SimWorld world = startedWorld(seed);
+    world.state().loseAnswers(1, seed);
+    SubmissionAnswers answers = new SubmissionAnswers();
+    for (int i = 0; i < 12; i++) {
+      submit(world, world.nodes.get(i % 3), i, answers);
+    }
+    world.run(1200);
+    assertEquals(12, answers.statuses.size(), "answered: " + answers.waitMsByJob);
+    assertTrue(allAccepted(answers), "statuses " + answers.statuses);
+    world.state().loseAnswers(0, 1);
+    world.run(60_000);
+    assertEquals(List.of(), world.broken());
+  }
+
+  /** Placements go on as well: each is seen in the tables, and the next one is decided. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void placementContinuesThoughTransactionResponsesAreLost(long seed) {
+    SimWorld world = startedWorld(seed);
+    world.state().loseAnswers(1, seed);
+    for (int i = 0; i < 10; i++) {
+      int number = i;
+      world.clock.after(
+          400L * i,
+          () -> submit(world, world.nodes.get(number % 3), number, new SubmissionAnswers()));
+    }
+    world.run(400 * 10 + 4500);
+    assertEquals(10, world.starts(), "started");
+    assertEquals(List.of(), world.broken());
+  }
+
+  /** A held up batch is overtaken and sent again; when it arrives after all it changes nothing. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void delayedBatchIsOvertakenAndSentAgain(long seed) {
+    SimWorld world = startedWorld(seed);
+    world.state().lateCommits(1, 6000, seed);
+    SubmissionAnswers first = new SubmissionAnswers();
+    submit(world, "n0", 1, first);
+    while (world.state().lateWrites == 0) {
+      world.run(1);
+    }
+    world.state().lateCommits(0, 0, 1);
+    SubmissionAnswers next = new SubmissionAnswers();
+    submit(world, "n0", 2, next);
+    world.run(500);
+    assertEquals(1, next.statuses.size(), "the next batch waits for the first");
+    world.run(900);
+    assertEquals(1, first.statuses.size(), "the first is not sent again");
+    assertTrue(allAccepted(first) && allAccepted(next), first.statuses + " and " + next.statuses);
+    long stamp = world.tables("n1").job("req-000001").stamp();
+    world.run(6000);
+    assertTrue(
+        world.tables("n1").job("req-000001") == null
+            || world.tables("n1").job("req-000001").stamp() == stamp,
+        "the late transaction took the job once more");
+    assertEquals(List.of(), world.broken());
+  }
+
+  /** A withdrawal of which only the answer is lost is confirmed at once. */
+  @Test
+  void durableWithdrawalIsConfirmedThoughItsResponseIsLost() {
+    SimWorld world = startedWorld(9);
+    world.users.submit(SimJobs.job(1, "batch", 2, 1, 100), 0);
+    world.run(6000);
+    world.state().loseAnswers(1, 9);
+    world.users.withdraw("req-000001", "n0");
+    world.run(1500);
+    assertTrue(world.rules.toldWithdrawn("req-000001"), "no word");
+    world.run(30_000);
+    assertEquals(List.of(), world.broken());
+  }
+}
--- a/src/test/java/wickdrift/sim/MalformedAnswersTest.java
+++ b/src/test/java/wickdrift/sim/MalformedResponsesTest.java
@@ -13,46 +13,47 @@
 import wickdrift.protocol.MalformedMessages.Sender;
 
 /** Answers that nobody can read: each is counted, each cause told once, and work goes on after. */
-class MalformedAnswersTest {
+class MalformedResponsesTest {
   @ParameterizedTest
   @EnumSource(names = {"STATE_SERVICE", "CLOUD", "WORKER"})
-  void areCountedAndWorkGoesOn(Sender sender) {
-    SimWorld w = new SimWorld(81 + sender.ordinal(), 3, 20, "aab", 60);
-    List<String> finite = new ArrayList<>();
+  void malformedResponsesAreCountedAndJobsFinish(Sender sender) {
+    SimWorld world = new SimWorld(81 + sender.ordinal(), 3, 20, "aab", 60);
+    List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       int n = i;
-      finite.add(String.format("req-%06d", n));
-      w.clock.after(8000 + 700L * n, () -> w.users.submit(SimJobs.job(n, "batch", 2, 2, 15), 0));
+      finiteJobs.add(String.format("req-%06d", n));
+      world.clock.after(
+          8000 + 700L * n, () -> world.users.submit(SimJobs.job(n, "batch", 2, 2, 15), 0));
     }
-    w.clock.after(12_000, () -> garble(w, sender, true));
-    w.clock.after(45_000, () -> garble(w, sender, false));
-    w.run(240_000);
+    world.clock.after(12_000, () -> setMalformed(world, sender, true));
+    world.clock.after(45_000, () -> setMalformed(world, sender, false));
+    world.run(240_000);
     String metric =
         switch (sender) {
           case STATE_SERVICE -> "state.malformed";
           case CLOUD -> "cloud.malformed";
           default -> "workers.malformed";
         };
-    assertTrue(w.total("wickdrift." + metric) > 0, "none was counted");
-    ClusterTest.check(w, finite);
+    assertTrue(world.total("wickdrift." + metric) > 0, "none was counted");
+    ClusterTest.check(world, finiteJobs);
   }
 
-  private static void garble(SimWorld w, Sender sender, boolean on) {
+  private static void setMalformed(SimWorld world, Sender sender, boolean malformed) {
     List<String> hosts =
         switch (sender) {
           case STATE_SERVICE -> List.of(SimWorld.STATE);
           case CLOUD -> List.of(SimWorld.CLOUD);
-          default -> w.workers().stream().map(m -> m.address).toList();
+          default -> world.workers().stream().map(m -> m.address).toList();
         };
-    if (on) {
-      w.net.garbled.addAll(hosts);
+    if (malformed) {
+      world.net.garbled.addAll(hosts);
     } else {
-      w.net.garbled.clear();
+      world.net.garbled.clear();
     }
   }
 
   @Test
-  void eachCauseIsToldOnceAndNotWithoutEnd() {
+  void eachCauseIsRecordedOnceUpToALimit() {
     MalformedMessages messages = new MalformedMessages();
     for (int i = 0; i < 1000; i++) {
       messages.note(Sender.CLOUD, "list", new BadMessage("no field"));
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -14,75 +14,83 @@
 /** What a decision, and a process, costs at sizes beyond any deployment: counted, not timed. */
 class ScaleTest {
   /** The same work on fleets of several sizes, in a window after all machines are recorded. */
-  private record Cost(double looked, double requests, double commits, double written, double read) {
+  private record Cost(
+      double capacityEntriesExamined,
+      double requests,
+      double commits,
+      double bytesWritten,
+      double bytesRead) {
     @Override
     public String toString() {
       return String.format(
           "rooms %.1f, requests %.2f, commits %.2f, written %.0f B, read %.0f B a task",
-          looked, requests, commits, written, read);
+          capacityEntriesExamined, requests, commits, bytesWritten, bytesRead);
     }
   }
 
-  private static Cost cost(int machines) {
-    SimWorld w =
+  private static Cost costPerTask(int machines) {
+    SimWorld world =
         new SimWorld(
             new SimSetup(101, machines, machines)
                 .controllers("aabba")
                 .gpusMax(100_000)
                 .defaultTuning());
-    w.run(60_000);
-    w.users.submitMixed(101, 9);
-    SimState s = w.state();
-    double looked = w.total("wickdrift.rooms.looked");
-    double placed = w.total("wickdrift.tasks.placed");
-    int requests = s.requests();
-    int commits = s.commits();
-    long written = s.written();
-    long read = s.read();
-    w.run(40_000);
-    assertEquals(List.of(), w.broken());
-    assertTrue(w.starts() >= 1300, "started " + w.starts());
-    double n = w.total("wickdrift.tasks.placed") - placed;
+    world.run(60_000);
+    world.users.submitMixed(101, 9);
+    SimState state = world.state();
+    double examinedBefore = world.total("wickdrift.rooms.looked");
+    double placedBefore = world.total("wickdrift.tasks.placed");
+    int requestsBefore = state.requests();
+    int commitsBefore = state.commits();
+    long writtenBefore = state.written();
+    long readBefore = state.read();
+    world.run(40_000);
+    assertEquals(List.of(), world.broken());
+    assertTrue(world.starts() >= 1300, "started " + world.starts());
+    double tasks = world.total("wickdrift.tasks.placed") - placedBefore;
     return new Cost(
-        (w.total("wickdrift.rooms.looked") - looked) / n,
-        (s.requests() - requests) / n,
-        (s.commits() - commits) / n,
-        (s.written() - written) / n,
-        (s.read() - read) / n);
+        (world.total("wickdrift.rooms.looked") - examinedBefore) / tasks,
+        (state.requests() - requestsBefore) / tasks,
+        (state.commits() - commitsBefore) / tasks,
+        (state.written() - writtenBefore) / tasks,
+        (state.read() - readBefore) / tasks);
   }
 
   /** Eight times as many machines, the same work: nothing of it may cost half as much again. */
   @Test
-  void whatATaskCostsDoesNotGrowWithTheFleet() {
-    Cost few = cost(1000);
+  void costPerTaskDoesNotGrowWithTheFleet() {
+    Cost smallFleet = costPerTask(1000);
     for (int machines : new int[] {4000, 8000}) {
-      Cost many = cost(machines);
-      String both = "1000: " + few + "; " + machines + ": " + many;
-      System.out.println(both);
-      assertTrue(many.looked < 1.5 * few.looked + 20, both);
-      assertTrue(many.requests < 1.5 * few.requests, both);
-      assertTrue(many.commits < 1.5 * few.commits, both);
-      assertTrue(many.written < 1.5 * few.written, both);
-      assertTrue(many.read < 1.5 * few.read, both);
+      Cost largeFleet = costPerTask(machines);
+      String comparison = "1000: " + smallFleet + "; " + machines + ": " + largeFleet;
+      System.out.println(comparison);
+      assertTrue(
+          largeFleet.capacityEntriesExamined < 1.5 * smallFleet.capacityEntriesExamined + 20,
+          comparison);
+      assertTrue(largeFleet.requests < 1.5 * smallFleet.requests, comparison);
+      assertTrue(largeFleet.commits < 1.5 * smallFleet.commits, comparison);
+      assertTrue(largeFleet.bytesWritten < 1.5 * smallFleet.bytesWritten, comparison);
+      assertTrue(largeFleet.bytesRead < 1.5 * smallFleet.bytesRead, comparison);
     }
   }
 
   /** A process of the size that the service is started with loads the largest fleet and goes on. */
   @Test
-  void eightThousandMachinesAndAHundredThousandTasksFit() throws Exception {
-    String out = hold("-Xmx" + heap(), "8000", "100000");
+  void eightThousandMachinesAndAHundredThousandTasksFitTheConfiguredHeap() throws Exception {
+    String out = runLoadedProcess("-Xmx" + configuredHeap(), "8000", "100000");
     assertTrue(out.contains("held"), out);
   }
 
   /** The heap that deploy/service.toml gives. */
-  private static String heap() throws IOException {
+  private static String configuredHeap() throws IOException {
     Matcher m =
         Pattern.compile("-Xmx(\\d+m)").matcher(Files.readString(Path.of("deploy/service.toml")));
     assertTrue(m.find());
     return m.group(1);
   }
 
-  private static String hold(String heap, String machines, String tasks) throws Exception {
+  private static String runLoadedProcess(String heap, String machines, String tasks)
+      throws Exception {
     Process p =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
--- a/src/test/java/wickdrift/sim/SoakCommand.java
+++ b/src/test/java/wickdrift/sim/SoakCommand.java
@@ -22,28 +22,28 @@
     mixinStandardHelpOptions = true,
     description = "Random faults on real controller processes over loopback, judged from outside.")
 public final class SoakCommand implements Callable<Integer> {
-  private static final int FAILED = 1;
-  private static final int BAD_INPUT = 2;
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_BAD_INPUT = 2;
 
   /** Memory of one run: three controllers, and the stand-ins of so many workers. */
-  private static final long RUN_MB = 3 * 220 + 100;
+  private static final long MEMORY_PER_RUN_MB = 3 * 220 + 100;
 
-  private static final long MB = 1024 * 1024;
+  private static final long BYTES_PER_MB = 1024 * 1024;
 
   /** Each worker has a port for each controller, and connections at both ends. */
-  private static final int FILES_A_WORKER = 16;
+  private static final int FILE_HANDLES_PER_WORKER = 16;
 
-  private static final int FILES_A_RUN = 200;
-  private static final int MOST_WORKERS = 500;
+  private static final int FILE_HANDLES_PER_RUN = 200;
+  private static final int MAX_WORKERS = 500;
 
   /** What an interrupt has to end. */
-  private static final Set<LoopbackStage> STAGES = ConcurrentHashMap.newKeySet();
+  private static final Set<LoopbackStage> OPEN_STAGES = ConcurrentHashMap.newKeySet();
 
   @CommandLine.Option(names = "--jar", description = "default: ${DEFAULT-VALUE}")
   private Path jar = Path.of("target/wickdrift.jar");
 
   @CommandLine.Option(names = "--first", description = "the first seed")
-  private long first = 1;
+  private long firstSeed = 1;
 
   @CommandLine.Option(names = "--seeds", description = "how many seeds")
   private int seeds = 3;
@@ -58,36 +58,36 @@
   private int parallel = 1;
 
   @CommandLine.Option(names = "--logs", description = "where settings and logs go")
-  private Path logs = Path.of("target/soak");
+  private Path logFolder = Path.of("target/soak");
 
   private final List<SoakResult> results = Collections.synchronizedList(new ArrayList<>());
 
   /** An interrupt ends the processes of this stage too. */
-  static void onInterrupt(LoopbackStage stage) {
-    STAGES.removeIf(s -> s.loop.group().isShuttingDown());
-    STAGES.add(stage);
+  static void closeOnInterrupt(LoopbackStage stage) {
+    OPEN_STAGES.removeIf(s -> s.loop.group().isShuttingDown());
+    OPEN_STAGES.add(stage);
   }
 
   /** Why it can't be played here, in one line, or null. */
-  private String refusal() {
+  private String unmetRequirement() {
     if (!Files.isRegularFile(jar)) {
       return "no jar at " + jar + ": build it first";
     }
-    if (seeds < 1 || seconds < 10 || parallel < 1 || workers < 2 || workers > MOST_WORKERS) {
-      return "--seeds and --parallel from 1, --seconds from 10, --workers from 2 to "
-          + MOST_WORKERS;
+    if (seeds < 1 || seconds < 10 || parallel < 1 || workers < 2 || workers > MAX_WORKERS) {
+      return "--seeds and --parallel from 1, --seconds from 10, --workers from 2 to " + MAX_WORKERS;
     }
     OperatingSystemMXBean system =
         (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    long needed = parallel * RUN_MB;
-    if (needed > system.getTotalMemorySize() / MB / 2) {
-      return "too little memory: " + needed + " MB needed, half of the machine's allowed";
+    long neededMb = parallel * MEMORY_PER_RUN_MB;
+    if (neededMb > system.getTotalMemorySize() / BYTES_PER_MB / 2) {
+      return "too little memory: " + neededMb + " MB needed, half of the machine's allowed";
     }
-    long files = (long) parallel * (FILES_A_RUN + (long) workers * FILES_A_WORKER);
+    long fileHandles =
+        (long) parallel * (FILE_HANDLES_PER_RUN + (long) workers * FILE_HANDLES_PER_WORKER);
     if (system instanceof UnixOperatingSystemMXBean unix
-        && unix.getMaxFileDescriptorCount() < files) {
+        && unix.getMaxFileDescriptorCount() < fileHandles) {
       return "too few file handles: "
-          + files
+          + fileHandles
           + " needed, "
           + unix.getMaxFileDescriptorCount()
           + " allowed";
@@ -97,30 +97,30 @@
 
   @Override
   public Integer call() throws Exception {
-    String refusal = refusal();
-    if (refusal != null) {
-      System.err.println("soak: " + refusal);
-      return BAD_INPUT;
+    String problem = unmetRequirement();
+    if (problem != null) {
+      System.err.println("soak: " + problem);
+      return EXIT_BAD_INPUT;
     }
-    Runtime.getRuntime().addShutdownHook(new Thread(this::interrupted, "interrupted"));
+    Runtime.getRuntime().addShutdownHook(new Thread(this::closeStages, "interrupted"));
     ExecutorService runs = Executors.newFixedThreadPool(parallel);
     List<Future<SoakResult>> pending = new ArrayList<>();
-    for (long seed = first; seed < first + seeds; seed++) {
+    for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
       long number = seed;
-      pending.add(runs.submit(() -> playOne(number)));
+      pending.add(runs.submit(() -> runSeed(number)));
     }
-    for (Future<SoakResult> one : pending) {
-      one.get();
+    for (Future<SoakResult> run : pending) {
+      run.get();
     }
     runs.shutdown();
-    return summary();
+    return printSummary();
   }
 
-  private SoakResult playOne(long seed) throws Exception {
-    Path folder = logs.resolve("seed-" + seed);
-    SoakResult result = new SoakRun(seed, jar, folder, workers, seconds * 1000L).play();
+  private SoakResult runSeed(long seed) throws Exception {
+    Path folder = logFolder.resolve("seed-" + seed);
+    SoakResult result = new SoakRun(seed, jar, folder, workers, seconds * 1000L).run();
     results.add(result);
-    System.out.println(result.line());
+    System.out.println(result.summaryLine());
     return result;
   }
 
@@ -128,22 +128,22 @@
     return results.stream().filter(r -> r.outcome() == outcome).count();
   }
 
-  private int summary() {
+  private int printSummary() {
     System.out.printf(
         "%d seeds: %d passed, %d failed, %d not judged%n",
         results.size(),
         count(SoakResult.Outcome.PASSED),
         count(SoakResult.Outcome.FAILED),
         count(SoakResult.Outcome.NOT_JUDGED));
-    return count(SoakResult.Outcome.PASSED) == results.size() ? 0 : FAILED;
+    return count(SoakResult.Outcome.PASSED) == results.size() ? 0 : EXIT_FAILED;
   }
 
-  private void interrupted() {
+  private void closeStages() {
     boolean early = results.size() < seeds;
-    STAGES.forEach(LoopbackStage::close);
+    OPEN_STAGES.forEach(LoopbackStage::close);
     if (early) {
       System.out.println("interrupted; judged so far:");
-      summary();
+      printSummary();
     }
   }
 
@@ -153,7 +153,7 @@
     command.setParameterExceptionHandler(
         (e, arguments) -> {
           System.err.println("soak: " + e.getMessage());
-          return BAD_INPUT;
+          return EXIT_BAD_INPUT;
         });
     System.exit(command.execute(args));
   }
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -8,17 +8,17 @@
   CONTROLLER_KILLED {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      scene.killAndReturn(scene.anyNode(random), 100 + random.nextInt(800));
-      return NOTHING;
+      scene.killAndRestart(scene.anyNode(random), 100 + random.nextInt(800));
+      return NOTHING_TO_END;
     }
   },
   ALL_CONTROLLERS_KILLED {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       for (String node : scene.world().nodes) {
-        scene.killAndReturn(node, 100 + random.nextInt(3000));
+        scene.killAndRestart(node, 100 + random.nextInt(3000));
       }
-      return NOTHING;
+      return NOTHING_TO_END;
     }
   },
   LEADERS_KILLED_IN_SERIES {
@@ -26,17 +26,17 @@
     Runnable begin(SoakScene scene, Random random) {
       for (int i = 0; i < 3; i++) {
         scene.after(
-            3500L * i, () -> scene.killAndReturn(scene.leader(), 100 + random.nextInt(900)));
+            3500L * i, () -> scene.killAndRestart(scene.leader(), 100 + random.nextInt(900)));
       }
-      return NOTHING;
+      return NOTHING_TO_END;
     }
   },
   CONTROLLER_PAUSED {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       String node = random.nextBoolean() ? scene.leader() : scene.anyNode(random);
-      scene.pause(node, true);
-      return () -> scene.pause(node, false);
+      scene.setPaused(node, true);
+      return () -> scene.setPaused(node, false);
     }
   },
   WORKERS_HANG {
@@ -47,18 +47,18 @@
       return () -> some.forEach(worker -> worker.hang(false));
     }
   },
-  WORKERS_BACK_AT_ONCE {
+  WORKERS_RESTARTED {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       scene.someWorkers(random).forEach(SimWorker::restart);
-      return NOTHING;
+      return NOTHING_TO_END;
     }
   },
   WORKER_DIES {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       scene.someWorkers(random).get(0).die();
-      return NOTHING;
+      return NOTHING_TO_END;
     }
   },
   WORKERS_CUT_OFF {
@@ -77,55 +77,55 @@
       };
     }
   },
-  WORKERS_RESET {
+  WORKER_CONNECTIONS_RESET {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      List<String> some = addresses(scene, random);
-      return scene.rule(m -> some.contains(m.from()), 0.7, SimNet.Fate.RESET);
+      List<String> some = someWorkerAddresses(scene, random);
+      return scene.addRule(m -> some.contains(m.from()), 0.7, SimNet.Fate.RESET);
     }
   },
-  WORKERS_DEAF {
+  WORKERS_UNREACHABLE_FOR_COMMANDS {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      List<String> some = addresses(scene, random);
+      List<String> some = someWorkerAddresses(scene, random);
       scene.world().net.deaf.addAll(some);
       return () -> scene.world().net.deaf.removeAll(some);
     }
   },
-  WORKERS_MUTE {
+  WORKERS_CANNOT_REPORT {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      List<String> some = addresses(scene, random);
+      List<String> some = someWorkerAddresses(scene, random);
       scene.world().net.mute.addAll(some);
       return () -> scene.world().net.mute.removeAll(some);
     }
   },
-  PEERS_HELD_BOTH_WAYS {
+  PEER_LINKS_STALLED_BOTH_WAYS {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       String node = scene.anyNode(random);
-      scene.peers(node, true, true, TcpProxy.Mode.HOLD);
-      return () -> scene.peers(node, true, true, TcpProxy.Mode.FORWARD);
+      scene.setPeerLinks(node, true, true, TcpProxy.Mode.HOLD);
+      return () -> scene.setPeerLinks(node, true, true, TcpProxy.Mode.FORWARD);
     }
   },
-  PEERS_HELD_ONE_WAY {
+  PEER_LINKS_STALLED_ONE_WAY {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       String node = scene.anyNode(random);
       boolean out = random.nextBoolean();
-      scene.peers(node, out, !out, TcpProxy.Mode.HOLD);
-      return () -> scene.peers(node, true, true, TcpProxy.Mode.FORWARD);
+      scene.setPeerLinks(node, out, !out, TcpProxy.Mode.HOLD);
+      return () -> scene.setPeerLinks(node, true, true, TcpProxy.Mode.FORWARD);
     }
   },
-  PEERS_RESET {
+  PEER_CONNECTIONS_RESET {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       String node = scene.anyNode(random);
-      scene.peers(node, true, true, TcpProxy.Mode.RESET);
-      return () -> scene.peers(node, true, true, TcpProxy.Mode.FORWARD);
+      scene.setPeerLinks(node, true, true, TcpProxy.Mode.RESET);
+      return () -> scene.setPeerLinks(node, true, true, TcpProxy.Mode.FORWARD);
     }
   },
-  ONE_REFUSED_BY_STATE_SERVICE {
+  CONTROLLER_REFUSED_BY_STATE_SERVICE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       String node = random.nextBoolean() ? scene.leader() : scene.anyNode(random);
@@ -146,7 +146,7 @@
       };
     }
   },
-  STATE_SERVICE_AWAY {
+  STATE_SERVICE_UNAVAILABLE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       scene.world().state().outage(true);
@@ -164,41 +164,42 @@
   TRANSACTION_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.rule(m -> m.path().equals("/commit"), 0.25, SimNet.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals("/commit"), 0.25, SimNet.Fate.ANSWER_LOST);
     }
   },
   COMMANDS_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.rule(m -> m.path().equals(ORDERS), 0.5, SimNet.Fate.LATE);
+      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.5, SimNet.Fate.LATE);
     }
   },
   COMMAND_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.rule(m -> m.path().equals(ORDERS), 0.4, SimNet.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.4, SimNet.Fate.ANSWER_LOST);
     }
   },
   COMMANDS_LOST_ON_SOME_LINKS {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      List<String> some = addresses(scene, random);
-      return scene.rule(
-          m -> m.path().equals(ORDERS) && some.contains(m.to()), 0.8, SimNet.Fate.LOST);
+      List<String> some = someWorkerAddresses(scene, random);
+      return scene.addRule(
+          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()), 0.8, SimNet.Fate.LOST);
     }
   },
   REPORT_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.rule(m -> m.path().equals(REPORT), 0.4, SimNet.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNet.Fate.ANSWER_LOST);
     }
   },
   /** Several of these at once, on all links between controllers and workers. */
   BAD_NETWORK {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      Runnable commands = scene.rule(m -> m.path().equals(ORDERS), 0.6, SimNet.Fate.LATE);
-      Runnable reports = scene.rule(m -> m.path().equals(REPORT), 0.6, SimNet.Fate.ANSWER_RESET);
+      Runnable commands = scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNet.Fate.LATE);
+      Runnable reports =
+          scene.addRule(m -> m.path().equals(REPORT_PATH), 0.6, SimNet.Fate.ANSWER_RESET);
       return () -> {
         commands.run();
         reports.run();
@@ -209,7 +210,8 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       SimNet net = scene.world().net;
-      net.copies = new SimNet.Copies(REPORT, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
+      net.copies =
+          new SimNet.Copies(REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
       return () -> net.copies = null;
     }
   },
@@ -217,7 +219,7 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       scene.cancelRunning(6, random);
-      return NOTHING;
+      return NOTHING_TO_END;
     }
   },
   JOBS_CANCELLED_AND_THEIR_MACHINES_HANG {
@@ -229,11 +231,11 @@
     }
   };
 
-  private static final String ORDERS = "/orders";
-  private static final String REPORT = "/hello";
-  private static final Runnable NOTHING = () -> {};
+  private static final String COMMANDS_PATH = "/orders";
+  private static final String REPORT_PATH = "/hello";
+  private static final Runnable NOTHING_TO_END = () -> {};
 
-  private static List<String> addresses(SoakScene scene, Random random) {
+  private static List<String> someWorkerAddresses(SoakScene scene, Random random) {
     return scene.someWorkers(random).stream().map(worker -> worker.address).toList();
   }
 
--- a/src/test/java/wickdrift/sim/SoakIT.java
+++ b/src/test/java/wickdrift/sim/SoakIT.java
@@ -15,10 +15,10 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void noRuleBreaks(long seed) throws Exception {
+  void invariantsHoldInAShortSoak(long seed) throws Exception {
     Path folder = Path.of("target", "soak-it", "seed-" + seed);
-    SoakResult result = new SoakRun(seed, JAR, folder, WORKERS, FAULTS_MS).play();
-    System.out.println(result.line());
+    SoakResult result = new SoakRun(seed, JAR, folder, WORKERS, FAULTS_MS).run();
+    System.out.println(result.summaryLine());
     assertEquals(List.of(), result.reasons());
     assertEquals(SoakResult.Outcome.PASSED, result.outcome());
   }
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -12,17 +12,17 @@
  * submissions; questions about jobs that nobody has submitted.
  */
 final class SoakLoad {
-  private static final int NEVER_SUBMITTED = 900_000;
-  private static final double WORKERS_A_JOB = 16;
-  private static final long BETWEEN_JOBS_MS = 140;
-  private static final long ODD_QUESTION_MS = 2500;
+  private static final int FIRST_UNKNOWN_JOB = 900_000;
+  private static final double WORKERS_PER_JOB_RATE = 16;
+  private static final long MEAN_JOB_INTERVAL_MS = 140;
+  private static final long EXTRA_REQUEST_INTERVAL_MS = 2500;
 
   private final SimWorld world;
   private final Random random;
   private final Map<String, Map<String, Object>> submitted = new HashMap<>();
   private final List<String> services = new ArrayList<>();
-  private int next = 1;
-  private boolean open = true;
+  private int nextNumber = 1;
+  private boolean accepting = true;
 
   SoakLoad(SimWorld world, Random random) {
     this.world = world;
@@ -35,20 +35,21 @@
       world.users.closeLooks = new SimCloseLooks(world);
     }
     submitNext();
-    askOddly();
+    sendExtraRequests();
   }
 
-  int submitted() {
+  int submittedCount() {
     return submitted.size();
   }
 
   private void submitNext() {
-    if (!open) {
+    if (!accepting) {
       return;
     }
-    double pace = Math.max(1, world.workers().size() / WORKERS_A_JOB);
-    world.clock.after((long) (BETWEEN_JOBS_MS / pace * 2 * random.nextDouble()), this::submitNext);
-    int number = next++;
+    double pace = Math.max(1, world.workers().size() / WORKERS_PER_JOB_RATE);
+    world.clock.after(
+        (long) (MEAN_JOB_INTERVAL_MS / pace * 2 * random.nextDouble()), this::submitNext);
+    int number = nextNumber++;
     Map<String, Object> job = job(number);
     if (random.nextInt(3) == 0) {
       job.put("owner", "sound");
@@ -59,7 +60,7 @@
     if (service) {
       services.add(id);
     }
-    world.users.submit(job, withdrawAfter(job, service));
+    world.users.submit(job, withdrawalDelayMs(job, service));
   }
 
   private Map<String, Object> job(int number) {
@@ -80,23 +81,23 @@
   }
 
   /** Of the jobs that are cancelled, many are so about when their tasks end. */
-  private long withdrawAfter(Map<String, Object> job, boolean service) {
+  private long withdrawalDelayMs(Map<String, Object> job, boolean service) {
     if (service) {
       return 5000 + random.nextInt(10_000);
     }
     if (random.nextInt(5) > 1) {
       return 0;
     }
-    long about = (long) ((double) job.get("expectS") * 1000) + 1500;
-    return random.nextBoolean() ? 1 + random.nextInt(8000) : about + random.nextInt(800);
+    long expectedEndMs = (long) ((double) job.get("expectS") * 1000) + 1500;
+    return random.nextBoolean() ? 1 + random.nextInt(8000) : expectedEndMs + random.nextInt(800);
   }
 
-  private void askOddly() {
-    if (!open) {
+  private void sendExtraRequests() {
+    if (!accepting) {
       return;
     }
-    world.clock.after(ODD_QUESTION_MS, this::askOddly);
-    String unknown = String.format("req-%06d", NEVER_SUBMITTED + random.nextInt(1000));
+    world.clock.after(EXTRA_REQUEST_INTERVAL_MS, this::sendExtraRequests);
+    String unknown = String.format("req-%06d", FIRST_UNKNOWN_JOB + random.nextInt(1000));
     world.users.poll(
         world.nodes.get(random.nextInt(world.nodes.size())),
         unknown,
@@ -115,7 +116,7 @@
 
   /** Cancels jobs that run, and tells which workers have tasks of theirs. */
   List<SimWorker> cancelRunning(int jobs, Random draw) {
-    List<SimWorker> theirs = new ArrayList<>();
+    List<SimWorker> affectedWorkers = new ArrayList<>();
     List<String> running =
         world.users.accepted.stream()
             .filter(id -> world.rules.isOn(id + "/0") && !world.users.asked.contains(id))
@@ -124,15 +125,17 @@
     for (int i = 0; i < Math.min(jobs, running.size()); i++) {
       String id = running.get(i);
       String machine = world.rules.machineOf(id + "/0");
-      world.workers().stream().filter(w -> w.name.equals(machine)).forEach(theirs::add);
+      world.workers().stream()
+          .filter(worker -> worker.name.equals(machine))
+          .forEach(affectedWorkers::add);
       world.users.withdraw(id, world.nodes.get(draw.nextInt(world.nodes.size())));
     }
-    return theirs;
+    return affectedWorkers;
   }
 
   /** No more jobs come, and services are called off, so that everything can end. */
   void close() {
-    open = false;
+    accepting = false;
     for (String id : services) {
       if (world.users.accepted.contains(id) && !world.users.asked.contains(id)) {
         world.users.withdraw(id, world.nodes.get(0));
--- a/src/test/java/wickdrift/sim/SoakNetwork.java
+++ b/src/test/java/wickdrift/sim/SoakNetwork.java
@@ -15,22 +15,22 @@
   }
 
   /** What becomes of a share of the requests that a filter matches. */
-  record Rule(Filter filter, double share, SimNet.Fate fate) {}
+  record Rule(Filter filter, double probability, SimNet.Fate fate) {}
 
   private final Random random;
   private final List<Rule> rules = new ArrayList<>();
-  private final long lateFromMs;
-  private final long lateToMs;
-  private long struck;
+  private final long minDelayMs;
+  private final long maxDelayMs;
+  private long affectedRequests;
 
   /**
-   * @param lateFromMs the least that a late request is late
-   * @param lateToMs the most
+   * @param minDelayMs the least that a late request is late
+   * @param maxDelayMs the most
    */
-  SoakNetwork(Random random, long lateFromMs, long lateToMs) {
+  SoakNetwork(Random random, long minDelayMs, long maxDelayMs) {
     this.random = random;
-    this.lateFromMs = lateFromMs;
-    this.lateToMs = lateToMs;
+    this.minDelayMs = minDelayMs;
+    this.maxDelayMs = maxDelayMs;
   }
 
   void add(Rule rule) {
@@ -42,16 +42,16 @@
   }
 
   /** Requests that did not simply arrive. */
-  long struck() {
-    return struck;
+  long affectedRequests() {
+    return affectedRequests;
   }
 
   @Override
   public SimNet.Fate fateOf(String from, String to, String path, byte[] body) {
     Message message = new Message(from, to, path);
     for (Rule rule : rules) {
-      if (rule.filter.matches(message) && random.nextDouble() < rule.share) {
-        struck++;
+      if (rule.filter.matches(message) && random.nextDouble() < rule.probability) {
+        affectedRequests++;
         return rule.fate;
       }
     }
@@ -60,6 +60,6 @@
 
   @Override
   public long lateMs() {
-    return lateFromMs + (long) (random.nextDouble() * (lateToMs - lateFromMs));
+    return minDelayMs + (long) (random.nextDouble() * (maxDelayMs - minDelayMs));
   }
 }
--- a/src/test/java/wickdrift/sim/SoakResult.java
+++ b/src/test/java/wickdrift/sim/SoakResult.java
@@ -13,7 +13,7 @@
   }
 
   /** One line. */
-  String line() {
+  String summaryLine() {
     String why = reasons.isEmpty() ? "" : ": " + reasons.get(0);
     return "seed " + seed + " " + outcome + " (" + figures + ")" + why;
   }
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -21,31 +21,31 @@
    * Worker times of a soak: short, so that leases and cancellations end within a run; but a lease
    * outlasts a report or two without an answer, or whatever is late is void by its session.
    */
-  private static final double LEASE_S = 12;
+  private static final double WORKER_LEASE_S = 12;
 
-  private static final double REPORT_S = 1.5;
-  private static final double CANCEL_S = 28;
+  private static final double REPORT_INTERVAL_S = 1.5;
+  private static final double CANCELLATION_LIMIT_S = 28;
 
-  private static final double TEAM_GPUS = 16;
-  private static final double OTHER_TEAM_GPUS = 8;
-  private static final int LEAST_WORKERS_FOR_LIMITS = 100;
+  private static final double VISION_TEAM_GPUS = 16;
+  private static final double SOUND_TEAM_GPUS = 8;
+  private static final int MIN_WORKERS_FOR_SCALED_LIMITS = 100;
 
   private static final long WARM_UP_MS = 7000;
 
   /**
    * A question about every job must be answered by then, and a job may wait so long beside room.
    */
-  private static final long SETTLE_MS = 95_000;
+  private static final long SETTLE_TIMEOUT_MS = 95_000;
 
-  private static final long STEP_MS = 250;
+  private static final long POLL_INTERVAL_MS = 250;
 
   /** If the stand-ins stand still for longer, timing faults may be the harness's own. */
-  private static final long STALL_MOST_MS = 1500;
+  private static final long MAX_HARNESS_STALL_MS = 1500;
 
-  private static final int LEAST_STARTS = 15;
-  private static final int HISTORY_LINES = 80;
-  private static final long LATE_FROM_MS = 1500;
-  private static final long LATE_TO_MS = 20_000;
+  private static final int MIN_TASK_STARTS = 15;
+  private static final int MAX_HISTORY_LINES = 80;
+  private static final long MIN_MESSAGE_DELAY_MS = 1500;
+  private static final long MAX_MESSAGE_DELAY_MS = 20_000;
   private static final String VIOLATION = "invariant violated";
 
   private final long seed;
@@ -53,7 +53,7 @@
   private final Path folder;
   private final int workers;
   private final SoakPlan plan;
-  private int begun;
+  private int startedFaults;
 
   /**
    * @param workers that are up at the start
@@ -63,33 +63,34 @@
     this.jar = jar;
     this.folder = folder;
     this.workers = workers;
-    this.plan = SoakPlan.of(seed, spanMs, (long) (CANCEL_S * 1000));
+    this.plan = SoakPlan.of(seed, spanMs, (long) (CANCELLATION_LIMIT_S * 1000));
   }
 
   private SimSetup setup() {
-    boolean large = workers >= LEAST_WORKERS_FOR_LIMITS;
+    boolean large = workers >= MIN_WORKERS_FOR_SCALED_LIMITS;
     double scale = large ? workers / 10.0 : 1;
     return new SimSetup(seed, workers, workers + Math.max(4, workers / 2))
         .controllers("aab")
-        .workers(LEASE_S, REPORT_S)
-        .cancelS(CANCEL_S)
-        .gpusMax(TEAM_GPUS * scale)
-        .soundGpusMax(OTHER_TEAM_GPUS * scale);
+        .workers(WORKER_LEASE_S, REPORT_INTERVAL_S)
+        .cancelS(CANCELLATION_LIMIT_S)
+        .gpusMax(VISION_TEAM_GPUS * scale)
+        .soundGpusMax(SOUND_TEAM_GPUS * scale);
   }
 
   /** Plays it, and ends every process that it started. */
-  SoakResult play() throws Exception {
+  SoakResult run() throws Exception {
     try (LoopbackStage stage = new LoopbackStage(setup(), folder)) {
-      SoakNetwork network = new SoakNetwork(new Random(seed + 1), LATE_FROM_MS, LATE_TO_MS);
+      SoakNetwork network =
+          new SoakNetwork(new Random(seed + 1), MIN_MESSAGE_DELAY_MS, MAX_MESSAGE_DELAY_MS);
       SoakLoad load = new SoakLoad(stage.world, new Random(seed + 2));
       try (SoakScene scene = new SoakScene(stage, network, load, jar)) {
-        SoakCommand.onInterrupt(stage);
-        return play(stage, network, load, scene);
+        SoakCommand.closeOnInterrupt(stage);
+        return run(stage, network, load, scene);
       }
     }
   }
 
-  private SoakResult play(LoopbackStage stage, SoakNetwork network, SoakLoad load, SoakScene scene)
+  private SoakResult run(LoopbackStage stage, SoakNetwork network, SoakLoad load, SoakScene scene)
       throws Exception {
     SimWorld world = stage.world;
     stage.awaitPorts();
@@ -106,8 +107,8 @@
         });
     TimeUnit.MILLISECONDS.sleep(plan.spanMs());
     // A fault that ends at the very end of the span is over a moment later.
-    TimeUnit.MILLISECONDS.sleep(STEP_MS);
-    scene.settleProcesses();
+    TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+    scene.awaitProcessChanges();
     stage.ask(
         () -> {
           world.rules.calmSinceMs = world.clock.nowMs();
@@ -115,20 +116,20 @@
           load.close();
           return null;
         });
-    List<String> unfinished = settle(stage, load);
-    return judge(stage, network, load, scene, unfinished);
+    List<String> unfinished = awaitUnfinishedJobs(stage, load);
+    return evaluate(stage, network, load, scene, unfinished);
   }
 
   private void schedule(SoakScene scene, SoakPlan.Step step) {
-    Random random = new Random(seed * 31 + step.atMs());
+    Random random = new Random(seed * 31 + step.startMs());
     scene.after(
-        step.atMs(),
+        step.startMs(),
         () -> {
           scene.world().history.add("FAULT " + step.fault());
           Runnable end = step.fault().begin(scene, random);
-          begun++;
+          startedFaults++;
           scene.after(
-              step.endMs() - step.atMs(),
+              step.endMs() - step.startMs(),
               () -> {
                 scene.world().history.add("over: " + step.fault());
                 end.run();
@@ -137,17 +138,17 @@
   }
 
   /** Waits until everything accepted is over, or for as long as a question may go unanswered. */
-  private List<String> settle(LoopbackStage stage, SoakLoad load) throws Exception {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_MS);
+  private List<String> awaitUnfinishedJobs(LoopbackStage stage, SoakLoad load) throws Exception {
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MS);
     List<String> unfinished = stage.ask(load::unfinished);
     while (!unfinished.isEmpty() && System.nanoTime() < until) {
-      TimeUnit.MILLISECONDS.sleep(STEP_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
       unfinished = stage.ask(load::unfinished);
     }
     return unfinished;
   }
 
-  private SoakResult judge(
+  private SoakResult evaluate(
       LoopbackStage stage,
       SoakNetwork network,
       SoakLoad load,
@@ -155,37 +156,37 @@
       List<String> unfinished)
       throws Exception {
     SimWorld world = stage.world;
-    List<String> wrong = new ArrayList<>(stage.ask(world::broken));
+    List<String> failures = new ArrayList<>(stage.ask(world::broken));
     if (!unfinished.isEmpty()) {
-      wrong.add("not over after " + SETTLE_MS / 1000 + " s of calm: " + unfinished);
+      failures.add("not over after " + SETTLE_TIMEOUT_MS / 1000 + " s of calm: " + unfinished);
     }
-    scene.ended().forEach(node -> wrong.add(node + " has ended by itself"));
-    wrong.addAll(logged(stage));
+    scene.endedNodes().forEach(node -> failures.add(node + " has ended by itself"));
+    failures.addAll(loggedFailures(stage));
     String figures =
         String.format(
             "faults %d, messages struck %d, kills %d, jobs %d, starts %d, longest stall %d ms",
-            begun,
-            network.struck(),
+            startedFaults,
+            network.affectedRequests(),
             scene.kills(),
-            load.submitted(),
+            load.submittedCount(),
             stage.ask(world::starts),
             stage.longestStallMs());
-    String unfit = unfit(stage, scene);
-    if (unfit != null) {
-      List<String> reasons = new ArrayList<>(List.of(unfit));
-      reasons.addAll(wrong);
+    String inconclusiveReason = reasonNotToJudge(stage, scene);
+    if (inconclusiveReason != null) {
+      List<String> reasons = new ArrayList<>(List.of(inconclusiveReason));
+      reasons.addAll(failures);
       return new SoakResult(seed, SoakResult.Outcome.NOT_JUDGED, reasons, figures);
     }
-    if (wrong.isEmpty()) {
+    if (failures.isEmpty()) {
       return new SoakResult(seed, SoakResult.Outcome.PASSED, List.of(), figures);
     }
-    explain(stage, wrong);
-    return new SoakResult(seed, SoakResult.Outcome.FAILED, wrong, figures);
+    printFailure(stage, failures);
+    return new SoakResult(seed, SoakResult.Outcome.FAILED, failures, figures);
   }
 
   /** Why the run can't be judged, or null. */
-  private String unfit(LoopbackStage stage, SoakScene scene) throws Exception {
-    if (stage.longestStallMs() > STALL_MOST_MS) {
+  private String reasonNotToJudge(LoopbackStage stage, SoakScene scene) throws Exception {
+    if (stage.longestStallMs() > MAX_HARNESS_STALL_MS) {
       return "the harness stood still for " + stage.longestStallMs() + " ms";
     }
     if (stage.failure() != null) {
@@ -195,14 +196,14 @@
     if (scene.processFailure() != null) {
       return scene.processFailure();
     }
-    if (begun < plan.steps().size()) {
-      return "only " + begun + " of " + plan.steps().size() + " faults began";
+    if (startedFaults < plan.steps().size()) {
+      return "only " + startedFaults + " of " + plan.steps().size() + " faults began";
     }
     int starts = stage.ask(stage.world::starts);
-    return starts < LEAST_STARTS ? "only " + starts + " tasks started" : null;
+    return starts < MIN_TASK_STARTS ? "only " + starts + " tasks started" : null;
   }
 
-  private static List<String> logged(LoopbackStage stage) throws IOException {
+  private static List<String> loggedFailures(LoopbackStage stage) throws IOException {
     List<String> found = new ArrayList<>();
     for (String node : stage.world.nodes) {
       try (Stream<String> lines = Files.lines(stage.log(node))) {
@@ -216,16 +217,17 @@
   }
 
   /** Prints the seed, the faults, and the events round what broke. */
-  private void explain(LoopbackStage stage, List<String> wrong) throws Exception {
-    List<String> words = new ArrayList<>(List.of("FAULT", "over:", "calm"));
-    Matcher job = Pattern.compile("req-\\d+").matcher(wrong.get(0));
+  private void printFailure(LoopbackStage stage, List<String> failures) throws Exception {
+    List<String> searchTerms = new ArrayList<>(List.of("FAULT", "over:", "calm"));
+    Matcher job = Pattern.compile("req-\\d+").matcher(failures.get(0));
     if (job.find()) {
-      words.add(job.group());
+      searchTerms.add(job.group());
     }
-    List<String> events = stage.ask(() -> stage.world.history.mentioning(words, HISTORY_LINES));
+    List<String> events =
+        stage.ask(() -> stage.world.history.mentioning(searchTerms, MAX_HISTORY_LINES));
     StringBuilder text = new StringBuilder();
     text.append("seed ").append(seed).append(" FAILED, logs in ").append(folder).append('\n');
-    wrong.forEach(line -> text.append("  WRONG ").append(line).append('\n'));
+    failures.forEach(line -> text.append("  WRONG ").append(line).append('\n'));
     text.append("faults:\n").append(plan.describe()).append("\nevents:\n");
     events.forEach(event -> text.append("  ").append(event).append('\n'));
     synchronized (System.out) {
--- a/src/test/java/wickdrift/sim/SoakScene.java
+++ b/src/test/java/wickdrift/sim/SoakScene.java
@@ -14,8 +14,8 @@
 
 /** What the faults of a soak act on: the stand-ins, their links, and the real processes. */
 final class SoakScene implements AutoCloseable {
-  private static final double WORKERS_STRUCK = 0.4;
-  private static final long CLOSE_S = 10;
+  private static final double MAX_AFFECTED_WORKERS_RATIO = 0.4;
+  private static final long CLOSE_TIMEOUT_S = 10;
 
   private final LoopbackStage stage;
   private final SoakNetwork network;
@@ -23,7 +23,7 @@
   private final Path jar;
 
   /** Signals and starts block: never on the loop of the stand-ins. */
-  private final ExecutorService processWork = Executors.newSingleThreadExecutor();
+  private final ExecutorService processExecutor = Executors.newSingleThreadExecutor();
 
   private final Set<String> paused = new HashSet<>();
   private String processFailure;
@@ -68,19 +68,19 @@
   List<SimWorker> someWorkers(Random random) {
     List<SimWorker> all = new ArrayList<>(world().workers());
     Collections.shuffle(all, random);
-    int most = Math.max(1, (int) (all.size() * WORKERS_STRUCK));
+    int most = Math.max(1, (int) (all.size() * MAX_AFFECTED_WORKERS_RATIO));
     return List.copyOf(all.subList(0, 1 + random.nextInt(most)));
   }
 
   /** Puts a rule of the network in force; what is returned takes it back. */
-  Runnable rule(SoakNetwork.Filter filter, double share, SimNet.Fate fate) {
-    SoakNetwork.Rule rule = new SoakNetwork.Rule(filter, share, fate);
+  Runnable addRule(SoakNetwork.Filter filter, double probability, SimNet.Fate fate) {
+    SoakNetwork.Rule rule = new SoakNetwork.Rule(filter, probability, fate);
     network.add(rule);
     return () -> network.remove(rule);
   }
 
   /** The links between a controller and its peers. */
-  void peers(String node, boolean out, boolean in, TcpProxy.Mode mode) {
+  void setPeerLinks(String node, boolean out, boolean in, TcpProxy.Mode mode) {
     for (String other : world().nodes) {
       if (!other.equals(node) && out) {
         stage.peerLink(node, other, mode);
@@ -99,31 +99,31 @@
   // ---- processes ----
 
   /** Ends a process with no signal; it is started again so long after its end. */
-  void killAndReturn(String node, long awayMs) {
-    if (processWork.isShutdown()) {
+  void killAndRestart(String node, long downtimeMs) {
+    if (processExecutor.isShutdown()) {
       // A series of kills that would go on after the last fault's end.
       return;
     }
     kills++;
-    processWork.execute(
+    processExecutor.execute(
         () ->
-            guarded(
+            recordFailure(
                 () -> {
                   stage.process(node).end(false);
-                  TimeUnit.MILLISECONDS.sleep(awayMs);
+                  TimeUnit.MILLISECONDS.sleep(downtimeMs);
                   stage.start(node, jar);
                 }));
   }
 
   /** Stops a process, or lets it go on. */
-  void pause(String node, boolean stop) {
-    boolean change = stop ? paused.add(node) : paused.remove(node);
+  void setPaused(String node, boolean pause) {
+    boolean change = pause ? paused.add(node) : paused.remove(node);
     if (change) {
-      processWork.execute(
+      processExecutor.execute(
           () ->
-              guarded(
+              recordFailure(
                   () -> {
-                    if (stop) {
+                    if (pause) {
                       stage.process(node).pause();
                     } else {
                       stage.process(node).resume();
@@ -133,7 +133,7 @@
   }
 
   /** Nodes whose process has ended by itself. */
-  List<String> ended() {
+  List<String> endedNodes() {
     return world().nodes.stream().filter(node -> !stage.process(node).alive()).toList();
   }
 
@@ -141,7 +141,7 @@
     void run() throws Exception;
   }
 
-  private void guarded(ProcessStep step) {
+  private void recordFailure(ProcessStep step) {
     try {
       step.run();
     } catch (Exception e) {
@@ -150,15 +150,15 @@
   }
 
   /** Waits until what was begun with processes is done. */
-  void settleProcesses() throws InterruptedException {
-    processWork.shutdown();
-    if (!processWork.awaitTermination(CLOSE_S, TimeUnit.SECONDS)) {
+  void awaitProcessChanges() throws InterruptedException {
+    processExecutor.shutdown();
+    if (!processExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)) {
       processFailure = "processes could not be handled in time";
     }
   }
 
   @Override
   public void close() {
-    processWork.shutdownNow();
+    processExecutor.shutdownNow();
   }
 }
