--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -21,23 +21,29 @@
 import wickdrift.protocol.PeerFrame;
 
 /**
- * A cancellation that was confirmed is kept, whatever fails next. In every case the state service
- * refuses somebody alone, and a moment later it is away for all, for longer than a cancelled task
- * may stay; workers go on reporting to whom they reported before.
+ * A withdrawal that was confirmed to a user must hold whatever fails afterwards, and must not be
+ * confirmed while a task of the job may still run or start. The danger is a controller that cannot
+ * read the withdrawal from the state service while its workers keep reporting to it and it keeps
+ * renewing their leases.
  */
 class CancellationTest {
+  /** Jobs that {@link #worldWithRunningJobs} submits. */
   static final int JOBS = 24;
+
+  /**
+   * When {@link #worldWithRunningJobs} returns; the state service refuses a controller after it.
+   */
   private static final long REFUSED_AT_MS = 24_000;
 
-  /** Whom the state service refuses alone. */
+  /** The one controller whose requests the state service refuses. */
   enum RefusedNode {
     LEADER,
     FOLLOWER,
-    /** The one whom users ask. */
+    /** The leader, which also receives the users' withdraw requests. */
     LEADER_AS_CONFIRMER
   }
 
-  /** What happens a moment before the state service is away for all. */
+  /** What else fails 100 ms before the state service becomes unavailable to all controllers. */
   enum ConcurrentFault {
     NONE,
     CONFIRMER_RESTARTS,
@@ -51,13 +57,14 @@
     MACHINES_HANG
   }
 
-  /** When users call jobs off. */
+  /** When users withdraw jobs, relative to the refusal and to the end of the jobs. */
   enum WithdrawalTime {
     BEFORE_REFUSAL,
     DURING_REFUSAL,
     AS_JOBS_END
   }
 
+  /** Combines every refused node, fault and withdrawal time. */
   static Stream<Arguments> faultCases() {
     return Arrays.stream(RefusedNode.values())
         .flatMap(
@@ -73,14 +80,14 @@
     return String.format("req-%06d", number);
   }
 
-  /** Of several images, so that the tasks come to machines of all parts. */
+  /** Describes a job with an image of its own, so that tasks spread over all partitions. */
   private static Map<String, Object> job(int number, String shape, int tasks, double seconds) {
     Map<String, Object> job = SimJobs.job(number, shape, tasks, 1, seconds);
     job.put("bundle", "img-" + number);
     return job;
   }
 
-  /** How many tasks a node's machines have, as it knows it. */
+  /** Returns how many tasks run on the machines that the node owns, according to its own tables. */
   private static int ownedTaskCount(SimWorld world, String node) {
     return world.tables(node).machines().stream()
         .filter(m -> node.equals(m.owner(world.tables(node).view())))
@@ -88,7 +95,10 @@
         .sum();
   }
 
-  /** Jobs run, some on machines of every controller: of these seeds the first of which it holds. */
+  /**
+   * Returns a world in which every controller owns machines with running tasks. Not every seed
+   * leads to this, so the first seed that does is used.
+   */
   static SimWorld worldWithRunningJobs(long firstSeed, double seconds) {
     for (long seed = firstSeed; seed < firstSeed + 100_000; seed += 1000) {
       SimWorld world = new SimWorld(seed, 14, 22, "aab", 60);
@@ -102,13 +112,15 @@
         return world;
       }
     }
-    throw new AssertionError("nothing runs at some controller, whatever the seed");
+    throw new AssertionError("with every seed some controller owns no running task");
   }
 
+  /** Returns the number of the node in its own node registry. */
   static int controllerNumber(SimWorld world, String node) {
     return world.tables(node).registry().numberOf(node);
   }
 
+  /** Returns a controller that is neither of the two. */
   static String otherController(SimWorld world, String excluded, String alsoExcluded) {
     return world.nodes.stream()
         .filter(n -> !n.equals(excluded) && !n.equals(alsoExcluded))
@@ -116,6 +128,7 @@
         .get();
   }
 
+  /** Injects a fault, which ends within 100 seconds. */
   private static void injectConcurrentFault(
       SimWorld world, ConcurrentFault fault, String refusedNode, String confirmer) {
     switch (fault) {
@@ -152,10 +165,11 @@
   }
 
   /**
-   * Half the jobs are called off. The other half are done in the end, every one that is called off
-   * is told to be withdrawn, or done, and nothing of it is left.
+   * The state service refuses one controller, and two seconds later it is unavailable to all, for
+   * longer than a cancelled task may keep running. Every withdrawn job must end as withdrawn or
+   * done with no task left, and the other half of the jobs must finish.
    */
-  @ParameterizedTest(name = "{0}, {1}, called off {2}")
+  @ParameterizedTest(name = "refused: {0}, fault: {1}, withdrawn: {2}")
   @MethodSource("faultCases")
   void confirmedWithdrawalHoldsThroughLaterFaults(
       RefusedNode role, ConcurrentFault fault, WithdrawalTime withdrawalTime) {
@@ -194,24 +208,23 @@
       assertTrue(
           "withdrawn".equals(lastPhase) || "done".equals(lastPhase), jobId(i) + " is " + lastPhase);
       for (int k = 0; k < 3; k++) {
-        assertTrue(!world.isOn(jobId(i) + "/" + k), "left: " + jobId(i) + "/" + k);
+        assertTrue(!world.isOn(jobId(i) + "/" + k), "still running: " + jobId(i) + "/" + k);
       }
     }
     ClusterTest.check(world, finiteJobs);
     if (withdrawalTime == WithdrawalTime.DURING_REFUSAL
         && role != RefusedNode.LEADER_AS_CONFIRMER) {
-      // Else the meeting did not take place: the word was given, and then had to be kept.
-      assertTrue(
-          confirmed >= JOBS / 4, "only " + confirmed + " were told before the state service went");
+      // Without confirmations before the outage the test would not cover what it is meant to.
+      assertTrue(confirmed >= JOBS / 4, "only " + confirmed + " were confirmed before the outage");
     }
   }
 
   /**
-   * Machines hang, or lose the network, while they fetch a job's image, or with the command to run
-   * it still under way; the image comes all the same. Who was told that the job is withdrawn sees
-   * none of it begin after that.
+   * Machines hang or lose the network while a run command is in transit or while they fetch a job's
+   * image, and the image still arrives. No task of the job may start after a user was told that the
+   * job is withdrawn.
    */
-  @ParameterizedTest(name = "{0}, {1} ms after it was placed")
+  @ParameterizedTest(name = "hang: {0}, {1} ms after the job was placed")
   @MethodSource("faultTimes")
   void noTaskStartsAfterItsWithdrawalIsConfirmed(boolean hang, long afterMs) {
     SimWorld world = new SimWorld(4600 + afterMs, 14, 14, "aab", 60);
@@ -242,6 +255,7 @@
     ClusterTest.check(world, List.of());
   }
 
+  /** Lists both kinds of fault at times that cover the command in transit and the image fetch. */
   static Stream<Arguments> faultTimes() {
     return Stream.of(true, false)
         .flatMap(
@@ -251,9 +265,9 @@
   }
 
   /**
-   * A worker's lease outlasts the time that a cancelled task has, and its machine hangs, or is cut
-   * off, with the task on it, and the cloud, which could delete it, is away: the word comes only
-   * once nothing is left there.
+   * The worker's lease is longer than the time within which a cancelled task must end. Its machine
+   * hangs or is cut off with the task on it, and the cloud, which could delete the machine, is
+   * unreachable. The withdrawal may be confirmed only once no task is left on the machine.
    */
   @ParameterizedTest(name = "cancel_s {0}, hangs: {1}")
   @CsvSource({"9, true", "9, false", "14, true", "14, false", "16, true", "16, false"})
@@ -286,7 +300,11 @@
     ClusterTest.check(world, List.of());
   }
 
-  /** An owner that the state service refuses and a peer tells stops what is called off at once. */
+  /**
+   * A controller that the state service refuses learns of a withdrawal from a peer. It must stop
+   * the job's tasks at once, so that the withdrawal is confirmed without waiting for the state
+   * service.
+   */
   @Test
   void refusedOwnerStopsTasksAtOnceWhenAPeerReportsTheWithdrawal() {
     SimWorld world = worldWithRunningJobs(4980, 200);
@@ -297,7 +315,7 @@
     }
     world.run(600);
     for (int i = 0; i < JOBS; i++) {
-      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no word of " + jobId(i));
+      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no confirmation for " + jobId(i));
       for (int k = 0; k < 3; k++) {
         assertTrue(!world.isOn(jobId(i) + "/" + k), "not stopped: " + jobId(i) + "/" + k);
       }
@@ -307,7 +325,9 @@
     ClusterTest.check(world, List.of());
   }
 
-  /** Where nothing fails the word comes within a second, whoever owns the machines. */
+  /**
+   * Without faults a withdrawal is confirmed within a second, whichever controllers own the tasks.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void withdrawalIsConfirmedWithinASecondWithoutFaults(long seed) {
@@ -321,14 +341,16 @@
       assertEquals("withdrawn", world.lastTold(jobId(i)));
     }
     assertTrue(
-        world.users.slowestWordMs < 1000, "the word took " + world.users.slowestWordMs + " ms");
+        world.users.slowestWordMs < 1000,
+        "the slowest confirmation took " + world.users.slowestWordMs + " ms");
     ClusterTest.check(world, List.of());
   }
 
   /**
-   * An owner that neither the state service nor its peers reach goes on answering its workers:
-   * nobody may say that what runs there is withdrawn until it surely can't any more, and nobody's
-   * word but the owner's own proves that it knows.
+   * A controller that has lost the state service and its peers keeps answering its workers. No
+   * other controller may confirm the withdrawal of a task there until the task certainly no longer
+   * runs, and only the owner's own answer proves that it knows of the withdrawal: forged answers of
+   * other controllers must not count.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -341,7 +363,7 @@
     for (int i = 0; i < JOBS; i++) {
       world.users.withdraw(jobId(i), confirmer);
     }
-    // A question is no back door: the word is not in its answer either.
+    // A poll must not report the withdrawal before it is confirmed either.
     Set<String> polled = new HashSet<>();
     for (int k = 1; k < 8; k++) {
       for (int i = 0; i < JOBS; i++) {
@@ -362,7 +384,7 @@
     }
     world.run(300);
     if (forged) {
-      // Answers that nobody was asked for, by all who might be, and one who is no controller.
+      // Unsolicited answers under the numbers of all other controllers, and of no controller (77).
       byte[] allMachines = {-1, -1, -1, -1};
       for (int from : new int[] {0, 1, 2, 77}) {
         for (long question = 0;
@@ -375,15 +397,15 @@
     world.run(600);
     world.state().outage(true);
     world.run(45_000);
-    // The others owned some of it, and the word came for that.
+    // Withdrawals of jobs whose tasks the other controllers own are confirmed.
     List<String> confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).toList();
     polled.addAll(confirmed);
     for (String id : polled) {
       for (int k = 0; k < 2; k++) {
-        assertTrue(!world.isOn(id + "/" + k), "told, and still there: " + id);
+        assertTrue(!world.isOn(id + "/" + k), "reported as withdrawn but still running: " + id);
       }
     }
-    assertTrue(confirmed.size() < JOBS, "the leader owned nothing of this");
+    assertTrue(confirmed.size() < JOBS, "the leader owned no task of these jobs");
     world.state().outage(false);
     world.state().refuse(leader, false);
     world.cutFromPeers(leader, false);
@@ -395,8 +417,9 @@
   }
 
   /**
-   * In a rollout some know nothing of the question. They count as those who do not know, and the
-   * word comes once what they own of the job is over, which they learn from the state service.
+   * During a rollout some controllers run a build that does not know the frames about withdrawals.
+   * They count as controllers that do not know of the withdrawal; it is confirmed once the tasks
+   * that they own have ended, which they stop after reading the withdrawal from the state service.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3})
@@ -408,12 +431,15 @@
     }
     world.run(15_000);
     for (int i = 0; i < JOBS; i++) {
-      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no word of " + jobId(i));
+      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no confirmation for " + jobId(i));
     }
     ClusterTest.check(world, List.of());
   }
 
-  /** Frames that are malformed or of no known kind are dropped and counted; nothing changes. */
+  /**
+   * Peer frames that are malformed or of an unknown kind are dropped and counted, and change
+   * nothing.
+   */
   @Test
   void malformedAndUnknownFramesAreDroppedAndCounted() {
     SimWorld world = worldWithRunningJobs(4990, 60);
@@ -426,7 +452,10 @@
     assertEquals(before, SimWorld.digest(world.tables("n1")));
   }
 
-  /** Whatever is asked about a job that is withdrawn, or can't be, is answered at once. */
+  /**
+   * A withdraw request is answered at once for a job that is done, running, already withdrawn or
+   * unknown, and while the state service is unavailable or the controller is still loading.
+   */
   @Test
   void withdrawRequestIsAnsweredAtOnceInEveryJobState() {
     SimWorld world = new SimWorld(4970, 4, 4, "aab", 60);
@@ -447,13 +476,16 @@
     assertEquals("503", withdraw(world, "n0", "req-000009"));
     world.crash("n2", 100);
     world.run(1000);
-    assertEquals("503", withdraw(world, "n2", "req-000003"), "while it loads");
+    assertEquals("503", withdraw(world, "n2", "req-000003"), "the controller is still loading");
     world.state().outage(false);
     world.run(12_000);
     assertEquals("200 withdrawn", withdraw(world, "n2", "req-000003"));
     assertEquals(List.of(), world.broken());
   }
 
+  /**
+   * Sends a withdraw request and returns the status, followed by the phase if the status is 200.
+   */
   private static String withdraw(SimWorld world, String node, String id) {
     world.users.asked.add(id);
     var answer = world.users.ask(node, "POST", "/api/jobs/" + id + "/withdraw", new byte[0]);
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -17,12 +17,13 @@
 import wickdrift.bookkeeping.level.LevelRange;
 
 /**
- * Troubles that no page listed, alone and in pairs with those that are: machines that nothing
- * reaches, late copies of reports, a controller with its workers only. When they are over, every
- * job is done, and questions are answered.
+ * Faults beyond those that the operators list, alone and combined with one that they do list:
+ * machines that no command reaches, late duplicates of reports, workers that restart at once, and
+ * controllers that are left with only their workers. After the faults every job must finish and
+ * every request must be answered.
  */
 class CombinedFaultsTest {
-  /** What is not on the operators' lists. */
+  /** A fault that is not on the operators' lists. */
   enum PrimaryFault {
     ONE_MACHINE_UNREACHABLE_FOR_COMMANDS,
     HALF_A_ZONE_UNREACHABLE_FOR_COMMANDS,
@@ -37,7 +38,7 @@
     ISOLATED_LEADER_AND_FOLLOWER
   }
 
-  /** What comes with it. */
+  /** A fault that occurs together with a {@link PrimaryFault}. */
   enum ConcurrentFault {
     NONE,
     LEADER_CRASHES,
@@ -47,16 +48,18 @@
     LEVEL_UPGRADE
   }
 
+  /** Combines every primary fault with every concurrent fault. */
   static Stream<Arguments> faultPairs() {
     return Arrays.stream(PrimaryFault.values())
         .flatMap(u -> Arrays.stream(ConcurrentFault.values()).map(b -> Arguments.of(u, b)));
   }
 
+  /** Schedules an action on the simulated clock. */
   private static void at(SimWorld world, long delayMs, Runnable action) {
     world.clock.after(delayMs, action);
   }
 
-  /** As the first node knows it that knows a view. */
+  /** Returns the leader in the view of the first node that has a view. */
   private static String currentLeader(SimWorld world) {
     return world.nodes.stream()
         .filter(n -> world.tables(n).view() != null)
@@ -65,6 +68,7 @@
         .orElse(world.nodes.get(0));
   }
 
+  /** Cuts a controller off from the state service and its peers, but not from its workers. */
   private static void setIsolated(SimWorld world, String node, boolean isolated) {
     if (isolated) {
       world.cutFromState(node, false);
@@ -74,6 +78,7 @@
     world.cutFromPeers(node, isolated);
   }
 
+  /** Makes the first machines of zone a unreachable for commands, or reachable again. */
   private static void setUnreachableForCommands(SimWorld world, int machines, boolean unreachable) {
     int seen = 0;
     for (SimWorker worker : world.workers()) {
@@ -200,12 +205,15 @@
     world.run(300_000);
     int rented = world.cloud.rented;
     ClusterTest.check(world, finiteJobs);
-    // No storm: at most as many as could be there at once came anew.
+    // Faults must not cause mass rentals: at most one whole fleet is rented anew.
     assertTrue(rented <= 12 + 30, "rented " + rented);
     assertEquals(LevelRange.BUILD.max(), world.tables("n0").level());
   }
 
-  /** Once a machine is known to be deaf nothing more is placed there, until it hears. */
+  /**
+   * Once a machine is known to be unreachable for commands, nothing more is placed on it until
+   * commands reach it again.
+   */
   @Test
   void nothingIsPlacedOnAMachineUnreachableForCommands() {
     SimWorld world = new SimWorld(990, 4, 4, "aaa", 60);
@@ -243,18 +251,21 @@
             }
           });
     }
-    // More than the others hold, all the time.
+    // The demand always exceeds the capacity of the other machines.
     for (int i = 0; i < 60; i++) {
       int n = i;
       at(world, 300L * i, () -> world.users.submit(SimJobs.job(n, "batch", 1, 1, 12), 0));
     }
     world.run(45_000);
-    assertTrue(slotsBefore[0] >= 0, "it was never found deaf");
-    assertEquals(0, placedWhileUnreachable[0], "placed on a deaf machine");
-    // Its session ends within a lease; what was never seen there is over with that.
+    assertTrue(slotsBefore[0] >= 0, "the machine was never recorded as unreachable for commands");
+    assertEquals(
+        0, placedWhileUnreachable[0], "tasks placed on a machine that is unreachable for commands");
+    // The worker's session ends within a lease, and with it the attempts that were never reported
+    // as running there.
     assertTrue(emptyAtMs[0] > 0 && emptyAtMs[0] < 10_000 + 36_000, "empty at " + emptyAtMs[0]);
-    assertTrue(lost[0], "it was not recorded as silent");
-    assertEquals(0, timesUpAgain[0], "up again, and nothing reaches it");
+    assertTrue(lost[0], "the machine was not recorded as silent");
+    assertEquals(
+        0, timesUpAgain[0], "the machine counted as up again though no command reaches it");
     world.net.deaf.remove(worker.address);
     world.run(200_000);
     assertEquals(List.of(), world.broken());
@@ -264,9 +275,9 @@
   }
 
   /**
-   * A machine whose worker reaches no controller, while commands reach it, loses what it has with
-   * its lease, again and again: that it answers commands does not keep it from being recorded as
-   * silent a lease after its last report, and from then on nothing is placed there.
+   * A worker that receives commands but whose reports reach no controller loses its tasks each time
+   * its lease expires. Its answers to commands must not keep the machine from being recorded as
+   * silent one lease after the last report; from then on nothing is placed there.
    */
   @Test
   void machineThatCannotReportIsRecordedAsSilent() {
@@ -279,14 +290,14 @@
       int n = i;
       at(world, 300L * i, () -> world.users.submit(SimJobs.job(n, "batch", 1, 1, 12), 0));
     }
-    // The lease, and a second to notice and write it.
+    // One lease, and about a second until a controller has noticed and recorded the silence.
     for (int t = 0; t < 40; t++) {
       at(world, 17_500 + 500L * t, () -> timesWithTasks[0] += worker.empty() ? 0 : 1);
     }
     world.run(17_500);
-    assertTrue(world.lost, "it was not recorded as silent");
+    assertTrue(world.lost, "the machine was not recorded as silent");
     world.run(20_500);
-    assertEquals(0, timesWithTasks[0], "it was given tasks");
+    assertEquals(0, timesWithTasks[0], "samples in which the silent machine had tasks");
     world.run(120_000);
     assertEquals(List.of(), world.broken());
     for (int i = 0; i < 60; i++) {
@@ -295,8 +306,8 @@
   }
 
   /**
-   * A single report of a machine that is not there, as a late copy of one that was deleted: nothing
-   * is recorded of it, and nothing placed there.
+   * A single report names a machine that does not exist, like a late duplicate from a machine that
+   * was deleted. Nothing is recorded for that machine and nothing is placed on it.
    */
   @Test
   void lateReportOfADeletedMachineIsIgnored() {
@@ -317,9 +328,9 @@
   }
 
   /**
-   * A machine dies with what runs on it, and late copies of its reports go on coming for much
-   * longer than its lease, to all controllers, of which one has just come back: its tasks are over
-   * when they would be without the copies.
+   * A machine dies with its tasks, and late duplicates of its reports reach all controllers for
+   * much longer than its lease; in one case its owner has just restarted. The duplicates must not
+   * delay the end of its tasks.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -331,16 +342,19 @@
     world.run(20_000);
     SimWorker worker = world.workers().get(0);
     String owner = world.owner("n0", worker.name);
-    assertTrue(!world.tables("n0").machine(worker.name).slots().isEmpty(), "nothing runs there");
+    assertTrue(
+        !world.tables("n0").machine(worker.name).slots().isEmpty(), "no task runs on the machine");
     world.killMachine(0);
     if (ownerRestarts) {
       world.crash(owner, 300);
     }
-    // The lease, and for a new owner the grace before it; and a few seconds to notice.
+    // One lease, for a restarted owner its grace period before that, and a few seconds to notice.
     world.run(16_000 + (ownerRestarts ? 3 * 16_000 : 0) + 6000);
     Machine machine = world.tables("n0").machine(worker.name);
-    assertTrue(machine == null || machine.slots().isEmpty(), "its tasks still count as there");
-    assertTrue(machine == null || machine.phase() != Machine.Phase.UP, "it still counts as up");
+    assertTrue(machine == null || machine.slots().isEmpty(), "the dead machine still has tasks");
+    assertTrue(
+        machine == null || machine.phase() != Machine.Phase.UP,
+        "the dead machine still counts as up");
     world.net.copies = null;
     world.run(250_000);
     assertEquals(List.of(), world.broken());
@@ -348,9 +362,9 @@
   }
 
   /**
-   * A job that must be in two zones came to a part while the other zone had no controller, and the
-   * part had machines of both. The controller is back, and has those of its zone; what the job
-   * loses there is placed there again.
+   * A job that must run in two zones was assigned to a partition that had machines of both, because
+   * the other zone had no controller. That controller returns and owns the machines of its zone
+   * again. Tasks that the job then loses in that zone must be placed there again.
    */
   @Test
   void partitionWithoutAZoneTransfersJobsThatNeedTheZone() {
@@ -382,7 +396,10 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** A machine that is back at once is found out in seconds, long before its silence would be. */
+  /**
+   * A worker that restarts at once has lost its tasks. This must be detected within seconds, long
+   * before the machine would count as silent, and without renting another machine.
+   */
   @Test
   void tasksOfAnImmediatelyRestartedWorkerRunAgain() {
     SimWorld world = new SimWorld(993, 2, 2, "aaa", 60);
@@ -391,7 +408,7 @@
     world.run(12_000);
     world.workers().get(0).restart();
     world.run(9000);
-    // What ran there runs there again.
+    // The tasks of the restarted worker run again.
     int running = 0;
     for (int i = 0; i < 8; i++) {
       running += world.isOn("req-000001/" + i) ? 1 : 0;
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -10,12 +10,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.protocol.PeerFrame;
 
-/** What does not prove that a machine's owner, and nobody else, commands its worker. */
+/**
+ * Messages that must not count as proof that only a machine's current owner commands its worker.
+ */
 class ConfirmationProofTest {
   /**
-   * A controller that has lost the state service and its peers goes on renewing its workers'
-   * leases. Copies of their reports reach the next owner, who is asked: they show an older epoch,
-   * so they prove nothing.
+   * A controller that has lost the state service and its peers keeps renewing its workers' leases.
+   * Duplicates of their reports reach the next owner, which is asked to confirm withdrawals. The
+   * duplicates show an older epoch, so they do not prove that the workers obey the next owner.
    */
   @ParameterizedTest
   @ValueSource(longs = {4700, 4701, 4702})
@@ -46,15 +48,16 @@
   }
 
   /**
-   * A gang member gave up waiting and is told to go on, in an answer that is under way: it starts
-   * once more, though the last report shows it ended.
+   * A gang member that gave up waiting is told to continue in an answer that is still in transit.
+   * It then starts once more although its last report shows it as ended, so that report does not
+   * prove that the task stays stopped.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void lastReportOfAnEndedGangMemberDoesNotProveThatItStaysStopped(long seed) {
     SimWorld world = new SimWorld(seed, 8, 8, "aab", 60);
     world.run(8000);
-    // One of two in each zone, so that gangs wait for the slower one.
+    // Half the machines of each zone fetch slowly, so that gangs wait for their slower members.
     for (int worker : new int[] {0, 1, 4, 5}) {
       world.workers().get(worker).slowFetchMs = 80_000;
     }
@@ -63,7 +66,7 @@
     }
     while (world.workers().stream().noneMatch(SimWorker::gaveUpWaiting)) {
       world.run(1);
-      assertTrue(world.clock.nowMs() < 120_000, "no member gives up");
+      assertTrue(world.clock.nowMs() < 120_000, "no gang member has given up waiting");
     }
     for (SimWorker worker : world.workers()) {
       long tick = worker.tick;
@@ -71,7 +74,7 @@
         while (worker.tick == tick) {
           world.run(1);
         }
-        // The report is under way, and its answer will be held.
+        // The report is in transit, and its answer will be held back.
         world.nodes.forEach(n -> world.net.cut(n, worker.address, true));
       }
     }
@@ -84,7 +87,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** An owner that reads of another view than the one that it is asked under says nothing. */
+  /** An owner does not answer a withdrawal frame that carries an epoch other than its own. */
   @Test
   void ownerAnswersOnlyUnderItsOwnEpoch() {
     SimWorld world = CancellationTest.worldWithRunningJobs(4710, 200);
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -9,12 +9,14 @@
 import java.util.TreeSet;
 import java.util.function.IntFunction;
 
-/** One run of fault scenarios in a simulated world: its jobs, and what scripts are written with. */
+/**
+ * A run of one or more fault scenarios in a simulated world, with the operations that scripts use.
+ */
 final class FaultRun {
-  /** Jobs that each run has. */
+  /** Number of jobs that every run submits. */
   static final int BASE_JOBS = 30;
 
-  /** Numbers from here on are of jobs that scenarios submit beside those. */
+  /** The first number of the jobs that scenarios submit in addition to the {@link #BASE_JOBS}. */
   private static final int FIRST_ADDITIONAL_JOB = 100;
 
   private static final long FAULTS_END_MS = 130_000;
@@ -23,7 +25,7 @@
   final SimWorld world;
   final Random random;
 
-  /** Whether the combination of faults took place. */
+  /** Whether the combination of faults has occurred. */
   boolean faultsOccurred;
 
   private final TreeSet<String> submitted = new TreeSet<>();
@@ -34,16 +36,22 @@
     this.random = random;
   }
 
-  /** The world of scenarios that need no other. */
+  /** Returns the default setup, for scenarios that need no other. */
   static SimSetup setup(long seed) {
     return new SimSetup(seed, 12, 30).controllers("aab");
   }
 
+  /** Returns the id of the job with this number. */
   static String jobId(int number) {
     return String.format("req-%06d", number);
   }
 
-  /** Plays the scenarios at once, and asserts what must hold in the end. */
+  /**
+   * Runs the scenarios concurrently, followed by a period without faults, and asserts that all
+   * invariants held, that withdrawn jobs are withdrawn or done, and that all other jobs are done.
+   *
+   * @param scenarioOfJob the scenario that determines the properties of a base job, by its number
+   */
   void run(IntFunction<FaultScenario> scenarioOfJob, List<FaultScenario> scenarios) {
     for (int i = 0; i < BASE_JOBS; i++) {
       Map<String, Object> job = job(scenarioOfJob.apply(i), i);
@@ -70,7 +78,7 @@
     ClusterTest.check(world, finiteJobs);
   }
 
-  /** The shape of the i-th job, which the scenarios choose by what they are about. */
+  /** Describes a base job, with the properties that the scenario needs. */
   private Map<String, Object> job(FaultScenario scenario, int number) {
     double seconds = 15 + random.nextInt(25);
     boolean isLong = scenario == FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
@@ -97,17 +105,22 @@
 
   // ---- jobs ----
 
+  /**
+   * Submits a job.
+   *
+   * @param cancelAfterMs how long after its acceptance the job is withdrawn; 0: never
+   */
   void submit(Map<String, Object> job, long cancelAfterMs) {
     submitted.add((String) job.get("ref"));
     world.users.submit(job, cancelAfterMs);
   }
 
-  /** A number that no job has yet. */
+  /** Returns a job number that is not used yet. */
   int nextNumber() {
     return nextNumber++;
   }
 
-  /** Small jobs of both teams, beside those of every run. */
+  /** Schedules small jobs of both teams in addition to the base jobs. */
   void submitAdditional(int count, long fromMs, int spanMs) {
     for (int i = 0; i < count; i++) {
       Map<String, Object> job =
@@ -117,7 +130,7 @@
     }
   }
 
-  /** Users cancel so many running jobs at this moment, each at another controller. */
+  /** Withdraws up to {@code count} running jobs now, through the controllers in turn. */
   void cancelRunning(int count) {
     int left = count;
     for (String id : cancellable()) {
@@ -127,7 +140,7 @@
     }
   }
 
-  /** Users cancel the jobs that were accepted last, whether they run or not. */
+  /** Withdraws the last {@code count} accepted jobs, whether they run or not. */
   void cancelNewest(int count) {
     List<String> all = cancellable();
     for (int i = Math.max(0, all.size() - count); i < all.size(); i++) {
@@ -135,7 +148,7 @@
     }
   }
 
-  /** Users cancel running jobs whose machines hang, or lose the network, at that moment. */
+  /** Withdraws running jobs and lets their machines hang or lose the network at the same moment. */
   void cancelOnFailingMachines(int count, boolean hang, long forMs) {
     int left = count;
     for (String id : cancellable()) {
@@ -166,7 +179,10 @@
     throw new AssertionError("no machine " + machine);
   }
 
-  /** A third of the jobs may be cancelled; the others must be done in the end. */
+  /**
+   * Returns the accepted jobs that a script may still withdraw. Only a third of the jobs may be
+   * withdrawn; the others must finish.
+   */
   private List<String> cancellable() {
     List<String> out = new ArrayList<>();
     int i = 0;
@@ -179,12 +195,12 @@
     return out;
   }
 
-  /** Jobs of which users were told that they are cancelled. */
+  /** Returns how many jobs users were told are withdrawn. */
   long cancelledCount() {
     return submitted.stream().filter(world.rules::toldWithdrawn).count();
   }
 
-  /** Whether a team's tasks hold its whole limit, but for less than a task. */
+  /** Whether fewer than two GPUs, the most that a task needs, are left of the team's limit. */
   boolean atLimit(String team) {
     double held = world.workers().stream().mapToDouble(m -> m.gpusOf(team)).sum();
     return held > world.setup.limitOf(team) - 2;
@@ -192,11 +208,12 @@
 
   // ---- controllers ----
 
-  /** So long from now; in a script, from the start. */
+  /** Schedules an action after a delay. The script itself runs at the start of the world. */
   void at(long delayMs, Runnable action) {
     world.clock.after(delayMs, action);
   }
 
+  /** Returns the leader in the view with the newest epoch that a live controller has. */
   String leader() {
     return world.nodes.stream()
         .filter(n -> world.alive(n) && world.tables(n).view() != null)
@@ -205,17 +222,17 @@
         .orElse(world.nodes.get(0));
   }
 
-  /** The newest epoch that any controller knows. */
+  /** Returns the newest epoch that any live controller knows, or 0 if none knows one. */
   long newestEpoch() {
     return world.nodes.stream().filter(world::alive).mapToLong(this::epochOf).max().orElse(0);
   }
 
-  /** The epoch that a controller knows; 0: none. */
+  /** Returns the epoch that the controller knows, or 0 if it has no view. */
   long epochOf(String node) {
     return world.tables(node).view() == null ? 0 : world.epoch(node);
   }
 
-  /** The leader ends and is back soon, or stands still until it was deposed. */
+  /** Crashes the leader, which restarts within seconds, or pauses it until it has been replaced. */
   void crashOrPauseLeader(boolean pause) {
     if (pause) {
       world.freeze(leader(), 9000, random.nextBoolean());
@@ -224,7 +241,11 @@
     }
   }
 
-  /** A controller's work goes to others: it crashes, leaves in order, or stands still. */
+  /**
+   * Forces a handover of the controller's work to the others.
+   *
+   * @param method modulo 3: 0 crashes the controller, 1 restarts it gracefully, 2 pauses it
+   */
   void forceHandover(String node, int method) {
     if (!world.alive(node)) {
       return;
@@ -238,6 +259,7 @@
 
   // ---- machines ----
 
+  /** Cuts the first machines off for a time; their messages are held back or lost. */
   void cutMachines(int machines, boolean hold, long forMs) {
     for (int m = 0; m < machines; m++) {
       world.cutMachine(m, hold);
@@ -245,19 +267,20 @@
     at(forMs, world::healMachines);
   }
 
-  /** A machine that is back at once, with nothing on it. */
+  /** Restarts a machine's worker at once; its tasks are lost. */
   void restartMachine(int index) {
     List<SimWorker> all = world.workers();
     all.get(index % all.size()).restart();
   }
 
+  /** Kills the first {@code count} machines. */
   void killMachines(int count) {
     for (int i = 0; i < count; i++) {
       world.killMachine(i);
     }
   }
 
-  /** Calls back when a machine has come up, no more often than every so often. */
+  /** Runs an action when a machine has come up, at most once per {@code everyMs}. */
   void whenMachinesComeUp(long fromMs, long untilMs, long everyMs, Runnable action) {
     int[] known = {world.workers().size()};
     long[] last = {Long.MIN_VALUE / 2};
@@ -275,7 +298,9 @@
     }
   }
 
-  /** Copies of reports that were kept reach every controller as a new leader begins. */
+  /**
+   * Delivers the retained duplicates of reports to every controller whenever the leader changes.
+   */
   void replayReportsAtLeaderChanges(long fromMs, long untilMs) {
     String[] last = new String[1];
     for (long t = fromMs; t < untilMs; t += 4) {
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -4,11 +4,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Combinations of faults that the operators name, each as a script of a simulated world. A script
- * sets {@link FaultRun#faultsOccurred} once the combination took place; docs/meetings.md tells
- * which other tests bring them about.
+ * Combinations of faults that the operators list, each as a script for a simulated world. A script
+ * sets {@link FaultRun#faultsOccurred} once the combination has occurred. docs/meetings.md lists
+ * the other tests that cover these combinations.
  */
 enum FaultScenario {
+  /** The leader crashes ten times, also during an outage of the state service. */
   REPEATED_LEADER_CRASHES_AND_STATE_SERVICE_OUTAGE(
       run -> {
         long[] first = new long[1];
@@ -23,6 +24,7 @@
         run.at(85_000, () -> run.world.state().outage(false));
         run.at(120_000, () -> run.faultsOccurred = run.newestEpoch() >= first[0] + 7);
       }),
+  /** A zone, its controller and its workers are cut off from everything else. */
   ZONE_AND_ITS_CONTROLLER_PARTITIONED(
       run -> {
         run.at(22_000, () -> run.world.cutZone("n2", true));
@@ -30,6 +32,7 @@
         run.at(70_000, () -> run.world.cutZone("n2", false));
         run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() > run.epochOf("n2"));
       }),
+  /** All controllers are down for longer than a worker's lease. */
   ALL_CONTROLLERS_CRASH(
       run -> {
         run.at(22_000, () -> run.cancelRunning(5));
@@ -40,6 +43,7 @@
                     n -> run.world.crash(n, 22_000 + run.random.nextInt(4000))));
         run.at(60_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
       }),
+  /** The tasks of a job take very different times and end under several leaders. */
   UNEVEN_TASK_DURATIONS_ACROSS_LEADER_CHANGES(
       run -> {
         run.world.pace = task -> task.endsWith("/1") ? 2.5 : task.endsWith("/2") ? 0.2 : 0.7;
@@ -49,6 +53,7 @@
         run.at(40_000, () -> run.cancelRunning(4));
         run.at(50_000, () -> run.faultsOccurred = run.world.starts() > FaultRun.BASE_JOBS);
       }),
+  /** Workers receive commands, but their reports reach no controller. */
   WORKERS_CANNOT_REPORT(
       run -> {
         run.at(
@@ -62,6 +67,7 @@
         run.at(48_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
         run.at(50_000, run.world.net.mute::clear);
       }),
+  /** A team is at its limit while machines that hold part of it are cut off. */
   LIMIT_REACHED_AND_MACHINES_UNREACHABLE(
       setup -> setup.gpusMax(15),
       run -> {
@@ -71,6 +77,7 @@
         run.at(40_000, () -> run.world.crash(run.leader(), 300));
         run.at(23_000, () -> run.faultsOccurred = run.atLimit("vision"));
       }),
+  /** Jobs that must stay in one zone lose machines of that zone. */
   ZONE_BOUND_JOBS_LOSE_MACHINES(
       run -> {
         for (int i = 0; i < 5; i++) {
@@ -82,6 +89,7 @@
         run.at(45_000, () -> run.world.crash(run.leader(), 300));
         run.at(60_000, () -> run.faultsOccurred = run.world.lost);
       }),
+  /** Messages to and from machines are held back for a time, and machines hang and go on. */
   COMMANDS_HELD_AND_MACHINES_HANG(
       run -> {
         for (int i = 0; i < 6; i++) {
@@ -123,6 +131,7 @@
         run.at(80_000, () -> run.world.nodes.forEach(n -> run.world.state().slowReads(n, 0)));
         run.at(75_000, () -> run.faultsOccurred = !run.world.users.asked.isEmpty());
       }),
+  /** Reports are held back until a new leader has made decisions. */
   REPORTS_DELAYED_PAST_A_LEADER_CHANGE(
       run -> {
         run.world.net.copies = new SimNet.Copies("/hello", 0.3, 20_000, run.world.nodes);
@@ -133,6 +142,7 @@
         }
         run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() >= 4);
       }),
+  /** The leader can reach only its workers and users. */
   LEADER_ISOLATED_FROM_STATE_SERVICE_AND_PEERS(
       run -> {
         String[] alone = new String[1];
@@ -153,6 +163,7 @@
               run.world.cutFromPeers(alone[0], false);
             });
       }),
+  /** More tasks are submitted than the fleet can hold, and images are fetched slowly. */
   DEMAND_EXCEEDS_CAPACITY(
       setup -> setup.capacity(12),
       run -> {
@@ -166,6 +177,7 @@
                     run.world.users.accepted.stream()
                         .anyMatch(j -> run.world.placed("n0", j) == 0));
       }),
+  /** Transactions reach the state service after newer ones. */
   TRANSACTIONS_REORDERED(
       run -> {
         run.at(
@@ -194,6 +206,7 @@
         run.at(40_000, () -> run.world.crash(run.leader(), 300));
         run.at(90_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
       }),
+  /** Withdraw requests and repeated submissions arrive just as a job finishes. */
   REQUESTS_RACE_WITH_JOB_COMPLETION(
       run -> {
         boolean[] over = new boolean[FaultRun.BASE_JOBS];
@@ -202,7 +215,7 @@
               10_000 + 10L * t,
               () -> {
                 for (int i = 0; i < FaultRun.BASE_JOBS; i++) {
-                  // The last of its tasks has just left: whatever is asked now meets its end.
+                  // The last task has just ended, so these requests race with the job's completion.
                   if (!over[i]
                       && run.world.users.accepted.contains(FaultRun.jobId(i))
                       && run.world.rules.allDone(FaultRun.jobId(i))) {
@@ -226,6 +239,7 @@
               });
         }
       }),
+  /** The leader crashes, and commands of its successor do not reach some machines. */
   LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS(
       run -> {
         for (int i = 0; i < 3; i++) {
@@ -241,6 +255,7 @@
         }
         run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() >= 3);
       }),
+  /** Commands of a former leader arrive after those of its successor. */
   COMMANDS_OF_A_FORMER_LEADER_ARRIVE_LATE(
       run -> {
         SimNet.Delay delay = new SimNet.Delay("/orders", 0.4, 2000, 16_000);
@@ -256,6 +271,7 @@
         run.at(
             95_000, () -> run.faultsOccurred = run.world.net.delayed > 5 && run.newestEpoch() >= 3);
       }),
+  /** Jobs are withdrawn shortly before, during and after the handover of a controller's work. */
   CANCELLATIONS_DURING_HANDOVERS(
       run -> {
         run.submitAdditional(60, 10_000, 70_000);
@@ -276,6 +292,7 @@
                 run.faultsOccurred =
                     run.newestEpoch() >= first[0] + 4 && run.cancelledCount() > 15);
       }),
+  /** Duplicates of old reports reach every controller as a new leader starts. */
   OLD_REPORTS_REPLAYED_AT_LEADER_CHANGES(
       run -> {
         run.at(12_000, () -> run.world.net.keepShare = 0.3);
@@ -292,6 +309,10 @@
         run.at(100_000, () -> run.world.net.keepShare = 0);
         run.at(100_000, () -> run.faultsOccurred = run.world.net.released > 20);
       }),
+  /**
+   * Machines boot fast and get work before the delayed writes about them arrive, and the leader
+   * crashes as they come up.
+   */
   NEW_MACHINES_START_WHILE_WRITES_LAG_AND_LEADERS_CRASH(
       setup -> setup.machines(1),
       run -> {
@@ -318,6 +339,7 @@
         run.at(
             90_000, () -> run.faultsOccurred = ended[0] >= 2 && run.world.state().lateWrites > 3);
       }),
+  /** Users query every node right after each event of a job and repeat its submission. */
   REPEATED_USER_REQUESTS_TO_ALL_NODES(
       run -> {
         run.world.users.closeLooks = new SimCloseLooks(run.world);
@@ -344,6 +366,7 @@
         run.at(55_000, () -> run.crashOrPauseLeader(true));
         run.at(100_000, () -> run.faultsOccurred = run.cancelledCount() > 30);
       }),
+  /** Transactions are committed, but the responses to a share of them are lost. */
   TRANSACTION_RESPONSES_LOST(
       run -> {
         run.world.users.closeLooks = new SimCloseLooks(run.world);
@@ -357,6 +380,7 @@
         run.at(90_000, () -> run.world.state().loseAnswers(0, 1));
         run.at(90_000, () -> run.faultsOccurred = run.world.state().answersLost > 20);
       }),
+  /** Both teams are at their limits while the machines of withdrawn jobs hang or are cut off. */
   ALL_TEAMS_AT_LIMIT_AND_MACHINES_OF_CANCELLED_JOBS_UNREACHABLE(
       setup -> setup.gpusMax(15).soundGpusMax(11),
       run -> {
@@ -373,7 +397,9 @@
         run.at(100_000, () -> run.faultsOccurred = full[0] && run.cancelledCount() > 8);
       });
 
+  /** Schedules the faults and requests of the scenario. */
   final Consumer<FaultRun> script;
+
   private final UnaryOperator<SimSetup> setup;
 
   FaultScenario(Consumer<FaultRun> script) {
@@ -385,7 +411,7 @@
     this.script = script;
   }
 
-  /** The world that this scenario is played in when it is played alone. */
+  /** Returns the setup of the world for a run of this scenario alone. */
   SimSetup setup(long seed) {
     return setup.apply(FaultRun.setup(seed));
   }
--- a/src/test/java/wickdrift/sim/FaultScenariosTest.java
+++ b/src/test/java/wickdrift/sim/FaultScenariosTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The combinations of faults that the operators name, one row each and several seeds. Once all is
- * over every job that was not cancelled is done, none waits beside room for it, and every question
- * is answered.
+ * Runs each {@link FaultScenario} with several seeds, and pairs of them concurrently. After the
+ * faults every job that was not withdrawn must finish, no job may wait while it fits free capacity,
+ * and every request must be answered.
  */
 class FaultScenariosTest {
   private static final int SEEDS = Integer.getInteger("wickdrift.scenarioSeeds", 4);
@@ -23,15 +23,16 @@
   private static final FaultScenario LAST_SCENARIO_PAIRED_BY_DEFAULT =
       FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
 
-  /** Whether every pair is played, and not only those of the first scenarios: that takes long. */
+  /** Whether to run all pairs, which takes long, instead of those of the first scenarios only. */
   private static final boolean TEST_ALL_PAIRS = Boolean.getBoolean("wickdrift.allPairs");
 
-  /** Scenarios of which every pair is played. */
+  /** Scenarios of which every pair is run. */
   private static final List<FaultScenario> PAIRED_SCENARIOS =
       Arrays.stream(FaultScenario.values())
           .filter(s -> TEST_ALL_PAIRS || s.ordinal() <= LAST_SCENARIO_PAIRED_BY_DEFAULT.ordinal())
           .toList();
 
+  /** Combines every scenario with every seed. */
   static Stream<Arguments> scenariosAndSeeds() {
     return Arrays.stream(FaultScenario.values())
         .flatMap(
@@ -44,10 +45,10 @@
     long seed = 7000 + 1000L * scenario.ordinal() + seedOffset;
     FaultRun run = new FaultRun(new SimWorld(scenario.setup(seed)), new Random(seed));
     run.run(i -> scenario, List.of(scenario));
-    assertTrue(run.faultsOccurred, "the faults did not meet");
+    assertTrue(run.faultsOccurred, "the combination of faults did not occur");
   }
 
-  /** Two of the scenarios at once; a seed, and a size, for each. */
+  /** Lists every pair of the scenarios to be paired. */
   static Stream<Arguments> scenarioPairs() {
     return PAIRED_SCENARIOS.stream()
         .flatMap(
@@ -57,6 +58,7 @@
                     .map(b -> Arguments.of(a, b)));
   }
 
+  /** Each pair has a seed of its own; a third of the pairs run with five controllers. */
   @ParameterizedTest(name = "{0} and {1}")
   @MethodSource("scenarioPairs")
   void invariantsHoldInTwoConcurrentScenarios(FaultScenario first, FaultScenario second) {
--- a/src/test/java/wickdrift/sim/GangsOnFewMachinesTest.java
+++ b/src/test/java/wickdrift/sim/GangsOnFewMachinesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Gangs whose members fit side by side start on fewer machines than they have members. */
+/** Gangs start on fewer machines than they have members if several members fit on a machine. */
 class GangsOnFewMachinesTest {
   @ParameterizedTest(name = "{1} gangs of {0} on {2} machines")
   @CsvSource({"2, 1, 1", "4, 1, 1", "2, 2, 2", "3, 2, 2", "4, 2, 2", "2, 4, 2", "3, 4, 4"})
@@ -17,7 +17,7 @@
       world.users.submit(SimJobs.job(i, "ensemble", tasks, 1, 300), 0);
     }
     world.run(25_000);
-    assertEquals(gangs * tasks, world.starts(), "members that started");
+    assertEquals(gangs * tasks, world.starts(), "gang members that started");
     assertEquals(List.of(), world.broken());
   }
 }
--- a/src/test/java/wickdrift/sim/JobMixTest.java
+++ b/src/test/java/wickdrift/sim/JobMixTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Arrays and gangs of all sizes, ranks and bindings on a fleet that is too small for them, its
- * teams at their limits, and no fault: none waits for long beside room for it, and all are done.
+ * Arrays and gangs of various sizes, priorities and zone constraints, without faults, on a fleet
+ * that is too small for them and with teams at their limits. No job may wait for long while it fits
+ * free capacity, and all must finish.
  */
 class JobMixTest {
   private static final int JOBS = 40;
--- a/src/test/java/wickdrift/sim/LargestJobStartTimeTest.java
+++ b/src/test/java/wickdrift/sim/LargestJobStartTimeTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The largest job of a class begins within four minutes of its submission, whatever swarm of small
- * ones fills the fleet, and the small ones go on being served.
+ * The largest job of a class must start within four minutes of its submission although many small
+ * jobs compete for the fleet, and the small jobs must not starve meanwhile.
  */
 class LargestJobStartTimeTest {
   private static final long START_LIMIT_MS = 240_000;
 
-  @ParameterizedTest(name = "a {0} of {1} beside {2} small ones, {3}")
+  @ParameterizedTest(name = "{0} of {1} tasks, background load: {2}, fault: {3}")
   @CsvSource({
     "ensemble, 4, swarm, quiet",
     "ensemble, 5, swarm, quiet",
@@ -30,7 +30,7 @@
   })
   void largestJobStartsWithinFourMinutes(
       String shape, int tasks, String backgroundLoad, String fault) {
-    // As many machines as there will ever be: what is large has to wait for what runs.
+    // The fleet cannot grow, so the large job has to wait for running tasks to end.
     double limit = backgroundLoad.equals("limit") ? 36 : 1000;
     SimWorld world = new SimWorld(1100 + tasks, 12, 12, "aab", limit);
     world.run(8000);
@@ -64,17 +64,17 @@
     while (!hasStarted(world, tasks, shape) && world.clock.nowMs() - startMs < START_LIMIT_MS) {
       world.run(1000);
     }
-    assertTrue(hasStarted(world, tasks, shape), "not begun within four minutes");
+    assertTrue(hasStarted(world, tasks, shape), "not started within four minutes");
     world.run(600_000 - world.clock.nowMs() + startMs);
     assertEquals(List.of(), world.broken());
     long done = 0;
     for (int i = 0; i < smallJobs; i++) {
       done += "done".equals(world.lastTold(String.format("req-%06d", i))) ? 1 : 0;
     }
-    assertTrue(done > smallJobs / 2, "small ones done: " + done + " of " + smallJobs);
+    assertTrue(done > smallJobs / 2, "small jobs done: " + done + " of " + smallJobs);
   }
 
-  /** Of a gang all its tasks, of others the first. */
+  /** Whether all tasks of a gang run, or at least one task of another job, or the job is done. */
   private static boolean hasStarted(SimWorld world, int tasks, String shape) {
     int running = 0;
     for (int i = 0; i < tasks; i++) {
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -12,8 +12,9 @@
 import wickdrift.protocol.Document;
 
 /**
- * A run command that was sent straight to a worker is held up, unanswered, and arrives when the
- * attempt that it starts is long over, under the same epoch and in the same session.
+ * A run command that was sent directly to a worker is delayed without an answer and arrives after
+ * its attempt has ended, under the same epoch and in the same session. It must not start the task
+ * again.
  */
 class LateCommandTest {
   private static final int JOB = 1;
@@ -23,20 +24,23 @@
   private static final long STEP_MS = 5;
   private static final long WAIT_TIMEOUT_MS = 60_000;
 
-  /** Why the attempt is over when the command arrives. */
+  /** How the attempt ended before the delayed command arrives. */
   enum Ending {
-    /** The job's cancellation was confirmed. */
+    /** The job was withdrawn, and the withdrawal was confirmed. */
     CANCELLED,
-    /** It failed, and its task runs on another machine. */
+    /** The attempt failed, and the task runs on another machine. */
     FAILED_AND_RESTARTED_ELSEWHERE
   }
 
   private SimWorld world;
+
+  /** The worker that the first command to run the task was sent to. */
   private SimWorker worker;
 
-  /** How many commands to run the task were sent straight to its worker. */
+  /** Number of commands to run the task that were sent directly to a worker. */
   private int directRunCommands;
 
+  /** Whether the answers to the worker's reports are lost. */
   private boolean loseReportAnswers;
 
   @BeforeEach
@@ -84,7 +88,9 @@
     }
   }
 
-  /** Submits the job, and waits until the first command to run its task is under way. */
+  /**
+   * Submits the job and waits until the first command to run its task has been sent and is held.
+   */
   private void submit() {
     world.users.submit(SimJobs.job(JOB, "batch", 1, 1, 100), 0);
     runUntil("the first run is held", () -> directRunCommands == 1);
@@ -94,7 +100,7 @@
     return world.rules.machineOf(TASK);
   }
 
-  /** The attempt ends on its machine, for good, and the worker no longer knows of it. */
+  /** Ends the attempt for good and waits until the worker has removed it. */
   private void endAttempt(Ending ending) {
     if (ending == Ending.CANCELLED) {
       world.users.withdraw(JOB_ID, world.nodes.get(0));
@@ -113,12 +119,12 @@
     world.net.releaseHeld();
     world.run(30_000);
     assertEquals(List.of(), world.broken());
-    assertEquals(starts, world.starts(), "the late command has started the task again");
+    assertEquals(starts, world.starts(), "the delayed command has started the task again");
   }
 
   /**
-   * The run is sent straight once more, as no report showed the task, and this time it is answered:
-   * that tells nothing of the first, which is under way still.
+   * The run command is sent directly a second time because no report showed the task, and this one
+   * is answered. The answer says nothing about the first command, which is still in transit.
    */
   @ParameterizedTest
   @EnumSource(Ending.class)
@@ -126,7 +132,7 @@
     loseReportAnswers = true;
     submit();
     long tick = worker.tick;
-    // The first is given up, and a report comes whose answer is lost.
+    // The controller gives up on the first command, and the answer to the next report is lost.
     world.run(4000);
     runUntil("a report", () -> worker.tick > tick);
     world.users.submit(SimJobs.job(OTHER_JOB, "batch", 6, 1, 100), 0);
@@ -139,8 +145,9 @@
   }
 
   /**
-   * The machine is back at once and its worker counts from one again; its reports reach nobody
-   * until it has counted past what is known of the one before.
+   * The worker restarts at once and counts its reports from one again. None of them reaches a
+   * controller until its count exceeds the last one known from the previous incarnation, so the
+   * controllers take it for the same session.
    */
   @ParameterizedTest
   @EnumSource(Ending.class)
--- a/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -12,11 +12,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wickdrift.protocol.MessageCodec;
 
-/** Transactions whose answers are lost, or that are held up, keep users and placements waiting. */
+/**
+ * Transactions whose responses are lost, or that are delayed on their way to the state service.
+ * Users and placements must not wait for a response if the result shows in the tables, and a
+ * delayed transaction must neither block the next ones nor take effect twice.
+ */
 class LostTransactionResponsesTest {
   private static final long STARTUP_MS = 8000;
 
-  /** How long each submission waited for its answer, by job; none yet: not in it. */
+  /** The answers to submissions so far, and how long each submission waited for its answer. */
   private static final class SubmissionAnswers {
     final Map<String, Long> waitMsByJob = new TreeMap<>();
     final List<Integer> statuses = new ArrayList<>();
@@ -47,11 +51,12 @@
             });
   }
 
+  /** Whether every answer so far accepts its submission. */
   private static boolean allAccepted(SubmissionAnswers answers) {
     return answers.statuses.stream().allMatch(s -> s == 200 || s == 201);
   }
 
-  /** Only the answers are lost: what is durable shows in the tables, and is answered from there. */
+  /** A committed submission shows in the tables and is answered from there without the response. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void durableSubmissionsAreAnsweredThoughTransactionResponsesAreLost(long seed) {
@@ -69,7 +74,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** Placements go on as well: each is seen in the tables, and the next one is decided. */
+  /** Each placement shows in the tables, and the next one is decided without the response. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void placementContinuesThoughTransactionResponsesAreLost(long seed) {
@@ -82,11 +87,11 @@
           () -> submit(world, world.nodes.get(number % 3), number, new SubmissionAnswers()));
     }
     world.run(400 * 10 + 4500);
-    assertEquals(10, world.starts(), "started");
+    assertEquals(10, world.starts(), "tasks that started");
     assertEquals(List.of(), world.broken());
   }
 
-  /** A held up batch is overtaken and sent again; when it arrives after all it changes nothing. */
+  /** A delayed batch is overtaken and sent again; when it arrives in the end it changes nothing. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void delayedBatchIsOvertakenAndSentAgain(long seed) {
@@ -101,20 +106,21 @@
     SubmissionAnswers next = new SubmissionAnswers();
     submit(world, "n0", 2, next);
     world.run(500);
-    assertEquals(1, next.statuses.size(), "the next batch waits for the first");
+    assertEquals(
+        1, next.statuses.size(), "answers for the second batch, which must not wait for the first");
     world.run(900);
-    assertEquals(1, first.statuses.size(), "the first is not sent again");
+    assertEquals(1, first.statuses.size(), "answers for the first batch, which must be sent again");
     assertTrue(allAccepted(first) && allAccepted(next), first.statuses + " and " + next.statuses);
     long stamp = world.tables("n1").job("req-000001").stamp();
     world.run(6000);
     assertTrue(
         world.tables("n1").job("req-000001") == null
             || world.tables("n1").job("req-000001").stamp() == stamp,
-        "the late transaction took the job once more");
+        "the delayed transaction created the job again");
     assertEquals(List.of(), world.broken());
   }
 
-  /** A withdrawal of which only the answer is lost is confirmed at once. */
+  /** A withdrawal that is committed is confirmed at once although the response is lost. */
   @Test
   void durableWithdrawalIsConfirmedThoughItsResponseIsLost() {
     SimWorld world = startedWorld(9);
@@ -123,7 +129,7 @@
     world.state().loseAnswers(1, 9);
     world.users.withdraw("req-000001", "n0");
     world.run(1500);
-    assertTrue(world.rules.toldWithdrawn("req-000001"), "no word");
+    assertTrue(world.rules.toldWithdrawn("req-000001"), "the withdrawal was not confirmed");
     world.run(30_000);
     assertEquals(List.of(), world.broken());
   }
--- a/src/test/java/wickdrift/sim/MalformedResponsesTest.java
+++ b/src/test/java/wickdrift/sim/MalformedResponsesTest.java
@@ -12,7 +12,10 @@
 import wickdrift.protocol.MalformedMessages;
 import wickdrift.protocol.MalformedMessages.Sender;
 
-/** Answers that nobody can read: each is counted, each cause told once, and work goes on after. */
+/**
+ * Malformed responses of the state service, the cloud or workers are counted, each cause is
+ * recorded once, and all jobs finish after the responses are well-formed again.
+ */
 class MalformedResponsesTest {
   @ParameterizedTest
   @EnumSource(names = {"STATE_SERVICE", "CLOUD", "WORKER"})
@@ -34,10 +37,13 @@
           case CLOUD -> "cloud.malformed";
           default -> "workers.malformed";
         };
-    assertTrue(world.total("wickdrift." + metric) > 0, "none was counted");
+    assertTrue(world.total("wickdrift." + metric) > 0, "no malformed response was counted");
     ClusterTest.check(world, finiteJobs);
   }
 
+  /**
+   * Makes the responses of all hosts of this kind malformed, or all responses well-formed again.
+   */
   private static void setMalformed(SimWorld world, Sender sender, boolean malformed) {
     List<String> hosts =
         switch (sender) {
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -11,9 +11,12 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** What a decision, and a process, costs at sizes beyond any deployment: counted, not timed. */
+/**
+ * The cost of a placement and the memory of a process at fleet sizes beyond any deployment. Costs
+ * are counted, not timed, so that they do not depend on the machine that runs the test.
+ */
 class ScaleTest {
-  /** The same work on fleets of several sizes, in a window after all machines are recorded. */
+  /** What a placed task costs on average, measured after all machines are recorded. */
   private record Cost(
       double capacityEntriesExamined,
       double requests,
@@ -23,11 +26,12 @@
     @Override
     public String toString() {
       return String.format(
-          "rooms %.1f, requests %.2f, commits %.2f, written %.0f B, read %.0f B a task",
+          "per task: capacity entries %.1f, requests %.2f, commits %.2f, written %.0f B, read %.0f B",
           capacityEntriesExamined, requests, commits, bytesWritten, bytesRead);
     }
   }
 
+  /** Runs the same jobs on a fleet of this size. */
   private static Cost costPerTask(int machines) {
     SimWorld world =
         new SimWorld(
@@ -56,7 +60,10 @@
         (state.read() - readBefore) / tasks);
   }
 
-  /** Eight times as many machines, the same work: nothing of it may cost half as much again. */
+  /**
+   * With the same work on up to eight times as many machines, no cost per task may grow by half or
+   * more. The examined capacity entries may grow by 20 beyond that.
+   */
   @Test
   void costPerTaskDoesNotGrowWithTheFleet() {
     Cost smallFleet = costPerTask(1000);
@@ -74,14 +81,14 @@
     }
   }
 
-  /** A process of the size that the service is started with loads the largest fleet and goes on. */
+  /** A process with the heap size that the service is started with loads the largest fleet. */
   @Test
   void eightThousandMachinesAndAHundredThousandTasksFitTheConfiguredHeap() throws Exception {
     String out = runLoadedProcess("-Xmx" + configuredHeap(), "8000", "100000");
     assertTrue(out.contains("held"), out);
   }
 
-  /** The heap that deploy/service.toml gives. */
+  /** Returns the heap size that deploy/service.toml configures, such as 220m. */
   private static String configuredHeap() throws IOException {
     Matcher m =
         Pattern.compile("-Xmx(\\d+m)").matcher(Files.readString(Path.of("deploy/service.toml")));
@@ -89,6 +96,7 @@
     return m.group(1);
   }
 
+  /** Loads a fleet in a process of its own, which must exit with 0, and returns its output. */
   private static String runLoadedProcess(String heap, String machines, String tasks)
       throws Exception {
     Process p =
--- a/src/test/java/wickdrift/sim/TeamLimitTest.java
+++ b/src/test/java/wickdrift/sim/TeamLimitTest.java
@@ -8,14 +8,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A team's limit is divided among the controllers; what one does not need comes to another. */
+/**
+ * A team's limit is divided into quota shares of the controllers, and what one controller does not
+ * need is transferred to another.
+ */
 class TeamLimitTest {
   private static final int SHORT_JOBS = 900;
   private static final int WIDE_JOB_TASKS = 9;
 
   /**
-   * Short jobs of another team, more than the writes allow, keep every controller writing all the
-   * time. A wide job that needs the whole limit of its team starts all the same.
+   * Short jobs of another team, more than the write budget allows, keep every controller writing
+   * all the time. A wide job that needs the whole limit of its team must start nevertheless.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -51,7 +54,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** Tasks that a team's limit forbids have no use for a machine: none is rented for them. */
+  /** Tasks beyond their team's limit cannot use a machine, so none is rented for them. */
   @ParameterizedTest
   @ValueSource(strings = {"batch", "ensemble"})
   void noMachineIsRentedForTasksBeyondTheTeamLimit(String shape) {
@@ -61,12 +64,12 @@
       world.users.submit(SimJobs.job(i, shape, 2, 2, 300), 0);
     }
     world.run(90_000);
-    assertEquals(4, world.starts(), "as many tasks as the limit allows run");
+    assertEquals(4, world.starts(), "tasks that run, which is what the limit allows");
     assertTrue(world.cloud.rented <= 3, "rented " + world.cloud.rented);
     assertEquals(List.of(), world.broken());
   }
 
-  /** A gang that its team's limit forbids keeps no machine from others. */
+  /** A gang beyond its team's limit must not reserve machines that other jobs could use. */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3})
   void gangBeyondTheTeamLimitReservesNoMachine(int gangs) {
--- a/src/test/java/wickdrift/sim/UserApiTest.java
+++ b/src/test/java/wickdrift/sim/UserApiTest.java
@@ -14,8 +14,9 @@
 import wickdrift.protocol.Document;
 import wickdrift.protocol.MessageCodec;
 
-/** Single answers of the user interface. */
+/** Answers to single requests of the user API. */
 class UserApiTest {
+  /** Returns a world whose controllers have started and taken over its machines. */
   private static SimWorld startedWorld() {
     SimWorld world = new SimWorld(5, 2, 4);
     world.run(8000);
@@ -23,8 +24,9 @@
   }
 
   /**
-   * Who has lost the state service and its peers has only its workers: users go elsewhere. In an
-   * outage, in which all hear each other, nobody else could serve them, and all stay healthy.
+   * A controller that has lost the state service and its peers reports itself unhealthy, so that
+   * users are sent to another one. During an outage of the state service all controllers still
+   * reach each other and none could serve users better, so all stay healthy.
    */
   @ParameterizedTest
   @CsvSource({"true, 503", "false, 200"})
@@ -82,10 +84,10 @@
   }
 
   /**
-   * Tasks that must be in several zones and may be in one only never run together; those of an
-   * array need not.
+   * A gang or service whose tasks must be in several zones but may be in one zone only can never
+   * run and is refused. The tasks of an array need not run at the same time, so it is accepted.
    */
-  @ParameterizedTest(name = "{0} of {1}, one zone {2}, apart {3}, bound to {4}: {5}")
+  @ParameterizedTest(name = "{0} of {1}, one zone: {2}, apart: {3}, zone {4}: {5}")
   @CsvSource({
     "ensemble, 2, true, true, , 422",
     "ensemble, 1, true, true, , 201",
@@ -108,7 +110,7 @@
         status, world.users.ask("n0", "POST", "/api/jobs", world.users.describe(job)).status());
   }
 
-  /** A submission that lacks a field is malformed, unless the field may be null. */
+  /** A submission without a field is malformed, unless the field may be null. */
   @ParameterizedTest
   @CsvSource({"gpus, 400", "flushS, 400", "reclaimable, 400", "shards, 400", "region, 201"})
   void submissionWithoutARequiredFieldIsMalformed(String field, int status) {
@@ -120,7 +122,8 @@
     assertEquals(
         status, world.users.ask("n0", "POST", "/api/jobs", MessageCodec.encode(job)).status());
     if (!field.equals("shards")) {
-      // What was accepted is never refused, not as malformed either: an older build may have.
+      // An accepted submission is never refused later, not even as malformed: an older build may
+      // have accepted it.
       world.users.ask("n1", "POST", "/api/jobs", completeBody);
       assertEquals(
           200, world.users.ask("n2", "POST", "/api/jobs", MessageCodec.encode(job)).status());
@@ -130,7 +133,7 @@
     }
   }
 
-  /** Repeated in whatever state, an accepted submission gets 200 and how it stands. */
+  /** An accepted submission that is repeated is answered with 200 and the job's phase. */
   @Test
   void repeatedSubmissionReturnsTheJobsPhase() throws BadMessage {
     SimWorld world = startedWorld();
@@ -147,7 +150,10 @@
     assertTrue(phases.lastIndexOf("running") < phases.indexOf("done"), phases.toString());
   }
 
-  /** An array needs only one task within the limit; a gang and a service all of them. */
+  /**
+   * An array needs one task within the team's limit; a gang and a service need all their tasks in
+   * it.
+   */
   @ParameterizedTest
   @CsvSource({"batch, 201", "ensemble, 422", "daemon, 422"})
   void teamLimitAppliesToOneTaskOrAllTasksByShape(String shape, int status) {
@@ -157,7 +163,10 @@
         status, world.users.ask("n2", "POST", "/api/jobs", world.users.describe(job)).status());
   }
 
-  /** Polls share reads, those for jobs that no one submitted are bounded; none is left waiting. */
+  /**
+   * Polls share reads of the state service, reads for unknown jobs are limited, and every poll is
+   * answered.
+   */
   @Test
   void thousandsOfPollsShareFewReads() {
     SimWorld world = startedWorld();
@@ -180,6 +189,10 @@
     assertTrue(requests < 350, requests + " requests");
   }
 
+  /**
+   * During an outage requests fail at once instead of waiting, and the answer about a job in a
+   * terminal state is still given.
+   */
   @Test
   void finalAnswersAreKeptAndOthersFailAtOnceDuringAnOutage() {
     SimWorld world = startedWorld();
