--- a/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -116,7 +116,7 @@
     assertTrue(
         world.tables("n1").job("req-000001") == null
             || world.tables("n1").job("req-000001").stamp() == stamp,
-        "the delayed transaction created the job again");
+        "the delayed transaction accepted the job again");
     assertEquals(List.of(), world.broken());
   }
 
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -88,7 +88,7 @@
     assertTrue(out.contains("held"), out);
   }
 
-  /** Returns the heap size that deploy/service.toml configures, such as 220m. */
+  /** Returns the heap size that deploy/service.toml configures, such as 112m. */
   private static String configuredHeap() throws IOException {
     Matcher m =
         Pattern.compile("-Xmx(\\d+m)").matcher(Files.readString(Path.of("deploy/service.toml")));
--- a/src/test/java/wickdrift/sim/SoakCommand.java
+++ b/src/test/java/wickdrift/sim/SoakCommand.java
@@ -16,59 +16,62 @@
 import java.util.concurrent.Future;
 import picocli.CommandLine;
 
-/** Plays soaks of many seeds and sums up how each ended. */
+/** Runs soak tests with consecutive seeds and prints how each one ended and a summary. */
 @CommandLine.Command(
     name = "soak",
     mixinStandardHelpOptions = true,
-    description = "Random faults on real controller processes over loopback, judged from outside.")
+    description =
+        "Injects random faults into real controller processes over loopback and checks invariants.")
 public final class SoakCommand implements Callable<Integer> {
   private static final int EXIT_FAILED = 1;
   private static final int EXIT_BAD_INPUT = 2;
 
-  /** Memory of one run: three controllers, and the stand-ins of so many workers. */
+  /** Memory of one run: three controllers, and the simulated workers, cloud and state service. */
   private static final long MEMORY_PER_RUN_MB = 3 * 220 + 100;
 
   private static final long BYTES_PER_MB = 1024 * 1024;
 
-  /** Each worker has a port for each controller, and connections at both ends. */
+  /** Each worker has a port for each controller and connections with handles at both ends. */
   private static final int FILE_HANDLES_PER_WORKER = 16;
 
   private static final int FILE_HANDLES_PER_RUN = 200;
   private static final int MAX_WORKERS = 500;
 
-  /** What an interrupt has to end. */
+  /** The stages whose processes must be ended on an interrupt. */
   private static final Set<LoopbackStage> OPEN_STAGES = ConcurrentHashMap.newKeySet();
 
-  @CommandLine.Option(names = "--jar", description = "default: ${DEFAULT-VALUE}")
+  @CommandLine.Option(
+      names = "--jar",
+      description = "the service to test; default: ${DEFAULT-VALUE}")
   private Path jar = Path.of("target/wickdrift.jar");
 
   @CommandLine.Option(names = "--first", description = "the first seed")
   private long firstSeed = 1;
 
-  @CommandLine.Option(names = "--seeds", description = "how many seeds")
+  @CommandLine.Option(names = "--seeds", description = "number of seeds")
   private int seeds = 3;
 
-  @CommandLine.Option(names = "--seconds", description = "how long faults last")
+  @CommandLine.Option(names = "--seconds", description = "duration of the fault phase in seconds")
   private int seconds = 40;
 
-  @CommandLine.Option(names = "--workers", description = "workers at the start")
+  @CommandLine.Option(names = "--workers", description = "number of workers at the start")
   private int workers = 14;
 
-  @CommandLine.Option(names = "--parallel", description = "runs at a time")
+  @CommandLine.Option(names = "--parallel", description = "number of concurrent runs")
   private int parallel = 1;
 
-  @CommandLine.Option(names = "--logs", description = "where settings and logs go")
+  @CommandLine.Option(names = "--logs", description = "folder for settings files and logs")
   private Path logFolder = Path.of("target/soak");
 
   private final List<SoakResult> results = Collections.synchronizedList(new ArrayList<>());
 
-  /** An interrupt ends the processes of this stage too. */
+  /** Registers a stage whose processes are ended if this process is interrupted. */
   static void closeOnInterrupt(LoopbackStage stage) {
     OPEN_STAGES.removeIf(s -> s.loop.group().isShuttingDown());
     OPEN_STAGES.add(stage);
   }
 
-  /** Why it can't be played here, in one line, or null. */
+  /** Returns why the soak cannot run with these options on this machine, in one line, or null. */
   private String unmetRequirement() {
     if (!Files.isRegularFile(jar)) {
       return "no jar at " + jar + ": build it first";
@@ -80,7 +83,9 @@
         (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     long neededMb = parallel * MEMORY_PER_RUN_MB;
     if (neededMb > system.getTotalMemorySize() / BYTES_PER_MB / 2) {
-      return "too little memory: " + neededMb + " MB needed, half of the machine's allowed";
+      return "too little memory: "
+          + neededMb
+          + " MB needed, at most half of the machine's may be used";
     }
     long fileHandles =
         (long) parallel * (FILE_HANDLES_PER_RUN + (long) workers * FILE_HANDLES_PER_WORKER);
@@ -116,6 +121,7 @@
     return printSummary();
   }
 
+  /** Runs the soak of one seed and prints its result. */
   private SoakResult runSeed(long seed) throws Exception {
     Path folder = logFolder.resolve("seed-" + seed);
     SoakResult result = new SoakRun(seed, jar, folder, workers, seconds * 1000L).run();
@@ -128,6 +134,7 @@
     return results.stream().filter(r -> r.outcome() == outcome).count();
   }
 
+  /** Prints how many runs passed, failed or were inconclusive, and returns the exit code. */
   private int printSummary() {
     System.out.printf(
         "%d seeds: %d passed, %d failed, %d not judged%n",
@@ -138,6 +145,7 @@
     return count(SoakResult.Outcome.PASSED) == results.size() ? 0 : EXIT_FAILED;
   }
 
+  /** Ends all processes; if seeds are left, also prints a summary of the results so far. */
   private void closeStages() {
     boolean early = results.size() < seeds;
     OPEN_STAGES.forEach(LoopbackStage::close);
@@ -147,7 +155,7 @@
     }
   }
 
-  /** Plays soaks; see docs/soak.md. */
+  /** Runs soak tests; see docs/soak.md. */
   public static void main(String[] args) {
     CommandLine command = new CommandLine(new SoakCommand());
     command.setParameterExceptionHandler(
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** The kinds of fault of a soak: each begins somewhere, drawn from the seed, and can be ended. */
+/** The kinds of fault of a soak. Each strikes targets that are drawn at random from the seed. */
 enum SoakFault {
   CONTROLLER_KILLED {
     @Override
@@ -193,7 +193,7 @@
       return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNet.Fate.ANSWER_LOST);
     }
   },
-  /** Several of these at once, on all links between controllers and workers. */
+  /** Late commands and lost answers to reports on all links between controllers and workers. */
   BAD_NETWORK {
     @Override
     Runnable begin(SoakScene scene, Random random) {
@@ -240,9 +240,9 @@
   }
 
   /**
-   * Begins the fault, on the loop of the stand-ins.
+   * Starts the fault. Must be called on the event loop of the simulated parts.
    *
-   * @return what ends it; nothing for one that ends by itself
+   * @return the action that ends the fault, which does nothing if the fault ends by itself
    */
   abstract Runnable begin(SoakScene scene, Random random);
 }
--- a/src/test/java/wickdrift/sim/SoakIT.java
+++ b/src/test/java/wickdrift/sim/SoakIT.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A few short soaks of the built jar, with fixed seeds; by hand there are more and longer ones. */
+/** Short soaks of the built jar with fixed seeds. {@link SoakCommand} runs more and longer ones. */
 class SoakIT {
   private static final Path JAR = Path.of("target", "wickdrift.jar");
   private static final int WORKERS = 14;
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -7,9 +7,9 @@
 import java.util.Random;
 
 /**
- * What the users of a soak do: short and long one-task jobs, arrays, gangs and services of two
- * teams that come to their limits; cancellations at any time, also at the end of a task; repeated
- * submissions; questions about jobs that nobody has submitted.
+ * The user load of a soak: short and long one-task jobs, arrays, gangs and services of two teams
+ * that reach their limits, withdrawals at any time and around the end of a task, repeated
+ * submissions, and polls for jobs that nobody has submitted.
  */
 final class SoakLoad {
   private static final int FIRST_UNKNOWN_JOB = 900_000;
@@ -29,7 +29,7 @@
     this.random = random;
   }
 
-  /** Begins, and goes on until it is closed. */
+  /** Starts the load, which continues until {@link #close}. */
   void start() {
     if (random.nextBoolean()) {
       world.users.closeLooks = new SimCloseLooks(world);
@@ -38,6 +38,7 @@
     sendExtraRequests();
   }
 
+  /** Returns how many jobs were submitted. */
   int submittedCount() {
     return submitted.size();
   }
@@ -63,6 +64,7 @@
     world.users.submit(job, withdrawalDelayMs(job, service));
   }
 
+  /** Describes a job of a random kind. */
   private Map<String, Object> job(int number) {
     int kind = random.nextInt(100);
     if (kind < 50) {
@@ -80,7 +82,10 @@
     return SimJobs.job(number, "batch", 1, 1, 10 + random.nextInt(6));
   }
 
-  /** Of the jobs that are cancelled, many are so about when their tasks end. */
+  /**
+   * Returns how long after its acceptance the job is withdrawn, or 0 for a job that is not. Half of
+   * the withdrawals come around the time when the tasks end.
+   */
   private long withdrawalDelayMs(Map<String, Object> job, boolean service) {
     if (service) {
       return 5000 + random.nextInt(10_000);
@@ -92,6 +97,7 @@
     return random.nextBoolean() ? 1 + random.nextInt(8000) : expectedEndMs + random.nextInt(800);
   }
 
+  /** Polls for a job that does not exist and repeats the submission of one that was accepted. */
   private void sendExtraRequests() {
     if (!accepting) {
       return;
@@ -114,7 +120,9 @@
     }
   }
 
-  /** Cancels jobs that run, and tells which workers have tasks of theirs. */
+  /**
+   * Withdraws up to {@code jobs} running jobs and returns the workers that have their first tasks.
+   */
   List<SimWorker> cancelRunning(int jobs, Random draw) {
     List<SimWorker> affectedWorkers = new ArrayList<>();
     List<String> running =
@@ -133,7 +141,7 @@
     return affectedWorkers;
   }
 
-  /** No more jobs come, and services are called off, so that everything can end. */
+  /** Stops submitting and withdraws all services, so that every job can end. */
   void close() {
     accepting = false;
     for (String id : services) {
@@ -143,7 +151,7 @@
     }
   }
 
-  /** Accepted jobs of which no user was told that they are over. */
+  /** Returns the accepted jobs that users have not yet been told are in a terminal state. */
   List<String> unfinished() {
     return world.users.accepted.stream().filter(id -> !world.rules.isFinal(id)).sorted().toList();
   }
--- a/src/test/java/wickdrift/sim/SoakNetwork.java
+++ b/src/test/java/wickdrift/sim/SoakNetwork.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Random;
 
-/** The faults of messages that are in force in a soak, by rules that come and go. */
+/** Decides the fate of each request in a soak by the rules that are in force at the time. */
 final class SoakNetwork implements SimNet.FaultScript {
-  /** A request on its way. */
+  /** A request in transit. */
   record Message(String from, String to, String path) {}
 
-  /** Which requests a rule concerns. */
+  /** Selects the requests that a rule applies to. */
   interface Filter {
     boolean matches(Message message);
   }
 
-  /** What becomes of a share of the requests that a filter matches. */
+  /** Gives a request that the filter matches the fate with the probability. */
   record Rule(Filter filter, double probability, SimNet.Fate fate) {}
 
   private final Random random;
@@ -24,8 +24,8 @@
   private long affectedRequests;
 
   /**
-   * @param minDelayMs the least that a late request is late
-   * @param maxDelayMs the most
+   * @param minDelayMs the shortest delay of a late request
+   * @param maxDelayMs the longest delay of a late request
    */
   SoakNetwork(Random random, long minDelayMs, long maxDelayMs) {
     this.random = random;
@@ -41,7 +41,7 @@
     rules.remove(rule);
   }
 
-  /** Requests that did not simply arrive. */
+  /** Returns how many requests had another fate than normal delivery. */
   long affectedRequests() {
     return affectedRequests;
   }
--- a/src/test/java/wickdrift/sim/SoakPlan.java
+++ b/src/test/java/wickdrift/sim/SoakPlan.java
@@ -9,27 +9,29 @@
 import java.util.stream.Collectors;
 
 /**
- * Which faults a soak has and when, drawn from its seed: two or three overlap most of the time, and
- * for half of it the network between controllers and workers is bad.
+ * The schedule of the faults of a soak, drawn at random from its seed. Two or three faults overlap
+ * most of the time, and for half of the time the network between controllers and workers is bad.
  */
 record SoakPlan(List<Step> steps, long spanMs) {
   private static final int MAX_CONCURRENT_FAULTS = 3;
   private static final long MIN_FAULT_MS = 2500;
   private static final long MAX_FAULT_MS = 9000;
 
-  /** Between two beginnings, on average half of it. */
+  /** Upper bound of the random part of the interval between the starts of two faults. */
   private static final int MAX_EXTRA_INTERVAL_MS = 4000;
 
-  /** One of so many faults of the state service is longer than a cancellation may take. */
+  /**
+   * One out of this many outages of the state service lasts longer than a cancellation may take.
+   */
   private static final int OUTAGES_PER_LONG_OUTAGE = 3;
 
-  /** Faults that more often come together, as both belong to the same bad network. */
+  /** Faults that often start together with another because a bad network causes both. */
   private static final Map<SoakFault, SoakFault> COMPANION_FAULTS =
       Map.of(
           SoakFault.WORKERS_RESTARTED, SoakFault.COMMANDS_LATE,
           SoakFault.JOBS_CANCELLED_AT_ONCE, SoakFault.CONTROLLER_REFUSED_BY_STATE_SERVICE);
 
-  /** One fault, from when to when. */
+  /** A fault and when it starts and ends, counted from the start of the plan. */
   record Step(SoakFault fault, long startMs, long endMs) {
     @Override
     public String toString() {
@@ -38,9 +40,9 @@
   }
 
   /**
-   * The plan of a seed.
+   * Returns the plan of a seed.
    *
-   * @param cancelMs within how long a cancelled task must be gone: some outages last longer
+   * @param cancelMs the time within which a cancelled task must end, which some outages exceed
    */
   static SoakPlan of(long seed, long spanMs, long cancelMs) {
     Random random = new Random(seed);
@@ -69,6 +71,7 @@
     return new SoakPlan(List.copyOf(steps), spanMs);
   }
 
+  /** Whether fewer than the most concurrent faults are active, none of them of this kind. */
   private static boolean canStart(List<Step> steps, SoakFault fault, long startMs) {
     List<Step> active =
         steps.stream().filter(s -> s.startMs <= startMs && s.endMs > startMs).toList();
@@ -76,7 +79,7 @@
         && active.stream().noneMatch(s -> s.fault == fault);
   }
 
-  /** Every kind once, one after the other: for trials of the harness. */
+  /** Returns a plan with every kind of fault once, one after another, for tests of the harness. */
   static SoakPlan sequenceOfAll(long faultMs) {
     List<Step> steps = new ArrayList<>();
     for (SoakFault fault : Arrays.asList(SoakFault.values())) {
@@ -86,7 +89,7 @@
     return new SoakPlan(List.copyOf(steps), faultMs * steps.size());
   }
 
-  /** The plan, a line each fault. */
+  /** Returns one line for each fault, in order of their start. */
   String describe() {
     return steps.stream()
         .sorted(Comparator.comparingLong(Step::startMs))
--- a/src/test/java/wickdrift/sim/SoakResult.java
+++ b/src/test/java/wickdrift/sim/SoakResult.java
@@ -2,17 +2,19 @@
 
 import java.util.List;
 
-/** How one soak ended. */
+/** The result of one soak. */
 record SoakResult(long seed, Outcome outcome, List<String> reasons, String figures) {
-  /** Whether the rules held. */
+  /** Whether the invariants held. */
   enum Outcome {
     PASSED,
     FAILED,
-    /** It did not do its work, or times can't be judged: no pass. */
+    /**
+     * The run is inconclusive: it had too little load or faults, or the harness stalled or failed.
+     */
     NOT_JUDGED
   }
 
-  /** One line. */
+  /** Returns the result in one line, with the first reason if it did not pass. */
   String summaryLine() {
     String why = reasons.isEmpty() ? "" : ": " + reasons.get(0);
     return "seed " + seed + " " + outcome + " (" + figures + ")" + why;
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -12,14 +12,15 @@
 import java.util.stream.Stream;
 
 /**
- * One soak: real controller processes among stand-ins, users at work, and faults of a plan. It is
- * judged from outside alone, by what workers and users saw with one monotonic clock; what the
- * controllers' own assertions logged fails it too.
+ * Runs one soak: real controller processes with simulated workers, users, cloud and state service,
+ * and the faults of a {@link SoakPlan}. Invariants are checked from outside, on what workers and
+ * users observe with one monotonic clock. Violations that the controllers log fail the run too.
  */
 final class SoakRun {
   /**
-   * Worker times of a soak: short, so that leases and cancellations end within a run; but a lease
-   * outlasts a report or two without an answer, or whatever is late is void by its session.
+   * Short enough for leases and cancellations to expire within a run. It exceeds one or two reports
+   * without an answer, because otherwise the worker's session would change all the time and would
+   * make every late message invalid.
    */
   private static final double WORKER_LEASE_S = 12;
 
@@ -32,14 +33,12 @@
 
   private static final long WARM_UP_MS = 7000;
 
-  /**
-   * A question about every job must be answered by then, and a job may wait so long beside room.
-   */
+  /** Covers the time within which every request must be answered and a job that fits must start. */
   private static final long SETTLE_TIMEOUT_MS = 95_000;
 
   private static final long POLL_INTERVAL_MS = 250;
 
-  /** If the stand-ins stand still for longer, timing faults may be the harness's own. */
+  /** After a longer stall of the simulated parts, timing violations may come from the harness. */
   private static final long MAX_HARNESS_STALL_MS = 1500;
 
   private static final int MIN_TASK_STARTS = 15;
@@ -56,7 +55,7 @@
   private int startedFaults;
 
   /**
-   * @param workers that are up at the start
+   * @param workers the number of workers at the start
    */
   SoakRun(long seed, Path jar, Path folder, int workers, long spanMs) {
     this.seed = seed;
@@ -77,7 +76,7 @@
         .soundGpusMax(SOUND_TEAM_GPUS * scale);
   }
 
-  /** Plays it, and ends every process that it started. */
+  /** Runs the soak and ends every process that it started. */
   SoakResult run() throws Exception {
     try (LoopbackStage stage = new LoopbackStage(setup(), folder)) {
       SoakNetwork network =
@@ -106,7 +105,7 @@
           return null;
         });
     TimeUnit.MILLISECONDS.sleep(plan.spanMs());
-    // A fault that ends at the very end of the span is over a moment later.
+    // A fault that is scheduled to end with the span may end slightly later.
     TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     scene.awaitProcessChanges();
     stage.ask(
@@ -120,6 +119,7 @@
     return evaluate(stage, network, load, scene, unfinished);
   }
 
+  /** Schedules the start and the end of a fault. */
   private void schedule(SoakScene scene, SoakPlan.Step step) {
     Random random = new Random(seed * 31 + step.startMs());
     scene.after(
@@ -137,7 +137,11 @@
         });
   }
 
-  /** Waits until everything accepted is over, or for as long as a question may go unanswered. */
+  /**
+   * Waits until every accepted job is in a terminal state, or until the timeout.
+   *
+   * @return the accepted jobs that are not
+   */
   private List<String> awaitUnfinishedJobs(LoopbackStage stage, SoakLoad load) throws Exception {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MS);
     List<String> unfinished = stage.ask(load::unfinished);
@@ -158,13 +162,17 @@
     SimWorld world = stage.world;
     List<String> failures = new ArrayList<>(stage.ask(world::broken));
     if (!unfinished.isEmpty()) {
-      failures.add("not over after " + SETTLE_TIMEOUT_MS / 1000 + " s of calm: " + unfinished);
+      failures.add(
+          "not in a terminal state "
+              + SETTLE_TIMEOUT_MS / 1000
+              + " s after the last fault: "
+              + unfinished);
     }
-    scene.endedNodes().forEach(node -> failures.add(node + " has ended by itself"));
+    scene.endedNodes().forEach(node -> failures.add(node + " exited by itself"));
     failures.addAll(loggedFailures(stage));
     String figures =
         String.format(
-            "faults %d, messages struck %d, kills %d, jobs %d, starts %d, longest stall %d ms",
+            "faults %d, affected messages %d, kills %d, jobs %d, starts %d, longest stall %d ms",
             startedFaults,
             network.affectedRequests(),
             scene.kills(),
@@ -184,25 +192,29 @@
     return new SoakResult(seed, SoakResult.Outcome.FAILED, failures, figures);
   }
 
-  /** Why the run can't be judged, or null. */
+  /** Returns why the run is inconclusive, or null if it can be judged. */
   private String reasonNotToJudge(LoopbackStage stage, SoakScene scene) throws Exception {
     if (stage.longestStallMs() > MAX_HARNESS_STALL_MS) {
-      return "the harness stood still for " + stage.longestStallMs() + " ms";
+      return "the harness stalled for " + stage.longestStallMs() + " ms";
     }
     if (stage.failure() != null) {
       StackTraceElement[] where = stage.failure().getStackTrace();
-      return "a stand-in failed: " + stage.failure() + " at " + (where.length > 0 ? where[0] : "");
+      return "a simulated part failed: "
+          + stage.failure()
+          + " at "
+          + (where.length > 0 ? where[0] : "");
     }
     if (scene.processFailure() != null) {
       return scene.processFailure();
     }
     if (startedFaults < plan.steps().size()) {
-      return "only " + startedFaults + " of " + plan.steps().size() + " faults began";
+      return "only " + startedFaults + " of " + plan.steps().size() + " faults started";
     }
     int starts = stage.ask(stage.world::starts);
     return starts < MIN_TASK_STARTS ? "only " + starts + " tasks started" : null;
   }
 
+  /** Returns the first two failures that each controller has logged. */
   private static List<String> loggedFailures(LoopbackStage stage) throws IOException {
     List<String> found = new ArrayList<>();
     for (String node : stage.world.nodes) {
@@ -216,7 +228,7 @@
     return found;
   }
 
-  /** Prints the seed, the faults, and the events round what broke. */
+  /** Prints the seed, the violations, the plan, and the events that concern the first violation. */
   private void printFailure(LoopbackStage stage, List<String> failures) throws Exception {
     List<String> searchTerms = new ArrayList<>(List.of("FAULT", "over:", "calm"));
     Matcher job = Pattern.compile("req-\\d+").matcher(failures.get(0));
--- a/src/test/java/wickdrift/sim/SoakScene.java
+++ b/src/test/java/wickdrift/sim/SoakScene.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import wickdrift.bookkeeping.View;
 
-/** What the faults of a soak act on: the stand-ins, their links, and the real processes. */
+/** What the faults of a soak act on: the simulated parts, the links, and the real processes. */
 final class SoakScene implements AutoCloseable {
   private static final double MAX_AFFECTED_WORKERS_RATIO = 0.4;
   private static final long CLOSE_TIMEOUT_S = 10;
@@ -22,7 +22,9 @@
   private final SoakLoad load;
   private final Path jar;
 
-  /** Signals and starts block: never on the loop of the stand-ins. */
+  /**
+   * Signals and process starts block, so they never run on the event loop of the simulated parts.
+   */
   private final ExecutorService processExecutor = Executors.newSingleThreadExecutor();
 
   private final Set<String> paused = new HashSet<>();
@@ -36,6 +38,7 @@
     this.jar = jar;
   }
 
+  /** Returns the simulated parts of the soak. */
   SimWorld world() {
     return stage.world;
   }
@@ -44,11 +47,12 @@
     world().clock.after(ms, action);
   }
 
+  /** Returns how many times a controller was killed. */
   int kills() {
     return kills;
   }
 
-  /** Why a process could not be handled as planned, or null. */
+  /** Returns why a process could not be started, paused or ended as planned, or null. */
   String processFailure() {
     return processFailure;
   }
@@ -58,13 +62,13 @@
     return nodes.get(random.nextInt(nodes.size()));
   }
 
-  /** The leader, as the state service has it. */
+  /** Returns the leader in the stored view, or the first node if no view is stored. */
   String leader() {
     View view = stage.stored().view();
     return view == null ? world().nodes.get(0) : view.leader();
   }
 
-  /** One worker at least, and no more than a share of them. */
+  /** Returns a random set of at least one worker and at most a fixed ratio of them. */
   List<SimWorker> someWorkers(Random random) {
     List<SimWorker> all = new ArrayList<>(world().workers());
     Collections.shuffle(all, random);
@@ -72,14 +76,14 @@
     return List.copyOf(all.subList(0, 1 + random.nextInt(most)));
   }
 
-  /** Puts a rule of the network in force; what is returned takes it back. */
+  /** Adds a rule to the network and returns the action that removes it. */
   Runnable addRule(SoakNetwork.Filter filter, double probability, SimNet.Fate fate) {
     SoakNetwork.Rule rule = new SoakNetwork.Rule(filter, probability, fate);
     network.add(rule);
     return () -> network.remove(rule);
   }
 
-  /** The links between a controller and its peers. */
+  /** Sets the mode of the links from a controller to its peers, from its peers to it, or both. */
   void setPeerLinks(String node, boolean out, boolean in, TcpProxy.Mode mode) {
     for (String other : world().nodes) {
       if (!other.equals(node) && out) {
@@ -91,17 +95,19 @@
     }
   }
 
-  /** Cancels jobs that run, and tells which workers have tasks of theirs. */
+  /**
+   * Withdraws up to {@code jobs} running jobs and returns the workers that have their first tasks.
+   */
   List<SimWorker> cancelRunning(int jobs, Random random) {
     return load.cancelRunning(jobs, random);
   }
 
   // ---- processes ----
 
-  /** Ends a process with no signal; it is started again so long after its end. */
+  /** Kills a process without a graceful shutdown and starts it again after the downtime. */
   void killAndRestart(String node, long downtimeMs) {
     if (processExecutor.isShutdown()) {
-      // A series of kills that would go on after the last fault's end.
+      // A series of kills must not continue after the last fault has ended.
       return;
     }
     kills++;
@@ -115,7 +121,7 @@
                 }));
   }
 
-  /** Stops a process, or lets it go on. */
+  /** Pauses or resumes a process. */
   void setPaused(String node, boolean pause) {
     boolean change = pause ? paused.add(node) : paused.remove(node);
     if (change) {
@@ -132,15 +138,17 @@
     }
   }
 
-  /** Nodes whose process has ended by itself. */
+  /** Returns the nodes whose process is not running. */
   List<String> endedNodes() {
     return world().nodes.stream().filter(node -> !stage.process(node).alive()).toList();
   }
 
+  /** A change to a process, which may fail. */
   private interface ProcessStep {
     void run() throws Exception;
   }
 
+  /** Runs a step and records its failure. */
   private void recordFailure(ProcessStep step) {
     try {
       step.run();
@@ -149,11 +157,11 @@
     }
   }
 
-  /** Waits until what was begun with processes is done. */
+  /** Waits until all changes to processes that were requested are done; accepts no more. */
   void awaitProcessChanges() throws InterruptedException {
     processExecutor.shutdown();
     if (!processExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)) {
-      processFailure = "processes could not be handled in time";
+      processFailure = "process changes did not finish in time";
     }
   }
 
