--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -30,10 +30,8 @@
   /** Jobs that {@link #worldWithRunningJobs} submits. */
   static final int JOBS = 24;
 
-  /**
-   * When {@link #worldWithRunningJobs} returns; the state service refuses a controller after it.
-   */
-  private static final long REFUSED_AT_MS = 24_000;
+  /** The simulated time at which {@link #worldWithRunningJobs} returns. */
+  private static final long WORLD_READY_MS = 24_000;
 
   /** The one controller whose requests the state service refuses. */
   enum RefusedNode {
@@ -43,7 +41,10 @@
     LEADER_AS_CONFIRMER
   }
 
-  /** What else fails 100 ms before the state service becomes unavailable to all controllers. */
+  /**
+   * What else fails 100 ms before the state service becomes unavailable to all controllers. The
+   * confirmer is the controller that receives the users' withdraw requests.
+   */
   enum ConcurrentFault {
     NONE,
     CONFIRMER_RESTARTS,
@@ -68,14 +69,15 @@
   static Stream<Arguments> faultCases() {
     return Arrays.stream(RefusedNode.values())
         .flatMap(
-            r ->
+            refused ->
                 Arrays.stream(ConcurrentFault.values())
                     .flatMap(
-                        b ->
+                        fault ->
                             Arrays.stream(WithdrawalTime.values())
-                                .map(when -> Arguments.of(r, b, when))));
+                                .map(when -> Arguments.of(refused, fault, when))));
   }
 
+  /** Returns the id of the job with this number. */
   static String jobId(int number) {
     return String.format("req-%06d", number);
   }
@@ -106,7 +108,7 @@
       for (int i = 0; i < JOBS; i++) {
         world.users.submit(job(i, i % 3 == 0 ? "ensemble" : "batch", 1 + i % 3, seconds), 0);
       }
-      world.run(REFUSED_AT_MS - 8000);
+      world.run(WORLD_READY_MS - 8000);
       if (world.starts() > JOBS
           && world.nodes.stream().allMatch(n -> ownedTaskCount(world, n) > 0)) {
         return world;
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -51,7 +51,10 @@
   /** Combines every primary fault with every concurrent fault. */
   static Stream<Arguments> faultPairs() {
     return Arrays.stream(PrimaryFault.values())
-        .flatMap(u -> Arrays.stream(ConcurrentFault.values()).map(b -> Arguments.of(u, b)));
+        .flatMap(
+            primary ->
+                Arrays.stream(ConcurrentFault.values())
+                    .map(concurrent -> Arguments.of(primary, concurrent)));
   }
 
   /** Schedules an action on the simulated clock. */
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -81,10 +81,11 @@
   /** Describes a base job, with the properties that the scenario needs. */
   private Map<String, Object> job(FaultScenario scenario, int number) {
     double seconds = 15 + random.nextInt(25);
-    boolean isLong = scenario == FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
+    boolean longJobs =
+        scenario == FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
     String shape = number % 5 == 4 ? "ensemble" : "batch";
     int tasks = shape.equals("ensemble") ? 1 + number % 2 : 1 + number % 3;
-    Map<String, Object> job = SimJobs.job(number, shape, tasks, 1, isLong ? 70 : seconds);
+    Map<String, Object> job = SimJobs.job(number, shape, tasks, 1, longJobs ? 70 : seconds);
     if (scenario == FaultScenario.ZONE_BOUND_JOBS_LOSE_MACHINES) {
       if (number % 2 == 0) {
         job.put("region", number % 4 == 0 ? "a" : "b");
--- a/src/test/java/wickdrift/sim/FaultScenariosTest.java
+++ b/src/test/java/wickdrift/sim/FaultScenariosTest.java
@@ -24,19 +24,21 @@
       FaultScenario.LEADER_CRASHES_AND_MACHINES_UNREACHABLE_FOR_COMMANDS;
 
   /** Whether to run all pairs, which takes long, instead of those of the first scenarios only. */
-  private static final boolean TEST_ALL_PAIRS = Boolean.getBoolean("wickdrift.allPairs");
+  private static final boolean RUN_ALL_PAIRS = Boolean.getBoolean("wickdrift.allPairs");
 
   /** Scenarios of which every pair is run. */
   private static final List<FaultScenario> PAIRED_SCENARIOS =
       Arrays.stream(FaultScenario.values())
-          .filter(s -> TEST_ALL_PAIRS || s.ordinal() <= LAST_SCENARIO_PAIRED_BY_DEFAULT.ordinal())
+          .filter(s -> RUN_ALL_PAIRS || s.ordinal() <= LAST_SCENARIO_PAIRED_BY_DEFAULT.ordinal())
           .toList();
 
   /** Combines every scenario with every seed. */
   static Stream<Arguments> scenariosAndSeeds() {
     return Arrays.stream(FaultScenario.values())
         .flatMap(
-            m -> IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS).mapToObj(s -> Arguments.of(m, s)));
+            scenario ->
+                IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS)
+                    .mapToObj(seed -> Arguments.of(scenario, seed)));
   }
 
   @ParameterizedTest(name = "{0}, seed {1}")
@@ -52,10 +54,10 @@
   static Stream<Arguments> scenarioPairs() {
     return PAIRED_SCENARIOS.stream()
         .flatMap(
-            a ->
+            first ->
                 PAIRED_SCENARIOS.stream()
-                    .filter(b -> b.ordinal() > a.ordinal())
-                    .map(b -> Arguments.of(a, b)));
+                    .filter(second -> second.ordinal() > first.ordinal())
+                    .map(second -> Arguments.of(first, second)));
   }
 
   /** Each pair has a seed of its own; a third of the pairs run with five controllers. */
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -18,7 +18,7 @@
 class ScaleTest {
   /** What a placed task costs on average, measured after all machines are recorded. */
   private record Cost(
-      double capacityEntriesExamined,
+      double examinedEntries,
       double requests,
       double commits,
       double bytesWritten,
@@ -27,7 +27,7 @@
     public String toString() {
       return String.format(
           "per task: capacity entries %.1f, requests %.2f, commits %.2f, written %.0f B, read %.0f B",
-          capacityEntriesExamined, requests, commits, bytesWritten, bytesRead);
+          examinedEntries, requests, commits, bytesWritten, bytesRead);
     }
   }
 
@@ -71,9 +71,7 @@
       Cost largeFleet = costPerTask(machines);
       String comparison = "1000: " + smallFleet + "; " + machines + ": " + largeFleet;
       System.out.println(comparison);
-      assertTrue(
-          largeFleet.capacityEntriesExamined < 1.5 * smallFleet.capacityEntriesExamined + 20,
-          comparison);
+      assertTrue(largeFleet.examinedEntries < 1.5 * smallFleet.examinedEntries + 20, comparison);
       assertTrue(largeFleet.requests < 1.5 * smallFleet.requests, comparison);
       assertTrue(largeFleet.commits < 1.5 * smallFleet.commits, comparison);
       assertTrue(largeFleet.bytesWritten < 1.5 * smallFleet.bytesWritten, comparison);
--- a/src/test/java/wickdrift/sim/SoakCommand.java
+++ b/src/test/java/wickdrift/sim/SoakCommand.java
@@ -134,7 +134,7 @@
     return results.stream().filter(r -> r.outcome() == outcome).count();
   }
 
-  /** Prints how many runs passed, failed or were inconclusive, and returns the exit code. */
+  /** Prints how many runs passed, failed or were not judged, and returns the exit code. */
   private int printSummary() {
     System.out.printf(
         "%d seeds: %d passed, %d failed, %d not judged%n",
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -12,8 +12,12 @@
  * submissions, and polls for jobs that nobody has submitted.
  */
 final class SoakLoad {
+  /** Numbers from here on are never submitted. */
   private static final int FIRST_UNKNOWN_JOB = 900_000;
-  private static final double WORKERS_PER_JOB_RATE = 16;
+
+  /** With more workers than this the submission rate grows in proportion to their number. */
+  private static final double WORKERS_AT_BASE_RATE = 16;
+
   private static final long MEAN_JOB_INTERVAL_MS = 140;
   private static final long EXTRA_REQUEST_INTERVAL_MS = 2500;
 
@@ -22,7 +26,7 @@
   private final Map<String, Map<String, Object>> submitted = new HashMap<>();
   private final List<String> services = new ArrayList<>();
   private int nextNumber = 1;
-  private boolean accepting = true;
+  private boolean submitting = true;
 
   SoakLoad(SimWorld world, Random random) {
     this.world = world;
@@ -44,12 +48,12 @@
   }
 
   private void submitNext() {
-    if (!accepting) {
+    if (!submitting) {
       return;
     }
-    double pace = Math.max(1, world.workers().size() / WORKERS_PER_JOB_RATE);
+    double rateFactor = Math.max(1, world.workers().size() / WORKERS_AT_BASE_RATE);
     world.clock.after(
-        (long) (MEAN_JOB_INTERVAL_MS / pace * 2 * random.nextDouble()), this::submitNext);
+        (long) (MEAN_JOB_INTERVAL_MS / rateFactor * 2 * random.nextDouble()), this::submitNext);
     int number = nextNumber++;
     Map<String, Object> job = job(number);
     if (random.nextInt(3) == 0) {
@@ -83,8 +87,9 @@
   }
 
   /**
-   * Returns how long after its acceptance the job is withdrawn, or 0 for a job that is not. Half of
-   * the withdrawals come around the time when the tasks end.
+   * Returns how long after its acceptance the job is withdrawn, or 0 for a job that is not.
+   * Services are always withdrawn; half of the other withdrawals come around the time when the
+   * tasks end.
    */
   private long withdrawalDelayMs(Map<String, Object> job, boolean service) {
     if (service) {
@@ -99,7 +104,7 @@
 
   /** Polls for a job that does not exist and repeats the submission of one that was accepted. */
   private void sendExtraRequests() {
-    if (!accepting) {
+    if (!submitting) {
       return;
     }
     world.clock.after(EXTRA_REQUEST_INTERVAL_MS, this::sendExtraRequests);
@@ -143,7 +148,7 @@
 
   /** Stops submitting and withdraws all services, so that every job can end. */
   void close() {
-    accepting = false;
+    submitting = false;
     for (String id : services) {
       if (world.users.accepted.contains(id) && !world.users.asked.contains(id)) {
         world.users.withdraw(id, world.nodes.get(0));
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -115,7 +115,7 @@
           load.close();
           return null;
         });
-    List<String> unfinished = awaitUnfinishedJobs(stage, load);
+    List<String> unfinished = awaitJobCompletion(stage, load);
     return evaluate(stage, network, load, scene, unfinished);
   }
 
@@ -142,10 +142,10 @@
    *
    * @return the accepted jobs that are not
    */
-  private List<String> awaitUnfinishedJobs(LoopbackStage stage, SoakLoad load) throws Exception {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MS);
+  private List<String> awaitJobCompletion(LoopbackStage stage, SoakLoad load) throws Exception {
+    long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MS);
     List<String> unfinished = stage.ask(load::unfinished);
-    while (!unfinished.isEmpty() && System.nanoTime() < until) {
+    while (!unfinished.isEmpty() && System.nanoTime() < deadlineNs) {
       TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
       unfinished = stage.ask(load::unfinished);
     }
