--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -100,6 +100,7 @@
         }
         run.at(13_000, () -> run.faultsOccurred = true);
       }),
+  /** All controllers crash together, and one of them is back seconds before the others. */
   ALL_CONTROLLERS_CRASH_AND_ONE_RESTARTS_AT_ONCE(
       run -> {
         for (int i = 0; i < 4; i++) {
@@ -117,6 +118,7 @@
         }
         run.at(100_000, () -> run.faultsOccurred = run.newestEpoch() >= 5);
       }),
+  /** The state service is slow, then also refuses the leader, then is unavailable to all. */
   STATE_SERVICE_SLOW_THEN_REFUSING_THEN_UNAVAILABLE(
       run -> {
         run.at(20_000, () -> run.world.state().slowWrites(700));
@@ -192,6 +194,7 @@
         run.at(100_000, () -> run.world.state().lateCommits(0, 0, 1));
         run.at(100_000, () -> run.faultsOccurred = run.world.state().lateWrites > 5);
       }),
+  /** Duplicates of reports arrive after newer reports, also of workers that have restarted. */
   OLD_REPORTS_ARRIVE_AFTER_NEWER_REPORTS(
       run -> {
         run.world.net.copies = new SimNet.Copies("/hello", 0.5, 50_000, run.world.nodes);
@@ -351,6 +354,7 @@
         run.at(50_000, () -> run.crashOrPauseLeader(true));
         run.at(100_000, () -> run.faultsOccurred = run.world.users.closeLooks.answered() > 2000);
       }),
+  /** One-task jobs arrive four times a second under a small write budget. */
   FOUR_ONE_TASK_JOBS_PER_SECOND(
       setup -> setup.machines(16).writeRps(50),
       run -> {
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -93,7 +93,7 @@
    */
   private void submit() {
     world.users.submit(SimJobs.job(JOB, "batch", 1, 1, 100), 0);
-    runUntil("the first run is held", () -> directRunCommands == 1);
+    runUntil("the first run command is held", () -> directRunCommands == 1);
   }
 
   private String machineOfTask() {
@@ -104,14 +104,15 @@
   private void endAttempt(Ending ending) {
     if (ending == Ending.CANCELLED) {
       world.users.withdraw(JOB_ID, world.nodes.get(0));
-      runUntil("confirmed", () -> world.rules.toldWithdrawn(JOB_ID));
+      runUntil("the withdrawal is confirmed", () -> world.rules.toldWithdrawn(JOB_ID));
     } else {
       worker.sick = true;
       worker.fail(TASK);
       runUntil(
-          "runs elsewhere", () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
+          "the task runs on another machine",
+          () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
     }
-    runUntil("cleared", () -> !worker.holds(TASK));
+    runUntil("the worker has removed the task", () -> !worker.holds(TASK));
   }
 
   private void assertHeldRunCommandStartsNothing() {
@@ -134,11 +135,11 @@
     long tick = worker.tick;
     // The controller gives up on the first command, and the answer to the next report is lost.
     world.run(4000);
-    runUntil("a report", () -> worker.tick > tick);
+    runUntil("the worker sends its next report", () -> worker.tick > tick);
     world.users.submit(SimJobs.job(OTHER_JOB, "batch", 6, 1, 100), 0);
-    runUntil("the second run is sent", () -> directRunCommands == 2);
+    runUntil("the second run command is sent", () -> directRunCommands == 2);
     loseReportAnswers = false;
-    runUntil("it runs", () -> worker.name.equals(machineOfTask()));
+    runUntil("the task runs on its first worker", () -> worker.name.equals(machineOfTask()));
     world.run(5000);
     endAttempt(ending);
     assertHeldRunCommandStartsNothing();
@@ -153,7 +154,7 @@
   @EnumSource(Ending.class)
   void runCommandArrivesAfterTheWorkerRestartedInTheSameSession(Ending ending) {
     submit();
-    runUntil("it runs", () -> worker.name.equals(machineOfTask()));
+    runUntil("the task runs on its first worker", () -> worker.name.equals(machineOfTask()));
     world.run(5000);
     long tick = worker.tick;
     worker.restart();
@@ -164,7 +165,8 @@
       endAttempt(ending);
     } else {
       runUntil(
-          "runs elsewhere", () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
+          "the task runs on another machine",
+          () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
     }
     assertHeldRunCommandStartsNothing();
   }
