--- a/src/test/java/wickdrift/sim/SoakIT.java
+++ b/src/test/java/wickdrift/sim/SoakIT.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A few short soaks of the built jar, with fixed seeds; by hand there are more and longer ones. */
+/** Short soaks of the built jar with fixed seeds. {@link SoakCommand} runs more and longer ones. */
 class SoakIT {
   private static final Path JAR = Path.of("target", "wickdrift.jar");
   private static final int WORKERS = 14;
@@ -15,10 +15,10 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void noRuleBreaks(long seed) throws Exception {
+  void invariantsHoldInAShortSoak(long seed) throws Exception {
     Path folder = Path.of("target", "soak-it", "seed-" + seed);
-    SoakResult result = new SoakRun(seed, JAR, folder, WORKERS, FAULTS_MS).play();
-    System.out.println(result.line());
+    SoakResult result = new SoakRun(seed, JAR, folder, WORKERS, FAULTS_MS).run();
+    System.out.println(result.summaryLine());
     assertEquals(List.of(), result.reasons());
     assertEquals(SoakResult.Outcome.PASSED, result.outcome());
   }
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -7,48 +7,54 @@
 import java.util.Random;
 
 /**
- * What the users of a soak do: short and long one-task jobs, arrays, gangs and services of two
- * teams that come to their limits; cancellations at any time, also at the end of a task; repeated
- * submissions; questions about jobs that nobody has submitted.
+ * The user load of a soak: short and long one-task jobs, arrays, gangs and services of two teams
+ * that reach their limits, withdrawals at any time and around the end of a task, repeated
+ * submissions, and polls for jobs that nobody has submitted.
  */
 final class SoakLoad {
-  private static final int NEVER_SUBMITTED = 900_000;
-  private static final double WORKERS_A_JOB = 16;
-  private static final long BETWEEN_JOBS_MS = 140;
-  private static final long ODD_QUESTION_MS = 2500;
+  /** Numbers from here on are never submitted. */
+  private static final int FIRST_UNKNOWN_JOB = 900_000;
+
+  /** With more workers than this the submission rate grows in proportion to their number. */
+  private static final double WORKERS_AT_BASE_RATE = 16;
+
+  private static final long MEAN_JOB_INTERVAL_MS = 140;
+  private static final long EXTRA_REQUEST_INTERVAL_MS = 2500;
 
   private final SimWorld world;
   private final Random random;
   private final Map<String, Map<String, Object>> submitted = new HashMap<>();
   private final List<String> services = new ArrayList<>();
-  private int next = 1;
-  private boolean open = true;
+  private int nextNumber = 1;
+  private boolean submitting = true;
 
   SoakLoad(SimWorld world, Random random) {
     this.world = world;
     this.random = random;
   }
 
-  /** Begins, and goes on until it is closed. */
+  /** Starts the load, which continues until {@link #close}. */
   void start() {
     if (random.nextBoolean()) {
       world.users.closeLooks = new SimCloseLooks(world);
     }
     submitNext();
-    askOddly();
+    sendExtraRequests();
   }
 
-  int submitted() {
+  /** Returns how many jobs were submitted. */
+  int submittedCount() {
     return submitted.size();
   }
 
   private void submitNext() {
-    if (!open) {
+    if (!submitting) {
       return;
     }
-    double pace = Math.max(1, world.workers().size() / WORKERS_A_JOB);
-    world.clock.after((long) (BETWEEN_JOBS_MS / pace * 2 * random.nextDouble()), this::submitNext);
-    int number = next++;
+    double rateFactor = Math.max(1, world.workers().size() / WORKERS_AT_BASE_RATE);
+    world.clock.after(
+        (long) (MEAN_JOB_INTERVAL_MS / rateFactor * 2 * random.nextDouble()), this::submitNext);
+    int number = nextNumber++;
     Map<String, Object> job = job(number);
     if (random.nextInt(3) == 0) {
       job.put("owner", "sound");
@@ -59,9 +65,10 @@
     if (service) {
       services.add(id);
     }
-    world.users.submit(job, withdrawAfter(job, service));
+    world.users.submit(job, withdrawalDelayMs(job, service));
   }
 
+  /** Describes a job of a random kind. */
   private Map<String, Object> job(int number) {
     int kind = random.nextInt(100);
     if (kind < 50) {
@@ -79,24 +86,29 @@
     return SimJobs.job(number, "batch", 1, 1, 10 + random.nextInt(6));
   }
 
-  /** Of the jobs that are cancelled, many are so about when their tasks end. */
-  private long withdrawAfter(Map<String, Object> job, boolean service) {
+  /**
+   * Returns how long after its acceptance the job is withdrawn, or 0 for a job that is not.
+   * Services are always withdrawn; half of the other withdrawals come around the time when the
+   * tasks end.
+   */
+  private long withdrawalDelayMs(Map<String, Object> job, boolean service) {
     if (service) {
       return 5000 + random.nextInt(10_000);
     }
     if (random.nextInt(5) > 1) {
       return 0;
     }
-    long about = (long) ((double) job.get("expectS") * 1000) + 1500;
-    return random.nextBoolean() ? 1 + random.nextInt(8000) : about + random.nextInt(800);
+    long expectedEndMs = (long) ((double) job.get("expectS") * 1000) + 1500;
+    return random.nextBoolean() ? 1 + random.nextInt(8000) : expectedEndMs + random.nextInt(800);
   }
 
-  private void askOddly() {
-    if (!open) {
+  /** Polls for a job that does not exist and repeats the submission of one that was accepted. */
+  private void sendExtraRequests() {
+    if (!submitting) {
       return;
     }
-    world.clock.after(ODD_QUESTION_MS, this::askOddly);
-    String unknown = String.format("req-%06d", NEVER_SUBMITTED + random.nextInt(1000));
+    world.clock.after(EXTRA_REQUEST_INTERVAL_MS, this::sendExtraRequests);
+    String unknown = String.format("req-%06d", FIRST_UNKNOWN_JOB + random.nextInt(1000));
     world.users.poll(
         world.nodes.get(random.nextInt(world.nodes.size())),
         unknown,
@@ -113,9 +125,11 @@
     }
   }
 
-  /** Cancels jobs that run, and tells which workers have tasks of theirs. */
+  /**
+   * Withdraws up to {@code jobs} running jobs and returns the workers that have their first tasks.
+   */
   List<SimWorker> cancelRunning(int jobs, Random draw) {
-    List<SimWorker> theirs = new ArrayList<>();
+    List<SimWorker> affectedWorkers = new ArrayList<>();
     List<String> running =
         world.users.accepted.stream()
             .filter(id -> world.rules.isOn(id + "/0") && !world.users.asked.contains(id))
@@ -124,15 +138,17 @@
     for (int i = 0; i < Math.min(jobs, running.size()); i++) {
       String id = running.get(i);
       String machine = world.rules.machineOf(id + "/0");
-      world.workers().stream().filter(w -> w.name.equals(machine)).forEach(theirs::add);
+      world.workers().stream()
+          .filter(worker -> worker.name.equals(machine))
+          .forEach(affectedWorkers::add);
       world.users.withdraw(id, world.nodes.get(draw.nextInt(world.nodes.size())));
     }
-    return theirs;
+    return affectedWorkers;
   }
 
-  /** No more jobs come, and services are called off, so that everything can end. */
+  /** Stops submitting and withdraws all services, so that every job can end. */
   void close() {
-    open = false;
+    submitting = false;
     for (String id : services) {
       if (world.users.accepted.contains(id) && !world.users.asked.contains(id)) {
         world.users.withdraw(id, world.nodes.get(0));
@@ -140,7 +156,7 @@
     }
   }
 
-  /** Accepted jobs of which no user was told that they are over. */
+  /** Returns the accepted jobs that users have not yet been told are in a terminal state. */
   List<String> unfinished() {
     return world.users.accepted.stream().filter(id -> !world.rules.isFinal(id)).sorted().toList();
   }
--- a/src/test/java/wickdrift/sim/SoakNetwork.java
+++ b/src/test/java/wickdrift/sim/SoakNetwork.java
@@ -4,33 +4,33 @@
 import java.util.List;
 import java.util.Random;
 
-/** The faults of messages that are in force in a soak, by rules that come and go. */
+/** Decides the fate of each request in a soak by the rules that are in force at the time. */
 final class SoakNetwork implements SimNet.FaultScript {
-  /** A request on its way. */
+  /** A request in transit. */
   record Message(String from, String to, String path) {}
 
-  /** Which requests a rule concerns. */
+  /** Selects the requests that a rule applies to. */
   interface Filter {
     boolean matches(Message message);
   }
 
-  /** What becomes of a share of the requests that a filter matches. */
-  record Rule(Filter filter, double share, SimNet.Fate fate) {}
+  /** Gives a request that the filter matches the fate with the probability. */
+  record Rule(Filter filter, double probability, SimNet.Fate fate) {}
 
   private final Random random;
   private final List<Rule> rules = new ArrayList<>();
-  private final long lateFromMs;
-  private final long lateToMs;
-  private long struck;
+  private final long minDelayMs;
+  private final long maxDelayMs;
+  private long affectedRequests;
 
   /**
-   * @param lateFromMs the least that a late request is late
-   * @param lateToMs the most
+   * @param minDelayMs the shortest delay of a late request
+   * @param maxDelayMs the longest delay of a late request
    */
-  SoakNetwork(Random random, long lateFromMs, long lateToMs) {
+  SoakNetwork(Random random, long minDelayMs, long maxDelayMs) {
     this.random = random;
-    this.lateFromMs = lateFromMs;
-    this.lateToMs = lateToMs;
+    this.minDelayMs = minDelayMs;
+    this.maxDelayMs = maxDelayMs;
   }
 
   void add(Rule rule) {
@@ -41,17 +41,17 @@
     rules.remove(rule);
   }
 
-  /** Requests that did not simply arrive. */
-  long struck() {
-    return struck;
+  /** Returns how many requests had another fate than normal delivery. */
+  long affectedRequests() {
+    return affectedRequests;
   }
 
   @Override
   public SimNet.Fate fateOf(String from, String to, String path, byte[] body) {
     Message message = new Message(from, to, path);
     for (Rule rule : rules) {
-      if (rule.filter.matches(message) && random.nextDouble() < rule.share) {
-        struck++;
+      if (rule.filter.matches(message) && random.nextDouble() < rule.probability) {
+        affectedRequests++;
         return rule.fate;
       }
     }
@@ -60,6 +60,6 @@
 
   @Override
   public long lateMs() {
-    return lateFromMs + (long) (random.nextDouble() * (lateToMs - lateFromMs));
+    return minDelayMs + (long) (random.nextDouble() * (maxDelayMs - minDelayMs));
   }
 }
--- a/src/test/java/wickdrift/sim/SoakScene.java
+++ b/src/test/java/wickdrift/sim/SoakScene.java
@@ -12,18 +12,20 @@
 import java.util.concurrent.TimeUnit;
 import wickdrift.bookkeeping.View;
 
-/** What the faults of a soak act on: the stand-ins, their links, and the real processes. */
+/** What the faults of a soak act on: the simulated parts, the links, and the real processes. */
 final class SoakScene implements AutoCloseable {
-  private static final double WORKERS_STRUCK = 0.4;
-  private static final long CLOSE_S = 10;
+  private static final double MAX_AFFECTED_WORKERS_RATIO = 0.4;
+  private static final long CLOSE_TIMEOUT_S = 10;
 
   private final LoopbackStage stage;
   private final SoakNetwork network;
   private final SoakLoad load;
   private final Path jar;
 
-  /** Signals and starts block: never on the loop of the stand-ins. */
-  private final ExecutorService processWork = Executors.newSingleThreadExecutor();
+  /**
+   * Signals and process starts block, so they never run on the event loop of the simulated parts.
+   */
+  private final ExecutorService processExecutor = Executors.newSingleThreadExecutor();
 
   private final Set<String> paused = new HashSet<>();
   private String processFailure;
@@ -36,6 +38,7 @@
     this.jar = jar;
   }
 
+  /** Returns the simulated parts of the soak. */
   SimWorld world() {
     return stage.world;
   }
@@ -44,11 +47,12 @@
     world().clock.after(ms, action);
   }
 
+  /** Returns how many times a controller was killed. */
   int kills() {
     return kills;
   }
 
-  /** Why a process could not be handled as planned, or null. */
+  /** Returns why a process could not be started, paused or ended as planned, or null. */
   String processFailure() {
     return processFailure;
   }
@@ -58,29 +62,29 @@
     return nodes.get(random.nextInt(nodes.size()));
   }
 
-  /** The leader, as the state service has it. */
+  /** Returns the leader in the stored view, or the first node if no view is stored. */
   String leader() {
     View view = stage.stored().view();
     return view == null ? world().nodes.get(0) : view.leader();
   }
 
-  /** One worker at least, and no more than a share of them. */
+  /** Returns a random set of at least one worker and at most a fixed ratio of them. */
   List<SimWorker> someWorkers(Random random) {
     List<SimWorker> all = new ArrayList<>(world().workers());
     Collections.shuffle(all, random);
-    int most = Math.max(1, (int) (all.size() * WORKERS_STRUCK));
+    int most = Math.max(1, (int) (all.size() * MAX_AFFECTED_WORKERS_RATIO));
     return List.copyOf(all.subList(0, 1 + random.nextInt(most)));
   }
 
-  /** Puts a rule of the network in force; what is returned takes it back. */
-  Runnable rule(SoakNetwork.Filter filter, double share, SimNet.Fate fate) {
-    SoakNetwork.Rule rule = new SoakNetwork.Rule(filter, share, fate);
+  /** Adds a rule to the network and returns the action that removes it. */
+  Runnable addRule(SoakNetwork.Filter filter, double probability, SimNet.Fate fate) {
+    SoakNetwork.Rule rule = new SoakNetwork.Rule(filter, probability, fate);
     network.add(rule);
     return () -> network.remove(rule);
   }
 
-  /** The links between a controller and its peers. */
-  void peers(String node, boolean out, boolean in, TcpProxy.Mode mode) {
+  /** Sets the mode of the links from a controller to its peers, from its peers to it, or both. */
+  void setPeerLinks(String node, boolean out, boolean in, TcpProxy.Mode mode) {
     for (String other : world().nodes) {
       if (!other.equals(node) && out) {
         stage.peerLink(node, other, mode);
@@ -91,39 +95,41 @@
     }
   }
 
-  /** Cancels jobs that run, and tells which workers have tasks of theirs. */
+  /**
+   * Withdraws up to {@code jobs} running jobs and returns the workers that have their first tasks.
+   */
   List<SimWorker> cancelRunning(int jobs, Random random) {
     return load.cancelRunning(jobs, random);
   }
 
   // ---- processes ----
 
-  /** Ends a process with no signal; it is started again so long after its end. */
-  void killAndReturn(String node, long awayMs) {
-    if (processWork.isShutdown()) {
-      // A series of kills that would go on after the last fault's end.
+  /** Kills a process without a graceful shutdown and starts it again after the downtime. */
+  void killAndRestart(String node, long downtimeMs) {
+    if (processExecutor.isShutdown()) {
+      // A series of kills must not continue after the last fault has ended.
       return;
     }
     kills++;
-    processWork.execute(
+    processExecutor.execute(
         () ->
-            guarded(
+            recordFailure(
                 () -> {
                   stage.process(node).end(false);
-                  TimeUnit.MILLISECONDS.sleep(awayMs);
+                  TimeUnit.MILLISECONDS.sleep(downtimeMs);
                   stage.start(node, jar);
                 }));
   }
 
-  /** Stops a process, or lets it go on. */
-  void pause(String node, boolean stop) {
-    boolean change = stop ? paused.add(node) : paused.remove(node);
+  /** Pauses or resumes a process. */
+  void setPaused(String node, boolean pause) {
+    boolean change = pause ? paused.add(node) : paused.remove(node);
     if (change) {
-      processWork.execute(
+      processExecutor.execute(
           () ->
-              guarded(
+              recordFailure(
                   () -> {
-                    if (stop) {
+                    if (pause) {
                       stage.process(node).pause();
                     } else {
                       stage.process(node).resume();
@@ -132,16 +138,18 @@
     }
   }
 
-  /** Nodes whose process has ended by itself. */
-  List<String> ended() {
+  /** Returns the nodes whose process is not running. */
+  List<String> endedNodes() {
     return world().nodes.stream().filter(node -> !stage.process(node).alive()).toList();
   }
 
+  /** A change to a process, which may fail. */
   private interface ProcessStep {
     void run() throws Exception;
   }
 
-  private void guarded(ProcessStep step) {
+  /** Runs a step and records its failure. */
+  private void recordFailure(ProcessStep step) {
     try {
       step.run();
     } catch (Exception e) {
@@ -149,16 +157,16 @@
     }
   }
 
-  /** Waits until what was begun with processes is done. */
-  void settleProcesses() throws InterruptedException {
-    processWork.shutdown();
-    if (!processWork.awaitTermination(CLOSE_S, TimeUnit.SECONDS)) {
-      processFailure = "processes could not be handled in time";
+  /** Waits until all changes to processes that were requested are done; accepts no more. */
+  void awaitProcessChanges() throws InterruptedException {
+    processExecutor.shutdown();
+    if (!processExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)) {
+      processFailure = "process changes did not finish in time";
     }
   }
 
   @Override
   public void close() {
-    processWork.shutdownNow();
+    processExecutor.shutdownNow();
   }
 }
