--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -22,141 +22,141 @@
  * Whole days of three controllers on a simulated clock; every event is checked against the rules.
  */
 class ClusterTest {
-  private static List<String> load(SimWorld w, int jobs, long seed) {
-    Random r = new Random(seed);
-    List<String> finite = new ArrayList<>();
+  private static List<String> submitRandomJobs(SimWorld world, int jobs, long seed) {
+    Random random = new Random(seed);
+    List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       int number = i;
-      int kind = r.nextInt(10);
-      boolean off = r.nextInt(8) == 0;
-      long withdrawAfter = off ? 1000 + r.nextInt(20_000) : 0;
-      double seconds = 3 + r.nextInt(20);
-      int tasks = 1 + r.nextInt(6);
-      w.clock.after(
-          r.nextInt(60_000),
+      int kind = random.nextInt(10);
+      boolean withdrawn = random.nextInt(8) == 0;
+      long withdrawAfter = withdrawn ? 1000 + random.nextInt(20_000) : 0;
+      double seconds = 3 + random.nextInt(20);
+      int tasks = 1 + random.nextInt(6);
+      world.clock.after(
+          random.nextInt(60_000),
           () ->
-              w.users.submit(
+              world.users.submit(
                   kind < 2
                       ? SimJobs.job(number, "daemon", Math.min(tasks, 3), 1, 0)
                       : kind < 5
                           ? SimJobs.job(number, "ensemble", Math.min(tasks, 3), 2, seconds)
                           : SimJobs.job(number, "batch", tasks, 1, seconds),
                   withdrawAfter));
-      if (kind >= 2 && !off) {
-        finite.add(String.format("req-%06d", number));
+      if (kind >= 2 && !withdrawn) {
+        finiteJobs.add(String.format("req-%06d", number));
       }
     }
-    return finite;
+    return finiteJobs;
   }
 
-  static void check(SimWorld w, List<String> finite) {
-    assertEquals(List.of(), w.broken());
-    assertTrue(w.starts() > 0, "nothing ran");
-    for (String id : finite) {
-      assertEquals("done", w.lastTold(id), id);
+  static void check(SimWorld world, List<String> finiteJobs) {
+    assertEquals(List.of(), world.broken());
+    assertTrue(world.starts() > 0, "nothing ran");
+    for (String id : finiteJobs) {
+      assertEquals("done", world.lastTold(id), id);
     }
-    assertNull(w.diverged());
+    assertNull(world.diverged());
   }
 
   @Test
-  void aQuietDay() {
-    SimWorld w = new SimWorld(1, 4, 30);
-    List<String> finite = load(w, 40, 1);
-    w.run(300_000);
-    check(w, finite);
+  void allJobsFinishWithoutFaults() {
+    SimWorld world = new SimWorld(1, 4, 30);
+    List<String> finiteJobs = submitRandomJobs(world, 40, 1);
+    world.run(300_000);
+    check(world, finiteJobs);
   }
 
   @Test
-  void fromNoMachinesAtAll() {
-    SimWorld w = new SimWorld(2, 0, 20);
-    List<String> finite = load(w, 20, 2);
-    w.run(300_000);
-    check(w, finite);
+  void allJobsFinishWhenTheFleetStartsEmpty() {
+    SimWorld world = new SimWorld(2, 0, 20);
+    List<String> finiteJobs = submitRandomJobs(world, 20, 2);
+    world.run(300_000);
+    check(world, finiteJobs);
   }
 
-  private static void faulty(long seed, Consumer<SimWorld> more) {
-    SimWorld w = new SimWorld(seed, 6, 30);
-    List<String> finite = load(w, 40, seed);
-    more.accept(w);
-    w.run(420_000);
-    check(w, finite);
+  private static void runWithFaults(long seed, Consumer<SimWorld> injectFaults) {
+    SimWorld world = new SimWorld(seed, 6, 30);
+    List<String> finiteJobs = submitRandomJobs(world, 40, seed);
+    injectFaults.accept(world);
+    world.run(420_000);
+    check(world, finiteJobs);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14})
-  void controllersCrashOneByOneAndAllTogether(long seed) {
-    faulty(
+  void jobsFinishWhenControllersCrashOneByOneAndTogether(long seed) {
+    runWithFaults(
         seed,
-        w -> {
-          w.clock.after(20_000, () -> w.crash("n0", 6000));
-          w.clock.after(45_000, () -> w.nodes.forEach(n -> w.crash(n, 5000)));
-          w.clock.after(70_000, () -> w.crash("n1", 9000));
-          w.clock.after(75_000, () -> w.crash("n2", 9000));
+        world -> {
+          world.clock.after(20_000, () -> world.crash("n0", 6000));
+          world.clock.after(45_000, () -> world.nodes.forEach(n -> world.crash(n, 5000)));
+          world.clock.after(70_000, () -> world.crash("n1", 9000));
+          world.clock.after(75_000, () -> world.crash("n2", 9000));
         });
   }
 
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
-  void theStateServiceIsAway(long seed) {
-    faulty(
+  void jobsFinishAfterStateServiceOutages(long seed) {
+    runWithFaults(
         seed,
-        w -> {
-          w.clock.after(25_000, () -> w.state().outage(true));
-          w.clock.after(50_000, () -> w.state().outage(false));
-          w.clock.after(80_000, () -> w.state().refuse("n1", true));
-          w.clock.after(110_000, () -> w.state().refuse("n1", false));
+        world -> {
+          world.clock.after(25_000, () -> world.state().outage(true));
+          world.clock.after(50_000, () -> world.state().outage(false));
+          world.clock.after(80_000, () -> world.state().refuse("n1", true));
+          world.clock.after(110_000, () -> world.state().refuse("n1", false));
         });
   }
 
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34})
-  void aControllerIsCutFromTheStateAndItsTransactionsComeLate(long seed) {
-    faulty(
+  void jobsFinishWhenTransactionsOfACutOffControllerArriveLate(long seed) {
+    runWithFaults(
         seed,
-        w -> {
-          w.clock.after(20_000, () -> w.cutFromState("n0", true));
-          w.clock.after(50_000, () -> w.healFromState("n0"));
-          w.clock.after(70_000, () -> w.cutFromState("n1", true));
-          w.clock.after(71_000, () -> w.crash("n1", 4000));
-          w.clock.after(95_000, () -> w.healFromState("n1"));
+        world -> {
+          world.clock.after(20_000, () -> world.cutFromState("n0", true));
+          world.clock.after(50_000, () -> world.healFromState("n0"));
+          world.clock.after(70_000, () -> world.cutFromState("n1", true));
+          world.clock.after(71_000, () -> world.crash("n1", 4000));
+          world.clock.after(95_000, () -> world.healFromState("n1"));
         });
   }
 
   @ParameterizedTest
   @ValueSource(longs = {41, 42, 43, 44})
-  void machinesAreCutHangAndDie(long seed) {
-    faulty(
+  void jobsFinishWhenMachinesAreCutOffHangAndDie(long seed) {
+    runWithFaults(
         seed,
-        w -> {
-          w.clock.after(20_000, () -> w.cutMachine(1, true));
-          w.clock.after(30_000, () -> w.hangMachine(2, 40_000));
-          w.clock.after(35_000, w::healMachines);
-          w.clock.after(50_000, () -> w.killMachine(3));
-          w.clock.after(60_000, () -> w.cutMachine(0, true));
-          w.clock.after(65_000, () -> w.crash("n0", 5000));
-          w.clock.after(100_000, w::healMachines);
+        world -> {
+          world.clock.after(20_000, () -> world.cutMachine(1, true));
+          world.clock.after(30_000, () -> world.hangMachine(2, 40_000));
+          world.clock.after(35_000, world::healMachines);
+          world.clock.after(50_000, () -> world.killMachine(3));
+          world.clock.after(60_000, () -> world.cutMachine(0, true));
+          world.clock.after(65_000, () -> world.crash("n0", 5000));
+          world.clock.after(100_000, world::healMachines);
         });
   }
 
   @Test
-  void aMachineFailsEveryTask() {
-    faulty(51, w -> w.clock.after(3000, () -> w.sicken(2)));
+  void jobsFinishWhenOneMachineFailsEveryTask() {
+    runWithFaults(51, world -> world.clock.after(3000, () -> world.sicken(2)));
   }
 
   /** Its leases hold, so no one takes over: the others have to pass its workers' reports on. */
   @Test
-  void aControllerThatItsWorkersCannotReachLosesNoTask() {
-    SimWorld w = new SimWorld(61, 6, 6);
+  void controllerUnreachableForItsWorkersLosesNoTask() {
+    SimWorld world = new SimWorld(61, 6, 6);
     for (int i = 0; i < 12; i++) {
-      w.users.submit(SimJobs.job(i, "daemon", 1, 1, 0), 0);
+      world.users.submit(SimJobs.job(i, "daemon", 1, 1, 0), 0);
     }
-    w.run(30_000);
-    int starts = w.starts();
+    world.run(30_000);
+    int starts = world.starts();
     assertEquals(12, starts);
-    w.cutFromWorkers("n1");
-    w.run(90_000);
-    assertEquals(starts, w.starts(), "tasks were lost and started again");
-    assertEquals(List.of(), w.broken());
+    world.cutFromWorkers("n1");
+    world.run(90_000);
+    assertEquals(starts, world.starts(), "tasks were lost and started again");
+    assertEquals(List.of(), world.broken());
   }
 
   /**
@@ -165,25 +165,26 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {71, 72, 73, 74, 75, 76})
-  void latePlacementsDoNotPassALimit(long seed) {
-    SimWorld w = new SimWorld(seed, 24, 24);
-    w.run(8000);
-    Random r = new Random(seed);
+  void latePlacementsDoNotExceedTheTeamLimit(long seed) {
+    SimWorld world = new SimWorld(seed, 24, 24);
+    world.run(8000);
+    Random random = new Random(seed);
     for (int i = 0; i < 60; i++) {
-      int n = i;
-      w.clock.after(
-          r.nextInt(20_000),
-          () -> w.users.submit(SimJobs.job(n, "batch", 4, 1, 8 + r.nextInt(10)), 0));
+      int jobNumber = i;
+      world.clock.after(
+          random.nextInt(20_000),
+          () ->
+              world.users.submit(SimJobs.job(jobNumber, "batch", 4, 1, 8 + random.nextInt(10)), 0));
     }
     for (int k = 0; k < 6; k++) {
       String node = "n" + k % 3;
-      w.clock.after(2000 + 9000L * k, () -> w.cutFromState(node, true));
-      w.clock.after(2000 + 9000L * k + 8500, () -> w.healFromState(node));
+      world.clock.after(2000 + 9000L * k, () -> world.cutFromState(node, true));
+      world.clock.after(2000 + 9000L * k + 8500, () -> world.healFromState(node));
     }
-    w.run(120_000);
-    assertNull(w.diverged());
-    assertEquals(List.of(), w.broken());
-    assertTrue(w.starts() > 100, "started " + w.starts());
+    world.run(120_000);
+    assertNull(world.diverged());
+    assertEquals(List.of(), world.broken());
+    assertTrue(world.starts() > 100, "started " + world.starts());
   }
 
   /**
@@ -192,39 +193,42 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {201, 202, 203, 204, 205, 206, 58, 75, 263})
-  void aPlacementThatWasGivenUpIsNotAppliedLater(long seed) {
-    SimWorld w = new SimWorld(seed, 12, 12, 3, 18);
-    w.run(8000);
-    w.state().lateCommits(0.15, 2600, seed);
-    Random r = new Random(seed);
+  void abandonedPlacementIsNotAppliedLater(long seed) {
+    SimWorld world = new SimWorld(seed, 12, 12, 3, 18);
+    world.run(8000);
+    world.state().lateCommits(0.15, 2600, seed);
+    Random random = new Random(seed);
     for (int i = 0; i < 70; i++) {
-      Map<String, Object> job = SimJobs.job(i, "batch", 1 + r.nextInt(6), 1, 3 + r.nextInt(8));
-      job.put("rank", List.of("urgent", "standard", "idle").get(r.nextInt(3)));
-      w.clock.after(r.nextInt(40_000), () -> w.users.submit(job, 0));
+      Map<String, Object> job =
+          SimJobs.job(i, "batch", 1 + random.nextInt(6), 1, 3 + random.nextInt(8));
+      job.put("rank", List.of("urgent", "standard", "idle").get(random.nextInt(3)));
+      world.clock.after(random.nextInt(40_000), () -> world.users.submit(job, 0));
     }
-    w.run(60_000);
-    w.state().lateCommits(0, 0, seed);
-    w.run(90_000);
-    assertEquals(List.of(), w.broken());
-    assertNull(w.diverged());
-    assertTrue(w.starts() > 100, "started " + w.starts());
+    world.run(60_000);
+    world.state().lateCommits(0, 0, seed);
+    world.run(90_000);
+    assertEquals(List.of(), world.broken());
+    assertNull(world.diverged());
+    assertTrue(world.starts() > 100, "started " + world.starts());
   }
 
   /** Withdrawn just as the last task ends: one answer, and for ever the same. */
   @ParameterizedTest
   @ValueSource(longs = {81, 82, 83})
-  void withdrawalsRaceWithTheEnd(long seed) {
-    SimWorld w = new SimWorld(seed, 20, 20);
-    w.run(8000);
-    Random r = new Random(seed);
+  void withdrawalDuringTheLastExitHasOneLastingAnswer(long seed) {
+    SimWorld world = new SimWorld(seed, 20, 20);
+    world.run(8000);
+    Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
-      int n = i;
-      w.clock.after(
-          r.nextInt(60_000),
-          () -> w.users.submit(SimJobs.job(n, "batch", 1, 1, 2), 2800 + r.nextInt(1600)));
+      int jobNumber = i;
+      world.clock.after(
+          random.nextInt(60_000),
+          () ->
+              world.users.submit(
+                  SimJobs.job(jobNumber, "batch", 1, 1, 2), 2800 + random.nextInt(1600)));
     }
-    w.run(120_000);
-    assertEquals(List.of(), w.broken());
+    world.run(120_000);
+    assertEquals(List.of(), world.broken());
   }
 
   /**
@@ -233,39 +237,44 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {91, 92, 93, 94})
-  void theLeaderAndOwnersDoNotBookTheSameRoom(long seed) {
-    SimWorld w = new SimWorld(seed, 14, 14);
-    w.run(8000);
-    Random r = new Random(seed);
+  void leaderAndOwnersDoNotAllocateTheSameCapacity(long seed) {
+    SimWorld world = new SimWorld(seed, 14, 14);
+    world.run(8000);
+    Random random = new Random(seed);
     for (int i = 0; i < 160; i++) {
-      int n = i;
+      int jobNumber = i;
       boolean gang = i % 3 == 0;
-      w.clock.after(
-          r.nextInt(400) + 5000L * (i / 20),
+      world.clock.after(
+          random.nextInt(400) + 5000L * (i / 20),
           () ->
-              w.users.submit(
-                  SimJobs.job(n, gang ? "ensemble" : "batch", 1, gang ? 4 : 1, 1 + r.nextInt(3)),
+              world.users.submit(
+                  SimJobs.job(
+                      jobNumber,
+                      gang ? "ensemble" : "batch",
+                      1,
+                      gang ? 4 : 1,
+                      1 + random.nextInt(3)),
                   0));
     }
-    w.run(120_000);
-    assertEquals(List.of(), w.broken());
-    assertEquals(0, w.full, "tasks refused for lack of room");
+    world.run(120_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals(0, world.full, "tasks refused for lack of room");
   }
 
   /** The controllers are in zone a. When b is cut off, no one renews the leases of its workers. */
   @ParameterizedTest
   @ValueSource(strings = {"daemon", "ensemble"})
-  void whatMustLastGoesWhereAControllerIs(String shape) {
-    SimWorld w = new SimWorld(7, 12, 12);
-    w.run(8000);
+  void servicesAndGangsArePlacedInAZoneWithAController(String shape) {
+    SimWorld world = new SimWorld(7, 12, 12);
+    world.run(8000);
     for (int i = 0; i < 5; i++) {
       Map<String, Object> job = SimJobs.job(i, shape, 1, 2, 1000);
       job.put("bundle", "img-" + i);
-      w.users.submit(job, 0);
+      world.users.submit(job, 0);
     }
-    w.run(10_000);
+    world.run(10_000);
     for (int i = 0; i < 5; i++) {
-      assertEquals("a", w.zoneOf(String.format("req-%06d/0", i)));
+      assertEquals("a", world.zoneOf(String.format("req-%06d/0", i)));
     }
   }
 
@@ -275,37 +284,37 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {111, 112, 113})
-  void cancelledTasksBehindACutAreEndedInTime(long seed) {
-    SimWorld w = new SimWorld(seed, 9, 9);
-    w.run(8000);
+  void withdrawnTasksBehindANetworkCutAreEndedInTime(long seed) {
+    SimWorld world = new SimWorld(seed, 9, 9);
+    world.run(8000);
     for (int i = 0; i < 12; i++) {
-      w.users.submit(SimJobs.job(i, "daemon", 1, 1, 0), 12_100 + 30 * i);
+      world.users.submit(SimJobs.job(i, "daemon", 1, 1, 0), 12_100 + 30 * i);
     }
-    w.run(12_000);
-    assertEquals(12, w.starts());
-    w.isolate("n1");
-    w.run(80_000);
-    assertEquals(List.of(), w.broken());
+    world.run(12_000);
+    assertEquals(12, world.starts());
+    world.isolate("n1");
+    world.run(80_000);
+    assertEquals(List.of(), world.broken());
   }
 
   /** When another is gone, a node that has a part places on it at once. */
   @Test
-  void aNodeThatHasAPartGoesOnWhenTheViewChanges() {
-    SimWorld w = new SimWorld(8, 12, 12);
-    w.run(8000);
-    long epoch = w.epoch("n0");
-    w.crash("n2", 60_000);
-    while (w.epoch("n0") == epoch) {
-      w.run(10);
+  void nodeWithAPartitionKeepsPlacingWhenTheViewChanges() {
+    SimWorld world = new SimWorld(8, 12, 12);
+    world.run(8000);
+    long epoch = world.epoch("n0");
+    world.crash("n2", 60_000);
+    while (world.epoch("n0") == epoch) {
+      world.run(10);
     }
     for (int i = 0; i < 6; i++) {
-      w.users.submit(SimJobs.job(i, "batch", 1, 1, 100), 0);
+      world.users.submit(SimJobs.job(i, "batch", 1, 1, 100), 0);
     }
     // A report interval with its slack would be 3.4 s.
-    w.run(800);
-    assertTrue(w.users.accepted.size() >= 3, "accepted " + w.users.accepted);
-    for (String id : w.users.accepted) {
-      assertEquals(1, w.placed("n0", id), id);
+    world.run(800);
+    assertTrue(world.users.accepted.size() >= 3, "accepted " + world.users.accepted);
+    for (String id : world.users.accepted) {
+      assertEquals(1, world.placed("n0", id), id);
     }
   }
 
@@ -319,24 +328,24 @@
     "n0, 2500, true", "n0, 15000, true", "n0, 45000, true", "n0, 45000, false",
     "n1, 2500, true", "n1, 15000, false", "n1, 45000, true", "n1, 45000, false",
   })
-  void aControllerStandsStillAndLosesNothing(String node, long ms, boolean timersFirst) {
-    SimWorld w = new SimWorld(ms + node.charAt(1), 9, 9);
-    w.run(8000);
+  void pausedControllerLosesNothing(String node, long pauseMs, boolean timersFirst) {
+    SimWorld world = new SimWorld(pauseMs + node.charAt(1), 9, 9);
+    world.run(8000);
     for (int i = 0; i < 18; i++) {
-      w.users.submit(SimJobs.job(i, "daemon", 1, 2, 0), 0);
+      world.users.submit(SimJobs.job(i, "daemon", 1, 2, 0), 0);
     }
-    w.run(12_000);
-    assertEquals(18, w.starts());
-    w.state().slowReads(node, 700);
-    w.freeze(node, ms, timersFirst);
-    w.run(ms + 2000);
-    w.state().slowReads(node, 0);
-    w.run(60_000);
-    assertEquals(List.of(), w.broken());
-    assertEquals(18, w.starts(), "tasks were lost and started again");
-    assertFalse(w.lost, "machines were taken for silent");
-    assertEquals(0, w.cloud.deleted, "machines were given up");
-    assertEquals(1.0, w.metric(node, "wickdrift.loop.pauses"));
+    world.run(12_000);
+    assertEquals(18, world.starts());
+    world.state().slowReads(node, 700);
+    world.freeze(node, pauseMs, timersFirst);
+    world.run(pauseMs + 2000);
+    world.state().slowReads(node, 0);
+    world.run(60_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals(18, world.starts(), "tasks were lost and started again");
+    assertFalse(world.lost, "machines were taken for silent");
+    assertEquals(0, world.cloud.deleted, "machines were given up");
+    assertEquals(1.0, world.metric(node, "wickdrift.loop.pauses"));
   }
 
   /**
@@ -346,23 +355,24 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {141, 142, 143, 144, 145, 146})
-  void whatIsLostIsNotStartedAgainWhileThatIsWritten(long seed) {
-    SimWorld w = new SimWorld(seed, 12, 12);
-    w.run(8000);
+  void lostTasksAreNotRestartedWhileTheLossIsWritten(long seed) {
+    SimWorld world = new SimWorld(seed, 12, 12);
+    world.run(8000);
     for (int i = 0; i < 16; i++) {
-      w.users.submit(SimJobs.job(i, "batch", 1, 2, 300), 0);
+      world.users.submit(SimJobs.job(i, "batch", 1, 2, 300), 0);
     }
-    w.run(9000);
-    assertEquals(16, w.starts());
-    w.state().slowWrites(1200);
+    world.run(9000);
+    assertEquals(16, world.starts());
+    world.state().slowWrites(1200);
     for (int i = 0; i < 12; i++) {
       int machine = i;
-      w.clock.after(500 * i, () -> w.cutMachine(machine, false));
-      w.clock.after(500 * i + 16_000 + 200 * (seed % 7), () -> w.healMachine(machine, "n0"));
+      world.clock.after(500 * i, () -> world.cutMachine(machine, false));
+      world.clock.after(
+          500 * i + 16_000 + 200 * (seed % 7), () -> world.healMachine(machine, "n0"));
     }
-    w.run(60_000);
-    assertEquals(List.of(), w.broken());
-    assertTrue(w.starts() > 20, "nothing was lost");
+    world.run(60_000);
+    assertEquals(List.of(), world.broken());
+    assertTrue(world.starts() > 20, "nothing was lost");
   }
 
   /**
@@ -370,43 +380,44 @@
    * must not carry the old epoch: the worker would drop it, and stay while its lease runs out.
    */
   @Test
-  void aWakingControllerAnswersUnderNoOldEpoch() throws BadMessage {
-    SimWorld w = new SimWorld(132, 6, 6);
-    w.run(8000);
-    w.crash("n2", 8000);
-    w.run(7800);
-    long old = w.epoch("n1");
+  void resumedControllerDoesNotAnswerUnderAnOldEpoch() throws BadMessage {
+    SimWorld world = new SimWorld(132, 6, 6);
+    world.run(8000);
+    world.crash("n2", 8000);
+    world.run(7800);
+    long oldEpoch = world.epoch("n1");
     String machine = "i-900000";
-    for (int i = 1; !w.owner("n1", machine).equals("n1"); i++) {
+    for (int i = 1; !world.owner("n1", machine).equals("n1"); i++) {
       machine = "i-90000" + i;
     }
-    w.state().slowReads("n1", 700);
-    w.cutFromPeers("n1", true);
-    w.freeze("n1", 2500, true);
-    w.run(2520);
-    assertEquals(old, w.epoch("n1"), "n1 has read the news already");
-    assertTrue(w.epoch("n0") > old, "the view has not changed");
-    Answer[] got = w.report("n1", machine, old);
-    w.run(3000);
-    boolean stale = got[0].status() == 200 && Document.parse(got[0].body()).count("epoch") == old;
-    assertFalse(stale, "answered under epoch " + old);
+    world.state().slowReads("n1", 700);
+    world.cutFromPeers("n1", true);
+    world.freeze("n1", 2500, true);
+    world.run(2520);
+    assertEquals(oldEpoch, world.epoch("n1"), "n1 has read the news already");
+    assertTrue(world.epoch("n0") > oldEpoch, "the view has not changed");
+    Answer[] answer = world.report("n1", machine, oldEpoch);
+    world.run(3000);
+    boolean stale =
+        answer[0].status() == 200 && Document.parse(answer[0].body()).count("epoch") == oldEpoch;
+    assertFalse(stale, "answered under epoch " + oldEpoch);
   }
 
   /** An outage keeps the view, and n1's lease with it, while n1 stands still for long. */
   @Test
-  void silenceWhileStandingStillProvesNothing() {
-    SimWorld w = new SimWorld(133, 9, 9);
-    w.run(8000);
-    w.state().outage(true);
-    w.cutFromPeers("n1", true);
-    w.cutFromWorkers("n1");
-    w.freeze("n1", 30_000, true);
-    w.run(29_000);
-    w.healFromWorkers("n1");
-    w.state().outage(false);
-    w.run(30_000);
-    assertEquals(List.of(), w.broken());
-    assertFalse(w.lost, "machines were taken for silent");
+  void missingReportsDuringAPauseProveNoSilence() {
+    SimWorld world = new SimWorld(133, 9, 9);
+    world.run(8000);
+    world.state().outage(true);
+    world.cutFromPeers("n1", true);
+    world.cutFromWorkers("n1");
+    world.freeze("n1", 30_000, true);
+    world.run(29_000);
+    world.healFromWorkers("n1");
+    world.state().outage(false);
+    world.run(30_000);
+    assertEquals(List.of(), world.broken());
+    assertFalse(world.lost, "machines were taken for silent");
   }
 
   /**
@@ -415,37 +426,38 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"n0", "n1", "n2"})
-  void aNewLeaseDoesNotReviveAnOldView(String node) {
-    SimWorld w = new SimWorld(131, 9, 9);
-    w.run(8000);
+  void newLeaseDoesNotReviveAnOldView(String node) {
+    SimWorld world = new SimWorld(131, 9, 9);
+    world.run(8000);
     for (int i = 0; i < 18; i++) {
-      w.users.submit(SimJobs.job(i, "daemon", 1, 2, 0), 0);
+      world.users.submit(SimJobs.job(i, "daemon", 1, 2, 0), 0);
     }
-    w.run(12_000);
-    assertEquals(18, w.starts());
-    w.state().slowReads(node, 900);
-    w.cutFromState(node, false);
-    w.run(25_000);
-    w.healFromState(node);
-    w.run(5000);
-    w.state().slowReads(node, 0);
-    w.run(40_000);
-    assertEquals(List.of(), w.broken());
-    assertEquals(18, w.starts(), "tasks were lost and started again");
-    assertFalse(w.lost, "machines were taken for silent");
-    assertEquals(0, w.cloud.deleted, "machines were given up");
+    world.run(12_000);
+    assertEquals(18, world.starts());
+    world.state().slowReads(node, 900);
+    world.cutFromState(node, false);
+    world.run(25_000);
+    world.healFromState(node);
+    world.run(5000);
+    world.state().slowReads(node, 0);
+    world.run(40_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals(18, world.starts(), "tasks were lost and started again");
+    assertFalse(world.lost, "machines were taken for silent");
+    assertEquals(0, world.cloud.deleted, "machines were given up");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {121, 122, 123, 124})
-  void controllersStandStillOneAfterTheOther(long seed) {
-    faulty(
+  void jobsFinishWhenControllersPauseOneAfterTheOther(long seed) {
+    runWithFaults(
         seed,
-        w -> {
-          w.clock.after(20_000, () -> w.freeze("n0", 14_000, true));
-          w.clock.after(45_000, () -> w.freeze("n1", 40_000, false));
-          w.clock.after(60_000, () -> w.freeze("n2", 3000, true));
-          w.clock.after(95_000, () -> w.nodes.forEach(n -> w.freeze(n, 9000, seed % 2 == 0)));
+        world -> {
+          world.clock.after(20_000, () -> world.freeze("n0", 14_000, true));
+          world.clock.after(45_000, () -> world.freeze("n1", 40_000, false));
+          world.clock.after(60_000, () -> world.freeze("n2", 3000, true));
+          world.clock.after(
+              95_000, () -> world.nodes.forEach(n -> world.freeze(n, 9000, seed % 2 == 0)));
         });
   }
 
@@ -454,23 +466,23 @@
    * and empties its machines together, not one after the other.
    */
   @Test
-  void aGangTakesItsMachinesFromGuestsAtOnce() {
-    SimWorld w = new SimWorld(171, 8, 8, 3, 10_000);
-    w.run(8000);
-    Map<String, Object> guests = SimJobs.job(1, "batch", 200, 1, 1000);
-    guests.put("rank", "idle");
-    guests.put("checkpointEveryS", 10.0);
-    guests.put("flushS", 1.0);
-    w.users.submit(guests, 0);
-    w.run(12_000);
-    assertEquals(32, w.starts());
+  void urgentGangPreemptsIdleTasksOnAllItsMachinesAtOnce() {
+    SimWorld world = new SimWorld(171, 8, 8, 3, 10_000);
+    world.run(8000);
+    Map<String, Object> idleJob = SimJobs.job(1, "batch", 200, 1, 1000);
+    idleJob.put("rank", "idle");
+    idleJob.put("checkpointEveryS", 10.0);
+    idleJob.put("flushS", 1.0);
+    world.users.submit(idleJob, 0);
+    world.run(12_000);
+    assertEquals(32, world.starts());
     Map<String, Object> gang = SimJobs.job(2, "ensemble", 4, 4, 100);
     gang.put("rank", "urgent");
-    w.users.submit(gang, 0);
-    w.run(6000);
-    assertEquals(4, w.placed("n0", "req-000002"));
-    w.run(20_000);
-    assertEquals(List.of(), w.broken());
+    world.users.submit(gang, 0);
+    world.run(6000);
+    assertEquals(4, world.placed("n0", "req-000002"));
+    world.run(20_000);
+    assertEquals(List.of(), world.broken());
   }
 
   /**
@@ -480,18 +492,19 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aMachineReturnedTwiceIsNotRecordedForEver(boolean timersFirst) {
-    SimWorld w = new SimWorld(181, 8, 8);
-    w.run(8000);
-    while (w.cloud.deleted == 0) {
-      w.run(1);
+  void machineReturnedTwiceIsNotRecordedRepeatedly(boolean timersFirst) {
+    SimWorld world = new SimWorld(181, 8, 8);
+    world.run(8000);
+    while (world.cloud.deleted == 0) {
+      world.run(1);
     }
-    w.freeze("n0", 8000, timersFirst);
-    w.run(150_000);
-    int commits = w.state().commits();
-    w.run(30_000);
-    assertTrue(w.state().commits() - commits < 10, "commits " + (w.state().commits() - commits));
-    assertEquals(List.of(), w.broken());
+    world.freeze("n0", 8000, timersFirst);
+    world.run(150_000);
+    int commits = world.state().commits();
+    world.run(30_000);
+    assertTrue(
+        world.state().commits() - commits < 10, "commits " + (world.state().commits() - commits));
+    assertEquals(List.of(), world.broken());
   }
 
   /**
@@ -499,47 +512,47 @@
    * who comes meanwhile is served as ever.
    */
   @Test
-  void anArrayOfVeryManyTasksIsWrittenInBatches() {
-    SimWorld w = new SimWorld(191, 12, 12, 3, 10_000);
-    w.run(8000);
+  void veryLargeArrayIsWrittenInBatches() {
+    SimWorld world = new SimWorld(191, 12, 12, 3, 10_000);
+    world.run(8000);
     Map<String, Object> array = SimJobs.job(1, "batch", 10_000, 0, 2);
     array.put("rank", "idle");
     array.put("cores", 0.25);
     array.put("memoryGb", 0.5);
-    int before = w.state().commits();
-    w.users.submit(array, 0);
-    w.run(6000);
-    w.users.submit(SimJobs.job(2, "daemon", 2, 1, 0), 0);
-    w.users.submit(SimJobs.job(3, "batch", 4, 2, 5), 0);
-    w.run(4000);
-    assertEquals(2, w.placed("n0", "req-000002"));
-    w.run(15_000);
-    assertEquals("done", w.lastTold("req-000003"));
-    w.run(120_000);
-    assertEquals("done", w.lastTold("req-000001"));
-    assertEquals(List.of(), w.broken());
-    assertNull(w.diverged());
+    int commitsBefore = world.state().commits();
+    world.users.submit(array, 0);
+    world.run(6000);
+    world.users.submit(SimJobs.job(2, "daemon", 2, 1, 0), 0);
+    world.users.submit(SimJobs.job(3, "batch", 4, 2, 5), 0);
+    world.run(4000);
+    assertEquals(2, world.placed("n0", "req-000002"));
+    world.run(15_000);
+    assertEquals("done", world.lastTold("req-000003"));
+    world.run(120_000);
+    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.broken());
+    assertNull(world.diverged());
     // Pages of 900 bytes here: a quarter of what they are in service.
-    int commits = w.state().commits() - before;
+    int commits = world.state().commits() - commitsBefore;
     assertTrue(commits < 10_000 / 4, commits + " transactions");
   }
 
   /** A class that should start within a second does not wait as long as others let guests be. */
   @Test
-  void whoseAimIsShortStopsOthersSooner() {
-    SimWorld w = new SimWorld(172, 4, 4, 3, 10_000);
-    w.run(8000);
-    w.users.submit(SimJobs.job(1, "batch", 40, 1, 1000), 0);
-    w.run(12_000);
-    assertEquals(16, w.starts());
-    Map<String, Object> swift = SimJobs.job(2, "daemon", 1, 1, 0);
-    swift.put("jobclass", "swift");
-    swift.put("rank", "production");
-    w.users.submit(swift, 0);
+  void classWithAShortStartTargetPreemptsSooner() {
+    SimWorld world = new SimWorld(172, 4, 4, 3, 10_000);
+    world.run(8000);
+    world.users.submit(SimJobs.job(1, "batch", 40, 1, 1000), 0);
+    world.run(12_000);
+    assertEquals(16, world.starts());
+    Map<String, Object> swiftJob = SimJobs.job(2, "daemon", 1, 1, 0);
+    swiftJob.put("jobclass", "swift");
+    swiftJob.put("rank", "production");
+    world.users.submit(swiftJob, 0);
     // Others wait for 20 s before they stop what is no guest's; the worker's reports take most of
     // this.
-    w.run(5000);
-    assertEquals(1, w.placed("n0", "req-000002"));
+    world.run(5000);
+    assertEquals(1, world.placed("n0", "req-000002"));
   }
 
   /**
@@ -547,87 +560,88 @@
    * attempt must come to start: were it given up, so would be the fetch, time and again.
    */
   @Test
-  void aGangWaitsForASlowFetch() {
-    SimWorld w = new SimWorld(173, 2, 2, 3, 10_000);
-    w.run(8000);
-    w.workers().get(0).slowFetchMs = 75_000;
+  void gangWaitsForASlowImageFetch() {
+    SimWorld world = new SimWorld(173, 2, 2, 3, 10_000);
+    world.run(8000);
+    world.workers().get(0).slowFetchMs = 75_000;
     Map<String, Object> gang = SimJobs.job(1, "ensemble", 2, 4, 5);
     gang.put("oneZone", false);
-    w.users.submit(gang, 0);
-    w.run(110_000);
-    assertEquals("done", w.lastTold("req-000001"));
-    assertEquals(List.of(), w.broken());
+    world.users.submit(gang, 0);
+    world.run(110_000);
+    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.broken());
   }
 
   /** Nothing is there that would have to be heard of first: renting begins with the first job. */
   @Test
-  void fromNothingRentingBeginsAtOnce() {
-    SimWorld w = new SimWorld(151, 0, 20);
-    w.clock.after(1300, () -> w.users.submit(SimJobs.job(1, "batch", 4, 1, 10), 0));
-    w.run(3000);
-    assertTrue(w.cloud.rented > 0, "nothing was rented");
+  void rentingBeginsAtOnceWhenTheFleetIsEmpty() {
+    SimWorld world = new SimWorld(151, 0, 20);
+    world.clock.after(1300, () -> world.users.submit(SimJobs.job(1, "batch", 4, 1, 10), 0));
+    world.run(3000);
+    assertTrue(world.cloud.rented > 0, "nothing was rented");
   }
 
   /** Where machines run, none are rented while it is written that they do. */
   @Test
-  void whereMachinesRunNoneAreRentedBeforeTheyReport() {
-    SimWorld w = new SimWorld(152, 150, 300);
-    w.run(400);
-    w.state().slowWrites(600);
+  void noMachinesAreRentedBeforeTheRunningOnesReport() {
+    SimWorld world = new SimWorld(152, 150, 300);
+    world.run(400);
+    world.state().slowWrites(600);
     for (int i = 0; i < 40; i++) {
-      int n = i;
-      w.clock.after(700, () -> w.users.submit(SimJobs.job(n, "batch", 15, 1, 10), 0));
+      int jobNumber = i;
+      world.clock.after(
+          700, () -> world.users.submit(SimJobs.job(jobNumber, "batch", 15, 1, 10), 0));
     }
-    w.run(15_000);
-    assertTrue(w.cloud.rented < 165, "rented " + w.cloud.rented);
+    world.run(15_000);
+    assertTrue(world.cloud.rented < 165, "rented " + world.cloud.rented);
   }
 
   /** What waits does not wait for machines that may never come, nor are those rented for ever. */
   @Test
-  void machinesThatNeverComeUpAreReplaced() {
-    SimWorld w = new SimWorld(153, 0, 30);
-    w.cloud.duds = 2;
-    w.users.submit(SimJobs.job(1, "batch", 8, 1, 60), 0);
-    w.run(24_000);
-    assertEquals(8, w.starts());
-    w.cloud.duds = 1000;
+  void machinesThatNeverBootAreReplaced() {
+    SimWorld world = new SimWorld(153, 0, 30);
+    world.cloud.duds = 2;
+    world.users.submit(SimJobs.job(1, "batch", 8, 1, 60), 0);
+    world.run(24_000);
+    assertEquals(8, world.starts());
+    world.cloud.duds = 1000;
     for (int i = 2; i < 12; i++) {
-      w.users.submit(SimJobs.job(i, "batch", 8, 1, 1), 0);
+      world.users.submit(SimJobs.job(i, "batch", 8, 1, 1), 0);
     }
-    w.run(12_000);
+    world.run(12_000);
     // Twenty machines' worth waits.
-    assertTrue(w.cloud.rented <= 4 + 20 + 3, "rented " + w.cloud.rented);
-    w.cloud.duds = 0;
-    w.run(200_000);
-    assertEquals(List.of(), w.broken());
-    assertTrue(w.cloud.fleet() <= 2, "left: " + w.cloud.fleet());
+    assertTrue(world.cloud.rented <= 4 + 20 + 3, "rented " + world.cloud.rented);
+    world.cloud.duds = 0;
+    world.run(200_000);
+    assertEquals(List.of(), world.broken());
+    assertTrue(world.cloud.fleet() <= 2, "left: " + world.cloud.fleet());
   }
 
   /** Up before the answer that rented them, late, or never; lists old, and older than the last. */
   @ParameterizedTest
   @ValueSource(longs = {161, 162, 163})
-  void bootsAndListsAsTheyCome(long seed) {
-    SimWorld w = new SimWorld(seed, 2, 30);
-    w.cloud.listLagMs = 2000;
-    List<String> finite = load(w, 40, seed);
-    for (int t = 5000; t < 60_000; t += 11_000) {
-      w.clock.after(t, () -> w.cloud.duds = 2);
+  void jobsFinishWithUnusualBootsAndStaleMachineLists(long seed) {
+    SimWorld world = new SimWorld(seed, 2, 30);
+    world.cloud.listLagMs = 2000;
+    List<String> finiteJobs = submitRandomJobs(world, 40, seed);
+    for (int atMs = 5000; atMs < 60_000; atMs += 11_000) {
+      world.clock.after(atMs, () -> world.cloud.duds = 2);
     }
-    w.run(420_000);
-    check(w, finite);
+    world.run(420_000);
+    check(world, finiteJobs);
   }
 
   /** How many rooms were looked at for each task placed, on a day of so many machines. */
-  private static double lookedAPlacement(int machines) {
-    SimWorld w = new SimWorld(101, machines, machines, 5, 10_000);
-    w.run(8000);
-    w.users.submitMixed(101, 5);
-    w.clock.after(9000, () -> w.crash("n3", 5000));
-    w.run(60_000);
-    assertEquals(List.of(), w.broken());
-    assertNull(w.diverged());
-    assertTrue(w.starts() > 800, "started " + w.starts());
-    return w.total("wickdrift.rooms.looked") / w.total("wickdrift.tasks.placed");
+  private static double machinesExaminedPerPlacement(int machines) {
+    SimWorld world = new SimWorld(101, machines, machines, 5, 10_000);
+    world.run(8000);
+    world.users.submitMixed(101, 5);
+    world.clock.after(9000, () -> world.crash("n3", 5000));
+    world.run(60_000);
+    assertEquals(List.of(), world.broken());
+    assertNull(world.diverged());
+    assertTrue(world.starts() > 800, "started " + world.starts());
+    return world.total("wickdrift.rooms.looked") / world.total("wickdrift.tasks.placed");
   }
 
   /**
@@ -635,20 +649,20 @@
    * that it had all along: a change of view is no news of it.
    */
   @Test
-  void silenceCountsThroughChangesOfView() {
-    SimWorld w = new SimWorld(211, 12, 12);
-    w.run(8000);
-    int dead = 0;
-    while (!w.owner("n0", w.workers().get(dead).name).equals("n0")) {
-      dead++;
+  void machineSilenceIsCountedAcrossViewChanges() {
+    SimWorld world = new SimWorld(211, 12, 12);
+    world.run(8000);
+    int deadMachine = 0;
+    while (!world.owner("n0", world.workers().get(deadMachine).name).equals("n0")) {
+      deadMachine++;
     }
-    w.killMachine(dead);
+    world.killMachine(deadMachine);
     for (int i = 0; i < 4; i++) {
-      w.crash(i % 2 == 0 ? "n1" : "n2", 5000);
-      w.run(6500);
+      world.crash(i % 2 == 0 ? "n1" : "n2", 5000);
+      world.run(6500);
     }
-    assertTrue(w.epoch("n0") >= 7, "epoch " + w.epoch("n0"));
-    assertTrue(w.lost, "never found silent");
+    assertTrue(world.epoch("n0") >= 7, "epoch " + world.epoch("n0"));
+    assertTrue(world.lost, "never found silent");
   }
 
   /**
@@ -657,26 +671,27 @@
    */
   @ParameterizedTest
   @CsvSource({"3, 201", "5, 201", "3, 202", "5, 202", "5, 203", "3, 205", "5, 205"})
-  void submissionsAtOnceKeepToTheLimitOfWrites(int controllers, long seed) {
-    SimWorld w =
+  void burstOfSubmissionsStaysWithinTheWriteLimit(int controllers, long seed) {
+    SimWorld world =
         new SimWorld(
             new SimSetup(seed, 40, 40)
                 .controllers("a".repeat(controllers))
                 .gpusMax(10_000)
                 .defaultTuning());
-    w.run(8000);
+    world.run(8000);
     for (int i = 0; i < 800; i++) {
-      int n = i;
-      w.clock.after(i * 2000 / 800, () -> w.users.submit(SimJobs.job(n, "batch", 1, 0.1, 5), 0));
+      int jobNumber = i;
+      world.clock.after(
+          i * 2000 / 800, () -> world.users.submit(SimJobs.job(jobNumber, "batch", 1, 0.1, 5), 0));
     }
-    w.run(5000);
-    assertTrue(w.users.accepted.size() > 150, "accepted " + w.users.accepted.size());
-    assertTrue(w.users.accepted.size() < 800, "no queue, so nothing is shown");
-    assertTrue(w.starts() > 50, "started " + w.starts());
-    w.run(60_000);
-    assertEquals(800, w.users.accepted.size());
-    assertEquals(0, w.state().overWritten());
-    assertEquals(List.of(), w.broken());
+    world.run(5000);
+    assertTrue(world.users.accepted.size() > 150, "accepted " + world.users.accepted.size());
+    assertTrue(world.users.accepted.size() < 800, "no queue, so nothing is shown");
+    assertTrue(world.starts() > 50, "started " + world.starts());
+    world.run(60_000);
+    assertEquals(800, world.users.accepted.size());
+    assertEquals(0, world.state().overWritten());
+    assertEquals(List.of(), world.broken());
   }
 
   /**
@@ -686,43 +701,45 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {171, 172, 173, 174})
-  void aZoneThatIsCutOffGoesOnInside(long seed) {
-    SimWorld w = new SimWorld(seed, 16, 24, "aab", 60);
-    w.run(8000);
+  void tasksInACutOffZoneKeepRunning(long seed) {
+    SimWorld world = new SimWorld(seed, 16, 24, "aab", 60);
+    world.run(8000);
     for (int i = 0; i < 12; i++) {
-      w.users.submit(SimJobs.job(i, "daemon", 2, 1, 0), 0);
+      world.users.submit(SimJobs.job(i, "daemon", 2, 1, 0), 0);
     }
-    w.run(12_000);
-    assertEquals(24, w.starts());
-    w.cutZone("n2", true);
-    w.run(45_000);
-    w.cutZone("n2", false);
-    w.run(30_000);
-    assertEquals(List.of(), w.broken());
-    assertEquals(0, w.killedByLease());
-    assertEquals(24, w.starts());
-    assertEquals(0, w.cloud.deleted, "machines behind the cut were deleted");
+    world.run(12_000);
+    assertEquals(24, world.starts());
+    world.cutZone("n2", true);
+    world.run(45_000);
+    world.cutZone("n2", false);
+    world.run(30_000);
+    assertEquals(List.of(), world.broken());
+    assertEquals(0, world.killedByLease());
+    assertEquals(24, world.starts());
+    assertEquals(0, world.cloud.deleted, "machines behind the cut were deleted");
   }
 
   /** Where the cut zone's controller ends too, its tasks do, and are started elsewhere in time. */
   @ParameterizedTest
   @ValueSource(longs = {181, 182, 183, 184})
-  void aZoneIsCutOffAndItsControllerCrashes(long seed) {
-    SimWorld w = new SimWorld(seed, 12, 24, "aab", 60);
-    List<String> finite = load(w, 40, seed);
-    w.clock.after(30_000, () -> w.cutZone("n2", true));
-    w.clock.after(36_000, () -> w.crash("n2", 5000));
-    w.clock.after(80_000, () -> w.cutZone("n2", false));
-    w.clock.after(85_000, () -> w.crash("n0", 5000));
-    w.run(420_000);
-    check(w, finite);
+  void jobsFinishWhenTheControllerOfACutOffZoneCrashes(long seed) {
+    SimWorld world = new SimWorld(seed, 12, 24, "aab", 60);
+    List<String> finiteJobs = submitRandomJobs(world, 40, seed);
+    world.clock.after(30_000, () -> world.cutZone("n2", true));
+    world.clock.after(36_000, () -> world.crash("n2", 5000));
+    world.clock.after(80_000, () -> world.cutZone("n2", false));
+    world.clock.after(85_000, () -> world.crash("n0", 5000));
+    world.run(420_000);
+    check(world, finiteJobs);
   }
 
   /** The rules hold at a large size, and a decision takes no more work than at a small one. */
   @Test
-  void aThousandMachinesAndFiveControllers() {
-    double few = lookedAPlacement(120);
-    double many = lookedAPlacement(1000);
-    assertTrue(many < 2 * few + 20, "looked at " + few + " of 120 and " + many + " of 1000");
+  void placementCostDoesNotGrowWithTheFleet() {
+    double smallFleet = machinesExaminedPerPlacement(120);
+    double largeFleet = machinesExaminedPerPlacement(1000);
+    assertTrue(
+        largeFleet < 2 * smallFleet + 20,
+        "looked at " + smallFleet + " of 120 and " + largeFleet + " of 1000");
   }
 }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -56,32 +56,36 @@
 /** Stored state of other builds and other days: read, looked through, kept and put back. */
 class OperatorTest {
   /** The simulated state service, asked from outside. */
-  private static Store store(SimState state) {
+  private static Store storeOf(SimState state) {
     return (method, path, body) -> {
-      Answer[] got = new Answer[1];
-      state.serve("operator", method, path, body, a -> got[0] = a);
-      return got[0];
+      Answer[] answer = new Answer[1];
+      state.serve("operator", method, path, body, a -> answer[0] = a);
+      return answer[0];
     };
   }
 
-  private static SimWorld busy(long seed) {
-    SimWorld w = new SimWorld(seed, 8, 30, "aab", 40);
-    load(w, 30);
-    return w;
+  private static SimWorld busyWorld(long seed) {
+    SimWorld world = new SimWorld(seed, 8, 30, "aab", 40);
+    submitJobs(world, 30);
+    return world;
   }
 
-  private static void load(SimWorld w, int jobs) {
+  private static void submitJobs(SimWorld world, int jobs) {
     for (int i = 0; i < jobs; i++) {
-      int n = i;
+      int jobNumber = i;
       String shape = i % 8 == 0 ? "daemon" : i % 5 < 2 ? "ensemble" : "batch";
-      w.clock.after(
+      world.clock.after(
           i * 700,
-          () -> w.users.submit(SimJobs.job(n, shape, 1 + n % 4, 1 + n % 2, 5 + n % 25), 0));
+          () ->
+              world.users.submit(
+                  SimJobs.job(
+                      jobNumber, shape, 1 + jobNumber % 4, 1 + jobNumber % 2, 5 + jobNumber % 25),
+                  0));
     }
-    w.run(25_000);
+    world.run(25_000);
   }
 
-  private static byte[] written(Records r) throws IOException {
+  private static byte[] snapshotBytes(Records r) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Snapshot.write(r, out);
     return out.toByteArray();
@@ -89,19 +93,22 @@
 
   // ---- what builds before wrote: the one before levels, and the one before jobs that await ----
 
-  private record Golden(long rev, TreeMap<String, Records.Item> all, String digest) {
-    static Golden read(String build) throws IOException, BadMessage {
+  private record GoldenState(long revision, TreeMap<String, Records.Item> records, String digest) {
+    static GoldenState read(String build) throws IOException, BadMessage {
       try (InputStream in =
               OperatorTest.class.getResourceAsStream("/golden/" + build + ".msgpack");
           InputStream text = OperatorTest.class.getResourceAsStream("/golden/" + build + ".txt")) {
-        Document d = Document.parse(in.readAllBytes());
-        TreeMap<String, Records.Item> all = new TreeMap<>();
-        for (Object o : d.list("records")) {
-          List<?> l = (List<?>) o;
-          all.put((String) l.get(0), new Records.Item(l.get(1), (Long) l.get(2)));
+        Document document = Document.parse(in.readAllBytes());
+        TreeMap<String, Records.Item> records = new TreeMap<>();
+        for (Object o : document.list("records")) {
+          List<?> fields = (List<?>) o;
+          records.put(
+              (String) fields.get(0), new Records.Item(fields.get(1), (Long) fields.get(2)));
         }
-        return new Golden(
-            d.count("rev"), all, new String(text.readAllBytes(), StandardCharsets.UTF_8));
+        return new GoldenState(
+            document.count("rev"),
+            records,
+            new String(text.readAllBytes(), StandardCharsets.UTF_8));
       }
     }
   }
@@ -109,23 +116,24 @@
   /** Records that a build before wrote mean to this one what they meant to that one. */
   @ParameterizedTest
   @ValueSource(strings = {"dc24b21", "4175cec"})
-  void recordsOfTheBuildBeforeAreReadAsItReadThem(String build) throws Exception {
-    Golden g = Golden.read(build);
-    Tables t = new Tables(List.of("n0", "n1", "n2"), LevelRange.BUILD, () -> {});
-    t.load(new Records(g.rev, g.all).changes(), g.rev);
-    assertNull(t.blockedReason());
-    StringBuilder b = new StringBuilder(SimWorld.digest(t));
+  void recordsOfAnOlderBuildKeepTheirMeaning(String build) throws Exception {
+    GoldenState golden = GoldenState.read(build);
+    Tables tables = new Tables(List.of("n0", "n1", "n2"), LevelRange.BUILD, () -> {});
+    tables.load(new Records(golden.revision, golden.records).changes(), golden.revision);
+    assertNull(tables.blockedReason());
+    StringBuilder digest = new StringBuilder(SimWorld.digest(tables));
     for (int n = 0; n < 3; n++) {
-      b.append("n")
+      digest
+          .append("n")
           .append(n)
           .append(' ')
-          .append(t.usage().placedBy("vision", n).gpus())
+          .append(tables.usage().placedBy("vision", n).gpus())
           .append('\n');
     }
-    assertEquals(g.digest, b.toString());
+    assertEquals(golden.digest, digest.toString());
     assertEquals(
         0,
-        StateCheck.check(new Records(g.rev, g.all), LevelRange.BUILD).stream()
+        StateCheck.check(new Records(golden.revision, golden.records), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
   }
@@ -133,37 +141,37 @@
   /** And this build goes on from them: jobs that were accepted then end once. */
   @ParameterizedTest
   @ValueSource(strings = {"dc24b21", "4175cec"})
-  void aStoreOfTheBuildBeforeIsGoneOnWith(String build) throws Exception {
-    Golden g = Golden.read(build);
-    SimWorld w = new SimWorld(501, 4, 30, "aab", 40);
-    w.nodes.forEach(w::kill);
-    w.cloud.machineNumber = 1000;
+  void clusterContinuesFromTheStateOfAnOlderBuild(String build) throws Exception {
+    GoldenState golden = GoldenState.read(build);
+    SimWorld world = new SimWorld(501, 4, 30, "aab", 40);
+    world.nodes.forEach(world::kill);
+    world.cloud.machineNumber = 1000;
     Map<String, Object> records = new TreeMap<>();
-    g.all.forEach((k, i) -> records.put(k, i.value()));
+    golden.records.forEach((k, i) -> records.put(k, i.value()));
     // The members' leases have ended.
     records.keySet().removeIf(k -> k.startsWith("w/m/"));
-    w.state().preload(records, g.rev);
-    List<String> open = new ArrayList<>();
+    world.state().preload(records, golden.revision);
+    List<String> openJobs = new ArrayList<>();
     for (Map.Entry<String, Object> e : records.entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue()).raw("spec"));
-        w.users.describe(new TreeMap<>(spec.without()));
+        world.users.describe(new TreeMap<>(spec.without()));
         if (!spec.text("shape").equals("daemon") && !Document.of(e.getValue()).flag("off")) {
-          open.add(spec.text("ref"));
+          openJobs.add(spec.text("ref"));
         }
       }
     }
-    w.nodes.forEach(w::startNode);
-    w.run(240_000);
-    assertEquals(LevelRange.BUILD.max(), w.tables("n0").level());
-    assertFalse(open.isEmpty());
-    for (String id : open) {
-      assertTrue(w.state().keys().contains("w/d/" + id), id);
-      assertFalse(w.state().keys().contains("w/j/" + id), id);
+    world.nodes.forEach(world::startNode);
+    world.run(240_000);
+    assertEquals(LevelRange.BUILD.max(), world.tables("n0").level());
+    assertFalse(openJobs.isEmpty());
+    for (String id : openJobs) {
+      assertTrue(world.state().keys().contains("w/d/" + id), id);
+      assertFalse(world.state().keys().contains("w/j/" + id), id);
     }
-    assertEquals(List.of(), w.broken());
-    assertNull(w.diverged());
-    assertTrue(w.state().keys().contains(NodeRegistry.CONVERTED_LEVEL_KEY));
+    assertEquals(List.of(), world.broken());
+    assertNull(world.diverged());
+    assertTrue(world.state().keys().contains(NodeRegistry.CONVERTED_LEVEL_KEY));
   }
 
   /**
@@ -171,43 +179,43 @@
    * entry that the stored example lacks.
    */
   @Test
-  void belowTheLevelItWritesWhatTheBuildBeforeWrote() throws Exception {
-    Map<String, Set<String>> before = new TreeMap<>();
-    for (Map.Entry<String, Records.Item> e : Golden.read("4175cec").all.entrySet()) {
-      shape(e.getKey(), e.getValue().value(), before);
+  void belowItsLevelTheBuildWritesOnlyOldRecordShapes() throws Exception {
+    Map<String, Set<String>> oldShapes = new TreeMap<>();
+    for (Map.Entry<String, Records.Item> e : GoldenState.read("4175cec").records.entrySet()) {
+      collectShape(e.getKey(), e.getValue().value(), oldShapes);
     }
-    SimWorld w = new SimWorld(502, 8, 30, "aab", 40);
-    w.restartAll(new LevelRange(1, 3), "");
-    load(w, 40);
-    Map<String, Set<String>> now = new TreeMap<>();
-    for (StateServiceClient.Change c : w.state().all()) {
-      shape(c.key(), c.value(), now);
+    SimWorld world = new SimWorld(502, 8, 30, "aab", 40);
+    world.restartAll(new LevelRange(1, 3), "");
+    submitJobs(world, 40);
+    Map<String, Set<String>> newShapes = new TreeMap<>();
+    for (StateServiceClient.Change c : world.state().all()) {
+      collectShape(c.key(), c.value(), newShapes);
     }
-    assertTrue(now.size() > 6, "kinds " + now.keySet());
-    now.forEach(
+    assertTrue(newShapes.size() > 6, "kinds " + newShapes.keySet());
+    newShapes.forEach(
         (kind, shapes) -> {
-          for (String s : shapes) {
-            assertTrue(before.getOrDefault(kind, Set.of()).contains(s), kind + " " + s);
+          for (String shape : shapes) {
+            assertTrue(oldShapes.getOrDefault(kind, Set.of()).contains(shape), kind + " " + shape);
           }
         });
   }
 
   /** The form and the fields of a record, those of what is in it too, by kind. */
-  private static void shape(String key, Object value, Map<String, Set<String>> into)
+  private static void collectShape(String key, Object value, Map<String, Set<String>> shapesByKind)
       throws BadMessage {
-    Set<String> all = into.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
-    all.add("form " + Encoding.versionOf(value));
-    Document d = Encoding.decode(value, 9);
-    for (Map.Entry<String, Object> e : d.without().entrySet()) {
-      all.add(e.getKey());
+    Set<String> shapes = shapesByKind.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
+    shapes.add("form " + Encoding.versionOf(value));
+    Document document = Encoding.decode(value, 9);
+    for (Map.Entry<String, Object> e : document.without().entrySet()) {
+      shapes.add(e.getKey());
       if (e.getKey().equals("spec")) {
-        Document.of(e.getValue()).without().keySet().forEach(f -> all.add("spec." + f));
+        Document.of(e.getValue()).without().keySet().forEach(f -> shapes.add("spec." + f));
       }
       for (Object run : e.getKey().equals("g") ? (List<?>) e.getValue() : List.of()) {
         for (Object entry : (List<?>) ((List<?>) run).get(1)) {
           // All that 4175cec reads; a stored example of small logs need not hold each.
           if (!Set.of("p", "x", "s", "h", "f").contains(((List<?>) entry).get(0))) {
-            all.add("entry " + ((List<?>) entry).get(0));
+            shapes.add("entry " + ((List<?>) entry).get(0));
           }
         }
       }
@@ -217,110 +225,112 @@
   // ---- snapshots ----
 
   @Test
-  void aSnapshotHoldsWhatWasThereAtOnce() throws Exception {
-    SimWorld w = busy(511);
+  void snapshotIsConsistentWhileControllersWrite() throws Exception {
+    SimWorld world = busyWorld(511);
     // While it is read, page by page, the controllers go on writing.
-    Store slow =
+    Store storeWithConcurrentWrites =
         (method, path, body) -> {
-          w.run(400);
-          return store(w.state()).call(method, path, body);
+          world.run(400);
+          return storeOf(world.state()).call(method, path, body);
         };
-    Records r = Records.read(slow);
-    Records now = Records.read(store(w.state()));
-    assertEquals(now.rev(), r.rev());
-    assertEquals(now.all(), r.all());
-    assertEquals(r, Snapshot.read(new ByteArrayInputStream(written(r))));
+    Records snapshot = Records.read(storeWithConcurrentWrites);
+    Records current = Records.read(storeOf(world.state()));
+    assertEquals(current.rev(), snapshot.rev());
+    assertEquals(current.all(), snapshot.all());
+    assertEquals(snapshot, Snapshot.read(new ByteArrayInputStream(snapshotBytes(snapshot))));
   }
 
-  static Stream<String> damages() {
+  static Stream<String> damageKinds() {
     return Stream.of("first byte", "form", "cut", "cut late", "flip early", "flip late", "more");
   }
 
   @ParameterizedTest
-  @org.junit.jupiter.params.provider.MethodSource("damages")
-  void aDamagedSnapshotIsRefused(String damage) throws Exception {
-    byte[] b = written(Records.read(store(busy(512).state())));
-    byte[] bad = b.clone();
+  @org.junit.jupiter.params.provider.MethodSource("damageKinds")
+  void damagedSnapshotIsRefused(String damage) throws Exception {
+    byte[] intact = snapshotBytes(Records.read(storeOf(busyWorld(512).state())));
+    byte[] damaged = intact.clone();
     switch (damage) {
-      case "first byte" -> bad[0]++;
-      case "form" -> bad[7] = 9;
-      case "cut" -> bad = Arrays.copyOf(b, 40);
-      case "cut late" -> bad = Arrays.copyOf(b, b.length - 9);
-      case "flip early" -> bad[60] ^= 4;
-      case "flip late" -> bad[b.length - 30] ^= 1;
-      default -> bad = Arrays.copyOf(b, b.length + 5);
+      case "first byte" -> damaged[0]++;
+      case "form" -> damaged[7] = 9;
+      case "cut" -> damaged = Arrays.copyOf(intact, 40);
+      case "cut late" -> damaged = Arrays.copyOf(intact, intact.length - 9);
+      case "flip early" -> damaged[60] ^= 4;
+      case "flip late" -> damaged[intact.length - 30] ^= 1;
+      default -> damaged = Arrays.copyOf(intact, intact.length + 5);
     }
-    byte[] file = bad;
+    byte[] file = damaged;
     Snapshot.Damaged e =
         assertThrows(Snapshot.Damaged.class, () -> Snapshot.read(new ByteArrayInputStream(file)));
-    String wanted =
+    String expectedText =
         damage.equals("form") ? "form 9" : damage.equals("first byte") ? "no snapshot" : " at ";
-    assertTrue(e.getMessage().contains(wanted), e.getMessage());
+    assertTrue(e.getMessage().contains(expectedText), e.getMessage());
   }
 
   /** A restore that is interrupted at any step goes on; only a whole one lets controllers in. */
   @Test
-  void aRestoreIsWholeOrLetsNobodyIn() throws Exception {
-    Records r = Records.read(store(busy(513).state()));
-    int steps = 0;
-    boolean whole = false;
-    for (int stop = 0; !whole; stop++) {
-      SimWorld w = new SimWorld(514, 4, 30, "aab", 40);
-      w.nodes.forEach(w::kill);
-      w.cloud.machineNumber = 1000;
-      int[] left = {stop};
+  void controllersStayOutUntilARestoreIsComplete() throws Exception {
+    Records records = Records.read(storeOf(busyWorld(513).state()));
+    int interruptions = 0;
+    boolean complete = false;
+    for (int failAtCommit = 0; !complete; failAtCommit++) {
+      SimWorld world = new SimWorld(514, 4, 30, "aab", 40);
+      world.nodes.forEach(world::kill);
+      world.cloud.machineNumber = 1000;
+      int[] commitsLeft = {failAtCommit};
       Store failing =
           (method, path, body) -> {
-            if (path.equals("/commit") && left[0]-- == 0) {
+            if (path.equals("/commit") && commitsLeft[0]-- == 0) {
               throw new Store.Away("interrupted");
             }
-            return store(w.state()).call(method, path, body);
+            return storeOf(world.state()).call(method, path, body);
           };
       try {
-        new Restore(failing, w.limits()).run(r);
-        whole = true;
+        new Restore(failing, world.limits()).run(records);
+        complete = true;
       } catch (Store.Away e) {
-        steps++;
-        if (stop % 3 == 1) {
-          w.nodes.forEach(w::startNode);
-          w.run(5000);
-          w.nodes.forEach(n -> assertTrue(w.tables(n).blockedReason() != null, n));
-          w.nodes.forEach(w::kill);
+        interruptions++;
+        if (failAtCommit % 3 == 1) {
+          world.nodes.forEach(world::startNode);
+          world.run(5000);
+          world.nodes.forEach(n -> assertTrue(world.tables(n).blockedReason() != null, n));
+          world.nodes.forEach(world::kill);
         }
-        new Restore(store(w.state()), w.limits()).run(r);
+        new Restore(storeOf(world.state()), world.limits()).run(records);
       }
-      assertThrows(Restore.Refused.class, () -> new Restore(store(w.state()), w.limits()).run(r));
-      for (String key : w.state().keys()) {
+      assertThrows(
+          Restore.Refused.class,
+          () -> new Restore(storeOf(world.state()), world.limits()).run(records));
+      for (String key : world.state().keys()) {
         if (Job.isChunkKey(key)) {
           // What ran has ended with its worker's lease.
-          Object v = MessageCodec.decode(MessageCodec.encode(w.state().value(key)));
-          assertEquals(List.of(), Encoding.decode(v, Encoding.NUMBERED).list("live"), key);
+          Object value = MessageCodec.decode(MessageCodec.encode(world.state().value(key)));
+          assertEquals(List.of(), Encoding.decode(value, Encoding.NUMBERED).list("live"), key);
         }
       }
-      goesOn(w, r);
+      assertClusterContinues(world, records);
     }
-    assertTrue(steps > 3, "steps " + steps);
+    assertTrue(interruptions > 3, "steps " + interruptions);
   }
 
-  private static void goesOn(SimWorld w, Records r) throws BadMessage {
-    int open = 0;
-    for (Map.Entry<String, Records.Item> e : r.all().entrySet()) {
+  private static void assertClusterContinues(SimWorld world, Records restored) throws BadMessage {
+    int openJobs = 0;
+    for (Map.Entry<String, Records.Item> e : restored.all().entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue().value()).raw("spec"));
-        w.users.describe(new TreeMap<>(spec.without()));
-        open++;
+        world.users.describe(new TreeMap<>(spec.without()));
+        openJobs++;
       }
     }
-    assertTrue(open > 5);
-    w.nodes.forEach(w::startNode);
-    w.run(6000);
-    assertEquals(List.of(), w.broken());
-    w.nodes.forEach(n -> assertNull(w.tables(n).blockedReason(), n));
-    assertTrue(w.epoch("n0") > 10_000_000);
-    assertNull(w.diverged());
-    w.run(20_000);
-    assertTrue(w.starts() > 0);
-    assertEquals(List.of(), w.broken());
+    assertTrue(openJobs > 5);
+    world.nodes.forEach(world::startNode);
+    world.run(6000);
+    assertEquals(List.of(), world.broken());
+    world.nodes.forEach(n -> assertNull(world.tables(n).blockedReason(), n));
+    assertTrue(world.epoch("n0") > 10_000_000);
+    assertNull(world.diverged());
+    world.run(20_000);
+    assertTrue(world.starts() > 0);
+    assertEquals(List.of(), world.broken());
   }
 
   // ---- state check ----
@@ -336,45 +346,49 @@
     "w/d/req-000008, 1, says that it is over",
     "w/l/n9/0000000001, 2, unknown kind"
   })
-  void whatContradictsItselfIsFound(String key, int form, String why) throws Exception {
-    SimWorld w = busy(521);
-    Store store = store(w.state());
+  void contradictoryRecordIsReported(String key, int encodingVersion, String expectedReason)
+      throws Exception {
+    SimWorld world = busyWorld(521);
+    Store store = storeOf(world.state());
     assertEquals(
         0,
         StateCheck.check(Records.read(store), LevelRange.BUILD).stream()
             .filter(StateCheck.Finding::error)
             .count());
-    Map<String, Object> v = new TreeMap<>();
-    v.put("name", "n1");
-    v.put("peers", List.of("n1"));
-    v.put("level", 7L);
-    v.put("epoch", 10_000L);
-    v.put("phase", "done");
-    v.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
-    w.state().force(key, Encoding.wrap(form, v));
-    List<StateCheck.Finding> found = StateCheck.check(Records.read(store), LevelRange.BUILD);
-    assertTrue(found.stream().anyMatch(f -> f.error() && f.why().contains(why)), found.toString());
+    Map<String, Object> fields = new TreeMap<>();
+    fields.put("name", "n1");
+    fields.put("peers", List.of("n1"));
+    fields.put("level", 7L);
+    fields.put("epoch", 10_000L);
+    fields.put("phase", "done");
+    fields.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
+    world.state().force(key, Encoding.wrap(encodingVersion, fields));
+    List<StateCheck.Finding> findings = StateCheck.check(Records.read(store), LevelRange.BUILD);
+    assertTrue(
+        findings.stream().anyMatch(f -> f.error() && f.why().contains(expectedReason)),
+        findings.toString());
   }
 
   /** A build of fewer levels is told that it can't read what this one wrote. */
   @Test
-  void aBuildOfFewerLevelsIsToldSo() throws Exception {
-    List<StateCheck.Finding> found =
-        StateCheck.check(Records.read(store(busy(522).state())), LevelRange.FIRST);
-    assertTrue(found.get(0).error() && found.get(0).why().contains("this build speaks 1 to 1"));
+  void checkReportsThatABuildOfFewerLevelsCannotReadTheState() throws Exception {
+    List<StateCheck.Finding> findings =
+        StateCheck.check(Records.read(storeOf(busyWorld(522).state())), LevelRange.FIRST);
+    assertTrue(
+        findings.get(0).error() && findings.get(0).why().contains("this build speaks 1 to 1"));
   }
 
   // ---- the command line, over real sockets ----
 
-  private static final class Line implements AutoCloseable {
+  private static final class CommandRunner implements AutoCloseable {
     final SimState state;
     final EventLoop loop = new EventLoop();
     final Channel server;
     final Path config;
-    String out;
-    String err;
+    String standardOutput;
+    String standardError;
 
-    Line(SimWorld world, Path dir) throws Exception {
+    CommandRunner(SimWorld world, Path dir) throws Exception {
       this.state = world.state();
       server =
           new HttpServer(loop.group(), 16, this::serve)
@@ -384,15 +398,15 @@
       Files.writeString(config, world.settingsText("n0", "127.0.0.1:" + port));
     }
 
-    private void serve(Exchange x) {
+    private void serve(Exchange exchange) {
       state.serve(
           "operator",
-          x.method(),
-          x.path(),
-          x.body(),
-          a -> {
+          exchange.method(),
+          exchange.path(),
+          exchange.body(),
+          answer -> {
             try {
-              x.reply(a.status(), MessageCodec.decode(a.body()));
+              exchange.reply(answer.status(), MessageCodec.decode(answer.body()));
             } catch (BadMessage e) {
               throw new AssertionError(e);
             }
@@ -400,19 +414,19 @@
     }
 
     int run(Object command, String... args) {
-      StringWriter o = new StringWriter();
-      StringWriter e = new StringWriter();
-      List<String> all = new ArrayList<>(List.of(args));
-      all.add(1, "--config");
-      all.add(2, config.toString());
-      int code =
+      StringWriter outWriter = new StringWriter();
+      StringWriter errWriter = new StringWriter();
+      List<String> arguments = new ArrayList<>(List.of(args));
+      arguments.add(1, "--config");
+      arguments.add(2, config.toString());
+      int exitCode =
           new CommandLine(command)
-              .setOut(new PrintWriter(o))
-              .setErr(new PrintWriter(e))
-              .execute(all.toArray(new String[0]));
-      out = o.toString();
-      err = e.toString();
-      return code;
+              .setOut(new PrintWriter(outWriter))
+              .setErr(new PrintWriter(errWriter))
+              .execute(arguments.toArray(new String[0]));
+      standardOutput = outWriter.toString();
+      standardError = errWriter.toString();
+      return exitCode;
     }
 
     @Override
@@ -423,43 +437,47 @@
   }
 
   @Test
-  void theCommandsOfOperators(@TempDir Path dir) throws Exception {
-    SimWorld w = busy(531);
-    try (Line l = new Line(w, dir)) {
-      assertEquals(0, l.run(new StateCommand(), "check"));
-      assertEquals(1, l.run(new StateCommand(), "check", "--levels", "1-1"));
-      assertEquals(2, l.run(new StateCommand(), "check", "--levels", "2-1"));
-      assertEquals(0, l.run(new LevelCommand(), "show"));
-      assertTrue(l.out.contains("level " + LevelRange.BUILD.max() + " is in force"), l.out);
-      assertTrue(l.out.contains("gate numbers: open"), l.out);
-      assertEquals(0, l.run(new LevelCommand(), "show", "--json"));
-      assertTrue(l.out.contains("\"level\": " + LevelRange.BUILD.max()), l.out);
-      assertEquals(1, l.run(new LevelCommand(), "hold", "numbers"));
-      assertTrue(l.err.contains("is open"), l.err);
-      assertEquals(2, l.run(new LevelCommand(), "hold", "nonsense"));
-      assertTrue(l.err.contains("there are: numbers"), l.err);
-      assertEquals(2, l.run(new LevelCommand(), "release", "numbers"));
-      assertEquals(1, l.run(new LevelCommand(), "without", "n1"));
-      assertEquals(2, l.run(new LevelCommand(), "without", "n7"));
-      w.kill("n1");
-      w.run(8000);
-      assertEquals(0, l.run(new LevelCommand(), "without", "n1"));
-      w.run(1000);
-      assertEquals(List.of("n1"), w.tables("n0").registry().overrides().ignoredNodes());
-      assertEquals(0, l.run(new LevelCommand(), "without", "n1", "--undo"));
+  void operatorCommandsReportResultsAndExitCodes(@TempDir Path dir) throws Exception {
+    SimWorld world = busyWorld(531);
+    try (CommandRunner runner = new CommandRunner(world, dir)) {
+      assertEquals(0, runner.run(new StateCommand(), "check"));
+      assertEquals(1, runner.run(new StateCommand(), "check", "--levels", "1-1"));
+      assertEquals(2, runner.run(new StateCommand(), "check", "--levels", "2-1"));
+      assertEquals(0, runner.run(new LevelCommand(), "show"));
+      assertTrue(
+          runner.standardOutput.contains("level " + LevelRange.BUILD.max() + " is in force"),
+          runner.standardOutput);
+      assertTrue(runner.standardOutput.contains("gate numbers: open"), runner.standardOutput);
+      assertEquals(0, runner.run(new LevelCommand(), "show", "--json"));
+      assertTrue(
+          runner.standardOutput.contains("\"level\": " + LevelRange.BUILD.max()),
+          runner.standardOutput);
+      assertEquals(1, runner.run(new LevelCommand(), "hold", "numbers"));
+      assertTrue(runner.standardError.contains("is open"), runner.standardError);
+      assertEquals(2, runner.run(new LevelCommand(), "hold", "nonsense"));
+      assertTrue(runner.standardError.contains("there are: numbers"), runner.standardError);
+      assertEquals(2, runner.run(new LevelCommand(), "release", "numbers"));
+      assertEquals(1, runner.run(new LevelCommand(), "without", "n1"));
+      assertEquals(2, runner.run(new LevelCommand(), "without", "n7"));
+      world.kill("n1");
+      world.run(8000);
+      assertEquals(0, runner.run(new LevelCommand(), "without", "n1"));
+      world.run(1000);
+      assertEquals(List.of("n1"), world.tables("n0").registry().overrides().ignoredNodes());
+      assertEquals(0, runner.run(new LevelCommand(), "without", "n1", "--undo"));
       String file = dir.resolve("kept").toString();
-      assertEquals(0, l.run(new StateCommand(), "dump", file));
-      assertEquals(1, l.run(new StateCommand(), "restore", file));
-      assertTrue(l.err.contains("not empty"), l.err);
-      assertEquals(4, l.run(new StateCommand(), "restore", file + "x"));
-      assertEquals(4, l.run(new StateCommand(), "dump", dir.resolve("no/where").toString()));
+      assertEquals(0, runner.run(new StateCommand(), "dump", file));
+      assertEquals(1, runner.run(new StateCommand(), "restore", file));
+      assertTrue(runner.standardError.contains("not empty"), runner.standardError);
+      assertEquals(4, runner.run(new StateCommand(), "restore", file + "x"));
+      assertEquals(4, runner.run(new StateCommand(), "dump", dir.resolve("no/where").toString()));
       Files.write(Path.of(file), new byte[] {1, 2, 3});
-      assertEquals(4, l.run(new StateCommand(), "restore", file));
-      assertTrue(l.err.contains("no snapshot"), l.err);
-      w.state().outage(true);
-      assertEquals(3, l.run(new StateCommand(), "check", "--wait", "0.5"));
-      assertEquals(1, l.err.lines().count(), l.err);
-      assertEquals(2, l.run(new StateCommand(), "check", "--wait", "0"));
+      assertEquals(4, runner.run(new StateCommand(), "restore", file));
+      assertTrue(runner.standardError.contains("no snapshot"), runner.standardError);
+      world.state().outage(true);
+      assertEquals(3, runner.run(new StateCommand(), "check", "--wait", "0.5"));
+      assertEquals(1, runner.standardError.lines().count(), runner.standardError);
+      assertEquals(2, runner.run(new StateCommand(), "check", "--wait", "0"));
     }
   }
 }
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -36,84 +36,85 @@
  * ({@link SimState#levelless}); the older build itself is played with real processes, outside CI.
  */
 class RolloutTest {
-  private static final int NEW = LevelRange.BUILD.max();
+  private static final int LATEST_LEVEL = LevelRange.BUILD.max();
 
   /**
    * A world whose controllers are all of the build that knows no levels, with jobs of all shapes.
    */
-  private static SimWorld old(long seed, String zones) {
-    SimWorld w = new SimWorld(seed, 8, 30, zones, 40);
+  private static SimWorld worldOfOldBuild(long seed, String zones) {
+    SimWorld world = new SimWorld(seed, 8, 30, zones, 40);
     // They were started in the constructor, but nothing has run yet.
-    for (String n : w.nodes) {
-      w.kill(n);
-      w.levels.put(n, LevelRange.FIRST);
-      w.state().levelless.add(n);
+    for (String n : world.nodes) {
+      world.kill(n);
+      world.levels.put(n, LevelRange.FIRST);
+      world.state().levelless.add(n);
     }
-    w.nodes.forEach(w::startNode);
-    return w;
+    world.nodes.forEach(world::startNode);
+    return world;
   }
 
-  private static List<String> load(SimWorld w, int jobs, long forMs) {
-    List<String> finite = new ArrayList<>();
+  private static List<String> submitJobs(SimWorld world, int jobs, long withinMs) {
+    List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
-      int n = i;
+      int jobNumber = i;
       String shape = i % 10 == 0 ? "daemon" : i % 5 < 3 ? "ensemble" : "batch";
       int tasks = 1 + i % 4;
-      boolean off = i % 7 == 6;
-      w.clock.after(
-          w.random.nextInt((int) forMs),
+      boolean withdrawn = i % 7 == 6;
+      world.clock.after(
+          world.random.nextInt((int) withinMs),
           () ->
-              w.users.submit(
-                  SimJobs.job(n, shape, Math.min(tasks, 3), 1 + n % 2, 3 + n % 15),
-                  off ? 9000 : 0));
-      if (i % 10 != 0 && !off) {
-        finite.add(String.format("req-%06d", n));
+              world.users.submit(
+                  SimJobs.job(
+                      jobNumber, shape, Math.min(tasks, 3), 1 + jobNumber % 2, 3 + jobNumber % 15),
+                  withdrawn ? 9000 : 0));
+      if (i % 10 != 0 && !withdrawn) {
+        finiteJobs.add(String.format("req-%06d", jobNumber));
       }
     }
-    return finite;
+    return finiteJobs;
   }
 
-  private static void replace(SimWorld w, String node) {
-    w.state().levelless.remove(node);
-    w.levels.remove(node);
-    w.crash(node, 2000);
+  private static void upgradeNode(SimWorld world, String node) {
+    world.state().levelless.remove(node);
+    world.levels.remove(node);
+    world.crash(node, 2000);
   }
 
-  private static void putBack(SimWorld w, String node) {
-    w.state().levelless.add(node);
-    w.levels.put(node, LevelRange.FIRST);
-    w.crash(node, 2000);
+  private static void rollBackNode(SimWorld world, String node) {
+    world.state().levelless.add(node);
+    world.levels.put(node, LevelRange.FIRST);
+    world.crash(node, 2000);
   }
 
-  private static int level(SimWorld w, String node) {
-    return w.tables(node).level();
+  private static int levelOf(SimWorld world, String node) {
+    return world.tables(node).level();
   }
 
-  private static void check(SimWorld w, List<String> finite) {
-    assertEquals(List.of(), w.broken());
-    for (String id : finite) {
-      assertEquals("done", w.lastTold(id), id);
+  private static void assertJobsDoneAndRulesHeld(SimWorld world, List<String> finiteJobs) {
+    assertEquals(List.of(), world.broken());
+    for (String id : finiteJobs) {
+      assertEquals("done", world.lastTold(id), id);
     }
-    assertNull(w.diverged());
+    assertNull(world.diverged());
   }
 
   /** Runs on until all nodes have a level; fails after a minute of simulated time. */
-  private static void untilLevel(SimWorld w, int wanted) {
+  private static void runUntilLevel(SimWorld world, int wanted) {
     for (int i = 0; i < 60; i++) {
-      if (w.nodes.stream().allMatch(n -> !w.alive(n) || level(w, n) == wanted)) {
+      if (world.nodes.stream().allMatch(n -> !world.alive(n) || levelOf(world, n) == wanted)) {
         return;
       }
-      w.run(1000);
+      world.run(1000);
     }
-    throw new AssertionError("level " + level(w, w.nodes.get(0)));
+    throw new AssertionError("level " + levelOf(world, world.nodes.get(0)));
   }
 
-  private static void nothingOldIsLeft(SimWorld w) throws BadMessage {
-    assertNotNull(w.state().value(NodeRegistry.CONVERTED_LEVEL_KEY));
-    for (String key : w.state().keys()) {
+  private static void assertNoOldEncodingsLeft(SimWorld world) throws BadMessage {
+    assertNotNull(world.state().value(NodeRegistry.CONVERTED_LEVEL_KEY));
+    for (String key : world.state().keys()) {
       assertEquals(
           Tables.newestReadableEncoding(key) == Encoding.FIRST ? Encoding.FIRST : Encoding.NUMBERED,
-          Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(w.state().value(key)))),
+          Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(world.state().value(key)))),
           key);
     }
   }
@@ -129,71 +130,71 @@
     "aaaaabbbb, 0 1 2 3 4 5 6 7 8",
     "aaaaabbbb, 8 3 4 0 1 7 6 5 2"
   })
-  void allAreReplacedInAnyOrder(String zones, String order) throws BadMessage {
-    SimWorld w = old(300 + zones.length(), zones);
-    List<String> finite = load(w, 60, 40_000 + 5000 * zones.length());
-    w.run(8000);
+  void levelUpgradeFollowsNodeUpgradesInAnyOrder(String zones, String order) throws BadMessage {
+    SimWorld world = worldOfOldBuild(300 + zones.length(), zones);
+    List<String> finiteJobs = submitJobs(world, 60, 40_000 + 5000 * zones.length());
+    world.run(8000);
     String[] nodes = order.split(" ");
     for (int i = 0; i < nodes.length; i++) {
-      assertEquals(1, level(w, "n" + nodes[nodes.length - 1]), "before " + nodes[i]);
-      replace(w, "n" + nodes[i]);
-      w.run(7000);
+      assertEquals(1, levelOf(world, "n" + nodes[nodes.length - 1]), "before " + nodes[i]);
+      upgradeNode(world, "n" + nodes[i]);
+      world.run(7000);
     }
-    untilLevel(w, NEW);
-    w.run(150_000);
-    check(w, finite);
-    nothingOldIsLeft(w);
+    runUntilLevel(world, LATEST_LEVEL);
+    world.run(150_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
+    assertNoOldEncodingsLeft(world);
   }
 
   @Test
-  void putBackHalfWayAndForwardAgain() throws BadMessage {
-    SimWorld w = old(311, "aaabb");
-    List<String> finite = load(w, 60, 80_000);
-    w.run(8000);
-    for (String n : List.of("n0", "n1", "n3")) {
-      replace(w, n);
-      w.run(6000);
-    }
-    for (String n : List.of("n3", "n0", "n1")) {
-      putBack(w, n);
-      w.run(6000);
-    }
-    assertEquals(1, level(w, "n4"));
+  void rolloutCanBeRolledBackAndResumed() throws BadMessage {
+    SimWorld world = worldOfOldBuild(311, "aaabb");
+    List<String> finiteJobs = submitJobs(world, 60, 80_000);
+    world.run(8000);
+    for (String node : List.of("n0", "n1", "n3")) {
+      upgradeNode(world, node);
+      world.run(6000);
+    }
+    for (String node : List.of("n3", "n0", "n1")) {
+      rollBackNode(world, node);
+      world.run(6000);
+    }
+    assertEquals(1, levelOf(world, "n4"));
     // One that was put back and is down counts as what it was put back to.
-    w.kill("n1");
-    for (String n : List.of("n0", "n2", "n3", "n4")) {
-      replace(w, n);
-      w.run(6000);
+    world.kill("n1");
+    for (String node : List.of("n0", "n2", "n3", "n4")) {
+      upgradeNode(world, node);
+      world.run(6000);
     }
-    w.run(20_000);
-    assertEquals(1, level(w, "n0"));
-    replace(w, "n1");
-    untilLevel(w, NEW);
-    w.run(150_000);
-    check(w, finite);
-    nothingOldIsLeft(w);
+    world.run(20_000);
+    assertEquals(1, levelOf(world, "n0"));
+    upgradeNode(world, "n1");
+    runUntilLevel(world, LATEST_LEVEL);
+    world.run(150_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
+    assertNoOldEncodingsLeft(world);
   }
 
   /** Which transaction of the rollout's actors meets a fault. */
-  enum Step {
-    ANNOUNCES(NodeRegistry.PREFIX),
-    RISES(View.KEY),
-    CONVERTS("w/l/"),
-    DONE(NodeRegistry.CONVERTED_LEVEL_KEY);
+  enum RolloutStep {
+    NODE_RECORD(NodeRegistry.PREFIX),
+    LEVEL_UPGRADE(View.KEY),
+    ENCODING_MIGRATION("w/l/"),
+    CONVERTED_LEVEL(NodeRegistry.CONVERTED_LEVEL_KEY);
 
-    final String prefix;
+    final String keyPrefix;
 
-    Step(String prefix) {
-      this.prefix = prefix;
+    RolloutStep(String prefix) {
+      this.keyPrefix = prefix;
     }
 
-    boolean is(Document txn) {
+    boolean isWrittenBy(Document txn) {
       try {
-        for (Document t : txn.docs("then")) {
-          String key = t.textOrNull("write");
-          boolean newForm = t.raw("v") instanceof List<?>;
-          if (key != null && key.startsWith(prefix)) {
-            return this == ANNOUNCES || this == DONE || newForm;
+        for (Document write : txn.docs("then")) {
+          String key = write.textOrNull("write");
+          boolean numbered = write.raw("v") instanceof List<?>;
+          if (key != null && key.startsWith(keyPrefix)) {
+            return this == NODE_RECORD || this == CONVERTED_LEVEL || numbered;
           }
         }
         return false;
@@ -204,85 +205,85 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Step.class)
-  void theActorOfAStepCrashesBeforeInAndAfterIt(Step step) throws BadMessage {
+  @EnumSource(RolloutStep.class)
+  void rolloutCompletesWhenTheWriterOfAStepCrashes(RolloutStep step) throws BadMessage {
     for (SimState.Fate fate : SimState.Fate.values()) {
-      SimWorld w = old(320 + step.ordinal(), "aab");
-      List<String> finite = load(w, 40, 50_000);
-      int[] left = {3};
-      w.state().fate =
+      SimWorld world = worldOfOldBuild(320 + step.ordinal(), "aab");
+      List<String> finiteJobs = submitJobs(world, 40, 50_000);
+      int[] crashesLeft = {3};
+      world.state().fate =
           (from, d) -> {
-            if (!step.is(d) || left[0] == 0 || !w.alive(from)) {
+            if (!step.isWrittenBy(d) || crashesLeft[0] == 0 || !world.alive(from)) {
               return SimState.Fate.APPLIED;
             }
-            left[0]--;
-            w.crash(from, 2500);
+            crashesLeft[0]--;
+            world.crash(from, 2500);
             return fate;
           };
-      w.run(8000);
-      for (String n : w.nodes) {
-        replace(w, n);
-        w.run(7000);
+      world.run(8000);
+      for (String node : world.nodes) {
+        upgradeNode(world, node);
+        world.run(7000);
       }
-      untilLevel(w, NEW);
-      w.run(150_000);
-      assertTrue(left[0] < 3, "the fault was not met");
-      check(w, finite);
-      nothingOldIsLeft(w);
+      runUntilLevel(world, LATEST_LEVEL);
+      world.run(150_000);
+      assertTrue(crashesLeft[0] < 3, "the fault was not met");
+      assertJobsDoneAndRulesHeld(world, finiteJobs);
+      assertNoOldEncodingsLeft(world);
     }
   }
 
   /** What happens at the switch, from just before to well after it. */
-  enum Trouble {
-    STORE_AWAY,
-    STORE_REFUSES_ONE,
-    FROZEN,
-    CUT_FROM_STATE,
-    ZONE_CUT,
-    PEERS_CUT,
+  enum InjectedFault {
+    STATE_SERVICE_DOWN,
+    STATE_SERVICE_REFUSES_ONE_NODE,
+    NODE_PAUSED,
+    NODE_CUT_FROM_STATE_SERVICE,
+    ZONE_CUT_OFF,
+    NODE_CUT_FROM_PEERS,
     LATE_TRANSACTIONS
   }
 
   @ParameterizedTest
-  @EnumSource(Trouble.class)
-  void troubleAtTheSwitch(Trouble trouble) throws BadMessage {
-    SimWorld w = old(340 + trouble.ordinal(), "aab");
-    List<String> finite = load(w, 40, 60_000);
-    w.run(8000);
-    replace(w, "n0");
-    w.run(7000);
-    replace(w, "n2");
-    w.run(7000);
-    replace(w, "n1");
+  @EnumSource(InjectedFault.class)
+  void rolloutCompletesWithAFaultAtTheLevelUpgrade(InjectedFault fault) throws BadMessage {
+    SimWorld world = worldOfOldBuild(340 + fault.ordinal(), "aab");
+    List<String> finiteJobs = submitJobs(world, 40, 60_000);
+    world.run(8000);
+    upgradeNode(world, "n0");
+    world.run(7000);
+    upgradeNode(world, "n2");
+    world.run(7000);
+    upgradeNode(world, "n1");
     // n1 is back 2 s from now, and the level rises within the second after that.
-    long at = 1900;
-    switch (trouble) {
-      case STORE_AWAY -> {
-        w.clock.after(at + 400, () -> w.state().outage(true));
-        w.clock.after(at + 9000, () -> w.state().outage(false));
+    long faultMs = 1900;
+    switch (fault) {
+      case STATE_SERVICE_DOWN -> {
+        world.clock.after(faultMs + 400, () -> world.state().outage(true));
+        world.clock.after(faultMs + 9000, () -> world.state().outage(false));
       }
-      case STORE_REFUSES_ONE -> {
-        w.clock.after(at, () -> w.state().refuse("n0", true));
-        w.clock.after(at + 15_000, () -> w.state().refuse("n0", false));
+      case STATE_SERVICE_REFUSES_ONE_NODE -> {
+        world.clock.after(faultMs, () -> world.state().refuse("n0", true));
+        world.clock.after(faultMs + 15_000, () -> world.state().refuse("n0", false));
       }
-      case FROZEN -> w.clock.after(at, () -> w.freeze("n2", 12_000, true));
-      case CUT_FROM_STATE -> {
-        w.clock.after(at, () -> w.cutFromState("n2", true));
-        w.clock.after(at + 20_000, () -> w.healFromState("n2"));
+      case NODE_PAUSED -> world.clock.after(faultMs, () -> world.freeze("n2", 12_000, true));
+      case NODE_CUT_FROM_STATE_SERVICE -> {
+        world.clock.after(faultMs, () -> world.cutFromState("n2", true));
+        world.clock.after(faultMs + 20_000, () -> world.healFromState("n2"));
       }
-      case ZONE_CUT -> {
-        w.clock.after(at, () -> w.cutZone("n2", true));
-        w.clock.after(at + 25_000, () -> w.cutZone("n2", false));
+      case ZONE_CUT_OFF -> {
+        world.clock.after(faultMs, () -> world.cutZone("n2", true));
+        world.clock.after(faultMs + 25_000, () -> world.cutZone("n2", false));
       }
-      case PEERS_CUT -> w.clock.after(at, () -> w.cutFromPeers("n0", true));
-      case LATE_TRANSACTIONS -> w.clock.after(0, () -> w.state().lateCommits(0.3, 2600, 5));
-      default -> throw new AssertionError(trouble);
+      case NODE_CUT_FROM_PEERS -> world.clock.after(faultMs, () -> world.cutFromPeers("n0", true));
+      case LATE_TRANSACTIONS -> world.clock.after(0, () -> world.state().lateCommits(0.3, 2600, 5));
+      default -> throw new AssertionError(fault);
     }
-    w.run(40_000);
-    untilLevel(w, NEW);
-    w.run(150_000);
-    check(w, finite);
-    nothingOldIsLeft(w);
+    world.run(40_000);
+    runUntilLevel(world, LATEST_LEVEL);
+    world.run(150_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
+    assertNoOldEncodingsLeft(world);
   }
 
   /**
@@ -291,63 +292,63 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {351, 352, 353})
-  void whatWasPreparedBeforeTheSwitchComesAfterIt(long seed) throws BadMessage {
-    SimWorld w = old(seed, "aaa");
-    List<String> finite = load(w, 60, 45_000);
-    w.run(8000);
-    replace(w, "n0");
-    w.run(6000);
-    replace(w, "n1");
-    w.run(6000);
+  void transactionsOfThePreviousLevelMayArriveAfterTheUpgrade(long seed) throws BadMessage {
+    SimWorld world = worldOfOldBuild(seed, "aaa");
+    List<String> finiteJobs = submitJobs(world, 60, 45_000);
+    world.run(8000);
+    upgradeNode(world, "n0");
+    world.run(6000);
+    upgradeNode(world, "n1");
+    world.run(6000);
     // n2 of the old build is cut off with its transactions held back, and is replaced.
-    w.cutFromState("n2", true);
-    w.run(1500);
-    replace(w, "n2");
-    w.clock.after(6000, () -> w.healFromState("n2"));
-    w.run(12_000);
-    untilLevel(w, NEW);
-    w.run(150_000);
-    check(w, finite);
-    nothingOldIsLeft(w);
+    world.cutFromState("n2", true);
+    world.run(1500);
+    upgradeNode(world, "n2");
+    world.clock.after(6000, () -> world.healFromState("n2"));
+    world.run(12_000);
+    runUntilLevel(world, LATEST_LEVEL);
+    world.run(150_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
+    assertNoOldEncodingsLeft(world);
   }
 
   /** A placement of one that has left the view fails, whenever it comes: its part was rewritten. */
   @Test
-  void aPlacementOfOneThatLeftTheViewFails() throws BadMessage {
+  void placementOfANodeThatLeftTheViewFails() throws BadMessage {
     // A limit so large that nobody gives of its share: that rewrites a part too.
-    SimWorld w = new SimWorld(355, 8, 20, "aaa", 10_000);
-    w.run(10_000);
+    SimWorld world = new SimWorld(355, 8, 20, "aaa", 10_000);
+    world.run(10_000);
     Document[] held = new Document[1];
-    w.state().fate =
+    world.state().fate =
         (from, d) -> {
-          if (held[0] == null && from.equals("n1") && places(d)) {
+          if (held[0] == null && from.equals("n1") && placesTask(d)) {
             held[0] = d;
-            w.cutFromState("n1", false);
+            world.cutFromState("n1", false);
             return SimState.Fate.LOST;
           }
           return SimState.Fate.APPLIED;
         };
     for (int i = 0; i < 12; i++) {
-      w.users.submit(SimJobs.job(i, "batch", 2, 1, 20), 0);
+      world.users.submit(SimJobs.job(i, "batch", 2, 1, 20), 0);
     }
     while (held[0] == null) {
-      w.run(50);
+      world.run(50);
     }
-    while (w.tables("n0").view().members().containsKey("n1")) {
-      w.run(5);
+    while (world.tables("n0").view().members().containsKey("n1")) {
+      world.run(5);
     }
-    assertEquals(409, late(w, held[0]));
-    w.run(5000);
-    assertEquals(409, late(w, held[0]));
-    assertEquals(List.of(), w.broken());
+    assertEquals(409, commitLate(world, held[0]));
+    world.run(5000);
+    assertEquals(409, commitLate(world, held[0]));
+    assertEquals(List.of(), world.broken());
   }
 
-  private static boolean places(Document txn) {
+  private static boolean placesTask(Document transaction) {
     try {
-      for (Document t : txn.docs("then")) {
-        String key = t.textOrNull("write");
+      for (Document write : transaction.docs("then")) {
+        String key = write.textOrNull("write");
         if (key != null && key.startsWith("w/l/")) {
-          List<?> runs = Encoding.decode(t.raw("v"), Encoding.NUMBERED).list("g");
+          List<?> runs = Encoding.decode(write.raw("v"), Encoding.NUMBERED).list("g");
           if (runs.toString().contains("[p, ")) {
             return true;
           }
@@ -359,14 +360,15 @@
     }
   }
 
-  private static int late(SimWorld w, Document txn) {
+  private static int commitLate(SimWorld world, Document transaction) {
     int[] status = new int[1];
-    w.state()
+    world
+        .state()
         .serve(
             "n1",
             "POST",
             "/commit",
-            MessageCodec.encode(txn.rawMap()),
+            MessageCodec.encode(transaction.rawMap()),
             a -> status[0] = a.status());
     return status[0];
   }
@@ -374,152 +376,163 @@
   /** Whoever does not speak the level in force neither joins, proposes, writes nor serves. */
   @ParameterizedTest
   @CsvSource({"1, 1, 2", "1, 2, 3", "3, 4, 2"})
-  void whoDoesNotSpeakTheLevelStaysOutside(int least, int most, int inForce) throws BadMessage {
-    SimWorld w = new SimWorld(360, 6, 20, "aaa", 60);
-    List<String> finite = load(w, 30, 40_000);
-    w.nodes.forEach(w::kill);
-    w.nodes.forEach(n -> w.levels.put(n, new LevelRange(1, inForce)));
-    w.nodes.forEach(w::startNode);
-    w.run(20_000);
-    untilLevel(w, inForce);
-    w.kill("n1");
-    w.levels.put("n1", new LevelRange(least, most));
-    w.startNode("n1");
-    w.state().writers.clear();
-    w.run(20_000);
-    assertNotNull(w.tables("n1").blockedReason());
+  void nodeThatDoesNotSupportTheLevelStaysOutside(int minLevel, int maxLevel, int levelInForce)
+      throws BadMessage {
+    SimWorld world = new SimWorld(360, 6, 20, "aaa", 60);
+    List<String> finiteJobs = submitJobs(world, 30, 40_000);
+    world.nodes.forEach(world::kill);
+    world.nodes.forEach(n -> world.levels.put(n, new LevelRange(1, levelInForce)));
+    world.nodes.forEach(world::startNode);
+    world.run(20_000);
+    runUntilLevel(world, levelInForce);
+    world.kill("n1");
+    world.levels.put("n1", new LevelRange(minLevel, maxLevel));
+    world.startNode("n1");
+    world.state().writers.clear();
+    world.run(20_000);
+    assertNotNull(world.tables("n1").blockedReason());
     assertTrue(
-        w.tables("n1").blockedReason().contains("level " + inForce),
-        w.tables("n1").blockedReason());
-    assertFalse(w.state().writers.contains("n1"), "it wrote");
-    assertFalse(w.tables("n0").members().containsKey("n1"));
+        world.tables("n1").blockedReason().contains("level " + levelInForce),
+        world.tables("n1").blockedReason());
+    assertFalse(world.state().writers.contains("n1"), "it wrote");
+    assertFalse(world.tables("n0").members().containsKey("n1"));
     for (String path : List.of("GET /up", "POST /api/jobs", "GET /api/jobs/req-000001")) {
       String[] p = path.split(" ");
       byte[] body =
-          p[0].equals("POST") ? w.users.describe(SimJobs.job(900, "batch", 1, 1, 5)) : null;
-      assertEquals(503, w.users.ask("n1", p[0], p[1], body).status(), path);
+          p[0].equals("POST") ? world.users.describe(SimJobs.job(900, "batch", 1, 1, 5)) : null;
+      assertEquals(503, world.users.ask("n1", p[0], p[1], body).status(), path);
     }
-    assertNotEquals(200, w.report("n1", "i-000000", 1) == null ? 0 : 503);
-    w.run(120_000);
-    check(w, finite);
+    assertNotEquals(200, world.report("n1", "i-000000", 1) == null ? 0 : 503);
+    world.run(120_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   @Test
-  void anOperatorHoldsAGateAndReleasesIt() throws BadMessage {
-    for (String held : List.of(Gate.NUMBERS.label(), "a-gate-of-tomorrow")) {
-      SimWorld w = old(371, "aaa");
-      List<String> finite = load(w, 20, 40_000);
-      w.state()
-          .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(held, true).toStore());
-      w.run(5000);
-      for (String n : w.nodes) {
-        replace(w, n);
-        w.run(6000);
+  void gateHeldByAnOperatorBlocksTheUpgradeUntilReleased() throws BadMessage {
+    for (String heldGate : List.of(Gate.NUMBERS.label(), "a-gate-of-tomorrow")) {
+      SimWorld world = worldOfOldBuild(371, "aaa");
+      List<String> finiteJobs = submitJobs(world, 20, 40_000);
+      world
+          .state()
+          .force(
+              OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(heldGate, true).toStore());
+      world.run(5000);
+      for (String n : world.nodes) {
+        upgradeNode(world, n);
+        world.run(6000);
       }
-      w.run(20_000);
-      assertEquals(1, level(w, "n0"));
-      w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
-      untilLevel(w, NEW);
-      w.run(100_000);
-      check(w, finite);
+      world.run(20_000);
+      assertEquals(1, levelOf(world, "n0"));
+      world.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
+      runUntilLevel(world, LATEST_LEVEL);
+      world.run(100_000);
+      assertJobsDoneAndRulesHeld(world, finiteJobs);
     }
   }
 
   /** Whatever the rise was drawn from changes while its transaction is under way: it fails. */
   @ParameterizedTest
   @ValueSource(strings = {"word", "live", "back", "announced", "list"})
-  void whatChangesWhileTheRiseIsUnderWay(String what) throws BadMessage {
-    SimWorld w = new SimWorld(376, 4, 20, "aaabb", 40);
-    w.nodes.forEach(w::kill);
-    for (String n : w.nodes) {
-      w.levels.put(n, LevelRange.FIRST);
-      w.startNode(n);
-    }
-    w.run(6000);
-    for (String n : List.of("n0", "n1", "n2", "n3")) {
-      w.levels.remove(n);
-      w.crash(n, 1000);
-      w.run(6000);
+  void levelUpgradeFailsWhenItsInputsChangeMeanwhile(String changedInput) throws BadMessage {
+    SimWorld world = new SimWorld(376, 4, 20, "aaabb", 40);
+    world.nodes.forEach(world::kill);
+    for (String node : world.nodes) {
+      world.levels.put(node, LevelRange.FIRST);
+      world.startNode(node);
+    }
+    world.run(6000);
+    for (String node : List.of("n0", "n1", "n2", "n3")) {
+      world.levels.remove(node);
+      world.crash(node, 1000);
+      world.run(6000);
     }
     // n3 is down when the last one comes, and counts as it has announced.
-    w.kill("n3");
-    w.run(6000);
-    w.levels.remove("n4");
-    w.crash("n4", 1000);
-    Map<String, Object> less = new TreeMap<>(Map.of("name", "n3", "least", 1L, "most", 1L));
-    less.put("peers", List.of("n3"));
-    boolean[] met = new boolean[1];
-    w.state().fate =
+    world.kill("n3");
+    world.run(6000);
+    world.levels.remove("n4");
+    world.crash("n4", 1000);
+    Map<String, Object> firstLevelRecord =
+        new TreeMap<>(Map.of("name", "n3", "least", 1L, "most", 1L));
+    firstLevelRecord.put("peers", List.of("n3"));
+    boolean[] upgradeAttempted = new boolean[1];
+    world.state().fate =
         (from, d) -> {
-          if (Step.RISES.is(d) && !met[0]) {
-            met[0] = true;
-            switch (what) {
+          if (RolloutStep.LEVEL_UPGRADE.isWrittenBy(d) && !upgradeAttempted[0]) {
+            upgradeAttempted[0] = true;
+            switch (changedInput) {
               case "word" ->
-                  w.state()
+                  world
+                      .state()
                       .force(
                           OperatorOverrides.KEY,
                           OperatorOverrides.NONE
                               .withGateHeld(Gate.NUMBERS.label(), true)
                               .toStore());
-              case "live" -> w.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
-              case "back" -> w.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
-              case "announced" -> w.state().force("w/c/3", less);
+              case "live" -> world.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
+              case "back" -> world.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
+              case "announced" -> world.state().force("w/c/3", firstLevelRecord);
               default ->
-                  w.state()
+                  world
+                      .state()
                       .force(
-                          NodeRegistry.INITIAL_NAMES_KEY, NodeRegistry.encodeInitialNames(w.nodes));
+                          NodeRegistry.INITIAL_NAMES_KEY,
+                          NodeRegistry.encodeInitialNames(world.nodes));
             }
-            w.clock.after(60, () -> assertEquals(1, level(w, from), what));
+            world.clock.after(60, () -> assertEquals(1, levelOf(world, from), changedInput));
           }
           return SimState.Fate.APPLIED;
         };
-    w.run(12_000);
-    assertTrue(met[0], "the level did not try to rise");
-    assertEquals(what.equals("list") ? NEW : 1, level(w, "n0"));
-    assertEquals(List.of(), w.broken());
+    world.run(12_000);
+    assertTrue(upgradeAttempted[0], "the level did not try to rise");
+    assertEquals(changedInput.equals("list") ? LATEST_LEVEL : 1, levelOf(world, "n0"));
+    assertEquals(List.of(), world.broken());
   }
 
   /** One that never comes back is waited for until an operator says that it is not. */
   @Test
-  void withoutOneThatNeverComesBack() throws BadMessage {
-    SimWorld w = old(381, "aaabb");
-    List<String> finite = load(w, 40, 60_000);
-    w.run(8000);
-    w.kill("n3");
+  void upgradeIgnoresALostNodeOnlyAfterAnOperatorOverride() throws BadMessage {
+    SimWorld world = worldOfOldBuild(381, "aaabb");
+    List<String> finiteJobs = submitJobs(world, 40, 60_000);
+    world.run(8000);
+    world.kill("n3");
     for (String n : List.of("n0", "n1", "n2", "n4")) {
-      replace(w, n);
-      w.run(6000);
+      upgradeNode(world, n);
+      world.run(6000);
     }
-    w.run(20_000);
-    assertEquals(1, level(w, "n0"));
-    w.state()
+    world.run(20_000);
+    assertEquals(1, levelOf(world, "n0"));
+    world
+        .state()
         .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
-    untilLevel(w, NEW);
+    runUntilLevel(world, LATEST_LEVEL);
     // It does come back, of the old build: outside; of the new one: in.
-    w.startNode("n3");
-    w.run(10_000);
-    assertNotNull(w.tables("n3").blockedReason());
-    assertFalse(w.tables("n0").view().members().containsKey("n3"));
-    replace(w, "n3");
-    w.run(10_000);
-    assertTrue(w.tables("n0").view().members().containsKey("n3"));
-    w.run(100_000);
-    check(w, finite);
-    nothingOldIsLeft(w);
+    world.startNode("n3");
+    world.run(10_000);
+    assertNotNull(world.tables("n3").blockedReason());
+    assertFalse(world.tables("n0").view().members().containsKey("n3"));
+    upgradeNode(world, "n3");
+    world.run(10_000);
+    assertTrue(world.tables("n0").view().members().containsKey("n3"));
+    world.run(100_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
+    assertNoOldEncodingsLeft(world);
   }
 
   /** What all may use together, as the parts tell it. */
-  private static double shares(SimWorld w) throws BadMessage {
+  private static double totalQuotaShares(SimWorld world) throws BadMessage {
     double sum = 0;
-    List<?> first = Document.of(w.state().value(NodeRegistry.INITIAL_NAMES_KEY)).list("names");
-    TreeMap<String, Boolean> all = new TreeMap<>();
-    first.forEach(n -> all.put((String) n, true));
-    w.tables("n0").partitions().keySet().forEach(n -> all.put(n, true));
-    for (String n : all.keySet()) {
-      Partition p = w.tables("n0").partition(n);
-      sum += first.contains(n) ? w.setup.gpusMax() / first.size() : 0;
+    List<?> initialNames =
+        Document.of(world.state().value(NodeRegistry.INITIAL_NAMES_KEY)).list("names");
+    TreeMap<String, Boolean> names = new TreeMap<>();
+    initialNames.forEach(n -> names.put((String) n, true));
+    world.tables("n0").partitions().keySet().forEach(n -> names.put(n, true));
+    for (String n : names.keySet()) {
+      Partition partition = world.tables("n0").partition(n);
+      sum += initialNames.contains(n) ? world.setup.gpusMax() / initialNames.size() : 0;
       sum +=
-          p == null ? 0 : p.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
+          partition == null
+              ? 0
+              : partition.quotaShares().getOrDefault("vision", Partition.QuotaShare.NONE).gpus();
     }
     return sum;
   }
@@ -537,100 +550,102 @@
     "aaa, n0 n1 n2, n4 n5 n6",
     "aaabbbb, n0 n1 n2 n3 n4 n5 n6, n0 n1 n2 n3 n4 n5 n9"
   })
-  void controllersAreAddedRemovedAndRenamed(String zones, String before, String after)
-      throws BadMessage {
-    SimWorld w = new SimWorld(390, 10, 20, zones, 12);
-    List<String> finite = new ArrayList<>();
+  void quotaIsKeptWhenControllersAreAddedRemovedAndRenamed(
+      String zones, String before, String after) throws BadMessage {
+    SimWorld world = new SimWorld(390, 10, 20, zones, 12);
+    List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
       int n = i;
-      w.clock.after(i * 800, () -> w.users.submit(SimJobs.job(n, "batch", 3, 1, 6), 0));
-      finite.add(String.format("req-%06d", i));
-    }
-    w.run(10_000);
-    untilLevel(w, NEW);
-    List<String> then = List.of(after.split(" "));
-    List<String> now = List.of(before.split(" "));
-    for (String n : then) {
-      w.lists.put(n, then);
-      if (now.contains(n)) {
-        w.crash(n, 2000);
+      world.clock.after(i * 800, () -> world.users.submit(SimJobs.job(n, "batch", 3, 1, 6), 0));
+      finiteJobs.add(String.format("req-%06d", i));
+    }
+    world.run(10_000);
+    runUntilLevel(world, LATEST_LEVEL);
+    List<String> newNodes = List.of(after.split(" "));
+    List<String> oldNodes = List.of(before.split(" "));
+    for (String n : newNodes) {
+      world.lists.put(n, newNodes);
+      if (oldNodes.contains(n)) {
+        world.crash(n, 2000);
       } else {
-        w.nodes.add(n);
-        w.startNode(n);
+        world.nodes.add(n);
+        world.startNode(n);
       }
-      w.run(6000);
+      world.run(6000);
     }
-    for (String n : now) {
-      if (!then.contains(n)) {
-        w.kill(n);
-        w.nodes.remove(n);
-        w.run(5000);
+    for (String n : oldNodes) {
+      if (!newNodes.contains(n)) {
+        world.kill(n);
+        world.nodes.remove(n);
+        world.run(5000);
       }
     }
-    w.run(30_000);
-    assertEquals(then, List.copyOf(w.tables(then.get(0)).view().members().keySet()));
-    w.run(120_000);
-    check(w, finite);
-    if (then.contains("n0")) {
-      assertEquals(w.setup.gpusMax(), shares(w), 1e-6);
+    world.run(30_000);
+    assertEquals(newNodes, List.copyOf(world.tables(newNodes.get(0)).view().members().keySet()));
+    world.run(120_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
+    if (newNodes.contains("n0")) {
+      assertEquals(world.setup.gpusMax(), totalQuotaShares(world), 1e-6);
     }
     // All of the limit is used, whoever had a share of it before.
-    w.users.submit(SimJobs.job(900, "batch", 24, 1, 40), 0);
-    w.run(25_000);
-    assertEquals((int) w.setup.gpusMax(), w.placed(then.get(0), "req-000900"));
-    assertEquals(List.of(), w.broken());
+    world.users.submit(SimJobs.job(900, "batch", 24, 1, 40), 0);
+    world.run(25_000);
+    assertEquals((int) world.setup.gpusMax(), world.placed(newNodes.get(0), "req-000900"));
+    assertEquals(List.of(), world.broken());
   }
 
   /**
    * At the first level a number is a place in a list: another list would mean other controllers.
    */
   @Test
-  void anotherListWaitsForTheLevel() {
-    SimWorld w = old(395, "aaa");
-    w.run(6000);
-    replace(w, "n0");
-    w.run(6000);
-    w.lists.put("n1", List.of("n0", "n1", "n2", "n3"));
-    replace(w, "n1");
-    w.run(8000);
-    assertFalse(w.tables("n0").view().members().containsKey("n1"));
-    replace(w, "n2");
-    w.nodes.add("n3");
-    w.lists.put("n3", List.of("n0", "n1", "n2", "n3"));
-    w.startNode("n3");
-    untilLevel(w, NEW);
-    w.run(8000);
-    assertTrue(w.tables("n0").view().members().keySet().containsAll(List.of("n1", "n3")));
-    assertEquals(3, w.tables("n0").registry().numberOf("n3"));
-    assertEquals(List.of(), w.broken());
+  void nodeWithAnotherNodeListJoinsOnlyAfterTheUpgrade() {
+    SimWorld world = worldOfOldBuild(395, "aaa");
+    world.run(6000);
+    upgradeNode(world, "n0");
+    world.run(6000);
+    world.lists.put("n1", List.of("n0", "n1", "n2", "n3"));
+    upgradeNode(world, "n1");
+    world.run(8000);
+    assertFalse(world.tables("n0").view().members().containsKey("n1"));
+    upgradeNode(world, "n2");
+    world.nodes.add("n3");
+    world.lists.put("n3", List.of("n0", "n1", "n2", "n3"));
+    world.startNode("n3");
+    runUntilLevel(world, LATEST_LEVEL);
+    world.run(8000);
+    assertTrue(world.tables("n0").view().members().keySet().containsAll(List.of("n1", "n3")));
+    assertEquals(3, world.tables("n0").registry().numberOf("n3"));
+    assertEquals(List.of(), world.broken());
   }
 
   /** Where nobody may join before the level rises, those who wait raise it. */
   @Test
-  void theListOfAllChangesAtOnceBeforeTheSwitch() {
-    SimWorld w = old(396, "aaa");
-    w.state()
+  void nodesWaitingToJoinUpgradeTheLevelWhenNoMemberIsLeft() {
+    SimWorld world = worldOfOldBuild(396, "aaa");
+    world
+        .state()
         .force(
             OperatorOverrides.KEY,
             OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
-    w.run(6000);
-    for (String n : w.nodes) {
-      replace(w, n);
-      w.run(6000);
-    }
-    assertEquals(1, level(w, "n0"));
-    w.nodes.forEach(w::kill);
-    w.run(6000);
-    w.nodes.clear();
-    w.nodes.addAll(List.of("n0", "n1", "n5"));
-    w.nodes.forEach(w::startNode);
-    w.run(10_000);
-    assertTrue(w.tables("n0").members().isEmpty());
-    w.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
-    untilLevel(w, NEW);
-    w.run(10_000);
-    assertEquals(List.of("n0", "n1", "n5"), List.copyOf(w.tables("n0").view().members().keySet()));
-    assertEquals(3, w.tables("n0").registry().numberOf("n5"));
+    world.run(6000);
+    for (String n : world.nodes) {
+      upgradeNode(world, n);
+      world.run(6000);
+    }
+    assertEquals(1, levelOf(world, "n0"));
+    world.nodes.forEach(world::kill);
+    world.run(6000);
+    world.nodes.clear();
+    world.nodes.addAll(List.of("n0", "n1", "n5"));
+    world.nodes.forEach(world::startNode);
+    world.run(10_000);
+    assertTrue(world.tables("n0").members().isEmpty());
+    world.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
+    runUntilLevel(world, LATEST_LEVEL);
+    world.run(10_000);
+    assertEquals(
+        List.of("n0", "n1", "n5"), List.copyOf(world.tables("n0").view().members().keySet()));
+    assertEquals(3, world.tables("n0").registry().numberOf("n5"));
   }
 
   @ParameterizedTest
@@ -643,203 +658,209 @@
     "w/c/70000, 1",
     "w/c/what, 1"
   })
-  void whatNobodyKnowsStopsDecisionsUntilItIsGone(String key, int form) {
-    SimWorld w = new SimWorld(400, 6, 20);
-    w.run(8000);
-    Object was = w.state().value(key);
-    w.state().force(key, Encoding.wrap(form, Map.of("name", "n9", "peers", List.of())));
-    w.run(1000);
-    for (String n : w.nodes) {
-      assertNotNull(w.tables(n).blockedReason(), n);
-      assertTrue(w.tables(n).blockedReason().contains(key), w.tables(n).blockedReason());
-    }
-    w.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
-    w.run(3000);
-    assertEquals(0, w.starts());
-    w.state().force(key, was);
-    w.run(30_000);
-    for (String n : w.nodes) {
-      assertNull(w.tables(n).blockedReason(), n);
-    }
-    assertEquals("done", w.lastTold("req-000001"));
-    assertEquals(List.of(), w.broken());
-    assertNull(w.diverged());
+  void unknownRecordStopsDecisionsUntilItIsRemoved(String key, int encodingVersion) {
+    SimWorld world = new SimWorld(400, 6, 20);
+    world.run(8000);
+    Object originalValue = world.state().value(key);
+    world
+        .state()
+        .force(key, Encoding.wrap(encodingVersion, Map.of("name", "n9", "peers", List.of())));
+    world.run(1000);
+    for (String n : world.nodes) {
+      assertNotNull(world.tables(n).blockedReason(), n);
+      assertTrue(world.tables(n).blockedReason().contains(key), world.tables(n).blockedReason());
+    }
+    world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
+    world.run(3000);
+    assertEquals(0, world.starts());
+    world.state().force(key, originalValue);
+    world.run(30_000);
+    for (String n : world.nodes) {
+      assertNull(world.tables(n).blockedReason(), n);
+    }
+    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.broken());
+    assertNull(world.diverged());
   }
 
   /** Entries of a log in a kind, with a number, or of a length that nobody here knows. */
   @ParameterizedTest
   @ValueSource(
       strings = {"[q, req-000001, 1]", "[p, req-000001, 70000, 0, 1, i-000001]", "[x, req-1, 0]"})
-  void anEntryThatNobodyKnowsIsNotPassedOver(String text) {
+  void unknownLogEntryStopsDecisionsUntilItIsRemoved(String text) {
     List<Object> entry = new ArrayList<>();
-    for (String s : text.substring(1, text.length() - 1).split(", ")) {
-      entry.add(s.matches("[0-9]+") ? (Object) Long.parseLong(s) : s);
+    for (String item : text.substring(1, text.length() - 1).split(", ")) {
+      entry.add(item.matches("[0-9]+") ? (Object) Long.parseLong(item) : item);
     }
-    SimWorld w = new SimWorld(401, 6, 20);
-    w.run(8000);
-    w.users.submit(SimJobs.job(1, "batch", 2, 1, 20), 0);
-    w.run(4000);
+    SimWorld world = new SimWorld(401, 6, 20);
+    world.run(8000);
+    world.users.submit(SimJobs.job(1, "batch", 2, 1, 20), 0);
+    world.run(4000);
     String key = "w/l/n9/0000000001";
-    w.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
-    w.run(1000);
-    w.nodes.forEach(n -> assertNotNull(w.tables(n).blockedReason(), n));
+    world.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
+    world.run(1000);
+    world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
     // A start meets it too.
-    w.crash("n1", 1000);
-    w.run(5000);
-    w.nodes.forEach(n -> assertNotNull(w.tables(n).blockedReason(), n));
-    w.state().force(key, null);
-    w.run(60_000);
-    w.nodes.forEach(n -> assertNull(w.tables(n).blockedReason(), n));
-    assertEquals("done", w.lastTold("req-000001"));
-    assertEquals(List.of(), w.broken());
-    assertNull(w.diverged());
+    world.crash("n1", 1000);
+    world.run(5000);
+    world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
+    world.state().force(key, null);
+    world.run(60_000);
+    world.nodes.forEach(n -> assertNull(world.tables(n).blockedReason(), n));
+    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.broken());
+    assertNull(world.diverged());
   }
 
   /** What could not be read when a node loaded is not known to it later: it loads anew. */
   @Test
-  void whatWasUnreadableAtALoadIsLoadedAnew() {
-    SimWorld w = new SimWorld(404, 6, 20, "aaa", 60);
-    w.run(8000);
+  void recordUnreadableAtStartIsReloadedLater() {
+    SimWorld world = new SimWorld(404, 6, 20, "aaa", 60);
+    world.run(8000);
     for (int i = 0; i < 40; i++) {
-      w.users.submit(SimJobs.job(i, i % 3 == 0 ? "daemon" : "batch", 3, 1, 4), 0);
-      w.run(900);
-    }
-    String key = w.state().keys().stream().filter(Job::isChunkKey).findFirst().orElseThrow();
-    Object was = w.state().value(key);
-    w.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
-    w.crash("n1", 500);
-    w.run(6000);
-    assertNotNull(w.tables("n1").blockedReason());
-    w.state().force(key, was);
-    w.run(10_000);
-    assertNull(w.tables("n1").blockedReason());
-    assertNull(w.diverged());
-    assertEquals(List.of(), w.broken());
+      world.users.submit(SimJobs.job(i, i % 3 == 0 ? "daemon" : "batch", 3, 1, 4), 0);
+      world.run(900);
+    }
+    String key = world.state().keys().stream().filter(Job::isChunkKey).findFirst().orElseThrow();
+    Object originalValue = world.state().value(key);
+    world.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
+    world.crash("n1", 500);
+    world.run(6000);
+    assertNotNull(world.tables("n1").blockedReason());
+    world.state().force(key, originalValue);
+    world.run(10_000);
+    assertNull(world.tables("n1").blockedReason());
+    assertNull(world.diverged());
+    assertEquals(List.of(), world.broken());
   }
 
   /** A member that can't be read is none, and nothing stops for it. */
   @Test
-  void aMemberWithAnEmptyRangeIsNone() {
-    SimWorld w = new SimWorld(402, 6, 20);
-    w.run(8000);
-    w.state().force("w/m/n8", Map.of("inc", "x", "zone", "a", "least", 3L, "most", 2L));
-    w.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
-    w.run(30_000);
-    assertFalse(w.tables("n0").view().members().containsKey("n8"));
-    assertEquals("done", w.lastTold("req-000001"));
+  void memberRecordWithAnEmptyLevelRangeIsIgnored() {
+    SimWorld world = new SimWorld(402, 6, 20);
+    world.run(8000);
+    world.state().force("w/m/n8", Map.of("inc", "x", "zone", "a", "least", 3L, "most", 2L));
+    world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
+    world.run(30_000);
+    assertFalse(world.tables("n0").view().members().containsKey("n8"));
+    assertEquals("done", world.lastTold("req-000001"));
   }
 
   /** Fields that a writer does not know survive its rewriting. */
   @Test
-  void whatANewerWriterAddedSurvives() throws BadMessage {
-    SimWorld w = new SimWorld(403, 6, 20);
-    w.run(8000);
-    w.users.submit(SimJobs.job(1, "daemon", 2, 1, 0), 12_000);
-    w.run(5000);
+  void unknownFieldsSurviveARewrite() throws BadMessage {
+    SimWorld world = new SimWorld(403, 6, 20);
+    world.run(8000);
+    world.users.submit(SimJobs.job(1, "daemon", 2, 1, 0), 12_000);
+    world.run(5000);
     for (String key : List.of(View.KEY, "w/p/n0", "w/j/req-000001", "w/c/1", "w/c/word")) {
-      Object v = w.state().value(key);
-      int form = v == null ? 1 : Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(v)));
-      Map<String, Object> more = new TreeMap<>(Map.of("later", 7L));
-      more.putAll(
-          v == null
+      Object value = world.state().value(key);
+      int encodingVersion =
+          value == null ? 1 : Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(value)));
+      Map<String, Object> fields = new TreeMap<>(Map.of("later", 7L));
+      fields.putAll(
+          value == null
               ? OperatorOverrides.NONE.toStore()
-              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(v)), form).without());
+              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(value)), encodingVersion)
+                  .without());
       if (key.startsWith("w/j/")) {
-        Map<String, Object> spec = new TreeMap<>(Document.of(more.get("spec")).without());
+        Map<String, Object> spec = new TreeMap<>(Document.of(fields.get("spec")).without());
         spec.put("later", 8L);
-        more.put("spec", spec);
+        fields.put("spec", spec);
       }
-      w.state().force(key, Encoding.wrap(form, more));
+      world.state().force(key, Encoding.wrap(encodingVersion, fields));
     }
     // Nothing of the job ends meanwhile: its record is rewritten, and stays.
     for (int i = 0; i < 6; i++) {
-      w.cutMachine(i, true);
+      world.cutMachine(i, true);
     }
-    w.lists.put("n1", List.of("n0", "n1", "n2", "n3"));
-    w.crash("n1", 2000);
-    w.run(8000);
+    world.lists.put("n1", List.of("n0", "n1", "n2", "n3"));
+    world.crash("n1", 2000);
+    world.run(8000);
     for (String key : List.of(View.KEY, "w/p/n0", "w/c/1")) {
-      assertEquals(7L, read(w, key).raw("later"), key);
+      assertEquals(7L, readRecord(world, key).raw("later"), key);
     }
-    Document job = read(w, Job.key("req-000001"));
+    Document job = readRecord(world, Job.key("req-000001"));
     assertTrue(job.flag("off"));
     assertEquals(7L, job.raw("later"));
     assertEquals(8L, Document.of(job.raw("spec")).raw("later"));
-    assertEquals(4, read(w, "w/c/1").texts("peers").size());
+    assertEquals(4, readRecord(world, "w/c/1").texts("peers").size());
   }
 
-  private static Document read(SimWorld w, String key) throws BadMessage {
+  private static Document readRecord(SimWorld world, String key) throws BadMessage {
     return Encoding.decode(
-        MessageCodec.decode(MessageCodec.encode(w.state().value(key))), Encoding.NUMBERED);
+        MessageCodec.decode(MessageCodec.encode(world.state().value(key))), Encoding.NUMBERED);
   }
 
   /** Told to end, a controller gives its lease back: the others need not wait for its end. */
   @Test
-  void anOrderlyEndIsTakenOverAtOnce() {
-    long[] took = new long[2];
+  void orderlyShutdownIsTakenOverAtOnce() {
+    long[] takeoverMs = new long[2];
     for (int orderly = 0; orderly < 2; orderly++) {
-      SimWorld w = new SimWorld(410, 8, 20, "aaa", 60);
-      w.run(10_000);
+      SimWorld world = new SimWorld(410, 8, 20, "aaa", 60);
+      world.run(10_000);
       for (int i = 0; i < 30; i++) {
-        w.users.submit(SimJobs.job(i, i % 3 == 0 ? "daemon" : "batch", 2, 1, 10), 0);
+        world.users.submit(SimJobs.job(i, i % 3 == 0 ? "daemon" : "batch", 2, 1, 10), 0);
       }
-      w.run(1000);
-      long epoch = w.epoch("n1");
-      long from = w.clock.nowMs();
+      world.run(1000);
+      long epoch = world.epoch("n1");
+      long startMs = world.clock.nowMs();
       if (orderly == 1) {
-        w.restart("n0", 3000, 60_000);
+        world.restart("n0", 3000, 60_000);
       } else {
-        w.crash("n0", 60_000);
+        world.crash("n0", 60_000);
       }
-      while (w.epoch("n1") == epoch) {
-        w.run(20);
+      while (world.epoch("n1") == epoch) {
+        world.run(20);
       }
-      took[orderly] = w.clock.nowMs() - from;
-      w.run(60_000);
-      assertEquals(0, w.killedByLease());
-      assertEquals(List.of(), w.broken());
+      takeoverMs[orderly] = world.clock.nowMs() - startMs;
+      world.run(60_000);
+      assertEquals(0, world.killedByLease());
+      assertEquals(List.of(), world.broken());
     }
-    assertTrue(took[1] <= 1500, "orderly: " + took[1] + " ms");
-    assertTrue(took[0] >= 3 * took[1], "killed " + took[0] + ", orderly " + took[1] + " ms");
+    assertTrue(takeoverMs[1] <= 1500, "orderly: " + takeoverMs[1] + " ms");
+    assertTrue(
+        takeoverMs[0] >= 3 * takeoverMs[1],
+        "killed " + takeoverMs[0] + ", orderly " + takeoverMs[1] + " ms");
   }
 
   /** Once its lease is given back a node is nothing any more, whatever its own clock says of it. */
   @Test
-  void whoHasGivenItsLeaseBackAnswersNobody() {
-    SimWorld w = new SimWorld(413, 8, 20, "aaa", 60);
-    w.run(10_000);
-    String mine =
-        w.workers().stream()
+  void nodeThatReleasedItsLeaseAnswersNobody() {
+    SimWorld world = new SimWorld(413, 8, 20, "aaa", 60);
+    world.run(10_000);
+    String ownedMachine =
+        world.workers().stream()
             .map(m -> m.name)
-            .filter(m -> w.owner("n0", m).equals("n0"))
+            .filter(m -> world.owner("n0", m).equals("n0"))
             .findFirst()
             .orElseThrow();
-    long epoch = w.epoch("n0");
-    w.leave("n0", 3000);
-    w.run(60);
+    long epoch = world.epoch("n0");
+    world.leave("n0", 3000);
+    world.run(60);
     // The others have not changed the view yet.
-    assertEquals(epoch, w.epoch("n1"));
-    Answer[] got = w.report("n0", mine, epoch);
-    w.state().writers.clear();
-    w.run(1500);
-    assertNotEquals(200, got[0].status());
-    assertFalse(w.state().writers.contains("n0"));
-    w.run(10_000);
-    assertEquals(List.of(), w.broken());
+    assertEquals(epoch, world.epoch("n1"));
+    Answer[] answer = world.report("n0", ownedMachine, epoch);
+    world.state().writers.clear();
+    world.run(1500);
+    assertNotEquals(200, answer[0].status());
+    assertFalse(world.state().writers.contains("n0"));
+    world.run(10_000);
+    assertEquals(List.of(), world.broken());
   }
 
   /** With the store away an orderly end is bounded all the same. */
   @Test
-  void anOrderlyEndIsBounded() {
-    SimWorld w = new SimWorld(411, 4, 20);
-    w.run(8000);
-    w.state().outage(true);
-    w.restart("n0", 3000, 10_000);
-    w.run(3100);
-    assertFalse(w.alive("n0"));
-    w.state().outage(false);
-    w.run(30_000);
-    assertTrue(w.tables("n1").view().members().containsKey("n0"));
+  void orderlyShutdownIsBoundedWhileTheStateServiceIsDown() {
+    SimWorld world = new SimWorld(411, 4, 20);
+    world.run(8000);
+    world.state().outage(true);
+    world.restart("n0", 3000, 10_000);
+    world.run(3100);
+    assertFalse(world.alive("n0"));
+    world.state().outage(false);
+    world.run(30_000);
+    assertTrue(world.tables("n1").view().members().containsKey("n0"));
   }
 
   /**
@@ -848,58 +869,59 @@
    */
   @ParameterizedTest
   @CsvSource({"9, 8", "33, 8", "16, 4"})
-  void moreControllersThanAViewHolds(int controllers, int txnOps) {
-    SimWorld w =
+  void spareControllersReplaceMembersOfAFullView(int controllers, int txnOps) {
+    SimWorld world =
         new SimWorld(
             new SimSetup(420, 8, 30)
                 .controllers("a".repeat(controllers - 4) + "bbbb")
                 .txnOps(txnOps));
-    List<String> finite = load(w, 60, 60_000);
-    w.run(20_000);
-    View v = w.tables("n0").view();
-    int most = 4 * txnOps - 4;
-    assertEquals(Math.min(controllers, most), v.members().size());
-    assertTrue(v.zones().containsValue("b"), "a zone with controllers has none in the view");
-    assertEquals(NEW, v.level());
-    List<String> members = List.copyOf(v.members().keySet());
+    List<String> finiteJobs = submitJobs(world, 60, 60_000);
+    world.run(20_000);
+    View firstView = world.tables("n0").view();
+    int maxMembers = 4 * txnOps - 4;
+    assertEquals(Math.min(controllers, maxMembers), firstView.members().size());
+    assertTrue(
+        firstView.zones().containsValue("b"), "a zone with controllers has none in the view");
+    assertEquals(LATEST_LEVEL, firstView.level());
+    List<String> members = List.copyOf(firstView.members().keySet());
     String spare =
-        w.nodes.stream()
-            .filter(n -> !v.members().containsKey(n))
+        world.nodes.stream()
+            .filter(n -> !firstView.members().containsKey(n))
             .findFirst()
             .orElse(members.get(2));
-    assertEquals(200, w.users.ask(spare, "GET", "/up", null).status());
-    w.kill(members.get(0));
-    w.crash(members.get(1), 3000);
-    w.run(15_000);
-    View then = w.tables(spare).view();
-    assertEquals(Math.min(controllers - 1, most), then.members().size());
-    assertFalse(then.members().containsKey(members.get(0)));
-    w.nodes.remove(members.get(0));
+    assertEquals(200, world.users.ask(spare, "GET", "/up", null).status());
+    world.kill(members.get(0));
+    world.crash(members.get(1), 3000);
+    world.run(15_000);
+    View secondView = world.tables(spare).view();
+    assertEquals(Math.min(controllers - 1, maxMembers), secondView.members().size());
+    assertFalse(secondView.members().containsKey(members.get(0)));
+    world.nodes.remove(members.get(0));
     // All members but one at once: the spares take over.
-    List<String> all = new ArrayList<>(then.members().keySet());
-    all.remove(spare);
-    all.forEach(w::kill);
-    w.nodes.removeAll(all);
-    w.run(20_000);
-    View last = w.tables(w.nodes.get(0)).view();
-    assertEquals(Math.min(w.nodes.size(), most), last.members().size());
-    assertTrue(w.nodes.containsAll(last.members().keySet()));
-    w.run(150_000);
-    check(w, finite);
+    List<String> stopped = new ArrayList<>(secondView.members().keySet());
+    stopped.remove(spare);
+    stopped.forEach(world::kill);
+    world.nodes.removeAll(stopped);
+    world.run(20_000);
+    View lastView = world.tables(world.nodes.get(0)).view();
+    assertEquals(Math.min(world.nodes.size(), maxMembers), lastView.members().size());
+    assertTrue(world.nodes.containsAll(lastView.members().keySet()));
+    world.run(150_000);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /**
    * Two processes of one name: the later one serves, and the view does not change back and forth.
    */
   @Test
-  void twoProcessesOfOneName() {
-    SimWorld w = new SimWorld(412, 4, 20);
-    w.run(8000);
-    w.startNode("n1");
-    w.run(8000);
-    long epoch = w.epoch("n0");
-    w.run(30_000);
-    assertEquals(epoch, w.epoch("n0"));
-    assertTrue(w.tables("n0").view().members().containsKey("n1"));
+  void laterOfTwoProcessesWithOneNameServes() {
+    SimWorld world = new SimWorld(412, 4, 20);
+    world.run(8000);
+    world.startNode("n1");
+    world.run(8000);
+    long epoch = world.epoch("n0");
+    world.run(30_000);
+    assertEquals(epoch, world.epoch("n0"));
+    assertTrue(world.tables("n0").view().members().containsKey("n1"));
   }
 }
