--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -19,9 +19,11 @@
 import wickdrift.transport.Caller.Answer;
 
 /**
- * Whole days of three controllers on a simulated clock; every event is checked against the rules.
+ * Runs a simulated cluster, mostly of three controllers, through faults and load; the invariants
+ * are checked at every event.
  */
 class ClusterTest {
+  /** Submits random jobs within a minute; returns the ids of those that must finish. */
   private static List<String> submitRandomJobs(SimWorld world, int jobs, long seed) {
     Random random = new Random(seed);
     List<String> finiteJobs = new ArrayList<>();
@@ -49,9 +51,10 @@
     return finiteJobs;
   }
 
+  /** Asserts that no rule is broken, that all finite jobs are done and that the tables agree. */
   static void check(SimWorld world, List<String> finiteJobs) {
     assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 0, "nothing ran");
+    assertTrue(world.starts() > 0, "no task was started");
     for (String id : finiteJobs) {
       assertEquals("done", world.lastTold(id), id);
     }
@@ -74,6 +77,7 @@
     check(world, finiteJobs);
   }
 
+  /** Runs random jobs for seven minutes with the given faults, and checks the outcome. */
   private static void runWithFaults(long seed, Consumer<SimWorld> injectFaults) {
     SimWorld world = new SimWorld(seed, 6, 30);
     List<String> finiteJobs = submitRandomJobs(world, 40, seed);
@@ -143,7 +147,10 @@
     runWithFaults(51, world -> world.clock.after(3000, () -> world.sicken(2)));
   }
 
-  /** Its leases hold, so no one takes over: the others have to pass its workers' reports on. */
+  /**
+   * The controller keeps its lease, so that nobody takes over: the other controllers must forward
+   * its workers' reports to it.
+   */
   @Test
   void controllerUnreachableForItsWorkersLosesNoTask() {
     SimWorld world = new SimWorld(61, 6, 6);
@@ -155,13 +162,14 @@
     assertEquals(12, starts);
     world.cutFromWorkers("n1");
     world.run(90_000);
-    assertEquals(starts, world.starts(), "tasks were lost and started again");
+    assertEquals(starts, world.starts(), "tasks were lost and restarted");
     assertEquals(List.of(), world.broken());
   }
 
   /**
-   * A placement held back by the network is applied long after its node was taken for dead, when
-   * the others have used what is left of the team's limit: its part's record must make it fail.
+   * The network delays a placement until long after its node was taken for dead, when the other
+   * nodes have used the rest of the team's limit. The condition on the record of the node's
+   * partition must make the placement fail.
    */
   @ParameterizedTest
   @ValueSource(longs = {71, 72, 73, 74, 75, 76})
@@ -189,7 +197,7 @@
 
   /**
    * Single transactions arrive seconds late, when their node has given up on them. The last three
-   * days fail when a share of a limit that is given away late is not fenced.
+   * seeds fail if a quota transfer that is applied late is not fenced.
    */
   @ParameterizedTest
   @ValueSource(longs = {201, 202, 203, 204, 205, 206, 58, 75, 263})
@@ -212,7 +220,7 @@
     assertTrue(world.starts() > 100, "started " + world.starts());
   }
 
-  /** Withdrawn just as the last task ends: one answer, and for ever the same. */
+  /** A job withdrawn just as its last task ends gets one outcome, which never changes again. */
   @ParameterizedTest
   @ValueSource(longs = {81, 82, 83})
   void withdrawalDuringTheLastExitHasOneLastingAnswer(long seed) {
@@ -232,8 +240,8 @@
   }
 
   /**
-   * The leader places a gang on a machine of another's part while that node fills it: the leader
-   * must not take for room what the other's log has booked already.
+   * The leader places a gang on a machine of another node's partition while that node fills the
+   * machine: the leader must not count as free what the owner's log has already allocated.
    */
   @ParameterizedTest
   @ValueSource(longs = {91, 92, 93, 94})
@@ -258,10 +266,13 @@
     }
     world.run(120_000);
     assertEquals(List.of(), world.broken());
-    assertEquals(0, world.full, "tasks refused for lack of room");
+    assertEquals(0, world.full, "tasks refused because the machine was full");
   }
 
-  /** The controllers are in zone a. When b is cut off, no one renews the leases of its workers. */
+  /**
+   * All controllers are in zone a. If zone b is cut off, no controller can renew the leases of its
+   * workers, so that long-running work is placed in zone a.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"daemon", "ensemble"})
   void servicesAndGangsArePlacedInAZoneWithAController(String shape) {
@@ -279,8 +290,8 @@
   }
 
   /**
-   * Behind the cut n1 answers its workers for as long as its grace allows, and their tasks live on;
-   * those that are cancelled meanwhile must be ended through the cloud.
+   * Behind the cut n1 answers its workers as long as its grace period allows, and their tasks keep
+   * running. Tasks that are withdrawn meanwhile must be ended through the cloud.
    */
   @ParameterizedTest
   @ValueSource(longs = {111, 112, 113})
@@ -297,7 +308,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** When another is gone, a node that has a part places on it at once. */
+  /** After another node has crashed, a node that has a partition keeps placing on it at once. */
   @Test
   void nodeWithAPartitionKeepsPlacingWhenTheViewChanges() {
     SimWorld world = new SimWorld(8, 12, 12);
@@ -310,7 +321,7 @@
     for (int i = 0; i < 6; i++) {
       world.users.submit(SimJobs.job(i, "batch", 1, 1, 100), 0);
     }
-    // A report interval with its slack would be 3.4 s.
+    // Waiting for all workers to report would take a report interval and its slack, 3.4 s.
     world.run(800);
     assertTrue(world.users.accepted.size() >= 3, "accepted " + world.users.accepted);
     for (String id : world.users.accepted) {
@@ -319,9 +330,9 @@
   }
 
   /**
-   * A controller stands still while its clocks run on, wakes with all timers due and with old
-   * tables, and reads the news late. It must not take silence that it did not listen to for proof:
-   * nothing that runs is lost, no machine is given up, whoever leads.
+   * The process of a controller is paused while its clocks run on. It resumes with all timers due
+   * and stale tables, and reads the changes late. Reports that it missed during the pause must not
+   * count as silence: no running task is lost and no machine is given up, whichever node leads.
    */
   @ParameterizedTest(name = "{0} for {1} ms, timers first {2}")
   @CsvSource({
@@ -342,16 +353,17 @@
     world.state().slowReads(node, 0);
     world.run(60_000);
     assertEquals(List.of(), world.broken());
-    assertEquals(18, world.starts(), "tasks were lost and started again");
-    assertFalse(world.lost, "machines were taken for silent");
+    assertEquals(18, world.starts(), "tasks were lost and restarted");
+    assertFalse(world.lost, "machines were considered silent");
     assertEquals(0, world.cloud.deleted, "machines were given up");
     assertEquals(1.0, world.metric(node, "wickdrift.loop.pauses"));
   }
 
   /**
-   * A machine is back just after its worker's lease has ended, through a peer, while its owner is
-   * still writing that what ran there is lost: a command to run it once more would start it beside
-   * its next attempt. Here writes take long, and n0 itself can't reach the workers again.
+   * A machine becomes reachable through a peer just after its worker's lease has expired, while its
+   * owner is still writing that its tasks are lost. Another command to run them would start them
+   * beside their next attempts. Writes are slow here, and n0 itself stays cut off from the
+   * machines.
    */
   @ParameterizedTest
   @ValueSource(longs = {141, 142, 143, 144, 145, 146})
@@ -372,12 +384,12 @@
     }
     world.run(60_000);
     assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 20, "nothing was lost");
+    assertTrue(world.starts() > 20, "no task was lost");
   }
 
   /**
-   * The view changes while n1 stands still, for less than its lease. What it then answers a worker
-   * must not carry the old epoch: the worker would drop it, and stay while its lease runs out.
+   * The view changes while n1 is paused for less than its lease. Its next answer to a worker must
+   * not carry the old epoch: the worker would drop the answer, and its lease would run out.
    */
   @Test
   void resumedControllerDoesNotAnswerUnderAnOldEpoch() throws BadMessage {
@@ -394,7 +406,7 @@
     world.cutFromPeers("n1", true);
     world.freeze("n1", 2500, true);
     world.run(2520);
-    assertEquals(oldEpoch, world.epoch("n1"), "n1 has read the news already");
+    assertEquals(oldEpoch, world.epoch("n1"), "n1 has already read the new view");
     assertTrue(world.epoch("n0") > oldEpoch, "the view has not changed");
     Answer[] answer = world.report("n1", machine, oldEpoch);
     world.run(3000);
@@ -403,7 +415,7 @@
     assertFalse(stale, "answered under epoch " + oldEpoch);
   }
 
-  /** An outage keeps the view, and n1's lease with it, while n1 stands still for long. */
+  /** During an outage of the state service the view, and n1's lease, outlast a long pause of n1. */
   @Test
   void missingReportsDuringAPauseProveNoSilence() {
     SimWorld world = new SimWorld(133, 9, 9);
@@ -417,12 +429,13 @@
     world.state().outage(false);
     world.run(30_000);
     assertEquals(List.of(), world.broken());
-    assertFalse(world.lost, "machines were taken for silent");
+    assertFalse(world.lost, "machines were considered silent");
   }
 
   /**
-   * Cut from the state service alone, then granted a new lease before it reads that it was expelled
-   * under the old one: it must not judge its former machines by the reports that it did not get.
+   * A node is cut off from the state service only, and is granted a new lease before it reads that
+   * it was expelled under the old one. It must not consider its former machines silent because
+   * their reports went elsewhere.
    */
   @ParameterizedTest
   @ValueSource(strings = {"n0", "n1", "n2"})
@@ -442,8 +455,8 @@
     world.state().slowReads(node, 0);
     world.run(40_000);
     assertEquals(List.of(), world.broken());
-    assertEquals(18, world.starts(), "tasks were lost and started again");
-    assertFalse(world.lost, "machines were taken for silent");
+    assertEquals(18, world.starts(), "tasks were lost and restarted");
+    assertFalse(world.lost, "machines were considered silent");
     assertEquals(0, world.cloud.deleted, "machines were given up");
   }
 
@@ -462,8 +475,8 @@
   }
 
   /**
-   * Guests fill every machine. A gang of half the fleet does not wait as it would for others' work,
-   * and empties its machines together, not one after the other.
+   * Idle-priority tasks fill every machine. A gang that needs half the fleet does not wait as it
+   * would for tasks of higher priority, and preempts on all its machines together, not one by one.
    */
   @Test
   void urgentGangPreemptsIdleTasksOnAllItsMachinesAtOnce() {
@@ -486,9 +499,9 @@
   }
 
   /**
-   * Two leaders return the same machine: the first stands still before it reads the cloud's answer,
-   * and by the time it does, the machine is gone and forgotten. Its record of that is then void,
-   * and must not be written again and again.
+   * Two leaders return the same machine: the first is paused before it reads the cloud's answer,
+   * and when it resumes, the machine's record has been removed. Its own write about the return is
+   * then void, and must not be retried forever.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -508,8 +521,8 @@
   }
 
   /**
-   * A guest's array of very many short tasks: what it writes is bounded by pages, not by tasks, and
-   * who comes meanwhile is served as ever.
+   * An idle-priority array of very many short tasks: its writes are bounded by log pages, not by
+   * tasks, and jobs that are submitted meanwhile are served as usual.
    */
   @Test
   void veryLargeArrayIsWrittenInBatches() {
@@ -532,12 +545,12 @@
     assertEquals("done", world.lastTold("req-000001"));
     assertEquals(List.of(), world.broken());
     assertNull(world.diverged());
-    // Pages of 900 bytes here: a quarter of what they are in service.
+    // Log pages have 900 bytes here, a quarter of their size in production.
     int commits = world.state().commits() - commitsBefore;
     assertTrue(commits < 10_000 / 4, commits + " transactions");
   }
 
-  /** A class that should start within a second does not wait as long as others let guests be. */
+  /** A job class with a start target of a second preempts earlier than other classes. */
   @Test
   void classWithAShortStartTargetPreemptsSooner() {
     SimWorld world = new SimWorld(172, 4, 4, 3, 10_000);
@@ -549,15 +562,15 @@
     swiftJob.put("jobclass", "swift");
     swiftJob.put("rank", "production");
     world.users.submit(swiftJob, 0);
-    // Others wait for 20 s before they stop what is no guest's; the worker's reports take most of
-    // this.
+    // Other classes wait 20 s before they preempt tasks above idle priority. Most of these 5 s is
+    // the time until the worker reports.
     world.run(5000);
     assertEquals(1, world.placed("n0", "req-000002"));
   }
 
   /**
-   * One machine takes longer to fetch a gang's image than the gang waits on another. The first
-   * attempt must come to start: were it given up, so would be the fetch, time and again.
+   * One machine takes longer to fetch the image than the gang's wait on another machine. The first
+   * attempt must start: giving it up would abort the fetch, and the next attempt would repeat it.
    */
   @Test
   void gangWaitsForASlowImageFetch() {
@@ -572,7 +585,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** Nothing is there that would have to be heard of first: renting begins with the first job. */
+  /** There are no machines whose reports must be awaited: renting begins with the first job. */
   @Test
   void rentingBeginsAtOnceWhenTheFleetIsEmpty() {
     SimWorld world = new SimWorld(151, 0, 20);
@@ -581,7 +594,7 @@
     assertTrue(world.cloud.rented > 0, "nothing was rented");
   }
 
-  /** Where machines run, none are rented while it is written that they do. */
+  /** While the reports of running machines are still being written, no further ones are rented. */
   @Test
   void noMachinesAreRentedBeforeTheRunningOnesReport() {
     SimWorld world = new SimWorld(152, 150, 300);
@@ -596,7 +609,7 @@
     assertTrue(world.cloud.rented < 165, "rented " + world.cloud.rented);
   }
 
-  /** What waits does not wait for machines that may never come, nor are those rented for ever. */
+  /** Jobs do not wait for machines that never boot, and renting such machines stays bounded. */
   @Test
   void machinesThatNeverBootAreReplaced() {
     SimWorld world = new SimWorld(153, 0, 30);
@@ -609,7 +622,7 @@
       world.users.submit(SimJobs.job(i, "batch", 8, 1, 1), 0);
     }
     world.run(12_000);
-    // Twenty machines' worth waits.
+    // The waiting tasks need twenty machines.
     assertTrue(world.cloud.rented <= 4 + 20 + 3, "rented " + world.cloud.rented);
     world.cloud.duds = 0;
     world.run(200_000);
@@ -617,7 +630,10 @@
     assertTrue(world.cloud.fleet() <= 2, "left: " + world.cloud.fleet());
   }
 
-  /** Up before the answer that rented them, late, or never; lists old, and older than the last. */
+  /**
+   * Machines boot before the answer to the rent request, late or never; lists of machines are
+   * stale, and may be older than the previous one.
+   */
   @ParameterizedTest
   @ValueSource(longs = {161, 162, 163})
   void jobsFinishWithUnusualBootsAndStaleMachineLists(long seed) {
@@ -631,7 +647,7 @@
     check(world, finiteJobs);
   }
 
-  /** How many rooms were looked at for each task placed, on a day of so many machines. */
+  /** Returns how many machines are examined per placed task in a fleet of the given size. */
   private static double machinesExaminedPerPlacement(int machines) {
     SimWorld world = new SimWorld(101, machines, machines, 5, 10_000);
     world.run(8000);
@@ -645,8 +661,8 @@
   }
 
   /**
-   * With a change of view every few seconds, a machine that has died is found silent by the owner
-   * that it had all along: a change of view is no news of it.
+   * The view changes every few seconds, and the owner of a dead machine stays the same: it must
+   * find the machine silent, because a view change is not a sign of life.
    */
   @Test
   void machineSilenceIsCountedAcrossViewChanges() {
@@ -662,12 +678,12 @@
       world.run(6500);
     }
     assertTrue(world.epoch("n0") >= 7, "epoch " + world.epoch("n0"));
-    assertTrue(world.lost, "never found silent");
+    assertTrue(world.lost, "the dead machine was never found silent");
   }
 
   /**
-   * Hundreds of jobs within two seconds: the controllers share the writes that the state service
-   * allows without being told so by a 429, and what is accepted first starts before the last is.
+   * Hundreds of jobs are submitted within two seconds. The controllers divide the write limit of
+   * the state service without a 429 answer, and early jobs start before the last one is accepted.
    */
   @ParameterizedTest
   @CsvSource({"3, 201", "5, 201", "3, 202", "5, 202", "5, 203", "3, 205", "5, 205"})
@@ -686,7 +702,7 @@
     }
     world.run(5000);
     assertTrue(world.users.accepted.size() > 150, "accepted " + world.users.accepted.size());
-    assertTrue(world.users.accepted.size() < 800, "no queue, so nothing is shown");
+    assertTrue(world.users.accepted.size() < 800, "no queue built up, so the test shows nothing");
     assertTrue(world.starts() > 50, "started " + world.starts());
     world.run(60_000);
     assertEquals(800, world.users.accepted.size());
@@ -695,9 +711,9 @@
   }
 
   /**
-   * A zone is cut off with its one controller, for longer than a worker's lease and than a silent
-   * machine is kept elsewhere. The controller inside is the owner of all its machines, so that it
-   * may answer them: what runs there lives, is not started again outside, and is there afterwards.
+   * A zone is cut off with its one controller, for longer than a worker's lease and longer than
+   * silent machines are kept elsewhere. The isolated controller owns all machines of the zone and
+   * may answer them: their tasks keep running and are not restarted outside.
    */
   @ParameterizedTest
   @ValueSource(longs = {171, 172, 173, 174})
@@ -719,7 +735,7 @@
     assertEquals(0, world.cloud.deleted, "machines behind the cut were deleted");
   }
 
-  /** Where the cut zone's controller ends too, its tasks do, and are started elsewhere in time. */
+  /** If the isolated controller crashes too, the zone's tasks end and are restarted elsewhere. */
   @ParameterizedTest
   @ValueSource(longs = {181, 182, 183, 184})
   void jobsFinishWhenTheControllerOfACutOffZoneCrashes(long seed) {
@@ -733,13 +749,13 @@
     check(world, finiteJobs);
   }
 
-  /** The rules hold at a large size, and a decision takes no more work than at a small one. */
+  /** The invariants hold for a large fleet, and a placement examines no more machines there. */
   @Test
   void placementCostDoesNotGrowWithTheFleet() {
     double smallFleet = machinesExaminedPerPlacement(120);
     double largeFleet = machinesExaminedPerPlacement(1000);
     assertTrue(
         largeFleet < 2 * smallFleet + 20,
-        "looked at " + smallFleet + " of 120 and " + largeFleet + " of 1000");
+        "examined per placement: " + smallFleet + " of 120 and " + largeFleet + " of 1000");
   }
 }
--- a/src/test/java/wickdrift/sim/ControllerRestartTest.java
+++ b/src/test/java/wickdrift/sim/ControllerRestartTest.java
@@ -14,9 +14,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A controller that is back a fraction of a second after it ended: before its lease, its peers'
- * sockets, its last transactions and its last commands are gone. What is done to it is a row; each
- * is played with several times until it is back.
+ * Controllers restart within a second, while their old lease, their peers' sockets, their last
+ * transactions and their last commands still exist. Each scenario runs with several downtimes.
  */
 class ControllerRestartTest {
   private static final int[] DOWNTIMES_MS = {100, 300, 1000};
@@ -44,17 +43,22 @@
     return world.tables("n0").view().leader();
   }
 
-  /** Its view, its part, its lease and its record are as they were: nobody has noticed yet. */
+  /**
+   * After such a restart the view, the controller's partition, its lease and its record are
+   * unchanged, because no other node has noticed yet.
+   */
   private static final List<Scenario> SCENARIOS =
       List.of(
-          new Scenario("one", (world, downtimeMs) -> scheduleCrash(world, 9000, "n1", downtimeMs)),
+          new Scenario(
+              "one controller",
+              (world, downtimeMs) -> scheduleCrash(world, 9000, "n1", downtimeMs)),
           new Scenario(
               "the leader",
               (world, downtimeMs) ->
                   schedule(world, 9000, () -> world.crash(currentLeader(world), downtimeMs))),
           new Scenario("all", (world, downtimeMs) -> scheduleCrashOfAll(world, 9000, downtimeMs)),
           new Scenario(
-              "all three times within 5 s, the state service away",
+              "all, three times within 5 s, during a state service outage",
               (world, downtimeMs) -> {
                 schedule(world, 8500, () -> world.state().outage(true));
                 for (int i = 0; i < 3; i++) {
@@ -63,7 +67,7 @@
                 schedule(world, 15_000, () -> world.state().outage(false));
               }),
           new Scenario(
-              "the same one every 2 s for a minute",
+              "the same controller every 2 s for a minute",
               (world, downtimeMs) -> {
                 for (int i = 0; i < 30; i++) {
                   scheduleCrash(world, 9000 + 2000 * i, "n1", downtimeMs);
@@ -78,7 +82,7 @@
                 }
               }),
           new Scenario(
-              "two in the same tick, twice",
+              "two controllers at the same moment, twice",
               (world, downtimeMs) -> {
                 for (int i = 0; i < 2; i++) {
                   scheduleCrash(world, 9000 + 2500 * i, "n1", downtimeMs);
@@ -86,7 +90,7 @@
                 }
               }),
           new Scenario(
-              "in every step of joining",
+              "during every step of joining",
               (world, downtimeMs) -> {
                 for (int i = 0; i < 40; i++) {
                   scheduleCrash(world, 9000 + 1150L * i, "n2", Math.min(downtimeMs, 150));
@@ -104,7 +108,7 @@
                 schedule(world, 36_000, () -> world.state().lateCommits(0, 0, 7));
               }),
           new Scenario(
-              "its commands to workers are held and come late",
+              "its commands to workers are delayed",
               (world, downtimeMs) -> {
                 for (int i = 0; i < 4; i++) {
                   int machine = i;
@@ -116,7 +120,7 @@
                 }
               }),
           new Scenario(
-              "its peers do not hear it",
+              "its peers do not receive its frames",
               (world, downtimeMs) -> {
                 schedule(world, 8500, () -> world.cutFromPeers("n1", true));
                 scheduleCrash(world, 9000, "n1", downtimeMs);
@@ -124,14 +128,14 @@
                 schedule(world, 16_000, () -> world.cutFromPeers("n1", false));
               }),
           new Scenario(
-              "told to end, and back",
+              "orderly shutdown and restart",
               (world, downtimeMs) -> {
                 schedule(world, 9000, () -> world.restart("n1", 3000, downtimeMs));
                 schedule(
                     world, 14_000, () -> world.restart(currentLeader(world), 3000, downtimeMs));
               }),
           new Scenario(
-              "cut from the state service, its transactions held",
+              "cut off from the state service, its transactions delayed",
               (world, downtimeMs) -> {
                 schedule(world, 8700, () -> world.cutFromState("n1", true));
                 scheduleCrash(world, 9000, "n1", downtimeMs);
@@ -148,7 +152,7 @@
     return cases.stream();
   }
 
-  @ParameterizedTest(name = "{0}, back after {1} ms")
+  @ParameterizedTest(name = "{0}, restarted after {1} ms")
   @MethodSource("scenarioCases")
   void jobsFinishWhenControllersRestartQuickly(Scenario scenario, int downtimeMs) {
     SimWorld world = new SimWorld(31 + downtimeMs, 14, 20);
@@ -161,7 +165,7 @@
     ClusterTest.check(world, finiteJobs);
   }
 
-  /** What its restarts cost the state service, whose limits all share. */
+  /** All controllers share the limits of the state service, so that a restart must be cheap. */
   @Test
   void frequentRestartsOfOneControllerCostTheOthersLittle() {
     SimWorld world = new SimWorld(41, 14, 20);
@@ -180,9 +184,13 @@
     double requestsPerStart = (world.state().requests() - requests - quietRequests) / 30.0;
     double transactionsPerStart = (world.state().commits() - commits - quietCommits) / 30.0;
     System.out.println(
-        "a start: " + requestsPerStart + " requests, " + transactionsPerStart + " transactions");
-    // Of 250 requests a second: 30 starts a minute are to take a tenth of them at most.
-    assertTrue(requestsPerStart < 50, "requests a start " + requestsPerStart);
-    assertTrue(transactionsPerStart < 6, "transactions a start " + transactionsPerStart);
+        "per controller start: "
+            + requestsPerStart
+            + " requests, "
+            + transactionsPerStart
+            + " transactions");
+    // 30 starts a minute may use at most a tenth of the limit of 250 requests per second.
+    assertTrue(requestsPerStart < 50, "requests per start: " + requestsPerStart);
+    assertTrue(transactionsPerStart < 6, "transactions per start: " + transactionsPerStart);
   }
 }
--- a/src/test/java/wickdrift/sim/MachineClaimsTest.java
+++ b/src/test/java/wickdrift/sim/MachineClaimsTest.java
@@ -14,8 +14,9 @@
 import wickdrift.protocol.Document;
 
 /**
- * The leader takes machines of the parts' owners. What that costs must not grow with the number of
- * controllers, or more of them place less: a fleet of seven once started no gang for five minutes.
+ * The leader claims machines of other nodes' partitions. The cost of claims must not grow with the
+ * number of controllers, or a larger cluster places fewer tasks: one with seven controllers once
+ * started no gang for five minutes.
  */
 class MachineClaimsTest {
   private static SimWorld createWorld(
@@ -29,7 +30,7 @@
             .writeRps(writeRps));
   }
 
-  /** Services over two zones, gangs of whole machines and arrays, all at once. */
+  /** Submits services over two zones, gangs of whole machines and arrays, all at once. */
   private static void submitBurst(SimWorld world, int jobs) {
     for (int i = 0; i < jobs; i++) {
       int kind = i % 5;
@@ -42,8 +43,8 @@
   }
 
   /**
-   * Services over two zones and gangs are the leader's, on machines of all parts: the records that
-   * it rewrites for that are no more with nine controllers than with three.
+   * The leader places services over two zones, and gangs, on machines of all partitions. With nine
+   * controllers it rewrites no more records for that than with three.
    */
   @ParameterizedTest
   @ValueSource(strings = {"aab", "aabba", "aabbaab", "aabbaabba"})
@@ -72,13 +73,13 @@
     assertTrue(world.starts() > 450, "started " + world.starts());
     assertTrue(
         recordWrites[0] < 60,
-        "records rewritten " + recordWrites[0] + ", of them takes " + recordWrites[1]);
-    assertTrue(recordWrites[1] > 0, "machines were never taken together");
+        "records rewritten " + recordWrites[0] + ", of them claims " + recordWrites[1]);
+    assertTrue(recordWrites[1] > 0, "no claims were recorded");
   }
 
   /**
-   * Two owners and a leader place on the same machines at once, and transactions come late: a
-   * machine is never booked beyond what it has, which its worker would refuse as full.
+   * Owners and the leader place tasks on the same machines at once, and transactions arrive late.
+   * No machine may be allocated beyond its capacity; its worker would refuse the task as full.
    */
   @ParameterizedTest
   @CsvSource({"11, 0", "12, 0", "13, 400", "14, 1500"})
@@ -110,11 +111,10 @@
     assertEquals(List.of(), world.broken());
     assertTrue(world.starts() > 100, "started " + world.starts());
     assertEquals(0, world.full);
-    assertTrue(
-        world.state().value(Tables.CLAIMS_KEY) != null, "machines were never taken together");
+    assertTrue(world.state().value(Tables.CLAIMS_KEY) != null, "no claims were recorded");
   }
 
-  /** What is drafted can be paid: the own budget does not refuse it, to be drawn anew. */
+  /** A built transaction fits the node's write budget, so that it is not refused and rebuilt. */
   @Test
   void builtTransactionsFitTheWriteBudget() {
     SimWorld world = createWorld(21, 200, "aabbaab", 50);
@@ -124,6 +124,6 @@
     world.run(20_000);
     double refused = world.total("wickdrift.transactions.refused.by.budget") - refusedBefore;
     assertEquals(List.of(), world.broken());
-    assertTrue(refused <= 5, "refused " + refused);
+    assertTrue(refused <= 5, "transactions refused by the budget: " + refused);
   }
 }
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -53,9 +53,12 @@
 import wickdrift.transport.Exchange;
 import wickdrift.transport.HttpServer;
 
-/** Stored state of other builds and other days: read, looked through, kept and put back. */
+/**
+ * Tests reading the stored state of older builds, and the operators' commands that check, dump and
+ * restore it.
+ */
 class OperatorTest {
-  /** The simulated state service, asked from outside. */
+  /** Returns the simulated state service as an operator's command sees it. */
   private static Store storeOf(SimState state) {
     return (method, path, body) -> {
       Answer[] answer = new Answer[1];
@@ -64,6 +67,7 @@
     };
   }
 
+  /** Creates a world with running and waiting jobs of all shapes. */
   private static SimWorld busyWorld(long seed) {
     SimWorld world = new SimWorld(seed, 8, 30, "aab", 40);
     submitJobs(world, 30);
@@ -91,8 +95,9 @@
     return out.toByteArray();
   }
 
-  // ---- what builds before wrote: the one before levels, and the one before jobs that await ----
+  // ---- state written by older builds: before levels, and before jobs with dependencies ----
 
+  /** The stored records of an older build, and the digest that it computed from them. */
   private record GoldenState(long revision, TreeMap<String, Records.Item> records, String digest) {
     static GoldenState read(String build) throws IOException, BadMessage {
       try (InputStream in =
@@ -113,7 +118,7 @@
     }
   }
 
-  /** Records that a build before wrote mean to this one what they meant to that one. */
+  /** This build derives the same tables from the records of an older build as that build did. */
   @ParameterizedTest
   @ValueSource(strings = {"dc24b21", "4175cec"})
   void recordsOfAnOlderBuildKeepTheirMeaning(String build) throws Exception {
@@ -138,7 +143,7 @@
             .count());
   }
 
-  /** And this build goes on from them: jobs that were accepted then end once. */
+  /** Jobs that the older build accepted finish exactly once under this build. */
   @ParameterizedTest
   @ValueSource(strings = {"dc24b21", "4175cec"})
   void clusterContinuesFromTheStateOfAnOlderBuild(String build) throws Exception {
@@ -148,7 +153,7 @@
     world.cloud.machineNumber = 1000;
     Map<String, Object> records = new TreeMap<>();
     golden.records.forEach((k, i) -> records.put(k, i.value()));
-    // The members' leases have ended.
+    // The leases of the old members have expired.
     records.keySet().removeIf(k -> k.startsWith("w/m/"));
     world.state().preload(records, golden.revision);
     List<String> openJobs = new ArrayList<>();
@@ -175,8 +180,8 @@
   }
 
   /**
-   * Below its level this build writes what 4175cec wrote: of each kind of record no form, field or
-   * entry that the stored example lacks.
+   * Below its level this build writes what build 4175cec wrote: for each kind of record no encoding
+   * version, field or log entry that the stored example lacks.
    */
   @Test
   void belowItsLevelTheBuildWritesOnlyOldRecordShapes() throws Exception {
@@ -191,7 +196,7 @@
     for (StateServiceClient.Change c : world.state().all()) {
       collectShape(c.key(), c.value(), newShapes);
     }
-    assertTrue(newShapes.size() > 6, "kinds " + newShapes.keySet());
+    assertTrue(newShapes.size() > 6, "kinds of records: " + newShapes.keySet());
     newShapes.forEach(
         (kind, shapes) -> {
           for (String shape : shapes) {
@@ -200,7 +205,7 @@
         });
   }
 
-  /** The form and the fields of a record, those of what is in it too, by kind. */
+  /** Adds the encoding version, fields and log entry kinds of a record, by the kind of its key. */
   private static void collectShape(String key, Object value, Map<String, Set<String>> shapesByKind)
       throws BadMessage {
     Set<String> shapes = shapesByKind.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
@@ -213,7 +218,7 @@
       }
       for (Object run : e.getKey().equals("g") ? (List<?>) e.getValue() : List.of()) {
         for (Object entry : (List<?>) ((List<?>) run).get(1)) {
-          // All that 4175cec reads; a stored example of small logs need not hold each.
+          // Build 4175cec reads all of these kinds; the small logs of its example lack some.
           if (!Set.of("p", "x", "s", "h", "f").contains(((List<?>) entry).get(0))) {
             shapes.add("entry " + ((List<?>) entry).get(0));
           }
@@ -227,7 +232,7 @@
   @Test
   void snapshotIsConsistentWhileControllersWrite() throws Exception {
     SimWorld world = busyWorld(511);
-    // While it is read, page by page, the controllers go on writing.
+    // The controllers keep writing while the snapshot is read page by page.
     Store storeWithConcurrentWrites =
         (method, path, body) -> {
           world.run(400);
@@ -266,7 +271,10 @@
     assertTrue(e.getMessage().contains(expectedText), e.getMessage());
   }
 
-  /** A restore that is interrupted at any step goes on; only a whole one lets controllers in. */
+  /**
+   * A restore that was interrupted at any step can be resumed. Controllers stay outside until it is
+   * complete.
+   */
   @Test
   void controllersStayOutUntilARestoreIsComplete() throws Exception {
     Records records = Records.read(storeOf(busyWorld(513).state()));
@@ -302,16 +310,17 @@
           () -> new Restore(storeOf(world.state()), world.limits()).run(records));
       for (String key : world.state().keys()) {
         if (Job.isChunkKey(key)) {
-          // What ran has ended with its worker's lease.
+          // The tasks that ran have ended with their workers' leases.
           Object value = MessageCodec.decode(MessageCodec.encode(world.state().value(key)));
           assertEquals(List.of(), Encoding.decode(value, Encoding.NUMBERED).list("live"), key);
         }
       }
       assertClusterContinues(world, records);
     }
-    assertTrue(interruptions > 3, "steps " + interruptions);
+    assertTrue(interruptions > 3, "interrupted restores: " + interruptions);
   }
 
+  /** Starts the controllers on restored records and asserts that jobs continue under new epochs. */
   private static void assertClusterContinues(SimWorld world, Records restored) throws BadMessage {
     int openJobs = 0;
     for (Map.Entry<String, Records.Item> e : restored.all().entrySet()) {
@@ -369,7 +378,7 @@
         findings.toString());
   }
 
-  /** A build of fewer levels is told that it can't read what this one wrote. */
+  /** The check for a build of fewer levels reports that it can't read the state of this build. */
   @Test
   void checkReportsThatABuildOfFewerLevelsCannotReadTheState() throws Exception {
     List<StateCheck.Finding> findings =
@@ -380,6 +389,7 @@
 
   // ---- the command line, over real sockets ----
 
+  /** Runs commands in process against the simulated state service, and keeps their output. */
   private static final class CommandRunner implements AutoCloseable {
     final SimState state;
     final EventLoop loop = new EventLoop();
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -29,8 +29,9 @@
 import wickdrift.transport.Caller.Answer;
 
 /**
- * Jobs that await others, with troubles. Beside the rules of every event, what a job was called
- * last is compared with a model that knows nothing but who awaits whom and who was cancelled.
+ * Runs graphs of jobs that await others, with faults. In addition to the invariants, the last phase
+ * that users were told of each job is compared with a model that is derived from the dependencies
+ * and the withdrawals alone.
  */
 class PipelineTest {
   private static final LevelRange OLD_BUILD_LEVELS = new LevelRange(1, 3);
@@ -52,7 +53,7 @@
     return String.format("req-%06d", number);
   }
 
-  /** A job of a graph: its shape and team vary with its number. */
+  /** Returns a job of a graph, whose shape, team and priority vary with its number. */
   private static Map<String, Object> pipelineJob(int number, int... awaits) {
     String shape = number % 5 == 3 ? "ensemble" : "batch";
     Map<String, Object> job =
@@ -62,7 +63,7 @@
     return awaits.length == 0 ? job : SimJobs.awaiting(job, awaits);
   }
 
-  /** Graphs by name, as "job: jobs that it awaits". */
+  /** Graphs by name; each node is written as "job:awaited jobs". */
   private static final Map<String, String> GRAPHS =
       Map.of(
           "chain", "0: 1:0 2:1 3:2 4:3 5:4",
@@ -71,7 +72,7 @@
           "diamond", "0: 1:0 2:0 3:0 4:1,2 5:2,3 6:4,5",
           "two levels", "0: 1: 2:0 3:0,1 4:1 5:2,3,4 6:5 7:5,0 8:7,6");
 
-  /** Submits a graph from a number on; some jobs are withdrawn a while after. */
+  /** Submits a graph with job numbers from {@code base} on; some jobs are withdrawn later. */
   private static void submitGraph(SimWorld world, String graph, int base, Random random) {
     for (String job : graph.split(" ")) {
       int colon = job.indexOf(':');
@@ -80,7 +81,7 @@
           job.substring(colon + 1).isEmpty() ? new String[0] : job.substring(colon + 1).split(",");
       int[] awaits = Arrays.stream(names).mapToInt(s -> base + Integer.parseInt(s)).toArray();
       long withdrawAfterMs = random.nextInt(12) == 0 ? 100 + random.nextInt(12_000) : 0;
-      // Some are submitted when all that they await is over.
+      // Some jobs are submitted after everything that they await has ended.
       long submitAfterMs = awaits.length > 0 && random.nextInt(8) == 0 ? 25_000 : 0;
       world.clock.after(
           submitAfterMs,
@@ -88,17 +89,18 @@
     }
   }
 
-  /** What each job must be called in the end. */
+  /** Asserts the final phase of each job, and that no invariant was violated. */
   private static void assertExpectedPhases(SimWorld world) {
     assertEquals(List.of(), world.broken());
     Map<String, String> expected = new HashMap<>();
     for (String id : new TreeSet<>(world.users.accepted)) {
       assertEquals(expectedPhase(world, id, expected), world.lastTold(id), id);
     }
-    assertTrue(world.starts() > 0, "nothing ran");
+    assertTrue(world.starts() > 0, "no task was started");
     assertNull(world.diverged());
   }
 
+  /** Returns "withdrawn" if the job or any job that it depends on was withdrawn, else "done". */
   private static String expectedPhase(SimWorld world, String id, Map<String, String> phases) {
     String phase = phases.get(id);
     if (phase == null) {
@@ -112,7 +114,7 @@
     return phase;
   }
 
-  /** What happens while the graphs run. */
+  /** A fault, or an upgrade, while the graphs run. */
   enum InjectedFault {
     NONE,
     NODES_CRASH_ONE_BY_ONE,
@@ -136,8 +138,8 @@
       case NONE -> {}
       case NODES_CRASH_ONE_BY_ONE -> {
         for (int i = 0; i < 9; i++) {
-          String n = world.nodes.get(i % world.nodes.size());
-          world.clock.after(3000 + 2500L * i, () -> world.crash(n, 300));
+          String node = world.nodes.get(i % world.nodes.size());
+          world.clock.after(3000 + 2500L * i, () -> world.crash(node, 300));
         }
       }
       case ALL_NODES_CRASH -> {
@@ -168,12 +170,12 @@
       }
       case LATE_TRANSACTIONS -> world.state().lateCommits(0.2, 1800, seed);
       case ANSWERS_LOST -> {
-        int[] n = new int[1];
+        int[] count = new int[1];
         world.state().fate =
-            (from, d) ->
-                n[0]++ % 9 == 4
+            (from, transaction) ->
+                count[0]++ % 9 == 4
                     ? SimState.Fate.UNANSWERED
-                    : n[0] % 11 == 5 ? SimState.Fate.LOST : SimState.Fate.APPLIED;
+                    : count[0] % 11 == 5 ? SimState.Fate.LOST : SimState.Fate.APPLIED;
       }
       case CRASHES_AND_LATE_TRANSACTIONS -> {
         world.state().lateCommits(0.2, 1800, seed);
@@ -184,12 +186,12 @@
       }
       case ROLLING_UPGRADE, LIMITS_LOWERED, LIMITS_LOWERED_AND_CRASHES -> {
         for (int i = 0; i < world.nodes.size(); i++) {
-          String n = world.nodes.get(i);
+          String node = world.nodes.get(i);
           world.clock.after(
               2000 + 3000L * i,
               () -> {
-                world.levels.remove(n);
-                world.crash(n, 1000);
+                world.levels.remove(node);
+                world.crash(node, 1000);
               });
         }
         if (fault != InjectedFault.ROLLING_UPGRADE) {
@@ -241,12 +243,13 @@
     }
     if (fault == InjectedFault.LIMITS_LOWERED
         || fault == InjectedFault.LIMITS_LOWERED_AND_CRASHES) {
-      assertEquals(List.of(), world.state().tooLarge, "sent what is larger than the next limits");
+      assertEquals(List.of(), world.state().tooLarge, "a transaction exceeded the next limits");
     }
   }
 
-  // ---- acceptance ----
+  // ---- acceptance of submissions ----
 
+  /** Submits a job through a node; returns the HTTP status, or 0 without an answer. */
   private static int submitAndGetStatus(SimWorld world, String node, Map<String, Object> job) {
     Answer answer = world.users.ask(node, "POST", "/api/jobs", world.users.describe(job));
     return answer == null ? 0 : answer.status();
@@ -261,29 +264,37 @@
     assertEquals(
         201,
         submitAndGetStatus(world, "n1", pipelineJob(3, 1, 1)),
-        "named twice, accepted by another");
-    assertEquals(422, submitAndGetStatus(world, "n0", pipelineJob(4, 999)), "never accepted");
+        "awaited job named twice, accepted by another node");
     assertEquals(
-        422, submitAndGetStatus(world, "n2", pipelineJob(4, 1, 999)), "one of two never accepted");
-    assertEquals(422, submitAndGetStatus(world, "n0", pipelineJob(5, 5)), "itself");
-    assertEquals(422, submitAndGetStatus(world, "n0", pipelineJob(6, 2)), "a service");
+        422,
+        submitAndGetStatus(world, "n0", pipelineJob(4, 999)),
+        "awaited job was never accepted");
+    assertEquals(
+        422,
+        submitAndGetStatus(world, "n2", pipelineJob(4, 1, 999)),
+        "one of two awaited jobs was never accepted");
+    assertEquals(422, submitAndGetStatus(world, "n0", pipelineJob(5, 5)), "job awaits itself");
+    assertEquals(422, submitAndGetStatus(world, "n0", pipelineJob(6, 2)), "job awaits a service");
     world.run(30_000);
     assertEquals("done", phaseOf(world, "n0", 3));
-    // Long over: from one that has just started and has seen nothing of it.
+    // The awaited jobs ended long ago; n2 has just restarted and has not seen them end.
     world.crash("n2", 300);
     world.run(8000);
     assertEquals(201, submitAndGetStatus(world, "n2", pipelineJob(7, 1, 3)));
-    assertEquals(200, submitAndGetStatus(world, "n0", pipelineJob(7, 1, 3)), "a retry");
+    assertEquals(200, submitAndGetStatus(world, "n0", pipelineJob(7, 1, 3)), "retried submission");
     assertEquals(
         200, world.users.ask("n0", "POST", "/api/jobs/" + jobId(2) + "/withdraw", null).status());
     world.run(20_000);
-    assertEquals(201, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "withdrawn already");
+    assertEquals(
+        201, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "awaited job already withdrawn");
     assertEquals("withdrawn", phaseOf(world, "n0", 8));
-    assertEquals(200, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "a retry");
+    assertEquals(200, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "retried submission");
     world.state().outage(true);
     world.run(2000);
     assertEquals(
-        503, submitAndGetStatus(world, "n0", pipelineJob(9, 999)), "nobody says so as of now");
+        503,
+        submitAndGetStatus(world, "n0", pipelineJob(9, 999)),
+        "whether the awaited job exists can't be confirmed now");
     world.state().outage(false);
     world.run(5000);
     Map<String, Object> jobWithoutAwaits = pipelineJob(10);
@@ -292,7 +303,10 @@
     jobWithoutAwaits = pipelineJob(11);
     jobWithoutAwaits.put("awaits", List.of());
     assertEquals(201, submitAndGetStatus(world, "n0", jobWithoutAwaits));
-    assertEquals(422, submitAndGetStatus(world, "n1", pipelineJob(4, 999)), "still never accepted");
+    assertEquals(
+        422,
+        submitAndGetStatus(world, "n1", pipelineJob(4, 999)),
+        "awaited job was still never accepted");
     assertEquals(201, submitAndGetStatus(world, "n1", pipelineJob(4)));
   }
 
@@ -311,7 +325,10 @@
         400, world.users.ask("n0", "POST", "/api/jobs", MessageCodec.encode(job)).status());
   }
 
-  /** Before all have the new build nothing is written that the old one would read and run. */
+  /**
+   * Until all nodes run the new build, no job with dependencies is written: the old build would run
+   * it without waiting.
+   */
   @Test
   void jobsWithDependenciesAreRefusedBelowTheirLevel() {
     SimWorld world = createWorld(762, "aab", OLD_BUILD_LEVELS, "");
@@ -332,7 +349,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** Far more names than a record holds; some are long over, some run, some wait. */
+  /** The job awaits far more jobs than a record can name; they have ended, run or wait. */
   @Test
   void jobMayAwaitHundredsOfJobs() {
     SimWorld world = createWorld(763, "aab", LevelRange.BUILD, LOWER_NEXT_LIMITS);
@@ -354,7 +371,8 @@
     assertEquals("done", world.lastTold(jobId(901)));
     assertEquals(List.of(), world.state().tooLarge);
     assertTrue(
-        world.state().keys().stream().noneMatch(k -> k.startsWith("w/a/")), "names are left");
+        world.state().keys().stream().noneMatch(k -> k.startsWith("w/a/")),
+        "records of awaited names are left");
   }
 
   private static String phaseOf(SimWorld world, String node, int job) {
@@ -370,8 +388,9 @@
   }
 
   /**
-   * The first of a chain of a hundred is cancelled, and whoever answered is gone at once: within
-   * the time of a cancellation all say so, everywhere, also who has just started.
+   * The first job of a chain of a hundred is withdrawn, and then, depending on the case, the node
+   * that answered dies, all nodes restart, or the state service refuses n1. Within the time limit
+   * of a withdrawal the other nodes, restarted ones too, report every job as withdrawn.
    */
   @ParameterizedTest
   @CsvSource({"0", "1", "2"})
@@ -403,13 +422,15 @@
     world.run(120_000);
     assertExpectedPhases(world);
     assertEquals("withdrawn", world.lastTold(jobId(99)));
-    assertTrue(world.state().keys().stream().noneMatch(k -> k.startsWith("w/j/")), "jobs are left");
+    assertTrue(
+        world.state().keys().stream().noneMatch(k -> k.startsWith("w/j/")),
+        "records of jobs are left");
   }
 
   /**
-   * One that has just started does not know how those ended that a job awaits: until it has read
-   * that it says neither that the job waits nor anything else, for someone was told that it is
-   * withdrawn.
+   * A node that has just started does not know how the awaited jobs of a job ended. Until it has
+   * read that it must not report any phase of the job, not even "waiting": a user may already have
+   * been told that the job is withdrawn.
    */
   @Test
   void restartedNodeReportsNoOlderPhase() {
@@ -419,10 +440,10 @@
     world.users.submitChained(pipelineJob(2, 1), 0);
     world.users.submitChained(pipelineJob(3, 2), 0);
     world.run(4000);
-    // The ends of those after it are never written.
+    // The terminal states of its dependents are never written.
     world.state().fate =
-        (from, d) ->
-            writesTerminalStateOfAny(d, jobId(2), jobId(3))
+        (from, transaction) ->
+            writesTerminalStateOfAny(transaction, jobId(2), jobId(3))
                 ? SimState.Fate.LOST
                 : SimState.Fate.APPLIED;
     for (int n = 1; n < 4; n++) {
@@ -433,7 +454,7 @@
     world.rules.withdrawn(jobId(1));
     assertEquals("withdrawn", phaseOf(world, "n1", 3));
     world.run(10_000);
-    // Its own end is written and moved to its lasting place.
+    // The terminal state of job 1 itself is written and moved to the job history.
     world.state().force("w/d/" + jobId(1), Map.of("phase", "withdrawn", "tasks", 1L, "at", 1L));
     world.state().force("w/j/" + jobId(1), null);
     world.state().slowFinalsMs = 8000;
@@ -441,10 +462,11 @@
     world.run(3000);
     Answer answer = world.users.ask("n2", "GET", "/api/jobs/" + jobId(3), null);
     assertTrue(
-        answer.status() == 503 || "withdrawn".equals(phaseIn(answer)), "older than what was told");
+        answer.status() == 503 || "withdrawn".equals(phaseIn(answer)),
+        "the node reported an older phase than users were told");
     world.run(8000);
     assertEquals("withdrawn", phaseOf(world, "n2", 3));
-    world.state().fate = (from, d) -> SimState.Fate.APPLIED;
+    world.state().fate = (from, transaction) -> SimState.Fate.APPLIED;
     world.run(60_000);
     assertExpectedPhases(world);
   }
@@ -464,9 +486,7 @@
     }
   }
 
-  /**
-   * What waits for others asks for no machines, holds nothing of a limit, and is in nobody's way.
-   */
+  /** Jobs that wait for dependencies rent no machines, use no quota and delay no other job. */
   @Test
   void jobsThatWaitForDependenciesUseNoCapacityOrQuota() {
     SimWorld world = createWorld(780);
@@ -474,7 +494,7 @@
     world.users.submit(SimJobs.job(1, "batch", 1, 1, 60), 0);
     world.run(2000);
     for (int n = 2; n < 12; n++) {
-      // More than the limit, and than all machines, were they to start.
+      // If these jobs started, they would exceed the limit and the capacity of all machines.
       world.users.submitChained(SimJobs.awaiting(SimJobs.job(n, "ensemble", 12, 4, 5), 1), 0);
     }
     world.run(12_000);
@@ -486,16 +506,14 @@
     assertEquals("pending", phaseOf(world, "n1", 2));
   }
 
-  /**
-   * The last job's rank is lent to the first: by what is served first when there is little room.
-   */
+  /** With little free capacity the first job of a chain is served by the priority of the last. */
   @Test
   void dependencyInheritsThePriorityOfItsDependents() {
     SimWorld world = new SimWorld(781, 2, 2, "aaa", 60);
     world.run(8000);
     world.users.submit(SimJobs.job(1, "batch", 8, 1, 12), 0);
     world.run(4000);
-    // Sixteen ordinary tasks wait; then comes a chain whose last job is urgent.
+    // Sixteen standard tasks wait before a chain is submitted whose last job is urgent.
     world.users.submit(SimJobs.job(2, "batch", 16, 1, 20), 0);
     world.run(1000);
     Map<String, Object> first = SimJobs.job(3, "batch", 2, 1, 1);
@@ -505,16 +523,20 @@
     last.put("rank", "urgent");
     world.users.submitChained(last, 0);
     world.run(13_000);
-    assertEquals("done", phaseOf(world, "n0", 3), "the first was served as the last");
+    assertEquals(
+        "done",
+        phaseOf(world, "n0", 3),
+        "the first job was not served by the priority of the last");
     assertEquals(List.of(), world.broken());
   }
 
-  // ---- the switch ----
+  // ---- level upgrade ----
 
   /**
-   * As many members as a transaction of today can change the view of, and a limit that is smaller
-   * by the time of the next change: it does not grow with the members any more. Where the limit has
-   * fallen before the switch, what does not fit into it is written after, and nobody places
+   * The view has as many members as one transaction can change, and the transaction limit is
+   * lowered before the next view change. That change must still fit, because at the new level it
+   * does not grow with the members. If the limit is lowered before the level upgrade, the records
+   * that do not fit into its transaction are written afterwards, and no node places tasks
    * meanwhile.
    */
   @ParameterizedTest
@@ -527,8 +549,9 @@
     int members = world.tables("n0").view().members().size();
     assertEquals(Math.min(7, zones.length()), members);
     for (int i = 0; i < 20; i++) {
-      int n = i;
-      world.clock.after(2000L * i, () -> world.users.submit(SimJobs.job(n, "batch", 3, 1, 4), 0));
+      int jobNumber = i;
+      world.clock.after(
+          2000L * i, () -> world.users.submit(SimJobs.job(jobNumber, "batch", 3, 1, 4), 0));
     }
     if (limitsLoweredFirst) {
       world.state().fall(2, 4, 40);
@@ -551,7 +574,7 @@
     assertExpectedPhases(world);
   }
 
-  /** The rise is prompt: from the last controller's start to the gate open. */
+  /** The time limit runs from the start of the last upgraded controller to the new level. */
   @ParameterizedTest
   @CsvSource({"aab, 5000", "aabbb, 5000", "aaaaabbbb, 5000"})
   void levelUpgradeIsPrompt(String zones, long withinMs) {
@@ -573,7 +596,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** The wait between a job's end and its successor's start is short, and no write stands there. */
+  /** No write delays the start of a dependent after the last exit of the job that it awaits. */
   @Test
   void dependentStartsAtOnceAfterItsDependency() {
     SimWorld world = createWorld(810);
@@ -590,6 +613,8 @@
     List<Double> delaysMs = new ArrayList<>();
     world.nodes.forEach(n -> delaysMs.add(world.metric(n, "wickdrift.stages.delay.ms")));
     double worstMs = delaysMs.stream().mapToDouble(d -> d).max().orElse(0);
-    assertTrue(worstMs > 0 && worstMs < 600, "from the last exit to the next start " + delaysMs);
+    assertTrue(
+        worstMs > 0 && worstMs < 600,
+        "delays from the last exit to the next start in ms: " + delaysMs);
   }
 }
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -31,28 +31,27 @@
 import wickdrift.transport.Caller.Answer;
 
 /**
- * Controllers are replaced one after the other by those of a newer build while jobs run. In place
- * of an older build stands this one with fewer levels, whose announcements the state service drops
- * ({@link SimState#levelless}); the older build itself is played with real processes, outside CI.
+ * Rolling upgrades of the controllers to a newer build while jobs run. The older build is this
+ * build restricted to fewer levels, with its level announcements dropped by the state service
+ * ({@link SimState#levelless}); the real older build is tested with real processes, outside CI.
  */
 class RolloutTest {
   private static final int LATEST_LEVEL = LevelRange.BUILD.max();
 
-  /**
-   * A world whose controllers are all of the build that knows no levels, with jobs of all shapes.
-   */
+  /** Creates a world whose controllers all run the build that knows no levels. */
   private static SimWorld worldOfOldBuild(long seed, String zones) {
     SimWorld world = new SimWorld(seed, 8, 30, zones, 40);
-    // They were started in the constructor, but nothing has run yet.
-    for (String n : world.nodes) {
-      world.kill(n);
-      world.levels.put(n, LevelRange.FIRST);
-      world.state().levelless.add(n);
+    // The constructor has started the controllers, but no event has run yet.
+    for (String node : world.nodes) {
+      world.kill(node);
+      world.levels.put(node, LevelRange.FIRST);
+      world.state().levelless.add(node);
     }
     world.nodes.forEach(world::startNode);
     return world;
   }
 
+  /** Submits jobs of all shapes; returns the ids of those that must finish. */
   private static List<String> submitJobs(SimWorld world, int jobs, long withinMs) {
     List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
@@ -74,12 +73,14 @@
     return finiteJobs;
   }
 
+  /** Restarts a controller with the newest build. */
   private static void upgradeNode(SimWorld world, String node) {
     world.state().levelless.remove(node);
     world.levels.remove(node);
     world.crash(node, 2000);
   }
 
+  /** Restarts a controller with the build that knows no levels. */
   private static void rollBackNode(SimWorld world, String node) {
     world.state().levelless.add(node);
     world.levels.put(node, LevelRange.FIRST);
@@ -98,7 +99,7 @@
     assertNull(world.diverged());
   }
 
-  /** Runs on until all nodes have a level; fails after a minute of simulated time. */
+  /** Runs until all live nodes are at a level; fails after a minute of simulated time. */
   private static void runUntilLevel(SimWorld world, int wanted) {
     for (int i = 0; i < 60; i++) {
       if (world.nodes.stream().allMatch(n -> !world.alive(n) || levelOf(world, n) == wanted)) {
@@ -160,7 +161,7 @@
       world.run(6000);
     }
     assertEquals(1, levelOf(world, "n4"));
-    // One that was put back and is down counts as what it was put back to.
+    // A node that was rolled back and is down counts with the levels of the old build.
     world.kill("n1");
     for (String node : List.of("n0", "n2", "n3", "n4")) {
       upgradeNode(world, node);
@@ -175,7 +176,7 @@
     assertNoOldEncodingsLeft(world);
   }
 
-  /** Which transaction of the rollout's actors meets a fault. */
+  /** A step of the rollout, recognized by the key that its transaction writes. */
   enum RolloutStep {
     NODE_RECORD(NodeRegistry.PREFIX),
     LEVEL_UPGRADE(View.KEY),
@@ -188,9 +189,9 @@
       this.keyPrefix = prefix;
     }
 
-    boolean isWrittenBy(Document txn) {
+    boolean isWrittenBy(Document transaction) {
       try {
-        for (Document write : txn.docs("then")) {
+        for (Document write : transaction.docs("then")) {
           String key = write.textOrNull("write");
           boolean numbered = write.raw("v") instanceof List<?>;
           if (key != null && key.startsWith(keyPrefix)) {
@@ -204,6 +205,7 @@
     }
   }
 
+  /** The node that sends the transaction of a step crashes, whether or not it is applied. */
   @ParameterizedTest
   @EnumSource(RolloutStep.class)
   void rolloutCompletesWhenTheWriterOfAStepCrashes(RolloutStep step) throws BadMessage {
@@ -212,8 +214,8 @@
       List<String> finiteJobs = submitJobs(world, 40, 50_000);
       int[] crashesLeft = {3};
       world.state().fate =
-          (from, d) -> {
-            if (!step.isWrittenBy(d) || crashesLeft[0] == 0 || !world.alive(from)) {
+          (from, transaction) -> {
+            if (!step.isWrittenBy(transaction) || crashesLeft[0] == 0 || !world.alive(from)) {
               return SimState.Fate.APPLIED;
             }
             crashesLeft[0]--;
@@ -227,13 +229,13 @@
       }
       runUntilLevel(world, LATEST_LEVEL);
       world.run(150_000);
-      assertTrue(crashesLeft[0] < 3, "the fault was not met");
+      assertTrue(crashesLeft[0] < 3, "no transaction of the step was sent");
       assertJobsDoneAndRulesHeld(world, finiteJobs);
       assertNoOldEncodingsLeft(world);
     }
   }
 
-  /** What happens at the switch, from just before to well after it. */
+  /** A fault that begins just before the level upgrade and ends well after it. */
   enum InjectedFault {
     STATE_SERVICE_DOWN,
     STATE_SERVICE_REFUSES_ONE_NODE,
@@ -255,7 +257,7 @@
     upgradeNode(world, "n2");
     world.run(7000);
     upgradeNode(world, "n1");
-    // n1 is back 2 s from now, and the level rises within the second after that.
+    // n1 restarts 2 s from now, and the level is upgraded within the second after that.
     long faultMs = 1900;
     switch (fault) {
       case STATE_SERVICE_DOWN -> {
@@ -287,8 +289,8 @@
   }
 
   /**
-   * A transaction of the level before arrives after the switch: a placement fails, for its part's
-   * record has changed; an exit, which holds for any level, leaves a record that is converted.
+   * Transactions of the previous level arrive after the upgrade: a placement fails because the
+   * record of its partition has changed; an exit is valid at any level, and its record is migrated.
    */
   @ParameterizedTest
   @ValueSource(longs = {351, 352, 353})
@@ -300,7 +302,7 @@
     world.run(6000);
     upgradeNode(world, "n1");
     world.run(6000);
-    // n2 of the old build is cut off with its transactions held back, and is replaced.
+    // n2, of the old build, is cut off while its transactions are held back, and is upgraded.
     world.cutFromState("n2", true);
     world.run(1500);
     upgradeNode(world, "n2");
@@ -312,17 +314,17 @@
     assertNoOldEncodingsLeft(world);
   }
 
-  /** A placement of one that has left the view fails, whenever it comes: its part was rewritten. */
+  /** Such a placement fails however late it arrives, because the partition record was rewritten. */
   @Test
   void placementOfANodeThatLeftTheViewFails() throws BadMessage {
-    // A limit so large that nobody gives of its share: that rewrites a part too.
+    // The limit is so large that no quota is transferred, which would rewrite partitions too.
     SimWorld world = new SimWorld(355, 8, 20, "aaa", 10_000);
     world.run(10_000);
     Document[] held = new Document[1];
     world.state().fate =
-        (from, d) -> {
-          if (held[0] == null && from.equals("n1") && placesTask(d)) {
-            held[0] = d;
+        (from, transaction) -> {
+          if (held[0] == null && from.equals("n1") && placesTask(transaction)) {
+            held[0] = transaction;
             world.cutFromState("n1", false);
             return SimState.Fate.LOST;
           }
@@ -373,7 +375,7 @@
     return status[0];
   }
 
-  /** Whoever does not speak the level in force neither joins, proposes, writes nor serves. */
+  /** A node that does not support the level in force neither joins, proposes, writes nor serves. */
   @ParameterizedTest
   @CsvSource({"1, 1, 2", "1, 2, 3", "3, 4, 2"})
   void nodeThatDoesNotSupportTheLevelStaysOutside(int minLevel, int maxLevel, int levelInForce)
@@ -394,13 +396,15 @@
     assertTrue(
         world.tables("n1").blockedReason().contains("level " + levelInForce),
         world.tables("n1").blockedReason());
-    assertFalse(world.state().writers.contains("n1"), "it wrote");
+    assertFalse(world.state().writers.contains("n1"), "n1 wrote to the state service");
     assertFalse(world.tables("n0").members().containsKey("n1"));
     for (String path : List.of("GET /up", "POST /api/jobs", "GET /api/jobs/req-000001")) {
-      String[] p = path.split(" ");
+      String[] request = path.split(" ");
       byte[] body =
-          p[0].equals("POST") ? world.users.describe(SimJobs.job(900, "batch", 1, 1, 5)) : null;
-      assertEquals(503, world.users.ask("n1", p[0], p[1], body).status(), path);
+          request[0].equals("POST")
+              ? world.users.describe(SimJobs.job(900, "batch", 1, 1, 5))
+              : null;
+      assertEquals(503, world.users.ask("n1", request[0], request[1], body).status(), path);
     }
     assertNotEquals(200, world.report("n1", "i-000000", 1) == null ? 0 : 503);
     world.run(120_000);
@@ -417,8 +421,8 @@
           .force(
               OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(heldGate, true).toStore());
       world.run(5000);
-      for (String n : world.nodes) {
-        upgradeNode(world, n);
+      for (String node : world.nodes) {
+        upgradeNode(world, node);
         world.run(6000);
       }
       world.run(20_000);
@@ -430,7 +434,7 @@
     }
   }
 
-  /** Whatever the rise was drawn from changes while its transaction is under way: it fails. */
+  /** The transaction of an upgrade fails if a record that the decision used changes meanwhile. */
   @ParameterizedTest
   @ValueSource(strings = {"word", "live", "back", "announced", "list"})
   void levelUpgradeFailsWhenItsInputsChangeMeanwhile(String changedInput) throws BadMessage {
@@ -446,18 +450,17 @@
       world.crash(node, 1000);
       world.run(6000);
     }
-    // n3 is down when the last one comes, and counts as it has announced.
+    // n3 is down when the last node is upgraded, and counts with the levels that it announced.
     world.kill("n3");
     world.run(6000);
     world.levels.remove("n4");
     world.crash("n4", 1000);
-    Map<String, Object> firstLevelRecord =
-        new TreeMap<>(Map.of("name", "n3", "least", 1L, "most", 1L));
-    firstLevelRecord.put("peers", List.of("n3"));
+    Map<String, Object> oldRecord = new TreeMap<>(Map.of("name", "n3", "least", 1L, "most", 1L));
+    oldRecord.put("peers", List.of("n3"));
     boolean[] upgradeAttempted = new boolean[1];
     world.state().fate =
-        (from, d) -> {
-          if (RolloutStep.LEVEL_UPGRADE.isWrittenBy(d) && !upgradeAttempted[0]) {
+        (from, transaction) -> {
+          if (RolloutStep.LEVEL_UPGRADE.isWrittenBy(transaction) && !upgradeAttempted[0]) {
             upgradeAttempted[0] = true;
             switch (changedInput) {
               case "word" ->
@@ -470,7 +473,7 @@
                               .toStore());
               case "live" -> world.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
               case "back" -> world.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
-              case "announced" -> world.state().force("w/c/3", firstLevelRecord);
+              case "announced" -> world.state().force("w/c/3", oldRecord);
               default ->
                   world
                       .state()
@@ -483,20 +486,20 @@
           return SimState.Fate.APPLIED;
         };
     world.run(12_000);
-    assertTrue(upgradeAttempted[0], "the level did not try to rise");
+    assertTrue(upgradeAttempted[0], "no level upgrade was attempted");
     assertEquals(changedInput.equals("list") ? LATEST_LEVEL : 1, levelOf(world, "n0"));
     assertEquals(List.of(), world.broken());
   }
 
-  /** One that never comes back is waited for until an operator says that it is not. */
+  /** The upgrade waits for a lost node until an operator tells the cluster to ignore it. */
   @Test
   void upgradeIgnoresALostNodeOnlyAfterAnOperatorOverride() throws BadMessage {
     SimWorld world = worldOfOldBuild(381, "aaabb");
     List<String> finiteJobs = submitJobs(world, 40, 60_000);
     world.run(8000);
     world.kill("n3");
-    for (String n : List.of("n0", "n1", "n2", "n4")) {
-      upgradeNode(world, n);
+    for (String node : List.of("n0", "n1", "n2", "n4")) {
+      upgradeNode(world, node);
       world.run(6000);
     }
     world.run(20_000);
@@ -505,7 +508,7 @@
         .state()
         .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
     runUntilLevel(world, LATEST_LEVEL);
-    // It does come back, of the old build: outside; of the new one: in.
+    // If n3 returns after all, it stays outside with the old build and joins with the new one.
     world.startNode("n3");
     world.run(10_000);
     assertNotNull(world.tables("n3").blockedReason());
@@ -518,17 +521,17 @@
     assertNoOldEncodingsLeft(world);
   }
 
-  /** What all may use together, as the parts tell it. */
+  /** Sums the quota shares of a team over all partitions. */
   private static double totalQuotaShares(SimWorld world) throws BadMessage {
     double sum = 0;
     List<?> initialNames =
         Document.of(world.state().value(NodeRegistry.INITIAL_NAMES_KEY)).list("names");
     TreeMap<String, Boolean> names = new TreeMap<>();
-    initialNames.forEach(n -> names.put((String) n, true));
-    world.tables("n0").partitions().keySet().forEach(n -> names.put(n, true));
-    for (String n : names.keySet()) {
-      Partition partition = world.tables("n0").partition(n);
-      sum += initialNames.contains(n) ? world.setup.gpusMax() / initialNames.size() : 0;
+    initialNames.forEach(name -> names.put((String) name, true));
+    world.tables("n0").partitions().keySet().forEach(name -> names.put(name, true));
+    for (String name : names.keySet()) {
+      Partition partition = world.tables("n0").partition(name);
+      sum += initialNames.contains(name) ? world.setup.gpusMax() / initialNames.size() : 0;
       sum +=
           partition == null
               ? 0
@@ -538,9 +541,9 @@
   }
 
   /**
-   * Controllers are added, removed and renamed by a rolling restart, with settings that differ
-   * meanwhile. The limit is half of what the jobs want, so that a share that counts twice breaks
-   * the rule, and one that is lost shows as work that takes too long.
+   * A rolling restart adds, removes and renames controllers, so that their settings differ
+   * meanwhile. The limit is half of what the jobs request: a quota share that counts twice breaks a
+   * rule, and a lost one shows as jobs that take too long.
    */
   @ParameterizedTest
   @CsvSource({
@@ -555,28 +558,29 @@
     SimWorld world = new SimWorld(390, 10, 20, zones, 12);
     List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
-      int n = i;
-      world.clock.after(i * 800, () -> world.users.submit(SimJobs.job(n, "batch", 3, 1, 6), 0));
+      int number = i;
+      world.clock.after(
+          i * 800, () -> world.users.submit(SimJobs.job(number, "batch", 3, 1, 6), 0));
       finiteJobs.add(String.format("req-%06d", i));
     }
     world.run(10_000);
     runUntilLevel(world, LATEST_LEVEL);
     List<String> newNodes = List.of(after.split(" "));
     List<String> oldNodes = List.of(before.split(" "));
-    for (String n : newNodes) {
-      world.lists.put(n, newNodes);
-      if (oldNodes.contains(n)) {
-        world.crash(n, 2000);
+    for (String node : newNodes) {
+      world.lists.put(node, newNodes);
+      if (oldNodes.contains(node)) {
+        world.crash(node, 2000);
       } else {
-        world.nodes.add(n);
-        world.startNode(n);
+        world.nodes.add(node);
+        world.startNode(node);
       }
       world.run(6000);
     }
-    for (String n : oldNodes) {
-      if (!newNodes.contains(n)) {
-        world.kill(n);
-        world.nodes.remove(n);
+    for (String node : oldNodes) {
+      if (!newNodes.contains(node)) {
+        world.kill(node);
+        world.nodes.remove(node);
         world.run(5000);
       }
     }
@@ -587,16 +591,14 @@
     if (newNodes.contains("n0")) {
       assertEquals(world.setup.gpusMax(), totalQuotaShares(world), 1e-6);
     }
-    // All of the limit is used, whoever had a share of it before.
+    // The whole limit can be used, whichever controllers held quota shares of it before.
     world.users.submit(SimJobs.job(900, "batch", 24, 1, 40), 0);
     world.run(25_000);
     assertEquals((int) world.setup.gpusMax(), world.placed(newNodes.get(0), "req-000900"));
     assertEquals(List.of(), world.broken());
   }
 
-  /**
-   * At the first level a number is a place in a list: another list would mean other controllers.
-   */
+  /** At level 1 a node's number is its index in the node list: another list renumbers nodes. */
   @Test
   void nodeWithAnotherNodeListJoinsOnlyAfterTheUpgrade() {
     SimWorld world = worldOfOldBuild(395, "aaa");
@@ -618,7 +620,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** Where nobody may join before the level rises, those who wait raise it. */
+  /** If no node may join before the upgrade, the nodes that wait to join perform it. */
   @Test
   void nodesWaitingToJoinUpgradeTheLevelWhenNoMemberIsLeft() {
     SimWorld world = worldOfOldBuild(396, "aaa");
@@ -628,8 +630,8 @@
             OperatorOverrides.KEY,
             OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
     world.run(6000);
-    for (String n : world.nodes) {
-      upgradeNode(world, n);
+    for (String node : world.nodes) {
+      upgradeNode(world, node);
       world.run(6000);
     }
     assertEquals(1, levelOf(world, "n0"));
@@ -658,32 +660,31 @@
     "w/c/70000, 1",
     "w/c/what, 1"
   })
-  void unknownRecordStopsDecisionsUntilItIsRemoved(String key, int encodingVersion) {
+  void unknownRecordStopsDecisionsUntilItIsRemoved(String key, int version) {
     SimWorld world = new SimWorld(400, 6, 20);
     world.run(8000);
     Object originalValue = world.state().value(key);
-    world
-        .state()
-        .force(key, Encoding.wrap(encodingVersion, Map.of("name", "n9", "peers", List.of())));
+    world.state().force(key, Encoding.wrap(version, Map.of("name", "n9", "peers", List.of())));
     world.run(1000);
-    for (String n : world.nodes) {
-      assertNotNull(world.tables(n).blockedReason(), n);
-      assertTrue(world.tables(n).blockedReason().contains(key), world.tables(n).blockedReason());
+    for (String node : world.nodes) {
+      assertNotNull(world.tables(node).blockedReason(), node);
+      assertTrue(
+          world.tables(node).blockedReason().contains(key), world.tables(node).blockedReason());
     }
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     world.run(3000);
     assertEquals(0, world.starts());
     world.state().force(key, originalValue);
     world.run(30_000);
-    for (String n : world.nodes) {
-      assertNull(world.tables(n).blockedReason(), n);
+    for (String node : world.nodes) {
+      assertNull(world.tables(node).blockedReason(), node);
     }
     assertEquals("done", world.lastTold("req-000001"));
     assertEquals(List.of(), world.broken());
     assertNull(world.diverged());
   }
 
-  /** Entries of a log in a kind, with a number, or of a length that nobody here knows. */
+  /** The kind, the node number or the length of the log entry is unknown to this build. */
   @ParameterizedTest
   @ValueSource(
       strings = {"[q, req-000001, 1]", "[p, req-000001, 70000, 0, 1, i-000001]", "[x, req-1, 0]"})
@@ -700,7 +701,7 @@
     world.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
     world.run(1000);
     world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
-    // A start meets it too.
+    // A node that starts now reads the entry too.
     world.crash("n1", 1000);
     world.run(5000);
     world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
@@ -712,7 +713,7 @@
     assertNull(world.diverged());
   }
 
-  /** What could not be read when a node loaded is not known to it later: it loads anew. */
+  /** A node that could not read a record at its start reloads once the record is readable. */
   @Test
   void recordUnreadableAtStartIsReloadedLater() {
     SimWorld world = new SimWorld(404, 6, 20, "aaa", 60);
@@ -734,7 +735,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** A member that can't be read is none, and nothing stops for it. */
+  /** An unreadable member record does not count as a member, and does not stop decisions. */
   @Test
   void memberRecordWithAnEmptyLevelRangeIsIgnored() {
     SimWorld world = new SimWorld(402, 6, 20);
@@ -746,7 +747,7 @@
     assertEquals("done", world.lastTold("req-000001"));
   }
 
-  /** Fields that a writer does not know survive its rewriting. */
+  /** A node that rewrites a record keeps the fields of a newer build that it does not know. */
   @Test
   void unknownFieldsSurviveARewrite() throws BadMessage {
     SimWorld world = new SimWorld(403, 6, 20);
@@ -755,22 +756,22 @@
     world.run(5000);
     for (String key : List.of(View.KEY, "w/p/n0", "w/j/req-000001", "w/c/1", "w/c/word")) {
       Object value = world.state().value(key);
-      int encodingVersion =
+      int version =
           value == null ? 1 : Encoding.versionOf(MessageCodec.decode(MessageCodec.encode(value)));
       Map<String, Object> fields = new TreeMap<>(Map.of("later", 7L));
       fields.putAll(
           value == null
               ? OperatorOverrides.NONE.toStore()
-              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(value)), encodingVersion)
+              : Encoding.decode(MessageCodec.decode(MessageCodec.encode(value)), version)
                   .without());
       if (key.startsWith("w/j/")) {
         Map<String, Object> spec = new TreeMap<>(Document.of(fields.get("spec")).without());
         spec.put("later", 8L);
         fields.put("spec", spec);
       }
-      world.state().force(key, Encoding.wrap(encodingVersion, fields));
+      world.state().force(key, Encoding.wrap(version, fields));
     }
-    // Nothing of the job ends meanwhile: its record is rewritten, and stays.
+    // No task of the job ends meanwhile, so that its record is rewritten but not removed.
     for (int i = 0; i < 6; i++) {
       world.cutMachine(i, true);
     }
@@ -792,7 +793,7 @@
         MessageCodec.decode(MessageCodec.encode(world.state().value(key))), Encoding.NUMBERED);
   }
 
-  /** Told to end, a controller gives its lease back: the others need not wait for its end. */
+  /** A controller releases its lease on an orderly shutdown, so that no expiry is waited for. */
   @Test
   void orderlyShutdownIsTakenOverAtOnce() {
     long[] takeoverMs = new long[2];
@@ -824,7 +825,7 @@
         "killed " + takeoverMs[0] + ", orderly " + takeoverMs[1] + " ms");
   }
 
-  /** Once its lease is given back a node is nothing any more, whatever its own clock says of it. */
+  /** Once it has released its lease a node must not serve, even if its clock says that it may. */
   @Test
   void nodeThatReleasedItsLeaseAnswersNobody() {
     SimWorld world = new SimWorld(413, 8, 20, "aaa", 60);
@@ -849,7 +850,7 @@
     assertEquals(List.of(), world.broken());
   }
 
-  /** With the store away an orderly end is bounded all the same. */
+  /** The shutdown ends within its time limit although the lease can't be released. */
   @Test
   void orderlyShutdownIsBoundedWhileTheStateServiceIsDown() {
     SimWorld world = new SimWorld(411, 4, 20);
@@ -864,8 +865,8 @@
   }
 
   /**
-   * More controllers than a transaction can change the view of: those that do not fit serve users,
-   * and take the places of members that go, zone by zone.
+   * The view is limited to the members that one transaction can change. Controllers beyond that
+   * serve users, and replace members that leave, zone by zone.
    */
   @ParameterizedTest
   @CsvSource({"9, 8", "33, 8", "16, 4"})
@@ -880,8 +881,7 @@
     View firstView = world.tables("n0").view();
     int maxMembers = 4 * txnOps - 4;
     assertEquals(Math.min(controllers, maxMembers), firstView.members().size());
-    assertTrue(
-        firstView.zones().containsValue("b"), "a zone with controllers has none in the view");
+    assertTrue(firstView.zones().containsValue("b"), "zone b has no member in the view");
     assertEquals(LATEST_LEVEL, firstView.level());
     List<String> members = List.copyOf(firstView.members().keySet());
     String spare =
@@ -897,7 +897,7 @@
     assertEquals(Math.min(controllers - 1, maxMembers), secondView.members().size());
     assertFalse(secondView.members().containsKey(members.get(0)));
     world.nodes.remove(members.get(0));
-    // All members but one at once: the spares take over.
+    // All members but one stop at once, and the spare controllers replace them.
     List<String> stopped = new ArrayList<>(secondView.members().keySet());
     stopped.remove(spare);
     stopped.forEach(world::kill);
@@ -910,9 +910,7 @@
     assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
-  /**
-   * Two processes of one name: the later one serves, and the view does not change back and forth.
-   */
+  /** The earlier process stays outside, so that the view does not change back and forth. */
   @Test
   void laterOfTwoProcessesWithOneNameServes() {
     SimWorld world = new SimWorld(412, 4, 20);
