--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -31,7 +31,7 @@
       int number = i;
       int kind = random.nextInt(10);
       boolean withdrawn = random.nextInt(8) == 0;
-      long withdrawAfter = withdrawn ? 1000 + random.nextInt(20_000) : 0;
+      long withdrawAfterMs = withdrawn ? 1000 + random.nextInt(20_000) : 0;
       double seconds = 3 + random.nextInt(20);
       int tasks = 1 + random.nextInt(6);
       world.clock.after(
@@ -43,7 +43,7 @@
                       : kind < 5
                           ? SimJobs.job(number, "ensemble", Math.min(tasks, 3), 2, seconds)
                           : SimJobs.job(number, "batch", tasks, 1, seconds),
-                  withdrawAfter));
+                  withdrawAfterMs));
       if (kind >= 2 && !withdrawn) {
         finiteJobs.add(String.format("req-%06d", number));
       }
@@ -167,7 +167,7 @@
   }
 
   /**
-   * The network delays a placement until long after its node was taken for dead, when the other
+   * The network delays a placement until long after its node was considered dead, when the other
    * nodes have used the rest of the team's limit. The condition on the record of the node's
    * partition must make the placement fail.
    */
