--- a/src/test/java/wickdrift/sim/MachineClaimsTest.java
+++ b/src/test/java/wickdrift/sim/MachineClaimsTest.java
@@ -48,7 +48,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"aab", "aabba", "aabbaab", "aabbaabba"})
-  void claimsOfTheLeaderCostOneRecord(String controllers) {
+  void claimCostDoesNotGrowWithTheNumberOfControllers(String controllers) {
     SimWorld world = createWorld(7, 400, controllers, 100);
     world.run(20_000);
     int[] recordWrites = {0, 0};
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -434,7 +434,7 @@
     }
   }
 
-  /** The transaction of an upgrade fails if a record that the decision used changes meanwhile. */
+  /** The transaction fails if overrides, members, announced levels or the node list changed. */
   @ParameterizedTest
   @ValueSource(strings = {"word", "live", "back", "announced", "list"})
   void levelUpgradeFailsWhenItsInputsChangeMeanwhile(String changedInput) throws BadMessage {
