--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -209,7 +209,7 @@
   private static void collectShape(String key, Object value, Map<String, Set<String>> shapesByKind)
       throws BadMessage {
     Set<String> shapes = shapesByKind.computeIfAbsent(key.substring(0, 3), k -> new TreeSet<>());
-    shapes.add("form " + Encoding.versionOf(value));
+    shapes.add("encoding version " + Encoding.versionOf(value));
     Document document = Encoding.decode(value, 9);
     for (Map.Entry<String, Object> e : document.without().entrySet()) {
       shapes.add(e.getKey());
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -429,7 +429,7 @@
 
   /**
    * A node that has just started does not know how the awaited jobs of a job ended. Until it has
-   * read that it must not report any phase of the job, not even "waiting": a user may already have
+   * read that it must not report any phase of the job, not even "pending": a user may already have
    * been told that the job is withdrawn.
    */
   @Test
