--- a/src/test/java/wickdrift/sim/SimCloseLooks.java
+++ b/src/test/java/wickdrift/sim/BurstPoller.java
@@ -6,18 +6,18 @@
  * Users who poll a job and repeat its submission at all nodes, within milliseconds after its state
  * has changed. This finds nodes that answer with an older state than another node has answered.
  */
-final class SimCloseLooks {
+final class BurstPoller {
   private static final long[] POLL_DELAYS_MS = {1, 3, 8, 20, 60, 150};
 
   private final SimWorld world;
   private int answerCount;
 
-  SimCloseLooks(SimWorld world) {
+  BurstPoller(SimWorld world) {
     this.world = world;
   }
 
   /** Returns how many answers contained the state of a job. */
-  int answered() {
+  int answerCount() {
     return answerCount;
   }
 
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -110,18 +110,18 @@
         }
       }
       case DUPLICATE_REPORTS_SECONDS_LATE ->
-          world.net.copies = new SimNet.Copies("/hello", 0.4, 8000, world.nodes);
+          world.net.copies = new SimNetwork.Copies("/hello", 0.4, 8000, world.nodes);
       case DUPLICATE_REPORTS_LATER_THAN_A_LEASE ->
-          world.net.copies = new SimNet.Copies("/hello", 0.3, 45_000, world.nodes);
+          world.net.copies = new SimNetwork.Copies("/hello", 0.3, 45_000, world.nodes);
       case DUPLICATE_REPORTS_AND_MACHINE_DEATHS -> {
-        world.net.copies = new SimNet.Copies("/hello", 0.3, 45_000, world.nodes);
+        world.net.copies = new SimNetwork.Copies("/hello", 0.3, 45_000, world.nodes);
         for (int i = 0; i < 3; i++) {
           at(world, 15_000 + 6000 * i, () -> world.killMachine(random.nextInt(4)));
         }
       }
       case IMMEDIATE_WORKER_RESTARTS, IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS -> {
         if (fault == PrimaryFault.IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS) {
-          world.net.copies = new SimNet.Copies("/hello", 0.3, 20_000, world.nodes);
+          world.net.copies = new SimNetwork.Copies("/hello", 0.3, 20_000, world.nodes);
         }
         for (int i = 0; i < 8; i++) {
           int n = i;
@@ -339,7 +339,7 @@
   @ValueSource(booleans = {false, true})
   void duplicateReportsOfADeadMachineDoNotDelayItsExpiry(boolean ownerRestarts) {
     SimWorld world = new SimWorld(992, 3, 3, "aaa", 60);
-    world.net.copies = new SimNet.Copies("/hello", 1.0, 60_000, world.nodes);
+    world.net.copies = new SimNetwork.Copies("/hello", 1.0, 60_000, world.nodes);
     world.run(10_000);
     world.users.submit(SimJobs.job(1, "batch", 12, 1, 100), 0);
     world.run(20_000);
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -29,7 +29,7 @@
     world.cutFromPeers(isolated, true);
     List<String> others = new ArrayList<>(world.nodes);
     others.remove(isolated);
-    world.net.copies = new SimNet.Copies("/hello", 1, 300, others);
+    world.net.copies = new SimNetwork.Copies("/hello", 1, 300, others);
     others.forEach(world::cutFromWorkers);
     world.run(12_000);
     for (int i = 0; i < CancellationTest.JOBS; i++) {
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -136,7 +136,7 @@
   /** Reports are held back until a new leader has made decisions. */
   REPORTS_DELAYED_PAST_A_LEADER_CHANGE(
       run -> {
-        run.world.net.copies = new SimNet.Copies("/hello", 0.3, 20_000, run.world.nodes);
+        run.world.net.copies = new SimNetwork.Copies("/hello", 0.3, 20_000, run.world.nodes);
         for (int i = 0; i < 4; i++) {
           run.at(20_000 + 15_000L * i, () -> run.cutMachines(6, true, 9000));
           run.at(21_000 + 15_000L * i, () -> run.world.crash(run.leader(), 300));
@@ -197,7 +197,7 @@
   /** Duplicates of reports arrive after newer reports, also of workers that have restarted. */
   OLD_REPORTS_ARRIVE_AFTER_NEWER_REPORTS(
       run -> {
-        run.world.net.copies = new SimNet.Copies("/hello", 0.5, 50_000, run.world.nodes);
+        run.world.net.copies = new SimNetwork.Copies("/hello", 0.5, 50_000, run.world.nodes);
         for (int i = 0; i < 5; i++) {
           int n = i;
           run.at(15_000 + 9000L * i, () -> run.world.hangMachine(n, 20_000));
@@ -261,7 +261,7 @@
   /** Commands of a former leader arrive after those of its successor. */
   COMMANDS_OF_A_FORMER_LEADER_ARRIVE_LATE(
       run -> {
-        SimNet.Delay delay = new SimNet.Delay("/orders", 0.4, 2000, 16_000);
+        SimNetwork.Delay delay = new SimNetwork.Delay("/orders", 0.4, 2000, 16_000);
         run.at(10_000, () -> run.world.net.delay = delay);
         for (int i = 0; i < 4; i++) {
           long at = 22_000 + 18_000L * i;
@@ -345,14 +345,14 @@
   /** Users query every node right after each event of a job and repeat its submission. */
   REPEATED_USER_REQUESTS_TO_ALL_NODES(
       run -> {
-        run.world.users.closeLooks = new SimCloseLooks(run.world);
+        run.world.users.closeLooks = new BurstPoller(run.world);
         run.submitAdditional(40, 10_000, 60_000);
         for (int i = 0; i < 40; i++) {
           run.at(11_000 + 1500L * i, () -> run.cancelNewest(1));
         }
         run.at(30_000, () -> run.crashOrPauseLeader(false));
         run.at(50_000, () -> run.crashOrPauseLeader(true));
-        run.at(100_000, () -> run.faultsOccurred = run.world.users.closeLooks.answered() > 2000);
+        run.at(100_000, () -> run.faultsOccurred = run.world.users.closeLooks.answerCount() > 2000);
       }),
   /** One-task jobs arrive four times a second under a small write budget. */
   FOUR_ONE_TASK_JOBS_PER_SECOND(
@@ -373,7 +373,7 @@
   /** Transactions are committed, but the responses to a share of them are lost. */
   TRANSACTION_RESPONSES_LOST(
       run -> {
-        run.world.users.closeLooks = new SimCloseLooks(run.world);
+        run.world.users.closeLooks = new BurstPoller(run.world);
         run.submitAdditional(30, 10_000, 60_000);
         run.at(10_000, () -> run.world.state().loseAnswers(0.3, run.random.nextLong()));
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -50,14 +50,14 @@
     world.net.script = this::fateOf;
   }
 
-  private SimNet.Fate fateOf(String from, String to, String path, byte[] body) {
+  private SimNetwork.Fate fateOf(String from, String to, String path, byte[] body) {
     if (path.equals("/orders") && runsTheTask(body)) {
       directRunCommands++;
       worker = worker == null ? workerAt(to) : worker;
-      return directRunCommands == 1 ? SimNet.Fate.HELD : SimNet.Fate.DELIVERED;
+      return directRunCommands == 1 ? SimNetwork.Fate.HELD : SimNetwork.Fate.DELIVERED;
     }
     boolean report = path.equals("/hello") && worker != null && from.equals(worker.address);
-    return report && loseReportAnswers ? SimNet.Fate.ANSWER_LOST : SimNet.Fate.DELIVERED;
+    return report && loseReportAnswers ? SimNetwork.Fate.ANSWER_LOST : SimNetwork.Fate.DELIVERED;
   }
 
   private static boolean runsTheTask(byte[] body) {
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -256,7 +256,7 @@
                   writtenKeys.add("malformed");
                 }
                 commitCount[0]++;
-                return SimState.Fate.APPLIED;
+                return SimStateService.Fate.APPLIED;
               };
           return null;
         });
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -30,7 +30,7 @@
 /**
  * Real controller processes on loopback, with stand-ins for the state service, the cloud, workers
  * and users, which run in this process in real time. All requests between processes and stand-ins
- * pass through the {@link SimNet} of the stand-ins, so that its faults apply to real processes too.
+ * pass through the {@link SimNetwork} of the stand-ins, so that its faults apply to real processes too.
  * Connections between controllers pass through one {@link TcpProxy} for each direction.
  */
 final class LoopbackStage implements AutoCloseable {
--- a/src/test/java/wickdrift/sim/MachineClaimsTest.java
+++ b/src/test/java/wickdrift/sim/MachineClaimsTest.java
@@ -65,7 +65,7 @@
           } catch (BadMessage e) {
             throw new AssertionError(e);
           }
-          return SimState.Fate.APPLIED;
+          return SimStateService.Fate.APPLIED;
         };
     submitBurst(world, 250);
     world.run(20_000);
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -59,7 +59,7 @@
  */
 class OperatorTest {
   /** Returns the simulated state service as an operator's command sees it. */
-  private static StateServiceCaller storeOf(SimState state) {
+  private static StateServiceCaller storeOf(SimStateService state) {
     return (method, path, body) -> {
       Response[] answer = new Response[1];
       state.serve("operator", method, path, body, a -> answer[0] = a);
@@ -399,7 +399,7 @@
 
   /** Runs commands in process against the simulated state service, and keeps their output. */
   private static final class CommandRunner implements AutoCloseable {
-    final SimState state;
+    final SimStateService state;
     final EventLoop loop = new EventLoop();
     final Channel server;
     final Path config;
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -174,8 +174,8 @@
         world.state().fate =
             (from, transaction) ->
                 count[0]++ % 9 == 4
-                    ? SimState.Fate.UNANSWERED
-                    : count[0] % 11 == 5 ? SimState.Fate.LOST : SimState.Fate.APPLIED;
+                    ? SimStateService.Fate.UNANSWERED
+                    : count[0] % 11 == 5 ? SimStateService.Fate.LOST : SimStateService.Fate.APPLIED;
       }
       case CRASHES_AND_LATE_TRANSACTIONS -> {
         world.state().lateCommits(0.2, 1800, seed);
@@ -444,8 +444,8 @@
     world.state().fate =
         (from, transaction) ->
             writesTerminalStateOfAny(transaction, jobId(2), jobId(3))
-                ? SimState.Fate.LOST
-                : SimState.Fate.APPLIED;
+                ? SimStateService.Fate.LOST
+                : SimStateService.Fate.APPLIED;
     for (int n = 1; n < 4; n++) {
       world.users.asked.add(jobId(n));
     }
@@ -466,7 +466,7 @@
         "the node reported an older phase than users were told");
     world.run(8000);
     assertEquals("withdrawn", phaseOf(world, "n2", 3));
-    world.state().fate = (from, transaction) -> SimState.Fate.APPLIED;
+    world.state().fate = (from, transaction) -> SimStateService.Fate.APPLIED;
     world.run(60_000);
     assertExpectedPhases(world);
   }
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -33,7 +33,7 @@
 /**
  * Rolling upgrades of the controllers to a newer build while jobs run. The older build is this
  * build restricted to fewer levels, with its level announcements dropped by the state service
- * ({@link SimState#levelless}); the real older build is tested with real processes, outside CI.
+ * ({@link SimStateService#levelless}); the real older build is tested with real processes, outside CI.
  */
 class RolloutTest {
   private static final int LATEST_LEVEL = LevelRange.BUILD.max();
@@ -209,14 +209,14 @@
   @ParameterizedTest
   @EnumSource(RolloutStep.class)
   void rolloutCompletesWhenTheWriterOfAStepCrashes(RolloutStep step) throws BadMessage {
-    for (SimState.Fate fate : SimState.Fate.values()) {
+    for (SimStateService.Fate fate : SimStateService.Fate.values()) {
       SimWorld world = worldOfOldBuild(320 + step.ordinal(), "aab");
       List<String> finiteJobs = submitJobs(world, 40, 50_000);
       int[] crashesLeft = {3};
       world.state().fate =
           (from, transaction) -> {
             if (!step.isWrittenBy(transaction) || crashesLeft[0] == 0 || !world.alive(from)) {
-              return SimState.Fate.APPLIED;
+              return SimStateService.Fate.APPLIED;
             }
             crashesLeft[0]--;
             world.crash(from, 2500);
@@ -326,9 +326,9 @@
           if (held[0] == null && from.equals("n1") && placesTask(transaction)) {
             held[0] = transaction;
             world.cutFromState("n1", false);
-            return SimState.Fate.LOST;
+            return SimStateService.Fate.LOST;
           }
-          return SimState.Fate.APPLIED;
+          return SimStateService.Fate.APPLIED;
         };
     for (int i = 0; i < 12; i++) {
       world.users.submit(SimJobs.job(i, "batch", 2, 1, 20), 0);
@@ -483,7 +483,7 @@
             }
             world.clock.after(60, () -> assertEquals(1, levelOf(world, from), changedInput));
           }
-          return SimState.Fate.APPLIED;
+          return SimStateService.Fate.APPLIED;
         };
     world.run(12_000);
     assertTrue(upgradeAttempted[0], "no level upgrade was attempted");
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -41,7 +41,7 @@
                 .defaultTuning());
     world.run(60_000);
     world.users.submitMixed(101, 9);
-    SimState state = world.state();
+    SimStateService state = world.state();
     double examinedBefore = world.total("wickdrift.rooms.looked");
     double placedBefore = world.total("wickdrift.tasks.placed");
     int requestsBefore = state.requests();
@@ -105,7 +105,7 @@
                 "-XX:+ExitOnOutOfMemoryError",
                 "-cp",
                 System.getProperty("java.class.path"),
-                Hold.class.getName(),
+                TableMemoryProbe.class.getName(),
                 machines,
                 tasks)
             .redirectErrorStream(true)
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -13,7 +13,7 @@
 import wickdrift.transport.Caller.Response;
 
 /** A stand-in for the cloud: rents, boots and deletes machines, and lists them with a delay. */
-final class SimCloud implements SimNet.Server {
+final class SimCloud implements SimNetwork.Server {
   private final SimWorld world;
   private final int capacity;
   private final TreeMap<String, SimWorker> runningWorkers = new TreeMap<>();
@@ -108,7 +108,7 @@
     try {
       if (path.equals("/flavors")) {
         done.accept(
-            SimState.answer(
+            SimStateService.answer(
                 200,
                 Map.of(
                     "flavours",
@@ -142,7 +142,7 @@
             worker.die();
           }
         }
-        done.accept(SimState.answer(200, Map.of()));
+        done.accept(SimStateService.answer(200, Map.of()));
       } else if (path.equals("/hosts")) {
         Document request = Document.parse(body);
         List<String> names = machinesByClaim.get(request.text("claim"));
@@ -157,12 +157,12 @@
             names.add(boot(request.text("region"), request.flag("reclaimable"), delayMs));
           }
           if (names.isEmpty()) {
-            done.accept(SimState.answer(503, Map.of("error", "no capacity")));
+            done.accept(SimStateService.answer(503, Map.of("error", "no capacity")));
             return;
           }
           machinesByClaim.put(request.text("claim"), names);
         }
-        done.accept(SimState.answer(200, Map.of("hosts", names)));
+        done.accept(SimStateService.answer(200, Map.of("hosts", names)));
       } else {
         List<Object> listed = new ArrayList<>();
         long listedAtMs =
@@ -186,10 +186,10 @@
                         (listedAtMs - host.rentedAtMs) / 1000.0));
               }
             });
-        done.accept(SimState.answer(200, Map.of("hosts", listed, "truncated", false)));
+        done.accept(SimStateService.answer(200, Map.of("hosts", listed, "truncated", false)));
       }
     } catch (BadMessage e) {
-      done.accept(SimState.answer(400, Map.of("error", e.getMessage())));
+      done.accept(SimStateService.answer(400, Map.of("error", e.getMessage())));
     }
   }
 
--- a/src/test/java/wickdrift/sim/SimNet.java
+++ b/src/test/java/wickdrift/sim/SimNetwork.java
@@ -15,7 +15,7 @@
  * A simulated network of named hosts. It delays requests, and can cut links (requests are lost, or
  * held until the link is healed), block one direction, duplicate, delay, replay and garble.
  */
-public final class SimNet {
+public final class SimNetwork {
   /** Serves the requests to an address. */
   public interface Server {
     /** Serves one request, and passes the answer, if any, to {@code done}. */
@@ -112,7 +112,7 @@
   Consumer<String> listenObserver = a -> {};
 
   /** Creates a network without servers and faults. */
-  public SimNet(SimClock clock, Random random) {
+  public SimNetwork(SimClock clock, Random random) {
     this.clock = clock;
     this.random = random;
   }
--- a/src/test/java/wickdrift/sim/SimSetup.java
+++ b/src/test/java/wickdrift/sim/SimSetup.java
@@ -16,7 +16,7 @@
   private double reportS = 2.5;
   private UnaryOperator<Tuning> tuning = t -> t.withLogSize(2, 900);
   private int txnOps;
-  private double writeRps = SimState.DEFAULT_WRITES_PER_SECOND;
+  private double writeRps = SimStateService.DEFAULT_WRITES_PER_SECOND;
 
   /**
    * Creates a configuration with three controllers in one zone.
--- a/src/test/java/wickdrift/sim/SimState.java
+++ b/src/test/java/wickdrift/sim/SimStateService.java
@@ -27,7 +27,7 @@
  * watches. It can be unavailable, slow or lossy, and checks that transactions have the conditions
  * that they need.
  */
-public final class SimState implements SimNet.Server {
+public final class SimStateService implements SimNetwork.Server {
   /** A record of the store; lease 0 means that it belongs to no lease. */
   private record Entry(Object value, long stamp, long leaseId) {}
 
@@ -130,7 +130,7 @@
   private int writeLimitExceededCount;
 
   /** Creates an empty store with the given limit of changes per second. */
-  public SimState(SimClock clock, double writeRps) {
+  public SimStateService(SimClock clock, double writeRps) {
     this.clock = clock;
     this.maxWritesPerSecond = writeRps;
     this.initialMaxWritesPerSecond = writeRps;
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -37,7 +37,7 @@
   int refusedSubmissions;
 
   /** Polls a job at all nodes whenever users learn something new about it; null: no such polls. */
-  SimCloseLooks closeLooks;
+  BurstPoller closeLooks;
 
   private final Map<String, byte[]> submissionBodies = new HashMap<>();
 
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -19,7 +19,7 @@
  * A stand-in for a worker that follows the protocol: it reports, executes commands, runs tasks, and
  * ends them when its lease expires.
  */
-final class SimWorker implements SimNet.Server {
+final class SimWorker implements SimNetwork.Server {
   private final SimWorld world;
   private final SimClock clock;
   private final Random random;
@@ -468,20 +468,20 @@
     }
     try {
       if (path.equals("/show")) {
-        done.accept(SimState.answer(200, buildReport(from)));
+        done.accept(SimStateService.answer(200, buildReport(from)));
         return;
       }
       Document message = Document.parse(body);
       long messageEpoch = message.count("epoch");
       if (messageEpoch < epoch || message.count("tenure") != tenure) {
-        done.accept(SimState.answer(409, buildReport(from)));
+        done.accept(SimStateService.answer(409, buildReport(from)));
         return;
       }
       epoch = messageEpoch;
       applyCommands(message);
-      done.accept(SimState.answer(200, buildReport(from)));
+      done.accept(SimStateService.answer(200, buildReport(from)));
     } catch (BadMessage e) {
-      done.accept(SimState.answer(400, Map.of()));
+      done.accept(SimStateService.answer(400, Map.of()));
     }
   }
 }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -49,8 +49,8 @@
 
   final SimClock clock = new SimClock();
   final Random random;
-  final SimNet net;
-  final SimState state;
+  final SimNetwork net;
+  final SimStateService state;
   final SimRules rules;
   final SimUsers users;
   final SimCloud cloud;
@@ -148,8 +148,8 @@
       nodes.add("n" + i);
     }
     random = new Random(setup.seed());
-    net = new SimNet(clock, random);
-    state = new SimState(clock, setup.writeRps());
+    net = new SimNetwork(clock, random);
+    state = new SimStateService(clock, setup.writeRps());
     state.maxTransactionChanges =
         setup.txnOps() > 0 ? setup.txnOps() : Math.max(8, nodes.size() + 1);
     rules = new SimRules(this);
@@ -523,7 +523,7 @@
 
       @Override
       public void reply(int status, Object value, int retryAfterS) {
-        done.accept(SimState.answer(status, value == null ? Map.of() : value));
+        done.accept(SimStateService.answer(status, value == null ? Map.of() : value));
       }
     };
   }
@@ -607,7 +607,7 @@
   }
 
   /** Returns the stand-in for the state service. */
-  public SimState state() {
+  public SimStateService state() {
     return state;
   }
 
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -66,7 +66,7 @@
     Runnable begin(SoakScene scene, Random random) {
       List<SimWorker> some = scene.someWorkers(random);
       boolean hold = random.nextBoolean();
-      SimNet net = scene.world().net;
+      SimNetwork net = scene.world().net;
       for (String node : scene.world().nodes) {
         some.forEach(worker -> net.cut(node, worker.address, hold));
       }
@@ -81,7 +81,7 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
-      return scene.addRule(m -> some.contains(m.from()), 0.7, SimNet.Fate.RESET);
+      return scene.addRule(m -> some.contains(m.from()), 0.7, SimNetwork.Fate.RESET);
     }
   },
   WORKERS_UNREACHABLE_FOR_COMMANDS {
@@ -136,7 +136,7 @@
   STATE_SERVICE_SLOW {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      SimState state = scene.world().state();
+      SimStateService state = scene.world().state();
       long ms = 100 + random.nextInt(600);
       state.slowWrites(ms);
       scene.world().nodes.forEach(node -> state.slowReads(node, ms));
@@ -156,7 +156,7 @@
   TRANSACTIONS_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      SimState state = scene.world().state();
+      SimStateService state = scene.world().state();
       state.lateCommits(0.2, 1000 + random.nextInt(4000), random.nextLong());
       return () -> state.lateCommits(0, 0, 1);
     }
@@ -164,19 +164,19 @@
   TRANSACTION_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals("/commit"), 0.25, SimNet.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals("/commit"), 0.25, SimNetwork.Fate.ANSWER_LOST);
     }
   },
   COMMANDS_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.5, SimNet.Fate.LATE);
+      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.5, SimNetwork.Fate.LATE);
     }
   },
   COMMAND_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.4, SimNet.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.4, SimNetwork.Fate.ANSWER_LOST);
     }
   },
   COMMANDS_LOST_ON_SOME_LINKS {
@@ -184,22 +184,22 @@
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
       return scene.addRule(
-          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()), 0.8, SimNet.Fate.LOST);
+          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()), 0.8, SimNetwork.Fate.LOST);
     }
   },
   REPORT_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNet.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNetwork.Fate.ANSWER_LOST);
     }
   },
   /** Late commands and lost answers to reports on all links between controllers and workers. */
   BAD_NETWORK {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      Runnable commands = scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNet.Fate.LATE);
+      Runnable commands = scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNetwork.Fate.LATE);
       Runnable reports =
-          scene.addRule(m -> m.path().equals(REPORT_PATH), 0.6, SimNet.Fate.ANSWER_RESET);
+          scene.addRule(m -> m.path().equals(REPORT_PATH), 0.6, SimNetwork.Fate.ANSWER_RESET);
       return () -> {
         commands.run();
         reports.run();
@@ -209,9 +209,9 @@
   REPORTS_COPIED_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      SimNet net = scene.world().net;
+      SimNetwork net = scene.world().net;
       net.copies =
-          new SimNet.Copies(REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
+          new SimNetwork.Copies(REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
       return () -> net.copies = null;
     }
   },
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -36,7 +36,7 @@
   /** Starts the load, which continues until {@link #close}. */
   void start() {
     if (random.nextBoolean()) {
-      world.users.closeLooks = new SimCloseLooks(world);
+      world.users.closeLooks = new BurstPoller(world);
     }
     submitNext();
     sendExtraRequests();
--- a/src/test/java/wickdrift/sim/SoakNetwork.java
+++ b/src/test/java/wickdrift/sim/SoakNetwork.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 
 /** Decides the fate of each request in a soak by the rules that are in force at the time. */
-final class SoakNetwork implements SimNet.FaultScript {
+final class SoakNetwork implements SimNetwork.FaultScript {
   /** A request in transit. */
   record Message(String from, String to, String path) {}
 
@@ -15,7 +15,7 @@
   }
 
   /** Gives a request that the filter matches the fate with the probability. */
-  record Rule(Filter filter, double probability, SimNet.Fate fate) {}
+  record Rule(Filter filter, double probability, SimNetwork.Fate fate) {}
 
   private final Random random;
   private final List<Rule> rules = new ArrayList<>();
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public SimNet.Fate fateOf(String from, String to, String path, byte[] body) {
+  public SimNetwork.Fate fateOf(String from, String to, String path, byte[] body) {
     Message message = new Message(from, to, path);
     for (Rule rule : rules) {
       if (rule.filter.matches(message) && random.nextDouble() < rule.probability) {
@@ -55,7 +55,7 @@
         return rule.fate;
       }
     }
-    return SimNet.Fate.DELIVERED;
+    return SimNetwork.Fate.DELIVERED;
   }
 
   @Override
--- a/src/test/java/wickdrift/sim/Hold.java
+++ b/src/test/java/wickdrift/sim/TableMemoryProbe.java
@@ -18,10 +18,10 @@
  * Loads tables of a given size as a controller does at its start, and reloads them as it does after
  * a long pause, to show that both fit into the heap. Arguments: the numbers of machines and tasks.
  */
-final class Hold {
+final class TableMemoryProbe {
   private static final int JOB_COUNT = 1000;
 
-  private Hold() {}
+  private TableMemoryProbe() {}
 
   /** Loads the tables twice, checks their content and prints the heap in use. */
   public static void main(String[] args) throws Exception {
