--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -109,7 +109,7 @@
         world.users.submit(job(i, i % 3 == 0 ? "ensemble" : "batch", 1 + i % 3, seconds), 0);
       }
       world.run(WORLD_READY_MS - 8000);
-      if (world.starts() > JOBS
+      if (world.startCount() > JOBS
           && world.nodes.stream().allMatch(n -> ownedTaskCount(world, n) > 0)) {
         return world;
       }
@@ -206,11 +206,11 @@
         finiteJobs.add(jobId(i));
         continue;
       }
-      String lastPhase = world.lastTold(jobId(i));
+      String lastPhase = world.lastReportedPhase(jobId(i));
       assertTrue(
           "withdrawn".equals(lastPhase) || "done".equals(lastPhase), jobId(i) + " is " + lastPhase);
       for (int k = 0; k < 3; k++) {
-        assertTrue(!world.isOn(jobId(i) + "/" + k), "still running: " + jobId(i) + "/" + k);
+        assertTrue(!world.isRunning(jobId(i) + "/" + k), "still running: " + jobId(i) + "/" + k);
       }
     }
     ClusterTest.check(world, finiteJobs);
@@ -235,7 +235,7 @@
     for (int i = 0; i < JOBS; i++) {
       world.users.submit(job(i, "batch", 2, 60), 0);
     }
-    while (world.placed("n0", jobId(JOBS / 2)) == 0) {
+    while (world.placedTaskCount("n0", jobId(JOBS / 2)) == 0) {
       world.run(1);
     }
     world.run(afterMs);
@@ -253,7 +253,7 @@
     assertTrue(withdrawn.size() >= JOBS / 2);
     withdrawn.forEach(id -> world.users.withdraw(id, world.nodes.get(withdrawn.indexOf(id) % 3)));
     world.run(120_000);
-    withdrawn.forEach(id -> assertEquals("withdrawn", world.lastTold(id)));
+    withdrawn.forEach(id -> assertEquals("withdrawn", world.lastReportedPhase(id)));
     ClusterTest.check(world, List.of());
   }
 
@@ -282,7 +282,7 @@
       world.users.submit(job(i, "batch", 1 + i % 2, 200), 0);
     }
     world.run(14_000);
-    world.nodes.forEach(n -> world.net.cut(n, SimWorld.CLOUD, false));
+    world.nodes.forEach(n -> world.net.cut(n, SimWorld.CLOUD_ADDRESS, false));
     for (int m = 0; m < 7; m++) {
       if (hang) {
         world.hangMachine(m, 15_500);
@@ -297,7 +297,7 @@
     world.clock.after(15_500, world::healMachines);
     world.run(100_000);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals("withdrawn", world.lastTold(jobId(i)));
+      assertEquals("withdrawn", world.lastReportedPhase(jobId(i)));
     }
     ClusterTest.check(world, List.of());
   }
@@ -319,7 +319,7 @@
     for (int i = 0; i < JOBS; i++) {
       assertTrue(world.rules.toldWithdrawn(jobId(i)), "no confirmation for " + jobId(i));
       for (int k = 0; k < 3; k++) {
-        assertTrue(!world.isOn(jobId(i) + "/" + k), "not stopped: " + jobId(i) + "/" + k);
+        assertTrue(!world.isRunning(jobId(i) + "/" + k), "not stopped: " + jobId(i) + "/" + k);
       }
     }
     world.state().refuse(leader, false);
@@ -340,7 +340,7 @@
     }
     world.run(60_000);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals("withdrawn", world.lastTold(jobId(i)));
+      assertEquals("withdrawn", world.lastReportedPhase(jobId(i)));
     }
     assertTrue(
         world.users.slowestWordMs < 1000,
@@ -404,7 +404,7 @@
     polled.addAll(confirmed);
     for (String id : polled) {
       for (int k = 0; k < 2; k++) {
-        assertTrue(!world.isOn(id + "/" + k), "reported as withdrawn but still running: " + id);
+        assertTrue(!world.isRunning(id + "/" + k), "reported as withdrawn but still running: " + id);
       }
     }
     assertTrue(confirmed.size() < JOBS, "the leader owned no task of these jobs");
@@ -413,7 +413,7 @@
     world.cutFromPeers(leader, false);
     world.run(200_000);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals("withdrawn", world.lastTold(jobId(i)));
+      assertEquals("withdrawn", world.lastReportedPhase(jobId(i)));
     }
     ClusterTest.check(world, List.of());
   }
@@ -427,7 +427,7 @@
   @ValueSource(ints = {1, 2, 3})
   void withdrawalIsConfirmedThoughOlderBuildsDoNotAnswerPeers(int olderNodes) {
     SimWorld world = worldWithRunningJobs(4960 + olderNodes, 200);
-    world.nodes.subList(0, olderNodes).forEach(world.oldFrames::add);
+    world.nodes.subList(0, olderNodes).forEach(world.nodesIgnoringNewFrames::add);
     for (int i = 0; i < JOBS; i++) {
       world.users.withdraw(jobId(i), world.nodes.get(i % 3));
     }
@@ -482,7 +482,7 @@
     world.state().outage(false);
     world.run(12_000);
     assertEquals("200 withdrawn", withdraw(world, "n2", "req-000003"));
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /**
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -53,12 +53,12 @@
 
   /** Asserts that no rule is broken, that all finite jobs are done and that the tables agree. */
   static void check(SimWorld world, List<String> finiteJobs) {
-    assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 0, "no task was started");
+    assertEquals(List.of(), world.violations());
+    assertTrue(world.startCount() > 0, "no task was started");
     for (String id : finiteJobs) {
-      assertEquals("done", world.lastTold(id), id);
+      assertEquals("done", world.lastReportedPhase(id), id);
     }
-    assertNull(world.diverged());
+    assertNull(world.describeDivergence());
   }
 
   @Test
@@ -158,12 +158,12 @@
       world.users.submit(SimJobs.job(i, "daemon", 1, 1, 0), 0);
     }
     world.run(30_000);
-    int starts = world.starts();
+    int starts = world.startCount();
     assertEquals(12, starts);
     world.cutFromWorkers("n1");
     world.run(90_000);
-    assertEquals(starts, world.starts(), "tasks were lost and restarted");
-    assertEquals(List.of(), world.broken());
+    assertEquals(starts, world.startCount(), "tasks were lost and restarted");
+    assertEquals(List.of(), world.violations());
   }
 
   /**
@@ -190,9 +190,9 @@
       world.clock.after(2000 + 9000L * k + 8500, () -> world.healFromState(node));
     }
     world.run(120_000);
-    assertNull(world.diverged());
-    assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 100, "started " + world.starts());
+    assertNull(world.describeDivergence());
+    assertEquals(List.of(), world.violations());
+    assertTrue(world.startCount() > 100, "started " + world.startCount());
   }
 
   /**
@@ -215,9 +215,9 @@
     world.run(60_000);
     world.state().lateCommits(0, 0, seed);
     world.run(90_000);
-    assertEquals(List.of(), world.broken());
-    assertNull(world.diverged());
-    assertTrue(world.starts() > 100, "started " + world.starts());
+    assertEquals(List.of(), world.violations());
+    assertNull(world.describeDivergence());
+    assertTrue(world.startCount() > 100, "started " + world.startCount());
   }
 
   /** A job withdrawn just as its last task ends gets one outcome, which never changes again. */
@@ -236,7 +236,7 @@
                   SimJobs.job(jobNumber, "batch", 1, 1, 2), 2800 + random.nextInt(1600)));
     }
     world.run(120_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /**
@@ -265,8 +265,8 @@
                   0));
     }
     world.run(120_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals(0, world.full, "tasks refused because the machine was full");
+    assertEquals(List.of(), world.violations());
+    assertEquals(0, world.fullRefusalCount, "tasks refused because the machine was full");
   }
 
   /**
@@ -302,10 +302,10 @@
       world.users.submit(SimJobs.job(i, "daemon", 1, 1, 0), 12_100 + 30 * i);
     }
     world.run(12_000);
-    assertEquals(12, world.starts());
+    assertEquals(12, world.startCount());
     world.isolate("n1");
     world.run(80_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** After another node has crashed, a node that has a partition keeps placing on it at once. */
@@ -325,7 +325,7 @@
     world.run(800);
     assertTrue(world.users.accepted.size() >= 3, "accepted " + world.users.accepted);
     for (String id : world.users.accepted) {
-      assertEquals(1, world.placed("n0", id), id);
+      assertEquals(1, world.placedTaskCount("n0", id), id);
     }
   }
 
@@ -346,15 +346,15 @@
       world.users.submit(SimJobs.job(i, "daemon", 1, 2, 0), 0);
     }
     world.run(12_000);
-    assertEquals(18, world.starts());
+    assertEquals(18, world.startCount());
     world.state().slowReads(node, 700);
     world.freeze(node, pauseMs, timersFirst);
     world.run(pauseMs + 2000);
     world.state().slowReads(node, 0);
     world.run(60_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals(18, world.starts(), "tasks were lost and restarted");
-    assertFalse(world.lost, "machines were considered silent");
+    assertEquals(List.of(), world.violations());
+    assertEquals(18, world.startCount(), "tasks were lost and restarted");
+    assertFalse(world.machineRecordedLost, "machines were considered silent");
     assertEquals(0, world.cloud.deleted, "machines were given up");
     assertEquals(1.0, world.metric(node, "wickdrift.loop.pauses"));
   }
@@ -374,7 +374,7 @@
       world.users.submit(SimJobs.job(i, "batch", 1, 2, 300), 0);
     }
     world.run(9000);
-    assertEquals(16, world.starts());
+    assertEquals(16, world.startCount());
     world.state().slowWrites(1200);
     for (int i = 0; i < 12; i++) {
       int machine = i;
@@ -383,8 +383,8 @@
           500 * i + 16_000 + 200 * (seed % 7), () -> world.healMachine(machine, "n0"));
     }
     world.run(60_000);
-    assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 20, "no task was lost");
+    assertEquals(List.of(), world.violations());
+    assertTrue(world.startCount() > 20, "no task was lost");
   }
 
   /**
@@ -399,7 +399,7 @@
     world.run(7800);
     long oldEpoch = world.epoch("n1");
     String machine = "i-900000";
-    for (int i = 1; !world.owner("n1", machine).equals("n1"); i++) {
+    for (int i = 1; !world.ownerOf("n1", machine).equals("n1"); i++) {
       machine = "i-90000" + i;
     }
     world.state().slowReads("n1", 700);
@@ -428,8 +428,8 @@
     world.healFromWorkers("n1");
     world.state().outage(false);
     world.run(30_000);
-    assertEquals(List.of(), world.broken());
-    assertFalse(world.lost, "machines were considered silent");
+    assertEquals(List.of(), world.violations());
+    assertFalse(world.machineRecordedLost, "machines were considered silent");
   }
 
   /**
@@ -446,7 +446,7 @@
       world.users.submit(SimJobs.job(i, "daemon", 1, 2, 0), 0);
     }
     world.run(12_000);
-    assertEquals(18, world.starts());
+    assertEquals(18, world.startCount());
     world.state().slowReads(node, 900);
     world.cutFromState(node, false);
     world.run(25_000);
@@ -454,9 +454,9 @@
     world.run(5000);
     world.state().slowReads(node, 0);
     world.run(40_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals(18, world.starts(), "tasks were lost and restarted");
-    assertFalse(world.lost, "machines were considered silent");
+    assertEquals(List.of(), world.violations());
+    assertEquals(18, world.startCount(), "tasks were lost and restarted");
+    assertFalse(world.machineRecordedLost, "machines were considered silent");
     assertEquals(0, world.cloud.deleted, "machines were given up");
   }
 
@@ -488,14 +488,14 @@
     idleJob.put("flushS", 1.0);
     world.users.submit(idleJob, 0);
     world.run(12_000);
-    assertEquals(32, world.starts());
+    assertEquals(32, world.startCount());
     Map<String, Object> gang = SimJobs.job(2, "ensemble", 4, 4, 100);
     gang.put("rank", "urgent");
     world.users.submit(gang, 0);
     world.run(6000);
-    assertEquals(4, world.placed("n0", "req-000002"));
+    assertEquals(4, world.placedTaskCount("n0", "req-000002"));
     world.run(20_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /**
@@ -517,7 +517,7 @@
     world.run(30_000);
     assertTrue(
         world.state().commits() - commits < 10, "commits " + (world.state().commits() - commits));
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /**
@@ -538,13 +538,13 @@
     world.users.submit(SimJobs.job(2, "daemon", 2, 1, 0), 0);
     world.users.submit(SimJobs.job(3, "batch", 4, 2, 5), 0);
     world.run(4000);
-    assertEquals(2, world.placed("n0", "req-000002"));
+    assertEquals(2, world.placedTaskCount("n0", "req-000002"));
     world.run(15_000);
-    assertEquals("done", world.lastTold("req-000003"));
+    assertEquals("done", world.lastReportedPhase("req-000003"));
     world.run(120_000);
-    assertEquals("done", world.lastTold("req-000001"));
-    assertEquals(List.of(), world.broken());
-    assertNull(world.diverged());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
+    assertEquals(List.of(), world.violations());
+    assertNull(world.describeDivergence());
     // Log pages have 900 bytes here, a quarter of their size in production.
     int commits = world.state().commits() - commitsBefore;
     assertTrue(commits < 10_000 / 4, commits + " transactions");
@@ -557,7 +557,7 @@
     world.run(8000);
     world.users.submit(SimJobs.job(1, "batch", 40, 1, 1000), 0);
     world.run(12_000);
-    assertEquals(16, world.starts());
+    assertEquals(16, world.startCount());
     Map<String, Object> swiftJob = SimJobs.job(2, "daemon", 1, 1, 0);
     swiftJob.put("jobclass", "swift");
     swiftJob.put("rank", "production");
@@ -565,7 +565,7 @@
     // Other classes wait 20 s before they preempt tasks above idle priority. Most of these 5 s is
     // the time until the worker reports.
     world.run(5000);
-    assertEquals(1, world.placed("n0", "req-000002"));
+    assertEquals(1, world.placedTaskCount("n0", "req-000002"));
   }
 
   /**
@@ -581,8 +581,8 @@
     gang.put("oneZone", false);
     world.users.submit(gang, 0);
     world.run(110_000);
-    assertEquals("done", world.lastTold("req-000001"));
-    assertEquals(List.of(), world.broken());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
+    assertEquals(List.of(), world.violations());
   }
 
   /** There are no machines whose reports must be awaited: renting begins with the first job. */
@@ -616,7 +616,7 @@
     world.cloud.duds = 2;
     world.users.submit(SimJobs.job(1, "batch", 8, 1, 60), 0);
     world.run(24_000);
-    assertEquals(8, world.starts());
+    assertEquals(8, world.startCount());
     world.cloud.duds = 1000;
     for (int i = 2; i < 12; i++) {
       world.users.submit(SimJobs.job(i, "batch", 8, 1, 1), 0);
@@ -626,7 +626,7 @@
     assertTrue(world.cloud.rented <= 4 + 20 + 3, "rented " + world.cloud.rented);
     world.cloud.duds = 0;
     world.run(200_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     assertTrue(world.cloud.fleet() <= 2, "left: " + world.cloud.fleet());
   }
 
@@ -654,10 +654,10 @@
     world.users.submitMixed(101, 5);
     world.clock.after(9000, () -> world.crash("n3", 5000));
     world.run(60_000);
-    assertEquals(List.of(), world.broken());
-    assertNull(world.diverged());
-    assertTrue(world.starts() > 800, "started " + world.starts());
-    return world.total("wickdrift.rooms.looked") / world.total("wickdrift.tasks.placed");
+    assertEquals(List.of(), world.violations());
+    assertNull(world.describeDivergence());
+    assertTrue(world.startCount() > 800, "started " + world.startCount());
+    return world.metricSum("wickdrift.rooms.looked") / world.metricSum("wickdrift.tasks.placed");
   }
 
   /**
@@ -669,7 +669,7 @@
     SimWorld world = new SimWorld(211, 12, 12);
     world.run(8000);
     int deadMachine = 0;
-    while (!world.owner("n0", world.workers().get(deadMachine).name).equals("n0")) {
+    while (!world.ownerOf("n0", world.workers().get(deadMachine).name).equals("n0")) {
       deadMachine++;
     }
     world.killMachine(deadMachine);
@@ -678,7 +678,7 @@
       world.run(6500);
     }
     assertTrue(world.epoch("n0") >= 7, "epoch " + world.epoch("n0"));
-    assertTrue(world.lost, "the dead machine was never found silent");
+    assertTrue(world.machineRecordedLost, "the dead machine was never found silent");
   }
 
   /**
@@ -703,11 +703,11 @@
     world.run(5000);
     assertTrue(world.users.accepted.size() > 150, "accepted " + world.users.accepted.size());
     assertTrue(world.users.accepted.size() < 800, "no queue built up, so the test shows nothing");
-    assertTrue(world.starts() > 50, "started " + world.starts());
+    assertTrue(world.startCount() > 50, "started " + world.startCount());
     world.run(60_000);
     assertEquals(800, world.users.accepted.size());
     assertEquals(0, world.state().overWritten());
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /**
@@ -724,14 +724,14 @@
       world.users.submit(SimJobs.job(i, "daemon", 2, 1, 0), 0);
     }
     world.run(12_000);
-    assertEquals(24, world.starts());
+    assertEquals(24, world.startCount());
     world.cutZone("n2", true);
     world.run(45_000);
     world.cutZone("n2", false);
     world.run(30_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     assertEquals(0, world.killedByLease());
-    assertEquals(24, world.starts());
+    assertEquals(24, world.startCount());
     assertEquals(0, world.cloud.deleted, "machines behind the cut were deleted");
   }
 
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -176,7 +176,7 @@
               world,
               15_000 + 3000L * world.nodes.indexOf(n),
               () -> {
-                world.levels.remove(n);
+                world.supportedLevels.remove(n);
                 world.crash(n, 500);
               });
         }
@@ -271,9 +271,9 @@
         0, timesUpAgain[0], "the machine counted as up again though no command reaches it");
     world.net.deaf.remove(worker.address);
     world.run(200_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     for (int i = 0; i < 60; i++) {
-      assertEquals("done", world.lastTold(String.format("req-%06d", i)));
+      assertEquals("done", world.lastReportedPhase(String.format("req-%06d", i)));
     }
   }
 
@@ -298,13 +298,13 @@
       at(world, 17_500 + 500L * t, () -> timesWithTasks[0] += worker.empty() ? 0 : 1);
     }
     world.run(17_500);
-    assertTrue(world.lost, "the machine was not recorded as silent");
+    assertTrue(world.machineRecordedLost, "the machine was not recorded as silent");
     world.run(20_500);
     assertEquals(0, timesWithTasks[0], "samples in which the silent machine had tasks");
     world.run(120_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     for (int i = 0; i < 60; i++) {
-      assertEquals("done", world.lastTold(String.format("req-%06d", i)));
+      assertEquals("done", world.lastReportedPhase(String.format("req-%06d", i)));
     }
   }
 
@@ -326,8 +326,8 @@
       assertTrue(machine == null || machine.info() == null && machine.slots().isEmpty(), "at " + n);
     }
     world.run(120_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.violations());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
   }
 
   /**
@@ -344,7 +344,7 @@
     world.users.submit(SimJobs.job(1, "batch", 12, 1, 100), 0);
     world.run(20_000);
     SimWorker worker = world.workers().get(0);
-    String owner = world.owner("n0", worker.name);
+    String owner = world.ownerOf("n0", worker.name);
     assertTrue(
         !world.tables("n0").machine(worker.name).slots().isEmpty(), "no task runs on the machine");
     world.killMachine(0);
@@ -360,8 +360,8 @@
         "the dead machine still counts as up");
     world.net.copies = null;
     world.run(250_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.violations());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
   }
 
   /**
@@ -379,7 +379,7 @@
       world.users.submit(SimJobs.job(i, "daemon", 2, 1, 0), 0);
     }
     world.run(10_000);
-    assertEquals(8, world.starts());
+    assertEquals(8, world.startCount());
     for (int i = 0; i < 4; i++) {
       assertTrue(!world.tables("n0").job(String.format("req-%06d", i)).partition().equals("*"));
     }
@@ -393,10 +393,10 @@
     world.run(45_000);
     for (int i = 0; i < 4; i++) {
       for (int k = 0; k < 2; k++) {
-        assertTrue(world.isOn(String.format("req-%06d/%d", i, k)), "job " + i + " lacks task " + k);
+        assertTrue(world.isRunning(String.format("req-%06d/%d", i, k)), "job " + i + " lacks task " + k);
       }
     }
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /**
@@ -414,12 +414,12 @@
     // The tasks of the restarted worker run again.
     int running = 0;
     for (int i = 0; i < 8; i++) {
-      running += world.isOn("req-000001/" + i) ? 1 : 0;
+      running += world.isRunning("req-000001/" + i) ? 1 : 0;
     }
     assertEquals(8, running);
     assertEquals(2, world.cloud.rented);
     world.run(90_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals(List.of(), world.violations());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
   }
 }
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -84,7 +84,7 @@
     world.run(2500);
     world.healMachines();
     world.run(100_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** An owner does not answer a withdrawal frame that carries an epoch other than its own. */
--- a/src/test/java/wickdrift/sim/ControllerRestartTest.java
+++ b/src/test/java/wickdrift/sim/ControllerRestartTest.java
@@ -161,7 +161,7 @@
         world.users.submitSmall(random, 4000, 30_000, 5000, n -> n % 2 == 0 ? 5 : 6);
     scenario.faults.accept(world, downtimeMs);
     world.run(240_000);
-    assertEquals(0, world.full);
+    assertEquals(0, world.fullRefusalCount);
     ClusterTest.check(world, finiteJobs);
   }
 
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -71,7 +71,7 @@
         finiteJobs.add(id);
         continue;
       }
-      String lastPhase = world.lastTold(id);
+      String lastPhase = world.lastReportedPhase(id);
       assertTrue(
           "withdrawn".equals(lastPhase) || "done".equals(lastPhase), id + " is " + lastPhase);
     }
@@ -135,7 +135,7 @@
   void cancelRunning(int count) {
     int left = count;
     for (String id : cancellable()) {
-      if (left > 0 && world.isOn(id + "/0")) {
+      if (left > 0 && world.isRunning(id + "/0")) {
         world.users.withdraw(id, world.nodes.get(left-- % world.nodes.size()));
       }
     }
@@ -217,7 +217,7 @@
   /** Returns the leader in the view with the newest epoch that a live controller has. */
   String leader() {
     return world.nodes.stream()
-        .filter(n -> world.alive(n) && world.tables(n).view() != null)
+        .filter(n -> world.isAlive(n) && world.tables(n).view() != null)
         .max((a, b) -> Long.compare(world.epoch(a), world.epoch(b)))
         .map(n -> world.tables(n).view().leader())
         .orElse(world.nodes.get(0));
@@ -225,7 +225,7 @@
 
   /** Returns the newest epoch that any live controller knows, or 0 if none knows one. */
   long newestEpoch() {
-    return world.nodes.stream().filter(world::alive).mapToLong(this::epochOf).max().orElse(0);
+    return world.nodes.stream().filter(world::isAlive).mapToLong(this::epochOf).max().orElse(0);
   }
 
   /** Returns the epoch that the controller knows, or 0 if it has no view. */
@@ -248,7 +248,7 @@
    * @param method modulo 3: 0 crashes the controller, 1 restarts it gracefully, 2 pauses it
    */
   void forceHandover(String node, int method) {
-    if (!world.alive(node)) {
+    if (!world.isAlive(node)) {
       return;
     }
     switch (method % 3) {
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -46,12 +46,12 @@
   /** The tasks of a job take very different times and end under several leaders. */
   UNEVEN_TASK_DURATIONS_ACROSS_LEADER_CHANGES(
       run -> {
-        run.world.pace = task -> task.endsWith("/1") ? 2.5 : task.endsWith("/2") ? 0.2 : 0.7;
+        run.world.runTimeFactor = task -> task.endsWith("/1") ? 2.5 : task.endsWith("/2") ? 0.2 : 0.7;
         for (int i = 0; i < 5; i++) {
           run.at(20_000 + 11_000L * i, () -> run.world.crash(run.leader(), 400));
         }
         run.at(40_000, () -> run.cancelRunning(4));
-        run.at(50_000, () -> run.faultsOccurred = run.world.starts() > FaultRun.BASE_JOBS);
+        run.at(50_000, () -> run.faultsOccurred = run.world.startCount() > FaultRun.BASE_JOBS);
       }),
   /** Workers receive commands, but their reports reach no controller. */
   WORKERS_CANNOT_REPORT(
@@ -87,7 +87,7 @@
         }
         run.at(30_000, () -> run.cancelRunning(3));
         run.at(45_000, () -> run.world.crash(run.leader(), 300));
-        run.at(60_000, () -> run.faultsOccurred = run.world.lost);
+        run.at(60_000, () -> run.faultsOccurred = run.world.machineRecordedLost);
       }),
   /** Messages to and from machines are held back for a time, and machines hang and go on. */
   COMMANDS_HELD_AND_MACHINES_HANG(
@@ -177,7 +177,7 @@
             () ->
                 run.faultsOccurred =
                     run.world.users.accepted.stream()
-                        .anyMatch(j -> run.world.placed("n0", j) == 0));
+                        .anyMatch(j -> run.world.placedTaskCount("n0", j) == 0));
       }),
   /** Transactions reach the state service after newer ones. */
   TRANSACTIONS_REORDERED(
--- a/src/test/java/wickdrift/sim/GangsOnFewMachinesTest.java
+++ b/src/test/java/wickdrift/sim/GangsOnFewMachinesTest.java
@@ -17,7 +17,7 @@
       world.users.submit(SimJobs.job(i, "ensemble", tasks, 1, 300), 0);
     }
     world.run(25_000);
-    assertEquals(gangs * tasks, world.starts(), "gang members that started");
-    assertEquals(List.of(), world.broken());
+    assertEquals(gangs * tasks, world.startCount(), "gang members that started");
+    assertEquals(List.of(), world.violations());
   }
 }
--- a/src/test/java/wickdrift/sim/LargestJobStartTimeTest.java
+++ b/src/test/java/wickdrift/sim/LargestJobStartTimeTest.java
@@ -66,10 +66,10 @@
     }
     assertTrue(hasStarted(world, tasks, shape), "not started within four minutes");
     world.run(600_000 - world.clock.nowMs() + startMs);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     long done = 0;
     for (int i = 0; i < smallJobs; i++) {
-      done += "done".equals(world.lastTold(String.format("req-%06d", i))) ? 1 : 0;
+      done += "done".equals(world.lastReportedPhase(String.format("req-%06d", i))) ? 1 : 0;
     }
     assertTrue(done > smallJobs / 2, "small jobs done: " + done + " of " + smallJobs);
   }
@@ -78,9 +78,9 @@
   private static boolean hasStarted(SimWorld world, int tasks, String shape) {
     int running = 0;
     for (int i = 0; i < tasks; i++) {
-      running += world.isOn("req-009000/" + i) ? 1 : 0;
+      running += world.isRunning("req-009000/" + i) ? 1 : 0;
     }
     return running >= (shape.equals("ensemble") ? tasks : 1)
-        || "done".equals(world.lastTold("req-009000"));
+        || "done".equals(world.lastReportedPhase("req-009000"));
   }
 }
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -116,11 +116,11 @@
   }
 
   private void assertHeldRunCommandStartsNothing() {
-    int starts = world.starts();
+    int starts = world.startCount();
     world.net.releaseHeld();
     world.run(30_000);
-    assertEquals(List.of(), world.broken());
-    assertEquals(starts, world.starts(), "the delayed command has started the task again");
+    assertEquals(List.of(), world.violations());
+    assertEquals(starts, world.startCount(), "the delayed command has started the task again");
   }
 
   /**
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -138,8 +138,8 @@
   private boolean areJobsDone(int jobs) throws Exception {
     for (int i = 8; i < jobs; i++) {
       String id = String.format("req-%06d", i);
-      if (!"done".equals(callOnLoop(() -> world.lastTold(id)))) {
-        print("not done: %s is %s", id, callOnLoop(() -> world.lastTold(id)));
+      if (!"done".equals(callOnLoop(() -> world.lastReportedPhase(id)))) {
+        print("not done: %s is %s", id, callOnLoop(() -> world.lastReportedPhase(id)));
         return false;
       }
     }
@@ -187,15 +187,15 @@
     for (int i = FIRST_DEPENDENT_JOB; !newerOnly && i < FIRST_DEPENDENT_JOB + 12 * 4; i++) {
       String id = String.format("req-%06d", i);
       String wanted = i < FIRST_DEPENDENT_JOB + 4 ? "withdrawn" : "done";
-      if (!wanted.equals(callOnLoop(() -> world.lastTold(id)))) {
+      if (!wanted.equals(callOnLoop(() -> world.lastReportedPhase(id)))) {
         violations.add(
-            id + " of a chain of dependent jobs is " + callOnLoop(() -> world.lastTold(id)));
+            id + " of a chain of dependent jobs is " + callOnLoop(() -> world.lastReportedPhase(id)));
       }
     }
     if (!areJobsDone(jobs)) {
       violations.add("a job did not end");
     }
-    violations.addAll(callOnLoop(world::broken));
+    violations.addAll(callOnLoop(world::violations));
     print(
         "replicas lost %.1f s of %.0f s (%.3f%%); submissions refused %d; tasks killed by leases %d;"
             + " kills %d; starts %d",
@@ -205,7 +205,7 @@
         world.users.refusedSubmissions,
         callOnLoop(world::killedByLease),
         killCount,
-        world.starts());
+        world.startCount());
     violations.forEach(w -> print("WRONG: %s", w));
     return violations.isEmpty();
   }
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -92,8 +92,8 @@
       }
     }
     world.net.listenObserver = this::openPorts;
-    openPorts(SimWorld.STATE);
-    openPorts(SimWorld.CLOUD);
+    openPorts(SimWorld.STATE_ADDRESS);
+    openPorts(SimWorld.CLOUD_ADDRESS);
     world.workers().forEach(worker -> openPorts(worker.address));
     world.addressSeenByNode =
         (address, node) -> addresses.getOrDefault(standInAddressKey(address, node), address);
@@ -270,10 +270,10 @@
 
   /** Writes a controller's settings file with real addresses, and starts its process. */
   void start(String node, Path jar) throws Exception {
-    String text = ask(() -> world.settingsText(node, SimWorld.STATE));
+    String text = ask(() -> world.settingsText(node, SimWorld.STATE_ADDRESS));
     Map<String, String> realAddresses = new LinkedHashMap<>();
-    realAddresses.put(SimWorld.STATE, addresses.get(standInAddressKey(SimWorld.STATE, node)));
-    realAddresses.put(SimWorld.CLOUD, addresses.get(standInAddressKey(SimWorld.CLOUD, node)));
+    realAddresses.put(SimWorld.STATE_ADDRESS, addresses.get(standInAddressKey(SimWorld.STATE_ADDRESS, node)));
+    realAddresses.put(SimWorld.CLOUD_ADDRESS, addresses.get(standInAddressKey(SimWorld.CLOUD_ADDRESS, node)));
     for (int i = 0; i < world.nodes.size(); i++) {
       String other = world.nodes.get(i);
       boolean self = other.equals(node);
--- a/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -71,7 +71,7 @@
     assertTrue(allAccepted(answers), "statuses " + answers.statuses);
     world.state().loseAnswers(0, 1);
     world.run(60_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** Each placement shows in the tables, and the next one is decided without the response. */
@@ -87,8 +87,8 @@
           () -> submit(world, world.nodes.get(number % 3), number, new SubmissionAnswers()));
     }
     world.run(400 * 10 + 4500);
-    assertEquals(10, world.starts(), "tasks that started");
-    assertEquals(List.of(), world.broken());
+    assertEquals(10, world.startCount(), "tasks that started");
+    assertEquals(List.of(), world.violations());
   }
 
   /** A delayed batch is overtaken and sent again; when it arrives in the end it changes nothing. */
@@ -117,7 +117,7 @@
         world.tables("n1").job("req-000001") == null
             || world.tables("n1").job("req-000001").stamp() == stamp,
         "the delayed transaction accepted the job again");
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** A withdrawal that is committed is confirmed at once although the response is lost. */
@@ -131,6 +131,6 @@
     world.run(1500);
     assertTrue(world.rules.toldWithdrawn("req-000001"), "the withdrawal was not confirmed");
     world.run(30_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 }
--- a/src/test/java/wickdrift/sim/MachineClaimsTest.java
+++ b/src/test/java/wickdrift/sim/MachineClaimsTest.java
@@ -69,8 +69,8 @@
         };
     submitBurst(world, 250);
     world.run(20_000);
-    assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 450, "started " + world.starts());
+    assertEquals(List.of(), world.violations());
+    assertTrue(world.startCount() > 450, "started " + world.startCount());
     assertTrue(
         recordWrites[0] < 60,
         "records rewritten " + recordWrites[0] + ", of them claims " + recordWrites[1]);
@@ -108,9 +108,9 @@
                   kind == 0 ? 15_000 : 0));
     }
     world.run(60_000);
-    assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() > 100, "started " + world.starts());
-    assertEquals(0, world.full);
+    assertEquals(List.of(), world.violations());
+    assertTrue(world.startCount() > 100, "started " + world.startCount());
+    assertEquals(0, world.fullRefusalCount);
     assertTrue(world.state().value(Tables.CLAIMS_KEY) != null, "no claims were recorded");
   }
 
@@ -119,11 +119,11 @@
   void builtTransactionsFitTheWriteBudget() {
     SimWorld world = createWorld(21, 200, "aabbaab", 50);
     world.run(20_000);
-    double refusedBefore = world.total("wickdrift.transactions.refused.by.budget");
+    double refusedBefore = world.metricSum("wickdrift.transactions.refused.by.budget");
     submitBurst(world, 150);
     world.run(20_000);
-    double refused = world.total("wickdrift.transactions.refused.by.budget") - refusedBefore;
-    assertEquals(List.of(), world.broken());
+    double refused = world.metricSum("wickdrift.transactions.refused.by.budget") - refusedBefore;
+    assertEquals(List.of(), world.violations());
     assertTrue(refused <= 5, "transactions refused by the budget: " + refused);
   }
 }
--- a/src/test/java/wickdrift/sim/MalformedResponsesTest.java
+++ b/src/test/java/wickdrift/sim/MalformedResponsesTest.java
@@ -37,7 +37,7 @@
           case CLOUD -> "cloud.malformed";
           default -> "workers.malformed";
         };
-    assertTrue(world.total("wickdrift." + metric) > 0, "no malformed response was counted");
+    assertTrue(world.metricSum("wickdrift." + metric) > 0, "no malformed response was counted");
     ClusterTest.check(world, finiteJobs);
   }
 
@@ -47,8 +47,8 @@
   private static void setMalformed(SimWorld world, Sender sender, boolean malformed) {
     List<String> hosts =
         switch (sender) {
-          case STATE_SERVICE -> List.of(SimWorld.STATE);
-          case CLOUD -> List.of(SimWorld.CLOUD);
+          case STATE_SERVICE -> List.of(SimWorld.STATE_ADDRESS);
+          case CLOUD -> List.of(SimWorld.CLOUD_ADDRESS);
           default -> world.workers().stream().map(m -> m.address).toList();
         };
     if (malformed) {
--- a/src/test/java/wickdrift/sim/MixedBuilds.java
+++ b/src/test/java/wickdrift/sim/MixedBuilds.java
@@ -94,7 +94,7 @@
   private String unfinishedJob() throws Exception {
     for (int i = 6; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
-      String phase = stage.ask(() -> world.lastTold(id));
+      String phase = stage.ask(() -> world.lastReportedPhase(id));
       boolean over = "done".equals(phase) || isWithdrawn(i) && "withdrawn".equals(phase);
       if (!over) {
         return id + " is " + phase;
@@ -128,12 +128,12 @@
       unfinished = unfinishedJob();
     }
     expect(unfinished == null, "every accepted job ended; left: " + unfinished);
-    List<String> broken = stage.ask(world::broken);
+    List<String> broken = stage.ask(world::violations);
     expect(broken.isEmpty(), "no rule was broken: " + broken);
     for (String node : NODES) {
       expect(stage.process(node).alive(), node + " runs");
     }
-    say("tasks started: %d", stage.ask(world::starts));
+    say("tasks started: %d", stage.ask(world::startCount));
   }
 
   // ---- each build reads what the other one wrote ----
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -177,8 +177,8 @@
       assertTrue(world.state().keys().contains("w/d/" + id), id);
       assertFalse(world.state().keys().contains("w/j/" + id), id);
     }
-    assertEquals(List.of(), world.broken());
-    assertNull(world.diverged());
+    assertEquals(List.of(), world.violations());
+    assertNull(world.describeDivergence());
     assertTrue(world.state().keys().contains(NodeRegistry.CONVERTED_LEVEL_KEY));
   }
 
@@ -299,7 +299,7 @@
             return storeOf(world.state()).call(method, path, body);
           };
       try {
-        new Restore(failing, world.limits()).run(records);
+        new Restore(failing, world.stateServiceLimits()).run(records);
         complete = true;
       } catch (StateServiceCaller.UnavailableException e) {
         interruptions++;
@@ -309,11 +309,11 @@
           world.nodes.forEach(n -> assertTrue(world.tables(n).blockedReason() != null, n));
           world.nodes.forEach(world::kill);
         }
-        new Restore(storeOf(world.state()), world.limits()).run(records);
+        new Restore(storeOf(world.state()), world.stateServiceLimits()).run(records);
       }
       assertThrows(
           Restore.RestoreRefusedException.class,
-          () -> new Restore(storeOf(world.state()), world.limits()).run(records));
+          () -> new Restore(storeOf(world.state()), world.stateServiceLimits()).run(records));
       for (String key : world.state().keys()) {
         if (Job.isChunkKey(key)) {
           // The tasks that ran have ended with their workers' leases.
@@ -340,13 +340,13 @@
     assertTrue(openJobs > 5);
     world.nodes.forEach(world::startNode);
     world.run(6000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     world.nodes.forEach(n -> assertNull(world.tables(n).blockedReason(), n));
     assertTrue(world.epoch("n0") > 10_000_000);
-    assertNull(world.diverged());
+    assertNull(world.describeDivergence());
     world.run(20_000);
-    assertTrue(world.starts() > 0);
-    assertEquals(List.of(), world.broken());
+    assertTrue(world.startCount() > 0);
+    assertEquals(List.of(), world.violations());
   }
 
   // ---- state check ----
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -91,13 +91,13 @@
 
   /** Asserts the final phase of each job, and that no invariant was violated. */
   private static void assertExpectedPhases(SimWorld world) {
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     Map<String, String> expected = new HashMap<>();
     for (String id : new TreeSet<>(world.users.accepted)) {
-      assertEquals(expectedPhase(world, id, expected), world.lastTold(id), id);
+      assertEquals(expectedPhase(world, id, expected), world.lastReportedPhase(id), id);
     }
-    assertTrue(world.starts() > 0, "no task was started");
-    assertNull(world.diverged());
+    assertTrue(world.startCount() > 0, "no task was started");
+    assertNull(world.describeDivergence());
   }
 
   /** Returns "withdrawn" if the job or any job that it depends on was withdrawn, else "done". */
@@ -190,7 +190,7 @@
           world.clock.after(
               2000 + 3000L * i,
               () -> {
-                world.levels.remove(node);
+                world.supportedLevels.remove(node);
                 world.crash(node, 1000);
               });
         }
@@ -333,20 +333,20 @@
   void jobsWithDependenciesAreRefusedBelowTheirLevel() {
     SimWorld world = createWorld(762, "aab", OLD_BUILD_LEVELS, "");
     world.run(8000);
-    world.levels.remove("n0");
+    world.supportedLevels.remove("n0");
     world.crash("n0", 500);
     world.run(8000);
     assertEquals(201, submitAndGetStatus(world, "n1", pipelineJob(1)));
     assertEquals(503, submitAndGetStatus(world, "n0", pipelineJob(2, 1)));
-    world.levels.remove("n1");
+    world.supportedLevels.remove("n1");
     world.crash("n1", 500);
-    world.levels.remove("n2");
+    world.supportedLevels.remove("n2");
     world.crash("n2", 500);
     world.run(10_000);
     assertTrue(world.tables("n0").isOpen(Gate.AWAITS));
     assertEquals(201, submitAndGetStatus(world, "n0", pipelineJob(2, 1)));
     world.run(30_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** The job awaits far more jobs than a record can name; they have ended, run or wait. */
@@ -368,7 +368,7 @@
     world.nodes.forEach(number -> world.crash(number, 300));
     world.run(150_000);
     assertExpectedPhases(world);
-    assertEquals("done", world.lastTold(jobId(901)));
+    assertEquals("done", world.lastReportedPhase(jobId(901)));
     assertEquals(List.of(), world.state().tooLarge);
     assertTrue(
         world.state().keys().stream().noneMatch(k -> k.startsWith("w/a/")),
@@ -421,7 +421,7 @@
     world.state().refuse("n1", false);
     world.run(120_000);
     assertExpectedPhases(world);
-    assertEquals("withdrawn", world.lastTold(jobId(99)));
+    assertEquals("withdrawn", world.lastReportedPhase(jobId(99)));
     assertTrue(
         world.state().keys().stream().noneMatch(k -> k.startsWith("w/j/")),
         "records of jobs are left");
@@ -527,7 +527,7 @@
         "done",
         phaseOf(world, "n0", 3),
         "the first job was not served by the priority of the last");
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   // ---- level upgrade ----
@@ -557,7 +557,7 @@
       world.state().fall(2, 4, 40);
     }
     for (String n : world.nodes) {
-      world.levels.remove(n);
+      world.supportedLevels.remove(n);
     }
     world.nodes.forEach(n -> world.crash(n, 500));
     world.run(25_000);
@@ -582,7 +582,7 @@
     world.run(10_000);
     for (String node : world.nodes) {
       assertEquals(3, world.tables(node).level());
-      world.levels.remove(node);
+      world.supportedLevels.remove(node);
       world.kill(node);
       world.run(3000);
       world.startNode(node);
@@ -593,7 +593,7 @@
       world.run(100);
     }
     assertTrue(world.clock.nowMs() - startMs < withinMs, "took " + (world.clock.nowMs() - startMs));
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** No write delays the start of a dependent after the last exit of the job that it awaits. */
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -44,7 +44,7 @@
     // The constructor has started the controllers, but no event has run yet.
     for (String node : world.nodes) {
       world.kill(node);
-      world.levels.put(node, LevelRange.FIRST);
+      world.supportedLevels.put(node, LevelRange.FIRST);
       world.state().levelless.add(node);
     }
     world.nodes.forEach(world::startNode);
@@ -76,14 +76,14 @@
   /** Restarts a controller with the newest build. */
   private static void upgradeNode(SimWorld world, String node) {
     world.state().levelless.remove(node);
-    world.levels.remove(node);
+    world.supportedLevels.remove(node);
     world.crash(node, 2000);
   }
 
   /** Restarts a controller with the build that knows no levels. */
   private static void rollBackNode(SimWorld world, String node) {
     world.state().levelless.add(node);
-    world.levels.put(node, LevelRange.FIRST);
+    world.supportedLevels.put(node, LevelRange.FIRST);
     world.crash(node, 2000);
   }
 
@@ -92,17 +92,17 @@
   }
 
   private static void assertJobsDoneAndRulesHeld(SimWorld world, List<String> finiteJobs) {
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     for (String id : finiteJobs) {
-      assertEquals("done", world.lastTold(id), id);
+      assertEquals("done", world.lastReportedPhase(id), id);
     }
-    assertNull(world.diverged());
+    assertNull(world.describeDivergence());
   }
 
   /** Runs until all live nodes are at a level; fails after a minute of simulated time. */
   private static void runUntilLevel(SimWorld world, int wanted) {
     for (int i = 0; i < 60; i++) {
-      if (world.nodes.stream().allMatch(n -> !world.alive(n) || levelOf(world, n) == wanted)) {
+      if (world.nodes.stream().allMatch(n -> !world.isAlive(n) || levelOf(world, n) == wanted)) {
         return;
       }
       world.run(1000);
@@ -215,7 +215,7 @@
       int[] crashesLeft = {3};
       world.state().fate =
           (from, transaction) -> {
-            if (!step.isWrittenBy(transaction) || crashesLeft[0] == 0 || !world.alive(from)) {
+            if (!step.isWrittenBy(transaction) || crashesLeft[0] == 0 || !world.isAlive(from)) {
               return SimStateService.Fate.APPLIED;
             }
             crashesLeft[0]--;
@@ -342,7 +342,7 @@
     assertEquals(409, commitLate(world, held[0]));
     world.run(5000);
     assertEquals(409, commitLate(world, held[0]));
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   private static boolean placesTask(Document transaction) {
@@ -383,12 +383,12 @@
     SimWorld world = new SimWorld(360, 6, 20, "aaa", 60);
     List<String> finiteJobs = submitJobs(world, 30, 40_000);
     world.nodes.forEach(world::kill);
-    world.nodes.forEach(n -> world.levels.put(n, new LevelRange(1, levelInForce)));
+    world.nodes.forEach(n -> world.supportedLevels.put(n, new LevelRange(1, levelInForce)));
     world.nodes.forEach(world::startNode);
     world.run(20_000);
     runUntilLevel(world, levelInForce);
     world.kill("n1");
-    world.levels.put("n1", new LevelRange(minLevel, maxLevel));
+    world.supportedLevels.put("n1", new LevelRange(minLevel, maxLevel));
     world.startNode("n1");
     world.state().writers.clear();
     world.run(20_000);
@@ -441,19 +441,19 @@
     SimWorld world = new SimWorld(376, 4, 20, "aaabb", 40);
     world.nodes.forEach(world::kill);
     for (String node : world.nodes) {
-      world.levels.put(node, LevelRange.FIRST);
+      world.supportedLevels.put(node, LevelRange.FIRST);
       world.startNode(node);
     }
     world.run(6000);
     for (String node : List.of("n0", "n1", "n2", "n3")) {
-      world.levels.remove(node);
+      world.supportedLevels.remove(node);
       world.crash(node, 1000);
       world.run(6000);
     }
     // n3 is down when the last node is upgraded, and counts with the levels that it announced.
     world.kill("n3");
     world.run(6000);
-    world.levels.remove("n4");
+    world.supportedLevels.remove("n4");
     world.crash("n4", 1000);
     Map<String, Object> oldRecord = new TreeMap<>(Map.of("name", "n3", "least", 1L, "most", 1L));
     oldRecord.put("peers", List.of("n3"));
@@ -488,7 +488,7 @@
     world.run(12_000);
     assertTrue(upgradeAttempted[0], "no level upgrade was attempted");
     assertEquals(changedInput.equals("list") ? LATEST_LEVEL : 1, levelOf(world, "n0"));
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** The upgrade waits for a lost node until an operator tells the cluster to ignore it. */
@@ -568,7 +568,7 @@
     List<String> newNodes = List.of(after.split(" "));
     List<String> oldNodes = List.of(before.split(" "));
     for (String node : newNodes) {
-      world.lists.put(node, newNodes);
+      world.configuredNodes.put(node, newNodes);
       if (oldNodes.contains(node)) {
         world.crash(node, 2000);
       } else {
@@ -594,8 +594,8 @@
     // The whole limit can be used, whichever controllers held quota shares of it before.
     world.users.submit(SimJobs.job(900, "batch", 24, 1, 40), 0);
     world.run(25_000);
-    assertEquals((int) world.setup.gpusMax(), world.placed(newNodes.get(0), "req-000900"));
-    assertEquals(List.of(), world.broken());
+    assertEquals((int) world.setup.gpusMax(), world.placedTaskCount(newNodes.get(0), "req-000900"));
+    assertEquals(List.of(), world.violations());
   }
 
   /** At level 1 a node's number is its index in the node list: another list renumbers nodes. */
@@ -605,19 +605,19 @@
     world.run(6000);
     upgradeNode(world, "n0");
     world.run(6000);
-    world.lists.put("n1", List.of("n0", "n1", "n2", "n3"));
+    world.configuredNodes.put("n1", List.of("n0", "n1", "n2", "n3"));
     upgradeNode(world, "n1");
     world.run(8000);
     assertFalse(world.tables("n0").view().members().containsKey("n1"));
     upgradeNode(world, "n2");
     world.nodes.add("n3");
-    world.lists.put("n3", List.of("n0", "n1", "n2", "n3"));
+    world.configuredNodes.put("n3", List.of("n0", "n1", "n2", "n3"));
     world.startNode("n3");
     runUntilLevel(world, LATEST_LEVEL);
     world.run(8000);
     assertTrue(world.tables("n0").view().members().keySet().containsAll(List.of("n1", "n3")));
     assertEquals(3, world.tables("n0").registry().numberOf("n3"));
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** If no node may join before the upgrade, the nodes that wait to join perform it. */
@@ -673,15 +673,15 @@
     }
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     world.run(3000);
-    assertEquals(0, world.starts());
+    assertEquals(0, world.startCount());
     world.state().force(key, originalValue);
     world.run(30_000);
     for (String node : world.nodes) {
       assertNull(world.tables(node).blockedReason(), node);
     }
-    assertEquals("done", world.lastTold("req-000001"));
-    assertEquals(List.of(), world.broken());
-    assertNull(world.diverged());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
+    assertEquals(List.of(), world.violations());
+    assertNull(world.describeDivergence());
   }
 
   /** The kind, the node number or the length of the log entry is unknown to this build. */
@@ -708,9 +708,9 @@
     world.state().force(key, null);
     world.run(60_000);
     world.nodes.forEach(n -> assertNull(world.tables(n).blockedReason(), n));
-    assertEquals("done", world.lastTold("req-000001"));
-    assertEquals(List.of(), world.broken());
-    assertNull(world.diverged());
+    assertEquals("done", world.lastReportedPhase("req-000001"));
+    assertEquals(List.of(), world.violations());
+    assertNull(world.describeDivergence());
   }
 
   /** A node that could not read a record at its start reloads once the record is readable. */
@@ -731,8 +731,8 @@
     world.state().force(key, originalValue);
     world.run(10_000);
     assertNull(world.tables("n1").blockedReason());
-    assertNull(world.diverged());
-    assertEquals(List.of(), world.broken());
+    assertNull(world.describeDivergence());
+    assertEquals(List.of(), world.violations());
   }
 
   /** An unreadable member record does not count as a member, and does not stop decisions. */
@@ -744,7 +744,7 @@
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     world.run(30_000);
     assertFalse(world.tables("n0").view().members().containsKey("n8"));
-    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals("done", world.lastReportedPhase("req-000001"));
   }
 
   /** A node that rewrites a record keeps the fields of a newer build that it does not know. */
@@ -775,7 +775,7 @@
     for (int i = 0; i < 6; i++) {
       world.cutMachine(i, true);
     }
-    world.lists.put("n1", List.of("n0", "n1", "n2", "n3"));
+    world.configuredNodes.put("n1", List.of("n0", "n1", "n2", "n3"));
     world.crash("n1", 2000);
     world.run(8000);
     for (String key : List.of(View.KEY, "w/p/n0", "w/c/1")) {
@@ -817,7 +817,7 @@
       takeoverMs[orderly] = world.clock.nowMs() - startMs;
       world.run(60_000);
       assertEquals(0, world.killedByLease());
-      assertEquals(List.of(), world.broken());
+      assertEquals(List.of(), world.violations());
     }
     assertTrue(takeoverMs[1] <= 1500, "orderly: " + takeoverMs[1] + " ms");
     assertTrue(
@@ -833,7 +833,7 @@
     String ownedMachine =
         world.workers().stream()
             .map(m -> m.name)
-            .filter(m -> world.owner("n0", m).equals("n0"))
+            .filter(m -> world.ownerOf("n0", m).equals("n0"))
             .findFirst()
             .orElseThrow();
     long epoch = world.epoch("n0");
@@ -847,7 +847,7 @@
     assertNotEquals(200, answer[0].status());
     assertFalse(world.state().writers.contains("n0"));
     world.run(10_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** The shutdown ends within its time limit although the lease can't be released. */
@@ -858,7 +858,7 @@
     world.state().outage(true);
     world.restart("n0", 3000, 10_000);
     world.run(3100);
-    assertFalse(world.alive("n0"));
+    assertFalse(world.isAlive("n0"));
     world.state().outage(false);
     world.run(30_000);
     assertTrue(world.tables("n1").view().members().containsKey("n0"));
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -42,18 +42,18 @@
     world.run(60_000);
     world.users.submitMixed(101, 9);
     SimStateService state = world.state();
-    double examinedBefore = world.total("wickdrift.rooms.looked");
-    double placedBefore = world.total("wickdrift.tasks.placed");
+    double examinedBefore = world.metricSum("wickdrift.rooms.looked");
+    double placedBefore = world.metricSum("wickdrift.tasks.placed");
     int requestsBefore = state.requests();
     int commitsBefore = state.commits();
     long writtenBefore = state.written();
     long readBefore = state.read();
     world.run(40_000);
-    assertEquals(List.of(), world.broken());
-    assertTrue(world.starts() >= 1300, "started " + world.starts());
-    double tasks = world.total("wickdrift.tasks.placed") - placedBefore;
+    assertEquals(List.of(), world.violations());
+    assertTrue(world.startCount() >= 1300, "started " + world.startCount());
+    double tasks = world.metricSum("wickdrift.tasks.placed") - placedBefore;
     return new Cost(
-        (world.total("wickdrift.rooms.looked") - examinedBefore) / tasks,
+        (world.metricSum("wickdrift.rooms.looked") - examinedBefore) / tasks,
         (state.requests() - requestsBefore) / tasks,
         (state.commits() - commitsBefore) / tasks,
         (state.written() - writtenBefore) / tasks,
--- a/src/test/java/wickdrift/sim/SimRulesTest.java
+++ b/src/test/java/wickdrift/sim/SimRulesTest.java
@@ -147,12 +147,12 @@
       sendRunCommand(world, 2, OTHER + "/0", 1);
       world.run(6000);
     }
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
     introduce(world, defect);
     world.run(100_000);
     assertTrue(
-        world.broken().stream().anyMatch(b -> b.contains(defect.violation)),
-        defect + " is reported as " + world.broken());
+        world.violations().stream().anyMatch(b -> b.contains(defect.violation)),
+        defect + " is reported as " + world.violations());
   }
 
   /** A request sent before a newer answer arrived may be answered with an earlier phase. */
@@ -166,7 +166,7 @@
     world.rules.phaseReported(JOB, "withdrawn", before + 5);
     world.rules.phaseReported(JOB, "running", before);
     world.rules.submissionAcceptedAsNew(JOB, before);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   @Test
@@ -176,6 +176,6 @@
     world.run(6000);
     sendRunCommand(world, 0, JOB + "/0", 1);
     world.run(100_000);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 }
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -391,7 +391,7 @@
       gpus += other.phase.equals("ended") ? 0 : other.spec.gpus();
     }
     if (gpus > SimWorld.GPUS_PER_MACHINE) {
-      world.full++;
+      world.fullRefusalCount++;
       endTask(task, "full");
       return;
     }
@@ -432,7 +432,7 @@
     task.phase = "running";
     if (task.spec.shape() != JobSpec.Shape.SERVICE) {
       scheduleCompletion(
-          task, (long) (task.spec.estimatedRunS() * 1000 * world.pace.applyAsDouble(task.id)));
+          task, (long) (task.spec.estimatedRunS() * 1000 * world.runTimeFactor.applyAsDouble(task.id)));
     }
   }
 
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -43,8 +43,8 @@
   static final double GPUS_PER_MACHINE = 4;
   static final double CPUS_PER_MACHINE = 32;
   static final double MEMORY_GB_PER_MACHINE = 128;
-  static final String STATE = "10.2.0.1:1";
-  static final String CLOUD = "10.2.0.2:1";
+  static final String STATE_ADDRESS = "10.2.0.1:1";
+  static final String CLOUD_ADDRESS = "10.2.0.2:1";
   static final List<String> ZONES = List.of("a", "b");
 
   final SimClock clock = new SimClock();
@@ -67,10 +67,10 @@
   int refusedRunCommands;
 
   /** Whether any controller has ever recorded a machine as lost. */
-  boolean lost;
+  boolean machineRecordedLost;
 
   /** Attempts that ended as {@code full}: their machine had no GPUs left. */
-  int full;
+  int fullRefusalCount;
 
   /** The gang attempts in progress, by {@link SimWorker.Task#gangAttemptId()}. */
   final Map<String, SimGang> gangs = new HashMap<>();
@@ -82,7 +82,7 @@
   boolean workerLeasesNeverExpire;
 
   /** The ratio of actual to estimated run time of a batch task, by task name. */
-  ToDoubleFunction<String> pace = task -> 1;
+  ToDoubleFunction<String> runTimeFactor = task -> 1;
 
   /** Maps a worker's address and a node to the address that the worker reports to that node. */
   BinaryOperator<String> addressSeenByNode = (address, node) -> address;
@@ -155,8 +155,8 @@
     rules = new SimRules(this);
     users = new SimUsers(this);
     cloud = new SimCloud(this, setup.capacity());
-    net.listen(STATE, state);
-    net.listen(CLOUD, cloud);
+    net.listen(STATE_ADDRESS, state);
+    net.listen(CLOUD_ADDRESS, cloud);
     cloud.bootAtOnce(setup.machines());
     nodes.forEach(this::startNode);
     observePeriodically();
@@ -167,7 +167,7 @@
     rules.check();
     for (NodeProcess process : processes.values()) {
       for (Machine machine : process.controller.tables().machines()) {
-        lost |= machine.phase() == Machine.Phase.LOST;
+        machineRecordedLost |= machine.phase() == Machine.Phase.LOST;
       }
     }
   }
@@ -178,7 +178,7 @@
   }
 
   /** Returns the violations of {@link SimRules}, and those found in transactions. */
-  public List<String> broken() {
+  public List<String> violations() {
     List<String> violations = new ArrayList<>(rules.violations);
     violations.addAll(state.transactionViolations());
     return violations;
@@ -190,7 +190,7 @@
    *
    * @return the two differing states, or null if all nodes that have caught up agree
    */
-  public String diverged() {
+  public String describeDivergence() {
     int compared = 0;
     String freshDigest = "";
     for (int i = 0; i < 400 && compared < nodes.size(); i++) {
@@ -245,7 +245,7 @@
     nextLimitsToml = limitsToml;
     for (String n : nodes) {
       kill(n);
-      levels.put(n, build);
+      supportedLevels.put(n, build);
     }
     nodes.forEach(this::startNode);
   }
@@ -253,13 +253,13 @@
   // ---- nodes ----
 
   /** The controllers named in a node's settings, where they are not all of {@link #nodes}. */
-  final Map<String, List<String>> lists = new HashMap<>();
+  final Map<String, List<String>> configuredNodes = new HashMap<>();
 
   /** The levels supported by a node's build, where it is not the current build. */
-  final Map<String, LevelRange> levels = new HashMap<>();
+  final Map<String, LevelRange> supportedLevels = new HashMap<>();
 
   /** Nodes whose build does not know the peer frames about withdrawals and ignores them. */
-  final Set<String> oldFrames = new HashSet<>();
+  final Set<String> nodesIgnoringNewFrames = new HashSet<>();
 
   /** Delivers a peer frame to a node directly, as if any peer had sent it. */
   void frame(String node, PeerFrame frame) {
@@ -277,7 +277,7 @@
   /** Returns the content of a node's settings file. */
   String settingsText(String node, String stateAddress) {
     int self = indexOfNode(node);
-    List<String> configuredNames = lists.getOrDefault(node, nodes);
+    List<String> configuredNames = configuredNodes.getOrDefault(node, nodes);
     StringBuilder text = new StringBuilder("host_name = \"" + node + "\"\n");
     text.append("location = \"").append(zoneOfNode(node)).append("\"\n");
     text.append("serve_on = \"10.0.0.").append(self).append(":1\"\nback = \"10.0.1.").append(self);
@@ -353,14 +353,14 @@
    * Returns the limits of the state service as operator commands use them: the gate of the
    * announced next limits counts as open.
    */
-  StateServiceLimits limits() {
+  StateServiceLimits stateServiceLimits() {
     Settings s = parseSettings(nodes.get(0));
     return new StateServiceLimits(s.stateLimits(), s.nextLimits(), () -> true);
   }
 
   private Settings parseSettings(String node) {
     try {
-      return Settings.parse(new TomlParser().parse(settingsText(node, STATE)));
+      return Settings.parse(new TomlParser().parse(settingsText(node, STATE_ADDRESS)));
     } catch (Settings.InvalidSettingsException e) {
       throw new AssertionError(e);
     }
@@ -404,11 +404,11 @@
             peers,
             "inc" + ++incarnationCount,
             new Metrics(),
-            levels.getOrDefault(name, LevelRange.BUILD));
+            supportedLevels.getOrDefault(name, LevelRange.BUILD));
     net.listen(
         "peer:" + name,
         (from, method, path, body, done) -> {
-          if (!oldFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.RELAYED_REPLY) {
+          if (!nodesIgnoringNewFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.RELAYED_REPLY) {
             process.receive(() -> process.controller.handlePeerFrame(ByteBuffer.wrap(body)));
           }
         });
@@ -499,7 +499,7 @@
     return processes.get(node).controller.tables();
   }
 
-  boolean alive(String node) {
+  boolean isAlive(String node) {
     return processes.containsKey(node) && processes.get(node).alive;
   }
 
@@ -534,12 +534,12 @@
    * @param hold whether requests sent meanwhile arrive after the link is healed, or are lost
    */
   public void cutFromState(String node, boolean hold) {
-    net.cut(node, STATE, hold);
+    net.cut(node, STATE_ADDRESS, hold);
   }
 
   /** Heals the link between a node and the state service. */
   public void healFromState(String node) {
-    net.heal(node, STATE);
+    net.heal(node, STATE_ADDRESS);
   }
 
   /** Cuts the links between one controller and all workers; its other links keep working. */
@@ -581,7 +581,7 @@
   /** Cuts or heals all links between a node with the selected workers and everything else. */
   private void cutOff(String node, Predicate<SimWorker> onSameSide, boolean cut) {
     cutFromPeers(node, cut);
-    for (String other : List.of(STATE, CLOUD, "user")) {
+    for (String other : List.of(STATE_ADDRESS, CLOUD_ADDRESS, "user")) {
       setCut(node, other, cut);
     }
     for (SimWorker w : workers()) {
@@ -654,7 +654,7 @@
   }
 
   /** Returns the last phase of a job that a user was told, or null. */
-  public String lastTold(String id) {
+  public String lastReportedPhase(String id) {
     return rules.lastReportedPhase(id);
   }
 
@@ -667,7 +667,7 @@
    * Returns the node whose partition a machine of that name in zone {@code a} belongs to, as a node
    * knows it.
    */
-  public String owner(String node, String machine) {
+  public String ownerOf(String node, String machine) {
     return processes.get(node).controller.tables().view().owner(machine, "a");
   }
 
@@ -693,7 +693,7 @@
   }
 
   /** Returns how many of a job's tasks are placed, as a node knows it. */
-  public int placed(String node, String id) {
+  public int placedTaskCount(String node, String id) {
     Job job = processes.get(node).controller.tables().job(id);
     return job == null ? 0 : job.liveCount();
   }
@@ -716,17 +716,17 @@
   }
 
   /** Returns the sum of a metric over all nodes. */
-  public double total(String name) {
+  public double metricSum(String name) {
     return nodes.stream().mapToDouble(n -> metric(n, name)).sum();
   }
 
   /** Returns how many attempts of tasks have started. */
-  public int starts() {
+  public int startCount() {
     return rules.startCount;
   }
 
   /** Returns whether a task runs on any machine. */
-  public boolean isOn(String task) {
+  public boolean isRunning(String task) {
     return rules.isOn(task);
   }
 }
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -160,7 +160,7 @@
       List<String> unfinished)
       throws Exception {
     SimWorld world = stage.world;
-    List<String> failures = new ArrayList<>(stage.ask(world::broken));
+    List<String> failures = new ArrayList<>(stage.ask(world::violations));
     if (!unfinished.isEmpty()) {
       failures.add(
           "not in a terminal state "
@@ -177,7 +177,7 @@
             network.affectedRequests(),
             scene.kills(),
             load.submittedCount(),
-            stage.ask(world::starts),
+            stage.ask(world::startCount),
             stage.longestStallMs());
     String inconclusiveReason = reasonNotToJudge(stage, scene);
     if (inconclusiveReason != null) {
@@ -210,7 +210,7 @@
     if (startedFaults < plan.steps().size()) {
       return "only " + startedFaults + " of " + plan.steps().size() + " faults started";
     }
-    int starts = stage.ask(stage.world::starts);
+    int starts = stage.ask(stage.world::startCount);
     return starts < MIN_TASK_STARTS ? "only " + starts + " tasks started" : null;
   }
 
--- a/src/test/java/wickdrift/sim/TeamLimitTest.java
+++ b/src/test/java/wickdrift/sim/TeamLimitTest.java
@@ -46,12 +46,12 @@
       world.run(1000);
       started = 0;
       for (int t = 0; t < WIDE_JOB_TASKS; t++) {
-        started += world.isOn("req-000001/" + t) ? 1 : 0;
+        started += world.isRunning("req-000001/" + t) ? 1 : 0;
       }
     }
     assertEquals(WIDE_JOB_TASKS, started, "tasks of the wide job run");
     assertTrue(world.users.accepted.size() < SHORT_JOBS, "the controllers were not busy");
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** Tasks beyond their team's limit cannot use a machine, so none is rented for them. */
@@ -64,9 +64,9 @@
       world.users.submit(SimJobs.job(i, shape, 2, 2, 300), 0);
     }
     world.run(90_000);
-    assertEquals(4, world.starts(), "tasks that run, which is what the limit allows");
+    assertEquals(4, world.startCount(), "tasks that run, which is what the limit allows");
     assertTrue(world.cloud.rented <= 3, "rented " + world.cloud.rented);
-    assertEquals(List.of(), world.broken());
+    assertEquals(List.of(), world.violations());
   }
 
   /** A gang beyond its team's limit must not reserve machines that other jobs could use. */
@@ -85,7 +85,7 @@
     other.put("owner", "sound");
     world.users.submit(other, 0);
     world.run(30_000);
-    assertEquals(2 + 8, world.starts(), "tasks that started");
-    assertEquals(List.of(), world.broken());
+    assertEquals(2 + 8, world.startCount(), "tasks that started");
+    assertEquals(List.of(), world.violations());
   }
 }
--- a/src/test/java/wickdrift/sim/UserApiTest.java
+++ b/src/test/java/wickdrift/sim/UserApiTest.java
@@ -198,7 +198,7 @@
     SimWorld world = startedWorld();
     world.users.submit(SimJobs.job(1, "batch", 1, 1, 2), 0);
     world.run(20_000);
-    assertEquals("done", world.lastTold("req-000001"));
+    assertEquals("done", world.lastReportedPhase("req-000001"));
     world.state().outage(true);
     world.run(2500);
     byte[] job = world.users.describe(SimJobs.job(2, "batch", 1, 1, 2));
