--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -142,7 +142,7 @@
         world.cutFromPeers(refusedNode, true);
         world.clock.after(50_000, () -> world.cutFromPeers(refusedNode, false));
       }
-      case REFUSED_NODE_PAUSES -> world.freeze(refusedNode, 30_000, true);
+      case REFUSED_NODE_PAUSES -> world.pause(refusedNode, 30_000, true);
       case CONTROLLERS_RESTART_IN_TURN -> {
         for (int i = 0; i < 10; i++) {
           String n = world.nodes.get(i % world.nodes.size());
@@ -392,7 +392,7 @@
         for (long question = 0;
             from != controllerNumber(world, leader) && question < 200;
             question++) {
-          world.frame(confirmer, new PeerFrame.WithdrawalConfirmation(from, question, allMachines));
+          world.deliverPeerFrame(confirmer, new PeerFrame.WithdrawalConfirmation(from, question, allMachines));
         }
       }
     }
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -144,7 +144,7 @@
 
   @Test
   void jobsFinishWhenOneMachineFailsEveryTask() {
-    runWithFaults(51, world -> world.clock.after(3000, () -> world.sicken(2)));
+    runWithFaults(51, world -> world.clock.after(3000, () -> world.makeTasksFailOn(2)));
   }
 
   /**
@@ -348,7 +348,7 @@
     world.run(12_000);
     assertEquals(18, world.startCount());
     world.state().slowReads(node, 700);
-    world.freeze(node, pauseMs, timersFirst);
+    world.pause(node, pauseMs, timersFirst);
     world.run(pauseMs + 2000);
     world.state().slowReads(node, 0);
     world.run(60_000);
@@ -404,11 +404,11 @@
     }
     world.state().slowReads("n1", 700);
     world.cutFromPeers("n1", true);
-    world.freeze("n1", 2500, true);
+    world.pause("n1", 2500, true);
     world.run(2520);
     assertEquals(oldEpoch, world.epoch("n1"), "n1 has already read the new view");
     assertTrue(world.epoch("n0") > oldEpoch, "the view has not changed");
-    Response[] answer = world.report("n1", machine, oldEpoch);
+    Response[] answer = world.sendReport("n1", machine, oldEpoch);
     world.run(3000);
     boolean stale =
         answer[0].status() == 200 && Document.parse(answer[0].body()).count("epoch") == oldEpoch;
@@ -423,7 +423,7 @@
     world.state().outage(true);
     world.cutFromPeers("n1", true);
     world.cutFromWorkers("n1");
-    world.freeze("n1", 30_000, true);
+    world.pause("n1", 30_000, true);
     world.run(29_000);
     world.healFromWorkers("n1");
     world.state().outage(false);
@@ -466,11 +466,11 @@
     runWithFaults(
         seed,
         world -> {
-          world.clock.after(20_000, () -> world.freeze("n0", 14_000, true));
-          world.clock.after(45_000, () -> world.freeze("n1", 40_000, false));
-          world.clock.after(60_000, () -> world.freeze("n2", 3000, true));
+          world.clock.after(20_000, () -> world.pause("n0", 14_000, true));
+          world.clock.after(45_000, () -> world.pause("n1", 40_000, false));
+          world.clock.after(60_000, () -> world.pause("n2", 3000, true));
           world.clock.after(
-              95_000, () -> world.nodes.forEach(n -> world.freeze(n, 9000, seed % 2 == 0)));
+              95_000, () -> world.nodes.forEach(n -> world.pause(n, 9000, seed % 2 == 0)));
         });
   }
 
@@ -511,7 +511,7 @@
     while (world.cloud.deleted == 0) {
       world.run(1);
     }
-    world.freeze("n0", 8000, timersFirst);
+    world.pause("n0", 8000, timersFirst);
     world.run(150_000);
     int commits = world.state().commits();
     world.run(30_000);
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -169,7 +169,7 @@
         at(world, 22_000, () -> world.state().outage(true));
         at(world, 31_000, () -> world.state().outage(false));
       }
-      case CONTROLLER_PAUSED -> at(world, 21_000, () -> world.freeze("n1", 9000, true));
+      case CONTROLLER_PAUSED -> at(world, 21_000, () -> world.pause("n1", 9000, true));
       case LEVEL_UPGRADE -> {
         for (String n : world.nodes) {
           at(
@@ -318,7 +318,7 @@
     world.run(10_000);
     world.users.submit(SimJobs.job(1, "batch", 12, 1, 10), 0);
     for (int k = 0; k < 3; k++) {
-      world.nodes.forEach(n -> world.report(n, "i-000777", 0));
+      world.nodes.forEach(n -> world.sendReport(n, "i-000777", 0));
       world.run(2000);
     }
     for (String n : world.nodes) {
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -103,14 +103,14 @@
             answers[0] += body[1] == PeerFrame.WITHDRAWAL_CONFIRMATION ? 1 : 0);
     List<String> machines = world.workers().stream().map(x -> x.name).toList();
     for (long askedEpoch : new long[] {epoch - 1, epoch + 1}) {
-      world.frame(
+      world.deliverPeerFrame(
           owner,
           new PeerFrame.WithdrawalConfirmationRequest(
               number, 1, askedEpoch, revision, "req-000001", machines));
       world.run(300);
       assertEquals(0, answers[0], "answered under epoch " + askedEpoch);
     }
-    world.frame(
+    world.deliverPeerFrame(
         owner,
         new PeerFrame.WithdrawalConfirmationRequest(
             number, 2, epoch, revision, "req-000001", machines));
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -236,7 +236,7 @@
   /** Crashes the leader, which restarts within seconds, or pauses it until it has been replaced. */
   void crashOrPauseLeader(boolean pause) {
     if (pause) {
-      world.freeze(leader(), 9000, random.nextBoolean());
+      world.pause(leader(), 9000, random.nextBoolean());
     } else {
       world.crash(leader(), 300 + random.nextInt(3000));
     }
@@ -254,7 +254,7 @@
     switch (method % 3) {
       case 0 -> world.crash(node, 300 + random.nextInt(4000));
       case 1 -> world.restart(node, 3000, 300);
-      default -> world.freeze(node, 9000, random.nextBoolean());
+      default -> world.pause(node, 9000, random.nextBoolean());
     }
   }
 
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -159,7 +159,7 @@
       case LEADER_PAUSED ->
           world.clock.after(
               5000,
-              () -> world.freeze(world.tables("n1").view().leader(), 9000, random.nextBoolean()));
+              () -> world.pause(world.tables("n1").view().leader(), 9000, random.nextBoolean()));
       case NODE_CUT_FROM_STATE_SERVICE -> {
         world.clock.after(5000, () -> world.cutFromState("n0", true));
         world.clock.after(21_000, () -> world.healFromState("n0"));
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -268,7 +268,7 @@
         world.clock.after(faultMs, () -> world.state().refuse("n0", true));
         world.clock.after(faultMs + 15_000, () -> world.state().refuse("n0", false));
       }
-      case NODE_PAUSED -> world.clock.after(faultMs, () -> world.freeze("n2", 12_000, true));
+      case NODE_PAUSED -> world.clock.after(faultMs, () -> world.pause("n2", 12_000, true));
       case NODE_CUT_FROM_STATE_SERVICE -> {
         world.clock.after(faultMs, () -> world.cutFromState("n2", true));
         world.clock.after(faultMs + 20_000, () -> world.healFromState("n2"));
@@ -406,7 +406,7 @@
               : null;
       assertEquals(503, world.users.ask("n1", request[0], request[1], body).status(), path);
     }
-    assertNotEquals(200, world.report("n1", "i-000000", 1) == null ? 0 : 503);
+    assertNotEquals(200, world.sendReport("n1", "i-000000", 1) == null ? 0 : 503);
     world.run(120_000);
     assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
@@ -837,11 +837,11 @@
             .findFirst()
             .orElseThrow();
     long epoch = world.epoch("n0");
-    world.leave("n0", 3000);
+    world.shutDown("n0", 3000);
     world.run(60);
     // The others have not changed the view yet.
     assertEquals(epoch, world.epoch("n1"));
-    Response[] answer = world.report("n0", ownedMachine, epoch);
+    Response[] answer = world.sendReport("n0", ownedMachine, epoch);
     world.state().writers.clear();
     world.run(1500);
     assertNotEquals(200, answer[0].status());
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -262,7 +262,7 @@
   final Set<String> nodesIgnoringNewFrames = new HashSet<>();
 
   /** Delivers a peer frame to a node directly, as if any peer had sent it. */
-  void frame(String node, PeerFrame frame) {
+  void deliverPeerFrame(String node, PeerFrame frame) {
     net.at("peer:" + node).serve("peer", "", "", toBytes(frame.encode()), a -> {});
   }
 
@@ -433,7 +433,7 @@
    *
    * @param timersFirst whether the timers run before the messages, or after them
    */
-  public void freeze(String name, long forMs, boolean timersFirst) {
+  public void pause(String name, long forMs, boolean timersFirst) {
     NodeProcess process = processes.get(name);
     process.paused = true;
     state.dropWatches(name);
@@ -490,7 +490,7 @@
    * Starts an orderly shutdown without ending the process afterwards, so that a test can examine
    * the state that the process has reached.
    */
-  public void leave(String name, long withinMs) {
+  public void shutDown(String name, long withinMs) {
     processes.get(name).controller.shutDown(withinMs, () -> {});
   }
 
@@ -649,7 +649,7 @@
   }
 
   /** Makes a machine fail every task that starts on it from now on. */
-  public void sicken(int i) {
+  public void makeTasksFailOn(int i) {
     workers().get(i % cloud.workers().size()).sick = true;
   }
 
@@ -676,7 +676,7 @@
    *
    * @return an array of one element, which is set when the answer arrives
    */
-  public Response[] report(String node, String machine, long epoch) {
+  public Response[] sendReport(String node, String machine, long epoch) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("host", machine);
     fields.put("address", "10.1.9.9:1");
