--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -150,12 +150,12 @@
         }
       }
       case MACHINES_UNREACHABLE_FOR_COMMANDS -> {
-        world.workers().stream().limit(3).forEach(m -> world.net.deaf.add(m.address));
-        world.clock.after(50_000, world.net.deaf::clear);
+        world.workers().stream().limit(3).forEach(m -> world.net.inboundBlocked.add(m.address));
+        world.clock.after(50_000, world.net.inboundBlocked::clear);
       }
       case MACHINES_CANNOT_REPORT -> {
-        world.workers().stream().limit(3).forEach(m -> world.net.mute.add(m.address));
-        world.clock.after(50_000, world.net.mute::clear);
+        world.workers().stream().limit(3).forEach(m -> world.net.outboundBlocked.add(m.address));
+        world.clock.after(50_000, world.net.outboundBlocked::clear);
       }
       case MACHINES_HANG -> {
         for (int i = 0; i < 4; i++) {
@@ -447,7 +447,7 @@
     SimWorld world = worldWithRunningJobs(4990, 60);
     String before = SimWorld.digest(world.tables("n1"));
     for (byte[] b : new byte[][] {{}, {3}, {3, 4, 1}, {3, 4, 1, 0, 0}, {3, 9, 1}, {9, 4, 1, 1}}) {
-      world.net.at("peer:n1").serve("peer", "", "", b, a -> {});
+      world.net.serverAt("peer:n1").serve("peer", "", "", b, a -> {});
     }
     assertEquals(4, world.metric("n1", "wickdrift.peers.malformed"));
     assertEquals(2, world.metric("n1", "wickdrift.peers.unknown"));
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -87,9 +87,9 @@
     for (SimWorker worker : world.workers()) {
       if (worker.zone.equals("a") && seen++ < machines) {
         if (unreachable) {
-          world.net.deaf.add(worker.address);
+          world.net.inboundBlocked.add(worker.address);
         } else {
-          world.net.deaf.remove(worker.address);
+          world.net.inboundBlocked.remove(worker.address);
         }
       }
     }
@@ -110,18 +110,18 @@
         }
       }
       case DUPLICATE_REPORTS_SECONDS_LATE ->
-          world.net.copies = new SimNetwork.Copies("/hello", 0.4, 8000, world.nodes);
+          world.net.duplication = new SimNetwork.Duplication("/hello", 0.4, 8000, world.nodes);
       case DUPLICATE_REPORTS_LATER_THAN_A_LEASE ->
-          world.net.copies = new SimNetwork.Copies("/hello", 0.3, 45_000, world.nodes);
+          world.net.duplication = new SimNetwork.Duplication("/hello", 0.3, 45_000, world.nodes);
       case DUPLICATE_REPORTS_AND_MACHINE_DEATHS -> {
-        world.net.copies = new SimNetwork.Copies("/hello", 0.3, 45_000, world.nodes);
+        world.net.duplication = new SimNetwork.Duplication("/hello", 0.3, 45_000, world.nodes);
         for (int i = 0; i < 3; i++) {
           at(world, 15_000 + 6000 * i, () -> world.killMachine(random.nextInt(4)));
         }
       }
       case IMMEDIATE_WORKER_RESTARTS, IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS -> {
         if (fault == PrimaryFault.IMMEDIATE_WORKER_RESTARTS_AND_DUPLICATE_REPORTS) {
-          world.net.copies = new SimNetwork.Copies("/hello", 0.3, 20_000, world.nodes);
+          world.net.duplication = new SimNetwork.Duplication("/hello", 0.3, 20_000, world.nodes);
         }
         for (int i = 0; i < 8; i++) {
           int n = i;
@@ -202,7 +202,7 @@
         world,
         100_000,
         () -> {
-          world.net.copies = null;
+          world.net.duplication = null;
           world.rules.calmSinceMs = world.clock.nowMs();
         });
     world.run(300_000);
@@ -222,7 +222,7 @@
     SimWorld world = new SimWorld(990, 4, 4, "aaa", 60);
     world.run(10_000);
     SimWorker worker = world.workers().get(0);
-    world.net.deaf.add(worker.address);
+    world.net.inboundBlocked.add(worker.address);
     int[] slotsBefore = {-1};
     int[] placedWhileUnreachable = {0};
     int[] timesUpAgain = {0};
@@ -269,7 +269,7 @@
     assertTrue(lost[0], "the machine was not recorded as silent");
     assertEquals(
         0, timesUpAgain[0], "the machine counted as up again though no command reaches it");
-    world.net.deaf.remove(worker.address);
+    world.net.inboundBlocked.remove(worker.address);
     world.run(200_000);
     assertEquals(List.of(), world.violations());
     for (int i = 0; i < 60; i++) {
@@ -287,7 +287,7 @@
     SimWorld world = new SimWorld(995, 4, 8, "aaa", 60);
     world.run(10_000);
     SimWorker worker = world.workers().get(0);
-    world.net.mute.add(worker.address);
+    world.net.outboundBlocked.add(worker.address);
     int[] timesWithTasks = new int[1];
     for (int i = 0; i < 60; i++) {
       int n = i;
@@ -339,7 +339,7 @@
   @ValueSource(booleans = {false, true})
   void duplicateReportsOfADeadMachineDoNotDelayItsExpiry(boolean ownerRestarts) {
     SimWorld world = new SimWorld(992, 3, 3, "aaa", 60);
-    world.net.copies = new SimNetwork.Copies("/hello", 1.0, 60_000, world.nodes);
+    world.net.duplication = new SimNetwork.Duplication("/hello", 1.0, 60_000, world.nodes);
     world.run(10_000);
     world.users.submit(SimJobs.job(1, "batch", 12, 1, 100), 0);
     world.run(20_000);
@@ -358,7 +358,7 @@
     assertTrue(
         machine == null || machine.phase() != Machine.Phase.UP,
         "the dead machine still counts as up");
-    world.net.copies = null;
+    world.net.duplication = null;
     world.run(250_000);
     assertEquals(List.of(), world.violations());
     assertEquals("done", world.lastReportedPhase("req-000001"));
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -29,7 +29,7 @@
     world.cutFromPeers(isolated, true);
     List<String> others = new ArrayList<>(world.nodes);
     others.remove(isolated);
-    world.net.copies = new SimNetwork.Copies("/hello", 1, 300, others);
+    world.net.duplication = new SimNetwork.Duplication("/hello", 1, 300, others);
     others.forEach(world::cutFromWorkers);
     world.run(12_000);
     for (int i = 0; i < CancellationTest.JOBS; i++) {
@@ -38,7 +38,7 @@
     world.run(700);
     world.state().outage(true);
     world.run(45_000);
-    world.net.copies = null;
+    world.net.duplication = null;
     others.forEach(world::healFromWorkers);
     world.state().outage(false);
     world.state().refuse(isolated, false);
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -61,7 +61,7 @@
     at(
         FAULTS_END_MS,
         () -> {
-          world.net.copies = null;
+          world.net.duplication = null;
           world.rules.calmSinceMs = world.clock.nowMs();
         });
     world.run(FAULTS_END_MS + FAULT_FREE_MS);
@@ -310,7 +310,7 @@
           () -> {
             String now = leader();
             if (last[0] != null && !now.equals(last[0])) {
-              world.net.releaseCopies(world.nodes);
+              world.net.replayRecordedReports(world.nodes);
             }
             last[0] = now;
           });
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -61,11 +61,11 @@
             () ->
                 run.world.workers().stream()
                     .limit(6)
-                    .forEach(x -> run.world.net.mute.add(x.address)));
+                    .forEach(x -> run.world.net.outboundBlocked.add(x.address)));
         run.at(24_000, () -> run.cancelRunning(5));
         run.at(30_000, () -> run.world.crash(run.leader(), 300));
         run.at(48_000, () -> run.faultsOccurred = run.world.killedByLease() > 0);
-        run.at(50_000, run.world.net.mute::clear);
+        run.at(50_000, run.world.net.outboundBlocked::clear);
       }),
   /** A team is at its limit while machines that hold part of it are cut off. */
   LIMIT_REACHED_AND_MACHINES_UNREACHABLE(
@@ -136,7 +136,7 @@
   /** Reports are held back until a new leader has made decisions. */
   REPORTS_DELAYED_PAST_A_LEADER_CHANGE(
       run -> {
-        run.world.net.copies = new SimNetwork.Copies("/hello", 0.3, 20_000, run.world.nodes);
+        run.world.net.duplication = new SimNetwork.Duplication("/hello", 0.3, 20_000, run.world.nodes);
         for (int i = 0; i < 4; i++) {
           run.at(20_000 + 15_000L * i, () -> run.cutMachines(6, true, 9000));
           run.at(21_000 + 15_000L * i, () -> run.world.crash(run.leader(), 300));
@@ -197,7 +197,7 @@
   /** Duplicates of reports arrive after newer reports, also of workers that have restarted. */
   OLD_REPORTS_ARRIVE_AFTER_NEWER_REPORTS(
       run -> {
-        run.world.net.copies = new SimNetwork.Copies("/hello", 0.5, 50_000, run.world.nodes);
+        run.world.net.duplication = new SimNetwork.Duplication("/hello", 0.5, 50_000, run.world.nodes);
         for (int i = 0; i < 5; i++) {
           int n = i;
           run.at(15_000 + 9000L * i, () -> run.world.hangMachine(n, 20_000));
@@ -252,17 +252,17 @@
               () ->
                   run.world.workers().stream()
                       .limit(5)
-                      .forEach(x -> run.world.net.deaf.add(x.address)));
+                      .forEach(x -> run.world.net.inboundBlocked.add(x.address)));
           run.at(23_000 + 30_000L * i, () -> run.cancelRunning(2));
-          run.at(34_000 + 30_000L * i, run.world.net.deaf::clear);
+          run.at(34_000 + 30_000L * i, run.world.net.inboundBlocked::clear);
         }
         run.at(60_000, () -> run.faultsOccurred = run.newestEpoch() >= 3);
       }),
   /** Commands of a former leader arrive after those of its successor. */
   COMMANDS_OF_A_FORMER_LEADER_ARRIVE_LATE(
       run -> {
-        SimNetwork.Delay delay = new SimNetwork.Delay("/orders", 0.4, 2000, 16_000);
-        run.at(10_000, () -> run.world.net.delay = delay);
+        SimNetwork.RequestDelay delay = new SimNetwork.RequestDelay("/orders", 0.4, 2000, 16_000);
+        run.at(10_000, () -> run.world.net.requestDelay = delay);
         for (int i = 0; i < 4; i++) {
           long at = 22_000 + 18_000L * i;
           boolean pause = i % 2 == 1;
@@ -270,9 +270,9 @@
           run.at(at, () -> run.crashOrPauseLeader(pause));
           run.at(at + 1500, () -> run.cancelRunning(2));
         }
-        run.at(95_000, () -> run.world.net.delay = null);
+        run.at(95_000, () -> run.world.net.requestDelay = null);
         run.at(
-            95_000, () -> run.faultsOccurred = run.world.net.delayed > 5 && run.newestEpoch() >= 3);
+            95_000, () -> run.faultsOccurred = run.world.net.delayedCount > 5 && run.newestEpoch() >= 3);
       }),
   /** Jobs are withdrawn shortly before, during and after the handover of a controller's work. */
   CANCELLATIONS_DURING_HANDOVERS(
@@ -298,7 +298,7 @@
   /** Duplicates of old reports reach every controller as a new leader starts. */
   OLD_REPORTS_REPLAYED_AT_LEADER_CHANGES(
       run -> {
-        run.at(12_000, () -> run.world.net.keepShare = 0.3);
+        run.at(12_000, () -> run.world.net.recordedReportShare = 0.3);
         run.replayReportsAtLeaderChanges(12_000, 100_000);
         for (int i = 0; i < 4; i++) {
           int n = i;
@@ -309,8 +309,8 @@
           run.at(at, () -> run.crashOrPauseLeader(n % 2 == 1));
           run.at(at + 500, () -> run.cancelRunning(2));
         }
-        run.at(100_000, () -> run.world.net.keepShare = 0);
-        run.at(100_000, () -> run.faultsOccurred = run.world.net.released > 20);
+        run.at(100_000, () -> run.world.net.recordedReportShare = 0);
+        run.at(100_000, () -> run.faultsOccurred = run.world.net.replayedCount > 20);
       }),
   /**
    * Machines boot fast and get work before the delayed writes about them arrive, and the leader
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -47,17 +47,17 @@
   void holdTheFirstRunCommand() {
     world = new SimWorld(new SimSetup(4401, 2, 2));
     world.run(10_000);
-    world.net.script = this::fateOf;
+    world.net.faultScript = this::fateOf;
   }
 
-  private SimNetwork.Fate fateOf(String from, String to, String path, byte[] body) {
+  private SimNetwork.RequestOutcome fateOf(String from, String to, String path, byte[] body) {
     if (path.equals("/orders") && runsTheTask(body)) {
       directRunCommands++;
       worker = worker == null ? workerAt(to) : worker;
-      return directRunCommands == 1 ? SimNetwork.Fate.HELD : SimNetwork.Fate.DELIVERED;
+      return directRunCommands == 1 ? SimNetwork.RequestOutcome.HELD : SimNetwork.RequestOutcome.DELIVERED;
     }
     boolean report = path.equals("/hello") && worker != null && from.equals(worker.address);
-    return report && loseReportAnswers ? SimNetwork.Fate.ANSWER_LOST : SimNetwork.Fate.DELIVERED;
+    return report && loseReportAnswers ? SimNetwork.RequestOutcome.ANSWER_LOST : SimNetwork.RequestOutcome.DELIVERED;
   }
 
   private static boolean runsTheTask(byte[] body) {
--- a/src/test/java/wickdrift/sim/MalformedResponsesTest.java
+++ b/src/test/java/wickdrift/sim/MalformedResponsesTest.java
@@ -52,9 +52,9 @@
           default -> world.workers().stream().map(m -> m.address).toList();
         };
     if (malformed) {
-      world.net.garbled.addAll(hosts);
+      world.net.hostsWithGarbledAnswers.addAll(hosts);
     } else {
-      world.net.garbled.clear();
+      world.net.hostsWithGarbledAnswers.clear();
     }
   }
 
--- a/src/test/java/wickdrift/sim/SimNetwork.java
+++ b/src/test/java/wickdrift/sim/SimNetwork.java
@@ -35,28 +35,28 @@
   private final Map<String, List<Runnable>> heldByLink = new HashMap<>();
 
   /** Hosts that receive nothing, although what they send arrives. */
-  final Set<String> deaf = new HashSet<>();
+  final Set<String> inboundBlocked = new HashSet<>();
 
   /** Hosts whose own requests are lost, although requests to them arrive and are answered. */
-  final Set<String> mute = new HashSet<>();
+  final Set<String> outboundBlocked = new HashSet<>();
 
   /**
    * Duplicates a share of the requests to a path: a copy arrives within a time at one of the hosts.
    */
-  record Copies(String path, double share, long withinMs, List<String> to) {}
+  record Duplication(String path, double share, long withinMs, List<String> to) {}
 
-  Copies copies;
+  Duplication duplication;
 
   /** Delays a share of the requests to a path. They arrive once, and their answers are lost. */
-  record Delay(String path, double share, long fromMs, long toMs) {}
+  record RequestDelay(String path, double share, long fromMs, long toMs) {}
 
-  Delay delay;
+  RequestDelay requestDelay;
 
-  /** How many requests arrived late because of {@link #delay}. */
-  int delayed;
+  /** How many requests arrived late because of {@link #requestDelay}. */
+  int delayedCount;
 
   /** What happens to a request. */
-  enum Fate {
+  enum RequestOutcome {
     DELIVERED,
     /** The request is held without an answer until {@link #releaseHeld} is called. */
     HELD,
@@ -75,31 +75,31 @@
   /** Decides what happens to each request. */
   interface FaultScript {
     /** Returns what happens to a request. */
-    Fate fateOf(String from, String to, String path, byte[] body);
+    RequestOutcome outcomeOf(String from, String to, String path, byte[] body);
 
-    /** Returns the delay of the next request that is {@link Fate#LATE}. */
+    /** Returns the delay of the next request that is {@link RequestOutcome#LATE}. */
     default long lateMs() {
       return 0;
     }
   }
 
-  FaultScript script = (from, to, path, body) -> Fate.DELIVERED;
+  FaultScript faultScript = (from, to, path, body) -> RequestOutcome.DELIVERED;
 
   private final List<Runnable> heldByScript = new ArrayList<>();
 
   /** Hosts whose answers arrive with a body that cannot be decoded. */
-  final Set<String> garbled = new HashSet<>();
+  final Set<String> hostsWithGarbledAnswers = new HashSet<>();
 
   /** The timeout of a duplicate or late request to a real process. */
   private static final long PROCESS_TIMEOUT_MS = 5000;
 
   private static final byte[] GARBLED_BODY = {(byte) 0xc1, 7, 7};
 
-  /** The share of the reports that is recorded for {@link #releaseCopies}. */
-  double keepShare;
+  /** The share of the reports that is recorded for {@link #replayRecordedReports}. */
+  double recordedReportShare;
 
   /** How many recorded reports were replayed. */
-  int released;
+  int replayedCount;
 
   private record RecordedReport(String from, String path, byte[] body) {}
 
@@ -129,7 +129,7 @@
   }
 
   /** Returns the server of an address, or null. */
-  Server at(String address) {
+  Server serverAt(String address) {
     return servers.get(address);
   }
 
@@ -161,10 +161,10 @@
   }
 
   private void duplicateIfSelected(String from, String method, String path, byte[] body) {
-    if (copies != null && path.equals(copies.path) && random.nextDouble() < copies.share) {
-      String to = copies.to.get(random.nextInt(copies.to.size()));
+    if (duplication != null && path.equals(duplication.path) && random.nextDouble() < duplication.share) {
+      String to = duplication.to.get(random.nextInt(duplication.to.size()));
       clock.after(
-          (long) (random.nextDouble() * copies.withinMs),
+          (long) (random.nextDouble() * duplication.withinMs),
           () -> deliver(from, to, method, path, body, a -> {}));
     }
   }
@@ -190,7 +190,7 @@
     Server server = servers.get(to);
     long incarnation = server == null ? 0 : server.incarnation();
     clock.after(
-        script.lateMs(),
+        faultScript.lateMs(),
         () -> {
           Server current = servers.get(to);
           // A restart closes the connection, and the requests on their way are lost.
@@ -201,16 +201,16 @@
   }
 
   private void recordIfSelected(String from, String path, byte[] body) {
-    if (keepShare > 0 && path.equals("/hello") && random.nextDouble() < keepShare) {
+    if (recordedReportShare > 0 && path.equals("/hello") && random.nextDouble() < recordedReportShare) {
       recordedReports.add(new RecordedReport(from, path, body));
     }
   }
 
   /** Delivers every recorded report to each of the hosts. */
-  void releaseCopies(List<String> hosts) {
+  void replayRecordedReports(List<String> hosts) {
     for (RecordedReport report : recordedReports) {
       for (String host : hosts) {
-        released++;
+        replayedCount++;
         clock.after(
             transmissionDelayMs(),
             () -> {
@@ -236,16 +236,16 @@
 
   private boolean delayIfSelected(
       String from, String address, String method, String path, byte[] body) {
-    if (delay == null || !path.equals(delay.path) || random.nextDouble() >= delay.share) {
+    if (requestDelay == null || !path.equals(requestDelay.path) || random.nextDouble() >= requestDelay.share) {
       return false;
     }
-    long delayMs = delay.fromMs + (long) (random.nextDouble() * (delay.toMs - delay.fromMs));
+    long delayMs = requestDelay.fromMs + (long) (random.nextDouble() * (requestDelay.toMs - requestDelay.fromMs));
     clock.after(
         delayMs,
         () -> {
           Server server = servers.get(address);
           if (server != null && !cutLinks.contains(linkKey(from, address))) {
-            delayed++;
+            delayedCount++;
             server.serve(from, method, path, body, a -> {});
           }
         });
@@ -254,7 +254,7 @@
 
   /** Delivers a message after a transmission delay, unless its link is cut or blocked. */
   private void send(String from, String to, Runnable delivery) {
-    if (deaf.contains(to)) {
+    if (inboundBlocked.contains(to)) {
       return;
     }
     String link = linkKey(from, to);
@@ -283,7 +283,7 @@
             }
           };
       clock.after(timeoutMs, () -> once.accept(Caller.Response.NO_RESPONSE));
-      if (mute.contains(from)) {
+      if (outboundBlocked.contains(from)) {
         return;
       }
       duplicateIfSelected(from, method, path, body);
@@ -291,7 +291,7 @@
       if (delayIfSelected(from, address, method, path, body)) {
         return;
       }
-      Fate fate = script.fateOf(from, address, path, body);
+      RequestOutcome fate = faultScript.outcomeOf(from, address, path, body);
       switch (fate) {
         case HELD -> holdByScript(from, address, method, path, body);
         case LATE -> deliverLate(from, address, method, path, body);
@@ -299,7 +299,7 @@
         default -> {}
       }
       boolean arrives =
-          fate == Fate.DELIVERED || fate == Fate.ANSWER_LOST || fate == Fate.ANSWER_RESET;
+          fate == RequestOutcome.DELIVERED || fate == RequestOutcome.ANSWER_LOST || fate == RequestOutcome.ANSWER_RESET;
       if (!arrives) {
         return;
       }
@@ -328,10 +328,10 @@
                 path,
                 body,
                 answer -> {
-                  if (fate == Fate.ANSWER_LOST) {
+                  if (fate == RequestOutcome.ANSWER_LOST) {
                     return;
                   }
-                  boolean garble = garbled.contains(address) && answer.body() != null;
+                  boolean garble = hostsWithGarbledAnswers.contains(address) && answer.body() != null;
                   Caller.Response delivered =
                       garble ? new Caller.Response(answer.status(), GARBLED_BODY) : answer;
                   send(address, from, () -> once.accept(delivered));
--- a/src/test/java/wickdrift/sim/SimRulesTest.java
+++ b/src/test/java/wickdrift/sim/SimRulesTest.java
@@ -56,7 +56,7 @@
                 1,
                 "orders",
                 List.of(Map.of("verb", "run", "shard", task, "try", attempt))));
-    world.net.at(worker.address).serve("x", "POST", "/orders", body, a -> {});
+    world.net.serverAt(worker.address).serve("x", "POST", "/orders", body, a -> {});
   }
 
   /** Introduces a defect. */
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -263,7 +263,7 @@
 
   /** Delivers a peer frame to a node directly, as if any peer had sent it. */
   void deliverPeerFrame(String node, PeerFrame frame) {
-    net.at("peer:" + node).serve("peer", "", "", toBytes(frame.encode()), a -> {});
+    net.serverAt("peer:" + node).serve("peer", "", "", toBytes(frame.encode()), a -> {});
   }
 
   private String zoneOfNode(String node) {
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -81,23 +81,23 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
-      return scene.addRule(m -> some.contains(m.from()), 0.7, SimNetwork.Fate.RESET);
+      return scene.addRule(m -> some.contains(m.from()), 0.7, SimNetwork.RequestOutcome.RESET);
     }
   },
   WORKERS_UNREACHABLE_FOR_COMMANDS {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
-      scene.world().net.deaf.addAll(some);
-      return () -> scene.world().net.deaf.removeAll(some);
+      scene.world().net.inboundBlocked.addAll(some);
+      return () -> scene.world().net.inboundBlocked.removeAll(some);
     }
   },
   WORKERS_CANNOT_REPORT {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
-      scene.world().net.mute.addAll(some);
-      return () -> scene.world().net.mute.removeAll(some);
+      scene.world().net.outboundBlocked.addAll(some);
+      return () -> scene.world().net.outboundBlocked.removeAll(some);
     }
   },
   PEER_LINKS_STALLED_BOTH_WAYS {
@@ -164,19 +164,19 @@
   TRANSACTION_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals("/commit"), 0.25, SimNetwork.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals("/commit"), 0.25, SimNetwork.RequestOutcome.ANSWER_LOST);
     }
   },
   COMMANDS_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.5, SimNetwork.Fate.LATE);
+      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.5, SimNetwork.RequestOutcome.LATE);
     }
   },
   COMMAND_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.4, SimNetwork.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.4, SimNetwork.RequestOutcome.ANSWER_LOST);
     }
   },
   COMMANDS_LOST_ON_SOME_LINKS {
@@ -184,22 +184,22 @@
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
       return scene.addRule(
-          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()), 0.8, SimNetwork.Fate.LOST);
+          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()), 0.8, SimNetwork.RequestOutcome.LOST);
     }
   },
   REPORT_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNetwork.Fate.ANSWER_LOST);
+      return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNetwork.RequestOutcome.ANSWER_LOST);
     }
   },
   /** Late commands and lost answers to reports on all links between controllers and workers. */
   BAD_NETWORK {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      Runnable commands = scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNetwork.Fate.LATE);
+      Runnable commands = scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNetwork.RequestOutcome.LATE);
       Runnable reports =
-          scene.addRule(m -> m.path().equals(REPORT_PATH), 0.6, SimNetwork.Fate.ANSWER_RESET);
+          scene.addRule(m -> m.path().equals(REPORT_PATH), 0.6, SimNetwork.RequestOutcome.ANSWER_RESET);
       return () -> {
         commands.run();
         reports.run();
@@ -210,9 +210,9 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       SimNetwork net = scene.world().net;
-      net.copies =
-          new SimNetwork.Copies(REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
-      return () -> net.copies = null;
+      net.duplication =
+          new SimNetwork.Duplication(REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
+      return () -> net.duplication = null;
     }
   },
   JOBS_CANCELLED_AT_ONCE {
--- a/src/test/java/wickdrift/sim/SoakNetwork.java
+++ b/src/test/java/wickdrift/sim/SoakNetwork.java
@@ -15,7 +15,7 @@
   }
 
   /** Gives a request that the filter matches the fate with the probability. */
-  record Rule(Filter filter, double probability, SimNetwork.Fate fate) {}
+  record Rule(Filter filter, double probability, SimNetwork.RequestOutcome fate) {}
 
   private final Random random;
   private final List<Rule> rules = new ArrayList<>();
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public SimNetwork.Fate fateOf(String from, String to, String path, byte[] body) {
+  public SimNetwork.RequestOutcome outcomeOf(String from, String to, String path, byte[] body) {
     Message message = new Message(from, to, path);
     for (Rule rule : rules) {
       if (rule.filter.matches(message) && random.nextDouble() < rule.probability) {
@@ -55,7 +55,7 @@
         return rule.fate;
       }
     }
-    return SimNetwork.Fate.DELIVERED;
+    return SimNetwork.RequestOutcome.DELIVERED;
   }
 
   @Override
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -99,7 +99,7 @@
     TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
     stage.ask(
         () -> {
-          world.net.script = network;
+          world.net.faultScript = network;
           load.start();
           plan.steps().forEach(step -> schedule(scene, step));
           return null;
--- a/src/test/java/wickdrift/sim/SoakScene.java
+++ b/src/test/java/wickdrift/sim/SoakScene.java
@@ -77,7 +77,7 @@
   }
 
   /** Adds a rule to the network and returns the action that removes it. */
-  Runnable addRule(SoakNetwork.Filter filter, double probability, SimNetwork.Fate fate) {
+  Runnable addRule(SoakNetwork.Filter filter, double probability, SimNetwork.RequestOutcome fate) {
     SoakNetwork.Rule rule = new SoakNetwork.Rule(filter, probability, fate);
     network.add(rule);
     return () -> network.remove(rule);
