--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -190,11 +190,11 @@
       world.clock.after(
           1000 + withdrawalOffsetMs + 30L * i, () -> world.users.withdraw(id, confirmer));
     }
-    world.clock.after(1000, () -> world.state().refuse(refusedNode, true));
+    world.clock.after(1000, () -> world.state().setRefused(refusedNode, true));
     world.clock.after(2900, () -> injectConcurrentFault(world, fault, refusedNode, confirmer));
-    world.clock.after(3000, () -> world.state().outage(true));
-    world.clock.after(12_000, () -> world.state().refuse(refusedNode, false));
-    world.clock.after(48_000, () -> world.state().outage(false));
+    world.clock.after(3000, () -> world.state().setOutage(true));
+    world.clock.after(12_000, () -> world.state().setRefused(refusedNode, false));
+    world.clock.after(48_000, () -> world.state().setOutage(false));
     world.run(3000);
     long confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).count();
     world.run(57_000);
@@ -311,7 +311,7 @@
   void refusedOwnerStopsTasksAtOnceWhenAPeerReportsTheWithdrawal() {
     SimWorld world = worldWithRunningJobs(4980, 200);
     String leader = world.tables("n0").view().leader();
-    world.state().refuse(leader, true);
+    world.state().setRefused(leader, true);
     for (int i = 0; i < JOBS; i++) {
       world.users.withdraw(jobId(i), otherController(world, leader, ""));
     }
@@ -322,7 +322,7 @@
         assertTrue(!world.isRunning(jobId(i) + "/" + k), "not stopped: " + jobId(i) + "/" + k);
       }
     }
-    world.state().refuse(leader, false);
+    world.state().setRefused(leader, false);
     world.run(60_000);
     ClusterTest.check(world, List.of());
   }
@@ -359,7 +359,7 @@
   void noConfirmationWhileAnIsolatedOwnerMayRunTheTasks(boolean forged) {
     SimWorld world = worldWithRunningJobs(4950, 200);
     String leader = world.tables("n0").view().leader();
-    world.state().refuse(leader, true);
+    world.state().setRefused(leader, true);
     world.cutFromPeers(leader, true);
     String confirmer = otherController(world, leader, "");
     for (int i = 0; i < JOBS; i++) {
@@ -397,7 +397,7 @@
       }
     }
     world.run(600);
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.run(45_000);
     // Withdrawals of jobs whose tasks the other controllers own are confirmed.
     List<String> confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).toList();
@@ -408,8 +408,8 @@
       }
     }
     assertTrue(confirmed.size() < JOBS, "the leader owned no task of these jobs");
-    world.state().outage(false);
-    world.state().refuse(leader, false);
+    world.state().setOutage(false);
+    world.state().setRefused(leader, false);
     world.cutFromPeers(leader, false);
     world.run(200_000);
     for (int i = 0; i < JOBS; i++) {
@@ -471,7 +471,7 @@
     assertEquals("200 withdrawn", withdraw(world, "n1", "req-000002"));
     assertEquals("404", withdraw(world, "n2", "req-000009"));
     assertEquals("404", withdraw(world, "n2", "req-9"));
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.run(3000);
     assertEquals("200 done", withdraw(world, "n0", "req-000001"));
     assertEquals("503", withdraw(world, "n0", "req-000003"));
@@ -479,7 +479,7 @@
     world.crash("n2", 100);
     world.run(1000);
     assertEquals("503", withdraw(world, "n2", "req-000003"), "the controller is still loading");
-    world.state().outage(false);
+    world.state().setOutage(false);
     world.run(12_000);
     assertEquals("200 withdrawn", withdraw(world, "n2", "req-000003"));
     assertEquals(List.of(), world.violations());
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -105,10 +105,10 @@
     runWithFaults(
         seed,
         world -> {
-          world.clock.after(25_000, () -> world.state().outage(true));
-          world.clock.after(50_000, () -> world.state().outage(false));
-          world.clock.after(80_000, () -> world.state().refuse("n1", true));
-          world.clock.after(110_000, () -> world.state().refuse("n1", false));
+          world.clock.after(25_000, () -> world.state().setOutage(true));
+          world.clock.after(50_000, () -> world.state().setOutage(false));
+          world.clock.after(80_000, () -> world.state().setRefused("n1", true));
+          world.clock.after(110_000, () -> world.state().setRefused("n1", false));
         });
   }
 
@@ -204,7 +204,7 @@
   void abandonedPlacementIsNotAppliedLater(long seed) {
     SimWorld world = new SimWorld(seed, 12, 12, 3, 18);
     world.run(8000);
-    world.state().lateCommits(0.15, 2600, seed);
+    world.state().delayCommits(0.15, 2600, seed);
     Random random = new Random(seed);
     for (int i = 0; i < 70; i++) {
       Map<String, Object> job =
@@ -213,7 +213,7 @@
       world.clock.after(random.nextInt(40_000), () -> world.users.submit(job, 0));
     }
     world.run(60_000);
-    world.state().lateCommits(0, 0, seed);
+    world.state().delayCommits(0, 0, seed);
     world.run(90_000);
     assertEquals(List.of(), world.violations());
     assertNull(world.describeDivergence());
@@ -347,10 +347,10 @@
     }
     world.run(12_000);
     assertEquals(18, world.startCount());
-    world.state().slowReads(node, 700);
+    world.state().delayWatchAnswers(node, 700);
     world.pause(node, pauseMs, timersFirst);
     world.run(pauseMs + 2000);
-    world.state().slowReads(node, 0);
+    world.state().delayWatchAnswers(node, 0);
     world.run(60_000);
     assertEquals(List.of(), world.violations());
     assertEquals(18, world.startCount(), "tasks were lost and restarted");
@@ -375,7 +375,7 @@
     }
     world.run(9000);
     assertEquals(16, world.startCount());
-    world.state().slowWrites(1200);
+    world.state().delayAllCommits(1200);
     for (int i = 0; i < 12; i++) {
       int machine = i;
       world.clock.after(500 * i, () -> world.cutMachine(machine, false));
@@ -402,7 +402,7 @@
     for (int i = 1; !world.ownerOf("n1", machine).equals("n1"); i++) {
       machine = "i-90000" + i;
     }
-    world.state().slowReads("n1", 700);
+    world.state().delayWatchAnswers("n1", 700);
     world.cutFromPeers("n1", true);
     world.pause("n1", 2500, true);
     world.run(2520);
@@ -420,13 +420,13 @@
   void missingReportsDuringAPauseProveNoSilence() {
     SimWorld world = new SimWorld(133, 9, 9);
     world.run(8000);
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.cutFromPeers("n1", true);
     world.cutFromWorkers("n1");
     world.pause("n1", 30_000, true);
     world.run(29_000);
     world.healFromWorkers("n1");
-    world.state().outage(false);
+    world.state().setOutage(false);
     world.run(30_000);
     assertEquals(List.of(), world.violations());
     assertFalse(world.machineRecordedLost, "machines were considered silent");
@@ -447,12 +447,12 @@
     }
     world.run(12_000);
     assertEquals(18, world.startCount());
-    world.state().slowReads(node, 900);
+    world.state().delayWatchAnswers(node, 900);
     world.cutFromState(node, false);
     world.run(25_000);
     world.healFromState(node);
     world.run(5000);
-    world.state().slowReads(node, 0);
+    world.state().delayWatchAnswers(node, 0);
     world.run(40_000);
     assertEquals(List.of(), world.violations());
     assertEquals(18, world.startCount(), "tasks were lost and restarted");
@@ -513,10 +513,10 @@
     }
     world.pause("n0", 8000, timersFirst);
     world.run(150_000);
-    int commits = world.state().commits();
+    int commits = world.state().commitCount();
     world.run(30_000);
     assertTrue(
-        world.state().commits() - commits < 10, "commits " + (world.state().commits() - commits));
+        world.state().commitCount() - commits < 10, "commits " + (world.state().commitCount() - commits));
     assertEquals(List.of(), world.violations());
   }
 
@@ -532,7 +532,7 @@
     array.put("rank", "idle");
     array.put("cores", 0.25);
     array.put("memoryGb", 0.5);
-    int commitsBefore = world.state().commits();
+    int commitsBefore = world.state().commitCount();
     world.users.submit(array, 0);
     world.run(6000);
     world.users.submit(SimJobs.job(2, "daemon", 2, 1, 0), 0);
@@ -546,7 +546,7 @@
     assertEquals(List.of(), world.violations());
     assertNull(world.describeDivergence());
     // Log pages have 900 bytes here, a quarter of their size in production.
-    int commits = world.state().commits() - commitsBefore;
+    int commits = world.state().commitCount() - commitsBefore;
     assertTrue(commits < 10_000 / 4, commits + " transactions");
   }
 
@@ -599,7 +599,7 @@
   void noMachinesAreRentedBeforeTheRunningOnesReport() {
     SimWorld world = new SimWorld(152, 150, 300);
     world.run(400);
-    world.state().slowWrites(600);
+    world.state().delayAllCommits(600);
     for (int i = 0; i < 40; i++) {
       int jobNumber = i;
       world.clock.after(
@@ -706,7 +706,7 @@
     assertTrue(world.startCount() > 50, "started " + world.startCount());
     world.run(60_000);
     assertEquals(800, world.users.accepted.size());
-    assertEquals(0, world.state().overWritten());
+    assertEquals(0, world.state().writeLimitExceededCount());
     assertEquals(List.of(), world.violations());
   }
 
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -166,8 +166,8 @@
         }
       }
       case STATE_SERVICE_OUTAGE -> {
-        at(world, 22_000, () -> world.state().outage(true));
-        at(world, 31_000, () -> world.state().outage(false));
+        at(world, 22_000, () -> world.state().setOutage(true));
+        at(world, 31_000, () -> world.state().setOutage(false));
       }
       case CONTROLLER_PAUSED -> at(world, 21_000, () -> world.pause("n1", 9000, true));
       case LEVEL_UPGRADE -> {
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -25,7 +25,7 @@
     SimWorld world = CancellationTest.worldWithRunningJobs(seed, 200);
     String isolated = world.tables("n0").view().leader();
     String confirmer = CancellationTest.otherController(world, isolated, "");
-    world.state().refuse(isolated, true);
+    world.state().setRefused(isolated, true);
     world.cutFromPeers(isolated, true);
     List<String> others = new ArrayList<>(world.nodes);
     others.remove(isolated);
@@ -36,12 +36,12 @@
       world.users.withdraw(CancellationTest.jobId(i), confirmer);
     }
     world.run(700);
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.run(45_000);
     world.net.duplication = null;
     others.forEach(world::healFromWorkers);
-    world.state().outage(false);
-    world.state().refuse(isolated, false);
+    world.state().setOutage(false);
+    world.state().setRefused(isolated, false);
     world.cutFromPeers(isolated, false);
     world.run(200_000);
     ClusterTest.check(world, List.of());
--- a/src/test/java/wickdrift/sim/ControllerRestartTest.java
+++ b/src/test/java/wickdrift/sim/ControllerRestartTest.java
@@ -60,11 +60,11 @@
           new Scenario(
               "all, three times within 5 s, during a state service outage",
               (world, downtimeMs) -> {
-                schedule(world, 8500, () -> world.state().outage(true));
+                schedule(world, 8500, () -> world.state().setOutage(true));
                 for (int i = 0; i < 3; i++) {
                   scheduleCrashOfAll(world, 9000 + 2100 * i, downtimeMs);
                 }
-                schedule(world, 15_000, () -> world.state().outage(false));
+                schedule(world, 15_000, () -> world.state().setOutage(false));
               }),
           new Scenario(
               "the same controller every 2 s for a minute",
@@ -101,11 +101,11 @@
           new Scenario(
               "its transactions are applied late",
               (world, downtimeMs) -> {
-                schedule(world, 7000, () -> world.state().lateCommits(0.25, 2600, 7));
+                schedule(world, 7000, () -> world.state().delayCommits(0.25, 2600, 7));
                 for (int i = 0; i < 8; i++) {
                   scheduleCrash(world, 9000 + 3100 * i, "n" + i % 3, downtimeMs);
                 }
-                schedule(world, 36_000, () -> world.state().lateCommits(0, 0, 7));
+                schedule(world, 36_000, () -> world.state().delayCommits(0, 0, 7));
               }),
           new Scenario(
               "its commands to workers are delayed",
@@ -170,19 +170,19 @@
   void frequentRestartsOfOneControllerCostTheOthersLittle() {
     SimWorld world = new SimWorld(41, 14, 20);
     world.run(20_000);
-    int requests = world.state().requests();
-    int commits = world.state().commits();
+    int requests = world.state().requestCount();
+    int commits = world.state().commitCount();
     world.run(60_000);
-    int quietRequests = world.state().requests() - requests;
-    int quietCommits = world.state().commits() - commits;
-    requests = world.state().requests();
-    commits = world.state().commits();
+    int quietRequests = world.state().requestCount() - requests;
+    int quietCommits = world.state().commitCount() - commits;
+    requests = world.state().requestCount();
+    commits = world.state().commitCount();
     for (int i = 0; i < 30; i++) {
       scheduleCrash(world, 2000L * i, "n1", 300);
     }
     world.run(60_000);
-    double requestsPerStart = (world.state().requests() - requests - quietRequests) / 30.0;
-    double transactionsPerStart = (world.state().commits() - commits - quietCommits) / 30.0;
+    double requestsPerStart = (world.state().requestCount() - requests - quietRequests) / 30.0;
+    double transactionsPerStart = (world.state().commitCount() - commits - quietCommits) / 30.0;
     System.out.println(
         "per controller start: "
             + requestsPerStart
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -19,9 +19,9 @@
               20_000 + 9000L * i,
               () -> run.world.crash(run.leader(), 300 + run.random.nextInt(3000)));
         }
-        run.at(60_000, () -> run.world.state().outage(true));
+        run.at(60_000, () -> run.world.state().setOutage(true));
         run.at(61_000, () -> run.cancelRunning(4));
-        run.at(85_000, () -> run.world.state().outage(false));
+        run.at(85_000, () -> run.world.state().setOutage(false));
         run.at(120_000, () -> run.faultsOccurred = run.newestEpoch() >= first[0] + 7);
       }),
   /** A zone, its controller and its workers are cut off from everything else. */
@@ -121,16 +121,16 @@
   /** The state service is slow, then also refuses the leader, then is unavailable to all. */
   STATE_SERVICE_SLOW_THEN_REFUSING_THEN_UNAVAILABLE(
       run -> {
-        run.at(20_000, () -> run.world.state().slowWrites(700));
-        run.at(20_000, () -> run.world.nodes.forEach(n -> run.world.state().slowReads(n, 600)));
+        run.at(20_000, () -> run.world.state().delayAllCommits(700));
+        run.at(20_000, () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 600)));
         String[] refused = new String[1];
-        run.at(30_000, () -> run.world.state().refuse(refused[0] = run.leader(), true));
+        run.at(30_000, () -> run.world.state().setRefused(refused[0] = run.leader(), true));
         run.at(30_400, () -> run.cancelRunning(6));
-        run.at(33_000, () -> run.world.state().outage(true));
-        run.at(40_000, () -> run.world.state().refuse(refused[0], false));
-        run.at(76_000, () -> run.world.state().outage(false));
-        run.at(80_000, () -> run.world.state().slowWrites(0));
-        run.at(80_000, () -> run.world.nodes.forEach(n -> run.world.state().slowReads(n, 0)));
+        run.at(33_000, () -> run.world.state().setOutage(true));
+        run.at(40_000, () -> run.world.state().setRefused(refused[0], false));
+        run.at(76_000, () -> run.world.state().setOutage(false));
+        run.at(80_000, () -> run.world.state().delayAllCommits(0));
+        run.at(80_000, () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 0)));
         run.at(75_000, () -> run.faultsOccurred = !run.world.users.asked.isEmpty());
       }),
   /** Reports are held back until a new leader has made decisions. */
@@ -187,12 +187,12 @@
             () ->
                 run.world
                     .state()
-                    .lateCommits(0.25, 2000 + run.random.nextInt(10_000), run.random.nextLong()));
+                    .delayCommits(0.25, 2000 + run.random.nextInt(10_000), run.random.nextLong()));
         run.at(30_000, () -> run.world.crash(run.leader(), 300));
         run.at(40_000, () -> run.cancelRunning(5));
         run.at(60_000, () -> run.world.crash(run.leader(), 300));
-        run.at(100_000, () -> run.world.state().lateCommits(0, 0, 1));
-        run.at(100_000, () -> run.faultsOccurred = run.world.state().lateWrites > 5);
+        run.at(100_000, () -> run.world.state().delayCommits(0, 0, 1));
+        run.at(100_000, () -> run.faultsOccurred = run.world.state().delayedCommitCount > 5);
       }),
   /** Duplicates of reports arrive after newer reports, also of workers that have restarted. */
   OLD_REPORTS_ARRIVE_AFTER_NEWER_REPORTS(
@@ -326,7 +326,7 @@
             () ->
                 run.world
                     .state()
-                    .lateCommits(0.3, 2000 + run.random.nextInt(8000), run.random.nextLong()));
+                    .delayCommits(0.3, 2000 + run.random.nextInt(8000), run.random.nextLong()));
         int[] ended = new int[1];
         run.whenMachinesComeUp(
             7000,
@@ -338,9 +338,9 @@
             });
         run.at(45_000, () -> run.killMachines(6));
         run.at(50_000, () -> run.cancelRunning(3));
-        run.at(90_000, () -> run.world.state().lateCommits(0, 0, 1));
+        run.at(90_000, () -> run.world.state().delayCommits(0, 0, 1));
         run.at(
-            90_000, () -> run.faultsOccurred = ended[0] >= 2 && run.world.state().lateWrites > 3);
+            90_000, () -> run.faultsOccurred = ended[0] >= 2 && run.world.state().delayedCommitCount > 3);
       }),
   /** Users query every node right after each event of a job and repeat its submission. */
   REPEATED_USER_REQUESTS_TO_ALL_NODES(
@@ -382,7 +382,7 @@
         run.at(40_000, () -> run.crashOrPauseLeader(false));
         run.at(60_000, () -> run.crashOrPauseLeader(true));
         run.at(90_000, () -> run.world.state().loseAnswers(0, 1));
-        run.at(90_000, () -> run.faultsOccurred = run.world.state().answersLost > 20);
+        run.at(90_000, () -> run.faultsOccurred = run.world.state().lostAnswerCount > 20);
       }),
   /** Both teams are at their limits while the machines of withdrawn jobs hang or are cut off. */
   ALL_TEAMS_AT_LIMIT_AND_MACHINES_OF_CANCELLED_JOBS_UNREACHABLE(
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -217,7 +217,7 @@
   private void lowerLimitsAndSubmitDependentJobs() throws Exception {
     callOnLoop(
         () -> {
-          world.state().fall(2, 4, 40);
+          world.state().lowerLimits(2, 4, 40);
           for (int i = 0; i < 12 * 4; i++) {
             String shape = i % 4 == 2 ? "ensemble" : "batch";
             Map<String, Object> job = SimJobs.job(FIRST_DEPENDENT_JOB + i, shape, 1 + i % 3, 1, 3);
@@ -243,7 +243,7 @@
     List<String> writtenKeys = new ArrayList<>();
     callOnLoop(
         () -> {
-          world.state().fate =
+          world.state().outcomeOf =
               (from, transaction) -> {
                 try {
                   for (var change : transaction.documents("then")) {
@@ -256,7 +256,7 @@
                   writtenKeys.add("malformed");
                 }
                 commitCount[0]++;
-                return SimStateService.Fate.APPLIED;
+                return SimStateService.TransactionOutcome.APPLIED;
               };
           return null;
         });
--- a/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -96,13 +96,13 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void delayedBatchIsOvertakenAndSentAgain(long seed) {
     SimWorld world = startedWorld(seed);
-    world.state().lateCommits(1, 6000, seed);
+    world.state().delayCommits(1, 6000, seed);
     SubmissionAnswers first = new SubmissionAnswers();
     submit(world, "n0", 1, first);
-    while (world.state().lateWrites == 0) {
+    while (world.state().delayedCommitCount == 0) {
       world.run(1);
     }
-    world.state().lateCommits(0, 0, 1);
+    world.state().delayCommits(0, 0, 1);
     SubmissionAnswers next = new SubmissionAnswers();
     submit(world, "n0", 2, next);
     world.run(500);
--- a/src/test/java/wickdrift/sim/MachineClaimsTest.java
+++ b/src/test/java/wickdrift/sim/MachineClaimsTest.java
@@ -52,7 +52,7 @@
     SimWorld world = createWorld(7, 400, controllers, 100);
     world.run(20_000);
     int[] recordWrites = {0, 0};
-    world.state().fate =
+    world.state().outcomeOf =
         (from, transaction) -> {
           try {
             for (Document write : transaction.documents("then")) {
@@ -65,7 +65,7 @@
           } catch (BadMessage e) {
             throw new AssertionError(e);
           }
-          return SimStateService.Fate.APPLIED;
+          return SimStateService.TransactionOutcome.APPLIED;
         };
     submitBurst(world, 250);
     world.run(20_000);
--- a/src/test/java/wickdrift/sim/MixedBuilds.java
+++ b/src/test/java/wickdrift/sim/MixedBuilds.java
@@ -193,7 +193,7 @@
     stage.ask(
         () -> {
           for (StateServiceClient.Change change : world.state().all()) {
-            world.state().force(change.key(), null);
+            world.state().forceWrite(change.key(), null);
           }
           return null;
         });
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -378,7 +378,7 @@
     fields.put("epoch", 10_000L);
     fields.put("phase", "done");
     fields.put("g", List.of(List.of(0L, List.of(List.of("z", "req-000008")))));
-    world.state().force(key, Encoding.wrap(encodingVersion, fields));
+    world.state().forceWrite(key, Encoding.wrap(encodingVersion, fields));
     List<StateCheck.Finding> findings =
         StateCheck.check(StoredRecords.read(store), LevelRange.BUILD);
     assertTrue(
@@ -492,7 +492,7 @@
       Files.write(Path.of(file), new byte[] {1, 2, 3});
       assertEquals(4, runner.run(new StateCommand(), "restore", file));
       assertTrue(runner.standardError.contains("no snapshot"), runner.standardError);
-      world.state().outage(true);
+      world.state().setOutage(true);
       assertEquals(3, runner.run(new StateCommand(), "check", "--wait", "0.5"));
       assertEquals(1, runner.standardError.lines().count(), runner.standardError);
       assertEquals(2, runner.run(new StateCommand(), "check", "--wait", "0"));
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -149,12 +149,12 @@
         }
       }
       case STATE_SERVICE_DOWN -> {
-        world.clock.after(5000, () -> world.state().outage(true));
-        world.clock.after(12_000, () -> world.state().outage(false));
+        world.clock.after(5000, () -> world.state().setOutage(true));
+        world.clock.after(12_000, () -> world.state().setOutage(false));
       }
       case STATE_SERVICE_REFUSES_ONE_NODE -> {
-        world.clock.after(4000, () -> world.state().refuse("n1", true));
-        world.clock.after(24_000, () -> world.state().refuse("n1", false));
+        world.clock.after(4000, () -> world.state().setRefused("n1", true));
+        world.clock.after(24_000, () -> world.state().setRefused("n1", false));
       }
       case LEADER_PAUSED ->
           world.clock.after(
@@ -168,17 +168,17 @@
         world.clock.after(5000, () -> world.cutZone("n2", true));
         world.clock.after(30_000, () -> world.cutZone("n2", false));
       }
-      case LATE_TRANSACTIONS -> world.state().lateCommits(0.2, 1800, seed);
+      case LATE_TRANSACTIONS -> world.state().delayCommits(0.2, 1800, seed);
       case ANSWERS_LOST -> {
         int[] count = new int[1];
-        world.state().fate =
+        world.state().outcomeOf =
             (from, transaction) ->
                 count[0]++ % 9 == 4
-                    ? SimStateService.Fate.UNANSWERED
-                    : count[0] % 11 == 5 ? SimStateService.Fate.LOST : SimStateService.Fate.APPLIED;
+                    ? SimStateService.TransactionOutcome.UNANSWERED
+                    : count[0] % 11 == 5 ? SimStateService.TransactionOutcome.LOST : SimStateService.TransactionOutcome.APPLIED;
       }
       case CRASHES_AND_LATE_TRANSACTIONS -> {
-        world.state().lateCommits(0.2, 1800, seed);
+        world.state().delayCommits(0.2, 1800, seed);
         for (int i = 0; i < 6; i++) {
           world.clock.after(
               4000 + 4000L * i, () -> world.crash(world.nodes.get(random.nextInt(3)), 300));
@@ -196,7 +196,7 @@
         }
         if (fault != InjectedFault.ROLLING_UPGRADE) {
           long upgradedMs = 2000 + 3000L * world.nodes.size() + 5000;
-          world.clock.after(upgradedMs, () -> world.state().fall(2, 4, 40));
+          world.clock.after(upgradedMs, () -> world.state().lowerLimits(2, 4, 40));
         }
         if (fault == InjectedFault.LIMITS_LOWERED_AND_CRASHES) {
           world.clock.after(24_000, () -> world.nodes.forEach(n -> world.crash(n, 300)));
@@ -243,7 +243,7 @@
     }
     if (fault == InjectedFault.LIMITS_LOWERED
         || fault == InjectedFault.LIMITS_LOWERED_AND_CRASHES) {
-      assertEquals(List.of(), world.state().tooLarge, "a transaction exceeded the next limits");
+      assertEquals(List.of(), world.state().oversizedTransactions, "a transaction exceeded the next limits");
     }
   }
 
@@ -289,13 +289,13 @@
         201, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "awaited job already withdrawn");
     assertEquals("withdrawn", phaseOf(world, "n0", 8));
     assertEquals(200, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "retried submission");
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.run(2000);
     assertEquals(
         503,
         submitAndGetStatus(world, "n0", pipelineJob(9, 999)),
         "whether the awaited job exists can't be confirmed now");
-    world.state().outage(false);
+    world.state().setOutage(false);
     world.run(5000);
     Map<String, Object> jobWithoutAwaits = pipelineJob(10);
     jobWithoutAwaits.put("awaits", null);
@@ -361,7 +361,7 @@
       world.clock.after((number - 100) * 60L, () -> world.users.submit(job, 0));
     }
     world.run(20_000);
-    world.state().fall(2, 4, 40);
+    world.state().lowerLimits(2, 4, 40);
     world.users.submitChained(SimJobs.awaiting(SimJobs.job(900, "batch", 2, 1, 2), awaited), 0);
     world.users.submitChained(SimJobs.awaiting(SimJobs.job(901, "batch", 2, 1, 2), 900), 0);
     world.run(9000);
@@ -369,7 +369,7 @@
     world.run(150_000);
     assertExpectedPhases(world);
     assertEquals("done", world.lastReportedPhase(jobId(901)));
-    assertEquals(List.of(), world.state().tooLarge);
+    assertEquals(List.of(), world.state().oversizedTransactions);
     assertTrue(
         world.state().keys().stream().noneMatch(k -> k.startsWith("w/a/")),
         "records of awaited names are left");
@@ -410,7 +410,7 @@
     switch (faultCase) {
       case 0 -> world.kill("n0");
       case 1 -> world.nodes.forEach(n -> world.crash(n, 300));
-      default -> world.state().refuse("n1", true);
+      default -> world.state().setRefused("n1", true);
     }
     world.nodes.remove(faultCase == 0 ? "n0" : "");
     world.run(4000);
@@ -418,7 +418,7 @@
     for (int n : new int[] {1, 50, 99}) {
       assertEquals("withdrawn", phaseOf(world, node, n), "job " + n);
     }
-    world.state().refuse("n1", false);
+    world.state().setRefused("n1", false);
     world.run(120_000);
     assertExpectedPhases(world);
     assertEquals("withdrawn", world.lastReportedPhase(jobId(99)));
@@ -441,11 +441,11 @@
     world.users.submitChained(pipelineJob(3, 2), 0);
     world.run(4000);
     // The terminal states of its dependents are never written.
-    world.state().fate =
+    world.state().outcomeOf =
         (from, transaction) ->
             writesTerminalStateOfAny(transaction, jobId(2), jobId(3))
-                ? SimStateService.Fate.LOST
-                : SimStateService.Fate.APPLIED;
+                ? SimStateService.TransactionOutcome.LOST
+                : SimStateService.TransactionOutcome.APPLIED;
     for (int n = 1; n < 4; n++) {
       world.users.asked.add(jobId(n));
     }
@@ -455,9 +455,9 @@
     assertEquals("withdrawn", phaseOf(world, "n1", 3));
     world.run(10_000);
     // The terminal state of job 1 itself is written and moved to the job history.
-    world.state().force("w/d/" + jobId(1), Map.of("phase", "withdrawn", "tasks", 1L, "at", 1L));
-    world.state().force("w/j/" + jobId(1), null);
-    world.state().slowFinalsMs = 8000;
+    world.state().forceWrite("w/d/" + jobId(1), Map.of("phase", "withdrawn", "tasks", 1L, "at", 1L));
+    world.state().forceWrite("w/j/" + jobId(1), null);
+    world.state().historyReadDelayMs = 8000;
     world.crash("n2", 300);
     world.run(3000);
     Response answer = world.users.ask("n2", "GET", "/api/jobs/" + jobId(3), null);
@@ -466,7 +466,7 @@
         "the node reported an older phase than users were told");
     world.run(8000);
     assertEquals("withdrawn", phaseOf(world, "n2", 3));
-    world.state().fate = (from, transaction) -> SimStateService.Fate.APPLIED;
+    world.state().outcomeOf = (from, transaction) -> SimStateService.TransactionOutcome.APPLIED;
     world.run(60_000);
     assertExpectedPhases(world);
   }
@@ -554,7 +554,7 @@
           2000L * i, () -> world.users.submit(SimJobs.job(jobNumber, "batch", 3, 1, 4), 0));
     }
     if (limitsLoweredFirst) {
-      world.state().fall(2, 4, 40);
+      world.state().lowerLimits(2, 4, 40);
     }
     for (String n : world.nodes) {
       world.supportedLevels.remove(n);
@@ -563,7 +563,7 @@
     world.run(25_000);
     assertEquals(LevelRange.BUILD.max(), world.tables("n0").level());
     if (!limitsLoweredFirst) {
-      world.state().fall(2, 4, 40);
+      world.state().lowerLimits(2, 4, 40);
     }
     world.run(1000);
     world.crash(world.tables("n0").view().leader(), 4500);
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -33,7 +33,7 @@
 /**
  * Rolling upgrades of the controllers to a newer build while jobs run. The older build is this
  * build restricted to fewer levels, with its level announcements dropped by the state service
- * ({@link SimStateService#levelless}); the real older build is tested with real processes, outside CI.
+ * ({@link SimStateService#nodesWithoutLevels}); the real older build is tested with real processes, outside CI.
  */
 class RolloutTest {
   private static final int LATEST_LEVEL = LevelRange.BUILD.max();
@@ -45,7 +45,7 @@
     for (String node : world.nodes) {
       world.kill(node);
       world.supportedLevels.put(node, LevelRange.FIRST);
-      world.state().levelless.add(node);
+      world.state().nodesWithoutLevels.add(node);
     }
     world.nodes.forEach(world::startNode);
     return world;
@@ -75,14 +75,14 @@
 
   /** Restarts a controller with the newest build. */
   private static void upgradeNode(SimWorld world, String node) {
-    world.state().levelless.remove(node);
+    world.state().nodesWithoutLevels.remove(node);
     world.supportedLevels.remove(node);
     world.crash(node, 2000);
   }
 
   /** Restarts a controller with the build that knows no levels. */
   private static void rollBackNode(SimWorld world, String node) {
-    world.state().levelless.add(node);
+    world.state().nodesWithoutLevels.add(node);
     world.supportedLevels.put(node, LevelRange.FIRST);
     world.crash(node, 2000);
   }
@@ -209,14 +209,14 @@
   @ParameterizedTest
   @EnumSource(RolloutStep.class)
   void rolloutCompletesWhenTheWriterOfAStepCrashes(RolloutStep step) throws BadMessage {
-    for (SimStateService.Fate fate : SimStateService.Fate.values()) {
+    for (SimStateService.TransactionOutcome fate : SimStateService.TransactionOutcome.values()) {
       SimWorld world = worldOfOldBuild(320 + step.ordinal(), "aab");
       List<String> finiteJobs = submitJobs(world, 40, 50_000);
       int[] crashesLeft = {3};
-      world.state().fate =
+      world.state().outcomeOf =
           (from, transaction) -> {
             if (!step.isWrittenBy(transaction) || crashesLeft[0] == 0 || !world.isAlive(from)) {
-              return SimStateService.Fate.APPLIED;
+              return SimStateService.TransactionOutcome.APPLIED;
             }
             crashesLeft[0]--;
             world.crash(from, 2500);
@@ -261,12 +261,12 @@
     long faultMs = 1900;
     switch (fault) {
       case STATE_SERVICE_DOWN -> {
-        world.clock.after(faultMs + 400, () -> world.state().outage(true));
-        world.clock.after(faultMs + 9000, () -> world.state().outage(false));
+        world.clock.after(faultMs + 400, () -> world.state().setOutage(true));
+        world.clock.after(faultMs + 9000, () -> world.state().setOutage(false));
       }
       case STATE_SERVICE_REFUSES_ONE_NODE -> {
-        world.clock.after(faultMs, () -> world.state().refuse("n0", true));
-        world.clock.after(faultMs + 15_000, () -> world.state().refuse("n0", false));
+        world.clock.after(faultMs, () -> world.state().setRefused("n0", true));
+        world.clock.after(faultMs + 15_000, () -> world.state().setRefused("n0", false));
       }
       case NODE_PAUSED -> world.clock.after(faultMs, () -> world.pause("n2", 12_000, true));
       case NODE_CUT_FROM_STATE_SERVICE -> {
@@ -278,7 +278,7 @@
         world.clock.after(faultMs + 25_000, () -> world.cutZone("n2", false));
       }
       case NODE_CUT_FROM_PEERS -> world.clock.after(faultMs, () -> world.cutFromPeers("n0", true));
-      case LATE_TRANSACTIONS -> world.clock.after(0, () -> world.state().lateCommits(0.3, 2600, 5));
+      case LATE_TRANSACTIONS -> world.clock.after(0, () -> world.state().delayCommits(0.3, 2600, 5));
       default -> throw new AssertionError(fault);
     }
     world.run(40_000);
@@ -321,14 +321,14 @@
     SimWorld world = new SimWorld(355, 8, 20, "aaa", 10_000);
     world.run(10_000);
     Document[] held = new Document[1];
-    world.state().fate =
+    world.state().outcomeOf =
         (from, transaction) -> {
           if (held[0] == null && from.equals("n1") && placesTask(transaction)) {
             held[0] = transaction;
             world.cutFromState("n1", false);
-            return SimStateService.Fate.LOST;
+            return SimStateService.TransactionOutcome.LOST;
           }
-          return SimStateService.Fate.APPLIED;
+          return SimStateService.TransactionOutcome.APPLIED;
         };
     for (int i = 0; i < 12; i++) {
       world.users.submit(SimJobs.job(i, "batch", 2, 1, 20), 0);
@@ -418,7 +418,7 @@
       List<String> finiteJobs = submitJobs(world, 20, 40_000);
       world
           .state()
-          .force(
+          .forceWrite(
               OperatorOverrides.KEY, OperatorOverrides.NONE.withGateHeld(heldGate, true).toStore());
       world.run(5000);
       for (String node : world.nodes) {
@@ -427,7 +427,7 @@
       }
       world.run(20_000);
       assertEquals(1, levelOf(world, "n0"));
-      world.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
+      world.state().forceWrite(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
       runUntilLevel(world, LATEST_LEVEL);
       world.run(100_000);
       assertJobsDoneAndRulesHeld(world, finiteJobs);
@@ -458,7 +458,7 @@
     Map<String, Object> oldRecord = new TreeMap<>(Map.of("name", "n3", "least", 1L, "most", 1L));
     oldRecord.put("peers", List.of("n3"));
     boolean[] upgradeAttempted = new boolean[1];
-    world.state().fate =
+    world.state().outcomeOf =
         (from, transaction) -> {
           if (RolloutStep.LEVEL_UPGRADE.isWrittenBy(transaction) && !upgradeAttempted[0]) {
             upgradeAttempted[0] = true;
@@ -466,24 +466,24 @@
               case "word" ->
                   world
                       .state()
-                      .force(
+                      .forceWrite(
                           OperatorOverrides.KEY,
                           OperatorOverrides.NONE
                               .withGateHeld(Gate.NUMBERS.label(), true)
                               .toStore());
-              case "live" -> world.state().force("w/m/n1", Map.of("inc", "x", "zone", "a"));
-              case "back" -> world.state().force("w/m/n3", Map.of("inc", "x", "zone", "a"));
-              case "announced" -> world.state().force("w/c/3", oldRecord);
+              case "live" -> world.state().forceWrite("w/m/n1", Map.of("inc", "x", "zone", "a"));
+              case "back" -> world.state().forceWrite("w/m/n3", Map.of("inc", "x", "zone", "a"));
+              case "announced" -> world.state().forceWrite("w/c/3", oldRecord);
               default ->
                   world
                       .state()
-                      .force(
+                      .forceWrite(
                           NodeRegistry.INITIAL_NAMES_KEY,
                           NodeRegistry.encodeInitialNames(world.nodes));
             }
             world.clock.after(60, () -> assertEquals(1, levelOf(world, from), changedInput));
           }
-          return SimStateService.Fate.APPLIED;
+          return SimStateService.TransactionOutcome.APPLIED;
         };
     world.run(12_000);
     assertTrue(upgradeAttempted[0], "no level upgrade was attempted");
@@ -506,7 +506,7 @@
     assertEquals(1, levelOf(world, "n0"));
     world
         .state()
-        .force(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
+        .forceWrite(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
     runUntilLevel(world, LATEST_LEVEL);
     // If n3 returns after all, it stays outside with the old build and joins with the new one.
     world.startNode("n3");
@@ -626,7 +626,7 @@
     SimWorld world = worldOfOldBuild(396, "aaa");
     world
         .state()
-        .force(
+        .forceWrite(
             OperatorOverrides.KEY,
             OperatorOverrides.NONE.withGateHeld(Gate.NUMBERS.label(), true).toStore());
     world.run(6000);
@@ -642,7 +642,7 @@
     world.nodes.forEach(world::startNode);
     world.run(10_000);
     assertTrue(world.tables("n0").members().isEmpty());
-    world.state().force(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
+    world.state().forceWrite(OperatorOverrides.KEY, OperatorOverrides.NONE.toStore());
     runUntilLevel(world, LATEST_LEVEL);
     world.run(10_000);
     assertEquals(
@@ -664,7 +664,7 @@
     SimWorld world = new SimWorld(400, 6, 20);
     world.run(8000);
     Object originalValue = world.state().value(key);
-    world.state().force(key, Encoding.wrap(version, Map.of("name", "n9", "peers", List.of())));
+    world.state().forceWrite(key, Encoding.wrap(version, Map.of("name", "n9", "peers", List.of())));
     world.run(1000);
     for (String node : world.nodes) {
       assertNotNull(world.tables(node).blockedReason(), node);
@@ -674,7 +674,7 @@
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     world.run(3000);
     assertEquals(0, world.startCount());
-    world.state().force(key, originalValue);
+    world.state().forceWrite(key, originalValue);
     world.run(30_000);
     for (String node : world.nodes) {
       assertNull(world.tables(node).blockedReason(), node);
@@ -698,14 +698,14 @@
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 20), 0);
     world.run(4000);
     String key = "w/l/n9/0000000001";
-    world.state().force(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
+    world.state().forceWrite(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
     world.run(1000);
     world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
     // A node that starts now reads the entry too.
     world.crash("n1", 1000);
     world.run(5000);
     world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
-    world.state().force(key, null);
+    world.state().forceWrite(key, null);
     world.run(60_000);
     world.nodes.forEach(n -> assertNull(world.tables(n).blockedReason(), n));
     assertEquals("done", world.lastReportedPhase("req-000001"));
@@ -724,11 +724,11 @@
     }
     String key = world.state().keys().stream().filter(Job::isChunkKey).findFirst().orElseThrow();
     Object originalValue = world.state().value(key);
-    world.state().force(key, Encoding.wrap(9, Map.of("rev", 1L)));
+    world.state().forceWrite(key, Encoding.wrap(9, Map.of("rev", 1L)));
     world.crash("n1", 500);
     world.run(6000);
     assertNotNull(world.tables("n1").blockedReason());
-    world.state().force(key, originalValue);
+    world.state().forceWrite(key, originalValue);
     world.run(10_000);
     assertNull(world.tables("n1").blockedReason());
     assertNull(world.describeDivergence());
@@ -740,7 +740,7 @@
   void memberRecordWithAnEmptyLevelRangeIsIgnored() {
     SimWorld world = new SimWorld(402, 6, 20);
     world.run(8000);
-    world.state().force("w/m/n8", Map.of("inc", "x", "zone", "a", "least", 3L, "most", 2L));
+    world.state().forceWrite("w/m/n8", Map.of("inc", "x", "zone", "a", "least", 3L, "most", 2L));
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 5), 0);
     world.run(30_000);
     assertFalse(world.tables("n0").view().members().containsKey("n8"));
@@ -769,7 +769,7 @@
         spec.put("later", 8L);
         fields.put("spec", spec);
       }
-      world.state().force(key, Encoding.wrap(version, fields));
+      world.state().forceWrite(key, Encoding.wrap(version, fields));
     }
     // No task of the job ends meanwhile, so that its record is rewritten but not removed.
     for (int i = 0; i < 6; i++) {
@@ -855,11 +855,11 @@
   void orderlyShutdownIsBoundedWhileTheStateServiceIsDown() {
     SimWorld world = new SimWorld(411, 4, 20);
     world.run(8000);
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.restart("n0", 3000, 10_000);
     world.run(3100);
     assertFalse(world.isAlive("n0"));
-    world.state().outage(false);
+    world.state().setOutage(false);
     world.run(30_000);
     assertTrue(world.tables("n1").view().members().containsKey("n0"));
   }
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -44,20 +44,20 @@
     SimStateService state = world.state();
     double examinedBefore = world.metricSum("wickdrift.rooms.looked");
     double placedBefore = world.metricSum("wickdrift.tasks.placed");
-    int requestsBefore = state.requests();
-    int commitsBefore = state.commits();
-    long writtenBefore = state.written();
-    long readBefore = state.read();
+    int requestsBefore = state.requestCount();
+    int commitsBefore = state.commitCount();
+    long writtenBefore = state.bytesWritten();
+    long readBefore = state.bytesRead();
     world.run(40_000);
     assertEquals(List.of(), world.violations());
     assertTrue(world.startCount() >= 1300, "started " + world.startCount());
     double tasks = world.metricSum("wickdrift.tasks.placed") - placedBefore;
     return new Cost(
         (world.metricSum("wickdrift.rooms.looked") - examinedBefore) / tasks,
-        (state.requests() - requestsBefore) / tasks,
-        (state.commits() - commitsBefore) / tasks,
-        (state.written() - writtenBefore) / tasks,
-        (state.read() - readBefore) / tasks);
+        (state.requestCount() - requestsBefore) / tasks,
+        (state.commitCount() - commitsBefore) / tasks,
+        (state.bytesWritten() - writtenBefore) / tasks,
+        (state.bytesRead() - readBefore) / tasks);
   }
 
   /**
--- a/src/test/java/wickdrift/sim/SimStateService.java
+++ b/src/test/java/wickdrift/sim/SimStateService.java
@@ -56,10 +56,10 @@
   private int maxValueBytes = DEFAULT_MAX_VALUE_BYTES;
 
   /** What was too large in each transaction that was refused for its size. */
-  final List<String> tooLarge = new ArrayList<>();
+  final List<String> oversizedTransactions = new ArrayList<>();
 
   /** Lowers the limits without notice. */
-  void fall(double maxValueKb, int maxChanges, double writesPerSecond) {
+  void lowerLimits(double maxValueKb, int maxChanges, double writesPerSecond) {
     previousMaxTransactionChanges = maxTransactionChanges;
     maxValueBytes = (int) (maxValueKb * 1024);
     maxTransactionChanges = maxChanges;
@@ -84,13 +84,13 @@
   private long commitDelayMs;
 
   /** The delay of answers to listings of the job history. */
-  long slowFinalsMs;
+  long historyReadDelayMs;
 
-  /** How many transactions were delayed by {@link #lateCommits}. */
-  int lateWrites;
+  /** How many transactions were delayed by {@link #delayCommits}. */
+  int delayedCommitCount;
 
   /** How many transactions were applied without an answer by {@link #loseAnswers}. */
-  int answersLost;
+  int lostAnswerCount;
 
   private double delayedCommitShare;
   private long delayedCommitMs;
@@ -98,10 +98,10 @@
   private final List<String> transactionViolations = new ArrayList<>();
 
   /** Nodes whose build knows no levels and writes none to its node record. */
-  final Set<String> levelless = new HashSet<>();
+  final Set<String> nodesWithoutLevels = new HashSet<>();
 
   /** What happens to a transaction on its way. */
-  enum Fate {
+  enum TransactionOutcome {
     APPLIED,
     /** The request never arrives. */
     LOST,
@@ -110,7 +110,7 @@
   }
 
   /** Decides what happens to a transaction, given its sender and its content. */
-  BiFunction<String, Document, Fate> fate = (from, d) -> Fate.APPLIED;
+  BiFunction<String, Document, TransactionOutcome> outcomeOf = (from, d) -> TransactionOutcome.APPLIED;
 
   /** The nodes that have sent transactions since a test last cleared the set. */
   final Set<String> writers = new HashSet<>();
@@ -139,7 +139,7 @@
   }
 
   /** Makes the store unavailable to all nodes, or available again; all leases are then renewed. */
-  public void outage(boolean on) {
+  public void setOutage(boolean on) {
     unavailable = on;
     if (!on) {
       leaseDurationMs.forEach(
@@ -155,12 +155,12 @@
   }
 
   /** Delays all answers to a node's watches, so that it works with outdated tables. */
-  public void slowReads(String node, long ms) {
+  public void delayWatchAnswers(String node, long ms) {
     watchDelayMsByNode.put(node, ms);
   }
 
   /** Delays a random share of the transactions; those sent after them overtake them. */
-  public void lateCommits(double share, long ms, long seed) {
+  public void delayCommits(double share, long ms, long seed) {
     delayedCommitShare = share;
     delayedCommitMs = ms;
     commitDelayRandom = new Random(seed);
@@ -169,23 +169,23 @@
   /** Loses the answers to a random share of the transactions, which are applied at once. */
   void loseAnswers(double share, long seed) {
     Random random = new Random(seed);
-    fate =
+    outcomeOf =
         (from, d) -> {
           if (random.nextDouble() >= share) {
-            return Fate.APPLIED;
+            return TransactionOutcome.APPLIED;
           }
-          answersLost++;
-          return Fate.UNANSWERED;
+          lostAnswerCount++;
+          return TransactionOutcome.UNANSWERED;
         };
   }
 
   /** Delays every transaction. */
-  public void slowWrites(long ms) {
+  public void delayAllCommits(long ms) {
     commitDelayMs = ms;
   }
 
   /** Makes the store unavailable to a single node, or available again. */
-  public void refuse(String node, boolean on) {
+  public void setRefused(String node, boolean on) {
     if (on) {
       refusedNodes.add(node);
     } else {
@@ -220,12 +220,12 @@
   }
 
   /** Returns how many requests have arrived. */
-  public int requests() {
+  public int requestCount() {
     return requestCount;
   }
 
   /** Returns how many transactions exceeded the rate limit. */
-  public int overWritten() {
+  public int writeLimitExceededCount() {
     return writeLimitExceededCount;
   }
 
@@ -245,17 +245,17 @@
   }
 
   /** Returns the total size of all transactions in bytes. */
-  public long written() {
+  public long bytesWritten() {
     return bytesWritten;
   }
 
   /** Returns the total size of all answers in bytes. */
-  public long read() {
+  public long bytesRead() {
     return bytesRead;
   }
 
   /** Returns how many transactions were processed, applied or not. */
-  public int commits() {
+  public int commitCount() {
     return commitCount;
   }
 
@@ -355,7 +355,7 @@
     long readDelayMs =
         path.startsWith("/follow")
             ? watchDelayMsByNode.getOrDefault(from, 0L)
-            : path.startsWith("/store?prefix=w/d/") ? slowFinalsMs : 0;
+            : path.startsWith("/store?prefix=w/d/") ? historyReadDelayMs : 0;
     if (path.equals("/commit")) {
       writers.add(from);
     }
@@ -363,7 +363,7 @@
         && delayedCommitShare > 0
         && commitDelayRandom.nextDouble() < delayedCommitShare) {
       // As if packets were lost and retransmitted, while other connections make progress.
-      lateWrites++;
+      delayedCommitCount++;
       clock.after(delayedCommitMs, () -> serveNow(from, method, path, body, done));
     } else if (path.equals("/commit") && commitDelayMs > 0) {
       clock.after(commitDelayMs, () -> serveNow(from, method, path, body, done));
@@ -394,9 +394,9 @@
                     200, Map.of("key", path.substring(7), "v", entry.value, "stamp", entry.stamp)));
       } else if (path.equals("/commit")) {
         Document transaction = withoutLevelRecords(from, Document.parse(body));
-        Fate outcome = fate.apply(from, transaction);
-        Response response = outcome == Fate.LOST ? null : commit(transaction);
-        if (outcome == Fate.APPLIED) {
+        TransactionOutcome outcome = outcomeOf.apply(from, transaction);
+        Response response = outcome == TransactionOutcome.LOST ? null : commit(transaction);
+        if (outcome == TransactionOutcome.APPLIED) {
           done.accept(response);
         }
       } else if (path.equals("/grants")) {
@@ -614,7 +614,7 @@
 
   /** Returns a transaction as a build that knows no levels would have sent it. */
   private Document withoutLevelRecords(String from, Document transaction) throws BadMessage {
-    if (!levelless.contains(from)) {
+    if (!nodesWithoutLevels.contains(from)) {
       return transaction;
     }
     List<Object> when = new ArrayList<>();
@@ -651,7 +651,7 @@
   }
 
   /** Writes a record without any condition, as a fault or another build might. */
-  void force(String key, Object value) {
+  void forceWrite(String key, Object value) {
     revision++;
     put(key, value, 0);
     answerChangedWatches();
@@ -676,7 +676,7 @@
     }
     String oversized = describeOversized(transaction);
     if (oversized != null) {
-      tooLarge.add(oversized);
+      oversizedTransactions.add(oversized);
       if (previousMaxTransactionChanges == 0) {
         transactionViolations.add(oversized + " exceeds the limits");
       }
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -129,8 +129,8 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       String node = random.nextBoolean() ? scene.leader() : scene.anyNode(random);
-      scene.world().state().refuse(node, true);
-      return () -> scene.world().state().refuse(node, false);
+      scene.world().state().setRefused(node, true);
+      return () -> scene.world().state().setRefused(node, false);
     }
   },
   STATE_SERVICE_SLOW {
@@ -138,27 +138,27 @@
     Runnable begin(SoakScene scene, Random random) {
       SimStateService state = scene.world().state();
       long ms = 100 + random.nextInt(600);
-      state.slowWrites(ms);
-      scene.world().nodes.forEach(node -> state.slowReads(node, ms));
+      state.delayAllCommits(ms);
+      scene.world().nodes.forEach(node -> state.delayWatchAnswers(node, ms));
       return () -> {
-        state.slowWrites(0);
-        scene.world().nodes.forEach(node -> state.slowReads(node, 0));
+        state.delayAllCommits(0);
+        scene.world().nodes.forEach(node -> state.delayWatchAnswers(node, 0));
       };
     }
   },
   STATE_SERVICE_UNAVAILABLE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      scene.world().state().outage(true);
-      return () -> scene.world().state().outage(false);
+      scene.world().state().setOutage(true);
+      return () -> scene.world().state().setOutage(false);
     }
   },
   TRANSACTIONS_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
       SimStateService state = scene.world().state();
-      state.lateCommits(0.2, 1000 + random.nextInt(4000), random.nextLong());
-      return () -> state.lateCommits(0, 0, 1);
+      state.delayCommits(0.2, 1000 + random.nextInt(4000), random.nextLong());
+      return () -> state.delayCommits(0, 0, 1);
     }
   },
   TRANSACTION_ANSWERS_LOST {
--- a/src/test/java/wickdrift/sim/UserApiTest.java
+++ b/src/test/java/wickdrift/sim/UserApiTest.java
@@ -36,13 +36,13 @@
       world.cutFromState("n1", false);
       world.cutFromPeers("n1", true);
     } else {
-      world.state().outage(true);
+      world.state().setOutage(true);
     }
     world.run(6000);
     assertEquals(status, world.users.ask("n1", "GET", "/up", null).status());
     world.healFromState("n1");
     world.cutFromPeers("n1", false);
-    world.state().outage(false);
+    world.state().setOutage(false);
     world.run(6000);
     assertEquals(200, world.users.ask("n1", "GET", "/up", null).status());
   }
@@ -174,7 +174,7 @@
     world.run(5000);
     int[] known = new int[600];
     int[] unknown = new int[600];
-    int before = world.state().requests();
+    int before = world.state().requestCount();
     for (int i = 0; i < 3000; i++) {
       int n = i;
       String id = n % 2 == 0 ? "req-000001" : "req-9" + n % 1000;
@@ -185,7 +185,7 @@
     assertEquals(1500, known[200]);
     assertEquals(1500, unknown[404] + unknown[503]);
     assertTrue(unknown[404] > 0);
-    int requests = world.state().requests() - before;
+    int requests = world.state().requestCount() - before;
     assertTrue(requests < 350, requests + " requests");
   }
 
@@ -199,7 +199,7 @@
     world.users.submit(SimJobs.job(1, "batch", 1, 1, 2), 0);
     world.run(20_000);
     assertEquals("done", world.lastReportedPhase("req-000001"));
-    world.state().outage(true);
+    world.state().setOutage(true);
     world.run(2500);
     byte[] job = world.users.describe(SimJobs.job(2, "batch", 1, 1, 2));
     assertEquals(503, world.users.ask("n0", "POST", "/api/jobs", job).status());
@@ -207,7 +207,7 @@
     var kept = world.users.ask("n0", "GET", "/api/jobs/req-000001", null);
     assertNotNull(kept);
     assertEquals(200, kept.status());
-    world.state().outage(false);
+    world.state().setOutage(false);
     world.run(5000);
     assertEquals(201, world.users.ask("n0", "POST", "/api/jobs", job).status());
     assertEquals(200, world.users.ask("n1", "POST", "/api/jobs", job).status());
