--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -231,7 +231,7 @@
   void noTaskStartsAfterItsWithdrawalIsConfirmed(boolean hang, long afterMs) {
     SimWorld world = new SimWorld(4600 + afterMs, 14, 14, "aab", 60);
     world.run(8000);
-    world.workers().forEach(m -> m.slowFetchMs = 5000);
+    world.workers().forEach(m -> m.imageFetchMs = 5000);
     for (int i = 0; i < JOBS; i++) {
       world.users.submit(job(i, "batch", 2, 60), 0);
     }
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -576,7 +576,7 @@
   void gangWaitsForASlowImageFetch() {
     SimWorld world = new SimWorld(173, 2, 2, 3, 10_000);
     world.run(8000);
-    world.workers().get(0).slowFetchMs = 75_000;
+    world.workers().get(0).imageFetchMs = 75_000;
     Map<String, Object> gang = SimJobs.job(1, "ensemble", 2, 4, 5);
     gang.put("oneZone", false);
     world.users.submit(gang, 0);
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -295,7 +295,7 @@
     }
     // One lease, and about a second until a controller has noticed and recorded the silence.
     for (int t = 0; t < 40; t++) {
-      at(world, 17_500 + 500L * t, () -> timesWithTasks[0] += worker.empty() ? 0 : 1);
+      at(world, 17_500 + 500L * t, () -> timesWithTasks[0] += worker.isEmpty() ? 0 : 1);
     }
     world.run(17_500);
     assertTrue(world.machineRecordedLost, "the machine was not recorded as silent");
@@ -386,8 +386,8 @@
     world.run(25_000);
     assertEquals(3, world.tables("n0").view().members().size());
     for (SimWorker worker : world.workers()) {
-      if (worker.zone.equals("b") && !worker.empty()) {
-        worker.die();
+      if (worker.zone.equals("b") && !worker.isEmpty()) {
+        worker.terminate();
       }
     }
     world.run(45_000);
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -59,7 +59,7 @@
     world.run(8000);
     // Half the machines of each zone fetch slowly, so that gangs wait for their slower members.
     for (int worker : new int[] {0, 1, 4, 5}) {
-      world.workers().get(worker).slowFetchMs = 80_000;
+      world.workers().get(worker).imageFetchMs = 80_000;
     }
     for (int i = 0; i < 4; i++) {
       world.users.submit(SimJobs.job(i, "ensemble", 2, 4, 60), 0);
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -169,7 +169,7 @@
   DEMAND_EXCEEDS_CAPACITY(
       setup -> setup.capacity(12),
       run -> {
-        run.world.workers().forEach(x -> x.slowFetchMs = 4000);
+        run.world.workers().forEach(x -> x.imageFetchMs = 4000);
         run.at(30_000, () -> run.world.crash(run.leader(), 300));
         run.at(35_000, () -> run.cancelRunning(4));
         run.at(
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -106,13 +106,13 @@
       world.users.withdraw(JOB_ID, world.nodes.get(0));
       runUntil("the withdrawal is confirmed", () -> world.rules.toldWithdrawn(JOB_ID));
     } else {
-      worker.sick = true;
-      worker.fail(TASK);
+      worker.failsEveryTask = true;
+      worker.failTask(TASK);
       runUntil(
           "the task runs on another machine",
           () -> machineOfTask() != null && !machineOfTask().equals(worker.name));
     }
-    runUntil("the worker has removed the task", () -> !worker.holds(TASK));
+    runUntil("the worker has removed the task", () -> !worker.hasTask(TASK));
   }
 
   private void assertHeldRunCommandStartsNothing() {
@@ -159,7 +159,7 @@
     long tick = worker.tick;
     worker.restart();
     worker.tick = tick + 1;
-    worker.sick = ending == Ending.FAILED_AND_RESTARTED_ELSEWHERE;
+    worker.failsEveryTask = ending == Ending.FAILED_AND_RESTARTED_ELSEWHERE;
     if (ending == Ending.CANCELLED) {
       world.run(2000);
       endAttempt(ending);
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -139,7 +139,7 @@
           }
           SimWorker worker = runningWorkers.remove(name);
           if (worker != null) {
-            worker.die();
+            worker.terminate();
           }
         }
         done.accept(SimStateService.answer(200, Map.of()));
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -305,7 +305,7 @@
     double allocatedGpus = 0;
     Map<String, Integer> capacityByZone = new HashMap<>();
     for (SimWorker worker : world.workers()) {
-      allocatedGpus += worker.gpusOf(spec.team());
+      allocatedGpus += worker.allocatedGpus(spec.team());
       boolean zoneLimitReached =
           spec.spread() && runningByZone.getOrDefault(worker.zone, 0) >= spec.maxTasksPerZone();
       boolean inOtherZone =
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -50,13 +50,13 @@
   boolean hung;
 
   /** Whether every task that starts on this machine fails. */
-  boolean sick;
+  boolean failsEveryTask;
 
   /** How many tasks were killed because the lease expired. */
   int tasksKilledByLease;
 
   /** The time that fetching an image takes; 0: the default, a random time. */
-  long slowFetchMs;
+  long imageFetchMs;
 
   /** An attempt of a task on this machine. */
   final class Task {
@@ -130,7 +130,7 @@
   }
 
   /** Terminates the machine with all its tasks. */
-  void die() {
+  void terminate() {
     terminated = true;
     world.net.close(address);
     tasks.values().forEach(this::remove);
@@ -161,12 +161,12 @@
   }
 
   /** Makes a running task fail. */
-  void fail(String task) {
+  void failTask(String task) {
     endTask(tasks.get(task), "error");
   }
 
   /** Whether the machine holds a task, running or ended. */
-  boolean holds(String task) {
+  boolean hasTask(String task) {
     return tasks.containsKey(task);
   }
 
@@ -176,13 +176,13 @@
   }
 
   /** Whether the machine holds no task. */
-  boolean empty() {
+  boolean isEmpty() {
     return tasks.isEmpty();
   }
 
   /** Returns how many more tasks of a job fit on this machine; 0 if the machine does not work. */
   int taskCapacity(JobSpec spec) {
-    if (terminated || hung || sick || spot && !spec.spot()) {
+    if (terminated || hung || failsEveryTask || spot && !spec.spot()) {
       return 0;
     }
     if (spec.zone() != null && !spec.zone().equals(zone)) {
@@ -204,7 +204,7 @@
   }
 
   /** Returns how many GPUs the tasks of a team hold on this machine, also while fetching images. */
-  double gpusOf(String team) {
+  double allocatedGpus(String team) {
     double sum = 0;
     for (Task task : tasks.values()) {
       sum += !task.phase.equals("ended") && task.spec.team().equals(team) ? task.spec.gpus() : 0;
@@ -253,7 +253,7 @@
   }
 
   /** Makes the machine hang, or resume; if its lease expired meanwhile, its tasks are killed. */
-  void hang(boolean nowHung) {
+  void setHung(boolean nowHung) {
     hung = nowHung;
     if (!nowHung && isLeaseExpired()) {
       expireLease();
@@ -399,7 +399,7 @@
     long fetchMs =
         images.contains(spec.image())
             ? random.nextInt(3)
-            : slowFetchMs > 0 ? slowFetchMs : 500 + random.nextInt(1500);
+            : imageFetchMs > 0 ? imageFetchMs : 500 + random.nextInt(1500);
     clock.after(
         fetchMs,
         () -> {
@@ -417,7 +417,7 @@
       endTask(task, "done");
       return;
     }
-    if (sick) {
+    if (failsEveryTask) {
       endTask(task, "error");
       return;
     }
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -638,19 +638,19 @@
   /** Terminates a machine with all its tasks. It does not come back. */
   public void killMachine(int i) {
     SimWorker w = workers().get(i % cloud.workers().size());
-    w.die();
+    w.terminate();
   }
 
   /** Makes a machine hang for a while: nothing on it makes progress or answers. */
   public void hangMachine(int i, long forMs) {
     SimWorker w = workers().get(i % cloud.workers().size());
-    w.hang(true);
-    clock.after(forMs, () -> w.hang(false));
+    w.setHung(true);
+    clock.after(forMs, () -> w.setHung(false));
   }
 
   /** Makes a machine fail every task that starts on it from now on. */
   public void makeTasksFailOn(int i) {
-    workers().get(i % cloud.workers().size()).sick = true;
+    workers().get(i % cloud.workers().size()).failsEveryTask = true;
   }
 
   /** Returns the last phase of a job that a user was told, or null. */
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -43,8 +43,8 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       List<SimWorker> some = scene.someWorkers(random);
-      some.forEach(worker -> worker.hang(true));
-      return () -> some.forEach(worker -> worker.hang(false));
+      some.forEach(worker -> worker.setHung(true));
+      return () -> some.forEach(worker -> worker.setHung(false));
     }
   },
   WORKERS_RESTARTED {
@@ -57,7 +57,7 @@
   WORKER_DIES {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      scene.someWorkers(random).get(0).die();
+      scene.someWorkers(random).get(0).terminate();
       return NOTHING_TO_END;
     }
   },
@@ -226,8 +226,8 @@
     @Override
     Runnable begin(SoakScene scene, Random random) {
       List<SimWorker> some = scene.cancelRunning(4, random);
-      some.forEach(worker -> worker.hang(true));
-      return () -> some.forEach(worker -> worker.hang(false));
+      some.forEach(worker -> worker.setHung(true));
+      return () -> some.forEach(worker -> worker.setHung(false));
     }
   };
 
