--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -355,7 +355,7 @@
     assertEquals(List.of(), world.violations());
     assertEquals(18, world.startCount(), "tasks were lost and restarted");
     assertFalse(world.machineRecordedLost, "machines were considered silent");
-    assertEquals(0, world.cloud.deleted, "machines were given up");
+    assertEquals(0, world.cloud.deleteRequestCount, "machines were given up");
     assertEquals(1.0, world.metric(node, "wickdrift.loop.pauses"));
   }
 
@@ -457,7 +457,7 @@
     assertEquals(List.of(), world.violations());
     assertEquals(18, world.startCount(), "tasks were lost and restarted");
     assertFalse(world.machineRecordedLost, "machines were considered silent");
-    assertEquals(0, world.cloud.deleted, "machines were given up");
+    assertEquals(0, world.cloud.deleteRequestCount, "machines were given up");
   }
 
   @ParameterizedTest
@@ -508,7 +508,7 @@
   void machineReturnedTwiceIsNotRecordedRepeatedly(boolean timersFirst) {
     SimWorld world = new SimWorld(181, 8, 8);
     world.run(8000);
-    while (world.cloud.deleted == 0) {
+    while (world.cloud.deleteRequestCount == 0) {
       world.run(1);
     }
     world.pause("n0", 8000, timersFirst);
@@ -591,7 +591,7 @@
     SimWorld world = new SimWorld(151, 0, 20);
     world.clock.after(1300, () -> world.users.submit(SimJobs.job(1, "batch", 4, 1, 10), 0));
     world.run(3000);
-    assertTrue(world.cloud.rented > 0, "nothing was rented");
+    assertTrue(world.cloud.rentedCount > 0, "nothing was rented");
   }
 
   /** While the reports of running machines are still being written, no further ones are rented. */
@@ -606,28 +606,28 @@
           700, () -> world.users.submit(SimJobs.job(jobNumber, "batch", 15, 1, 10), 0));
     }
     world.run(15_000);
-    assertTrue(world.cloud.rented < 165, "rented " + world.cloud.rented);
+    assertTrue(world.cloud.rentedCount < 165, "rented " + world.cloud.rentedCount);
   }
 
   /** Jobs do not wait for machines that never boot, and renting such machines stays bounded. */
   @Test
   void machinesThatNeverBootAreReplaced() {
     SimWorld world = new SimWorld(153, 0, 30);
-    world.cloud.duds = 2;
+    world.cloud.failingBoots = 2;
     world.users.submit(SimJobs.job(1, "batch", 8, 1, 60), 0);
     world.run(24_000);
     assertEquals(8, world.startCount());
-    world.cloud.duds = 1000;
+    world.cloud.failingBoots = 1000;
     for (int i = 2; i < 12; i++) {
       world.users.submit(SimJobs.job(i, "batch", 8, 1, 1), 0);
     }
     world.run(12_000);
     // The waiting tasks need twenty machines.
-    assertTrue(world.cloud.rented <= 4 + 20 + 3, "rented " + world.cloud.rented);
-    world.cloud.duds = 0;
+    assertTrue(world.cloud.rentedCount <= 4 + 20 + 3, "rented " + world.cloud.rentedCount);
+    world.cloud.failingBoots = 0;
     world.run(200_000);
     assertEquals(List.of(), world.violations());
-    assertTrue(world.cloud.fleet() <= 2, "left: " + world.cloud.fleet());
+    assertTrue(world.cloud.machineCount() <= 2, "left: " + world.cloud.machineCount());
   }
 
   /**
@@ -641,7 +641,7 @@
     world.cloud.listLagMs = 2000;
     List<String> finiteJobs = submitRandomJobs(world, 40, seed);
     for (int atMs = 5000; atMs < 60_000; atMs += 11_000) {
-      world.clock.after(atMs, () -> world.cloud.duds = 2);
+      world.clock.after(atMs, () -> world.cloud.failingBoots = 2);
     }
     world.run(420_000);
     check(world, finiteJobs);
@@ -732,7 +732,7 @@
     assertEquals(List.of(), world.violations());
     assertEquals(0, world.killedByLease());
     assertEquals(24, world.startCount());
-    assertEquals(0, world.cloud.deleted, "machines behind the cut were deleted");
+    assertEquals(0, world.cloud.deleteRequestCount, "machines behind the cut were deleted");
   }
 
   /** If the isolated controller crashes too, the zone's tasks end and are restarted elsewhere. */
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -206,7 +206,7 @@
           world.rules.calmSinceMs = world.clock.nowMs();
         });
     world.run(300_000);
-    int rented = world.cloud.rented;
+    int rented = world.cloud.rentedCount;
     ClusterTest.check(world, finiteJobs);
     // Faults must not cause mass rentals: at most one whole fleet is rented anew.
     assertTrue(rented <= 12 + 30, "rented " + rented);
@@ -417,7 +417,7 @@
       running += world.isRunning("req-000001/" + i) ? 1 : 0;
     }
     assertEquals(8, running);
-    assertEquals(2, world.cloud.rented);
+    assertEquals(2, world.cloud.rentedCount);
     world.run(90_000);
     assertEquals(List.of(), world.violations());
     assertEquals("done", world.lastReportedPhase("req-000001"));
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -153,7 +153,7 @@
     GoldenState golden = GoldenState.read(build);
     SimWorld world = new SimWorld(501, 4, 30, "aab", 40);
     world.nodes.forEach(world::kill);
-    world.cloud.machineNumber = 1000;
+    world.cloud.nextMachineNumber = 1000;
     Map<String, Object> records = new TreeMap<>();
     golden.records.forEach((k, i) -> records.put(k, i.value()));
     // The leases of the old members have expired.
@@ -289,7 +289,7 @@
     for (int failAtCommit = 0; !complete; failAtCommit++) {
       SimWorld world = new SimWorld(514, 4, 30, "aab", 40);
       world.nodes.forEach(world::kill);
-      world.cloud.machineNumber = 1000;
+      world.cloud.nextMachineNumber = 1000;
       int[] commitsLeft = {failAtCommit};
       StateServiceCaller failing =
           (method, path, body) -> {
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -498,11 +498,11 @@
       world.users.submitChained(SimJobs.awaiting(SimJobs.job(n, "ensemble", 12, 4, 5), 1), 0);
     }
     world.run(12_000);
-    int fleet = world.cloud.fleet();
+    int fleet = world.cloud.machineCount();
     world.users.submit(SimJobs.job(30, "batch", 8, 1, 3), 0);
     world.run(12_000);
     assertEquals("done", phaseOf(world, "n0", 30));
-    assertEquals(fleet, world.cloud.fleet());
+    assertEquals(fleet, world.cloud.machineCount());
     assertEquals("pending", phaseOf(world, "n1", 2));
   }
 
--- a/src/test/java/wickdrift/sim/SimCloud.java
+++ b/src/test/java/wickdrift/sim/SimCloud.java
@@ -25,10 +25,10 @@
    * The number in the next machine's name. Names are never reused; a test that starts from a stored
    * state sets this so that no name in that state is used again.
    */
-  int machineNumber;
+  int nextMachineNumber;
 
   /** How many of the next machines never come up. */
-  int duds;
+  int failingBoots;
 
   /** The boot time of a rented machine; 0: a few seconds, and almost none for one in five. */
   long bootMs;
@@ -37,10 +37,10 @@
   long listLagMs;
 
   /** How many machines were rented. */
-  int rented;
+  int rentedCount;
 
   /** How many deletions of machines were requested. */
-  int deleted;
+  int deleteRequestCount;
 
   /** A rented machine, with the times at which it was rented, came up and was deleted. */
   private static final class Host {
@@ -75,13 +75,13 @@
   }
 
   private String boot(String zone, boolean spot, long delayMs) {
-    String name = String.format("i-%06d", machineNumber++);
+    String name = String.format("i-%06d", nextMachineNumber++);
     Host host = new Host(zone, spot, world.clock.nowMs());
     hosts.put(name, host);
     booting.add(name);
-    rented++;
-    if (duds > 0) {
-      duds--;
+    rentedCount++;
+    if (failingBoots > 0) {
+      failingBoots--;
       return name;
     }
     world.clock.after(
@@ -132,7 +132,7 @@
                             SimWorld.ZONES)))));
       } else if (path.equals("/hosts/delete")) {
         for (String name : Document.parse(body).texts("hosts")) {
-          deleted++;
+          deleteRequestCount++;
           booting.remove(name);
           if (hosts.containsKey(name) && hosts.get(name).deletedAtMs == Long.MAX_VALUE) {
             hosts.get(name).deletedAtMs = world.clock.nowMs();
@@ -194,7 +194,7 @@
   }
 
   /** Returns how many machines are up or booting. */
-  public int fleet() {
+  public int machineCount() {
     return runningWorkers.size() + booting.size();
   }
 }
--- a/src/test/java/wickdrift/sim/TeamLimitTest.java
+++ b/src/test/java/wickdrift/sim/TeamLimitTest.java
@@ -65,7 +65,7 @@
     }
     world.run(90_000);
     assertEquals(4, world.startCount(), "tasks that run, which is what the limit allows");
-    assertTrue(world.cloud.rented <= 3, "rented " + world.cloud.rented);
+    assertTrue(world.cloud.rentedCount <= 3, "rented " + world.cloud.rentedCount);
     assertEquals(List.of(), world.violations());
   }
 
