--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -196,9 +196,9 @@
     world.clock.after(12_000, () -> world.state().setRefused(refusedNode, false));
     world.clock.after(48_000, () -> world.state().setOutage(false));
     world.run(3000);
-    long confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).count();
+    long confirmed = world.users.asked.stream().filter(world.rules::isWithdrawalConfirmed).count();
     world.run(57_000);
-    world.rules.calmSinceMs = world.clock.nowMs() + 45_000;
+    world.rules.faultFreeSinceMs = world.clock.nowMs() + 45_000;
     world.run(240_000);
     List<String> finiteJobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
@@ -317,7 +317,7 @@
     }
     world.run(600);
     for (int i = 0; i < JOBS; i++) {
-      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no confirmation for " + jobId(i));
+      assertTrue(world.rules.isWithdrawalConfirmed(jobId(i)), "no confirmation for " + jobId(i));
       for (int k = 0; k < 3; k++) {
         assertTrue(!world.isRunning(jobId(i) + "/" + k), "not stopped: " + jobId(i) + "/" + k);
       }
@@ -400,7 +400,7 @@
     world.state().setOutage(true);
     world.run(45_000);
     // Withdrawals of jobs whose tasks the other controllers own are confirmed.
-    List<String> confirmed = world.users.asked.stream().filter(world.rules::toldWithdrawn).toList();
+    List<String> confirmed = world.users.asked.stream().filter(world.rules::isWithdrawalConfirmed).toList();
     polled.addAll(confirmed);
     for (String id : polled) {
       for (int k = 0; k < 2; k++) {
@@ -433,7 +433,7 @@
     }
     world.run(15_000);
     for (int i = 0; i < JOBS; i++) {
-      assertTrue(world.rules.toldWithdrawn(jobId(i)), "no confirmation for " + jobId(i));
+      assertTrue(world.rules.isWithdrawalConfirmed(jobId(i)), "no confirmation for " + jobId(i));
     }
     ClusterTest.check(world, List.of());
   }
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -203,7 +203,7 @@
         100_000,
         () -> {
           world.net.duplication = null;
-          world.rules.calmSinceMs = world.clock.nowMs();
+          world.rules.faultFreeSinceMs = world.clock.nowMs();
         });
     world.run(300_000);
     int rented = world.cloud.rentedCount;
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -62,7 +62,7 @@
         FAULTS_END_MS,
         () -> {
           world.net.duplication = null;
-          world.rules.calmSinceMs = world.clock.nowMs();
+          world.rules.faultFreeSinceMs = world.clock.nowMs();
         });
     world.run(FAULTS_END_MS + FAULT_FREE_MS);
     List<String> finiteJobs = new ArrayList<>();
@@ -198,7 +198,7 @@
 
   /** Returns how many jobs users were told are withdrawn. */
   long cancelledCount() {
-    return submitted.stream().filter(world.rules::toldWithdrawn).count();
+    return submitted.stream().filter(world.rules::isWithdrawalConfirmed).count();
   }
 
   /** Whether fewer than two GPUs, the most that a task needs, are left of the team's limit. */
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -221,7 +221,7 @@
                   // The last task has just ended, so these requests race with the job's completion.
                   if (!over[i]
                       && run.world.users.accepted.contains(FaultRun.jobId(i))
-                      && run.world.rules.allDone(FaultRun.jobId(i))) {
+                      && run.world.rules.areAllTasksDone(FaultRun.jobId(i))) {
                     over[i] = true;
                     run.faultsOccurred = true;
                     if (i % 3 == 0) {
--- a/src/test/java/wickdrift/sim/JobMixTest.java
+++ b/src/test/java/wickdrift/sim/JobMixTest.java
@@ -46,7 +46,7 @@
             .soundGpusMax(18);
     SimWorld world = new SimWorld(setup);
     List<String> finiteJobs = new ArrayList<>();
-    world.clock.after(20_000, () -> world.rules.calmSinceMs = world.clock.nowMs());
+    world.clock.after(20_000, () -> world.rules.faultFreeSinceMs = world.clock.nowMs());
     for (int i = 0; i < JOBS; i++) {
       Map<String, Object> job = job(i, random);
       world.clock.after(8000 + random.nextInt(60_000), () -> world.users.submit(job, 0));
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -104,7 +104,7 @@
   private void endAttempt(Ending ending) {
     if (ending == Ending.CANCELLED) {
       world.users.withdraw(JOB_ID, world.nodes.get(0));
-      runUntil("the withdrawal is confirmed", () -> world.rules.toldWithdrawn(JOB_ID));
+      runUntil("the withdrawal is confirmed", () -> world.rules.isWithdrawalConfirmed(JOB_ID));
     } else {
       worker.failsEveryTask = true;
       worker.failTask(TASK);
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -113,7 +113,7 @@
     for (int j = 0; j < 8; j++) {
       for (int i = 0; i < 1 + j % 3; i++) {
         String task = String.format("req-%06d/%d", j, i);
-        boolean on = world.rules.isOn(task);
+        boolean on = world.rules.isRunning(task);
         if (on || startedReplicas.containsKey(task)) {
           startedReplicas.put(task, 1);
           replicaObservedS += 0.25;
--- a/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -129,7 +129,7 @@
     world.state().loseAnswers(1, 9);
     world.users.withdraw("req-000001", "n0");
     world.run(1500);
-    assertTrue(world.rules.toldWithdrawn("req-000001"), "the withdrawal was not confirmed");
+    assertTrue(world.rules.isWithdrawalConfirmed("req-000001"), "the withdrawal was not confirmed");
     world.run(30_000);
     assertEquals(List.of(), world.violations());
   }
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -104,7 +104,7 @@
   private static String expectedPhase(SimWorld world, String id, Map<String, String> phases) {
     String phase = phases.get(id);
     if (phase == null) {
-      boolean withdrawn = world.rules.toldWithdrawn(id);
+      boolean withdrawn = world.rules.isWithdrawalConfirmed(id);
       for (String dependency : world.specs.get(id).awaits()) {
         withdrawn |= expectedPhase(world, dependency, phases).equals("withdrawn");
       }
@@ -406,7 +406,7 @@
     world.users.asked.add(jobId(0));
     Response answer = world.users.ask("n0", "POST", "/api/jobs/" + jobId(0) + "/withdraw", null);
     assertEquals(200, answer.status());
-    world.rules.withdrawn(jobId(0));
+    world.rules.withdrawalConfirmed(jobId(0));
     switch (faultCase) {
       case 0 -> world.kill("n0");
       case 1 -> world.nodes.forEach(n -> world.crash(n, 300));
@@ -451,7 +451,7 @@
     }
     assertEquals(
         200, world.users.ask("n0", "POST", "/api/jobs/" + jobId(1) + "/withdraw", null).status());
-    world.rules.withdrawn(jobId(1));
+    world.rules.withdrawalConfirmed(jobId(1));
     assertEquals("withdrawn", phaseOf(world, "n1", 3));
     world.run(10_000);
     // The terminal state of job 1 itself is written and moved to the job history.
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -27,7 +27,7 @@
   private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
   /** When the last fault ended, set by the test. Liveness rules apply only after that. */
-  long calmSinceMs = Long.MAX_VALUE;
+  long faultFreeSinceMs = Long.MAX_VALUE;
 
   /** The longest time without an answer about an accepted job, after the last fault. */
   private static final long ANSWER_TIMEOUT_MS = 75_000;
@@ -65,7 +65,7 @@
       recordViolation("ran_cancelled: started " + task.id + " after its withdrawal was confirmed");
     }
     for (String dependency : world.specs.get(jobOf(task.id)).awaits()) {
-      if (!allDone(dependency)) {
+      if (!areAllTasksDone(dependency)) {
         recordViolation("too_early " + task.id + " before " + dependency);
       }
     }
@@ -115,7 +115,7 @@
 
   /** A task has finished successfully. */
   void taskDone(SimWorker.Task task) {
-    if (doneTasks.add(task.id) && allDone(jobOf(task.id))) {
+    if (doneTasks.add(task.id) && areAllTasksDone(jobOf(task.id))) {
       world.users.allTasksDone(jobOf(task.id));
     }
   }
@@ -129,7 +129,7 @@
   }
 
   /** A user was told the state of a job that nobody has submitted. */
-  void invented(String job) {
+  void unknownJobReported(String job) {
     recordViolation("invented " + job);
   }
 
@@ -139,12 +139,12 @@
   }
 
   /** Whether a user was told that a job is done or withdrawn. */
-  boolean isFinal(String job) {
+  boolean isTerminalStateReported(String job) {
     return terminalStateReportedMs.containsKey(job);
   }
 
   /** A user was told that a job is withdrawn; none of its tasks may start after that. */
-  void withdrawn(String job) {
+  void withdrawalConfirmed(String job) {
     if (withdrawalConfirmedMs.putIfAbsent(job, world.clock.nowMs()) == null) {
       world.history.add("told withdrawn: " + job);
     }
@@ -173,7 +173,7 @@
     if (wasTerminal && !previousPhase.equals(phase)) {
       recordViolation("went_back " + job + " from " + previousPhase + " to " + phase);
     }
-    if (phase.equals("done") && !allDone(job)) {
+    if (phase.equals("done") && !areAllTasksDone(job)) {
       recordViolation("not_done " + job);
     }
     boolean terminal = phase.equals("done") || phase.equals("withdrawn");
@@ -190,7 +190,7 @@
     }
     if (phase.equals("withdrawn")) {
       // A poll that answers "withdrawn" confirms the withdrawal like the withdrawal's own answer.
-      withdrawn(job);
+      withdrawalConfirmed(job);
     }
     if (phase.equals("withdrawn") && !withdrawalRequested) {
       recordViolation("went_back " + job + ": withdrawn without a request");
@@ -202,7 +202,7 @@
   }
 
   /** Whether every task of a job has finished successfully. */
-  boolean allDone(String job) {
+  boolean areAllTasksDone(String job) {
     for (int i = 0; i < world.specs.get(job).tasks(); i++) {
       if (!doneTasks.contains(job + "/" + i)) {
         return false;
@@ -225,7 +225,7 @@
   }
 
   /** Whether a user was told that a job itself is withdrawn, not only one of its dependencies. */
-  boolean toldWithdrawn(String job) {
+  boolean isWithdrawalConfirmed(String job) {
     return withdrawalConfirmedMs.containsKey(job);
   }
 
@@ -245,22 +245,22 @@
   }
 
   /** Whether a task runs on any machine. */
-  boolean isOn(String task) {
+  boolean isRunning(String task) {
     return runningTasks.containsKey(task);
   }
 
   /** Checks the rules that have a time limit: answers, scheduling and the end of withdrawn jobs. */
   void check() {
     long now = world.clock.nowMs();
-    if (now - ANSWER_TIMEOUT_MS > calmSinceMs) {
+    if (now - ANSWER_TIMEOUT_MS > faultFreeSinceMs) {
       for (String job : world.users.accepted) {
-        if (now - lastAnswerMs.getOrDefault(job, calmSinceMs) > ANSWER_TIMEOUT_MS) {
+        if (now - lastAnswerMs.getOrDefault(job, faultFreeSinceMs) > ANSWER_TIMEOUT_MS) {
           recordViolation("forgotten " + job + ": no question is answered");
           lastAnswerMs.put(job, now);
         }
       }
     }
-    if (now > calmSinceMs) {
+    if (now > faultFreeSinceMs) {
       for (String job : world.users.accepted) {
         if (!hasSchedulableTask(job)) {
           schedulableSinceMs.remove(job);
@@ -285,7 +285,7 @@
   private boolean hasSchedulableTask(String job) {
     JobSpec spec = world.specs.get(job);
     if (jobAndDependencies(job).stream().anyMatch(u -> world.users.asked.contains(u))
-        || !spec.awaits().stream().allMatch(this::allDone)) {
+        || !spec.awaits().stream().allMatch(this::areAllTasksDone)) {
       return false;
     }
     int missing = 0;
--- a/src/test/java/wickdrift/sim/SimRulesTest.java
+++ b/src/test/java/wickdrift/sim/SimRulesTest.java
@@ -63,18 +63,18 @@
   private static void introduce(SimWorld world, Defect defect) {
     switch (defect) {
       case STARTS_AFTER_CONFIRMED_WITHDRAWAL -> {
-        world.rules.withdrawn(JOB);
+        world.rules.withdrawalConfirmed(JOB);
         sendRunCommand(world, 0, JOB + "/0", 1);
       }
       case RUNS_ON_AFTER_CONFIRMED_WITHDRAWAL -> {
         sendRunCommand(world, 0, JOB + "/0", 1);
         world.run(5000);
-        world.rules.withdrawn(JOB);
+        world.rules.withdrawalConfirmed(JOB);
       }
       case RUNS_ON_AFTER_ITS_MACHINE_HUNG -> {
         sendRunCommand(world, 0, JOB + "/0", 1);
         world.run(5000);
-        world.rules.withdrawn(JOB);
+        world.rules.withdrawalConfirmed(JOB);
         world.hangMachine(0, 9000);
       }
       case RUNS_ON_TWO_MACHINES -> {
@@ -118,7 +118,7 @@
       case REPORTED_UNKNOWN -> world.rules.phaseReported(JOB, null, world.clock.nowMs());
       case NEVER_ANSWERED, WAITS_DESPITE_FREE_CAPACITY -> {
         world.users.accepted.add(JOB);
-        world.rules.calmSinceMs = world.clock.nowMs();
+        world.rules.faultFreeSinceMs = world.clock.nowMs();
       }
       default -> throw new AssertionError(defect);
     }
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -154,9 +154,9 @@
 
   /** A user was told the phase of a job, or (null) that the job is unknown. */
   private void phaseReceived(String id, String phase, long requestSentMs) {
-    boolean wasTerminal = world.rules.isFinal(id);
+    boolean wasTerminal = world.rules.isTerminalStateReported(id);
     world.rules.phaseReported(id, phase, requestSentMs);
-    if (!wasTerminal && world.rules.isFinal(id)) {
+    if (!wasTerminal && world.rules.isTerminalStateReported(id)) {
       pollBurst(id);
     }
   }
@@ -235,7 +235,7 @@
               if (answer.status() == 200) {
                 String phase = phase(answer);
                 if (phase.equals("withdrawn")) {
-                  world.rules.withdrawn(id);
+                  world.rules.withdrawalConfirmed(id);
                   slowestWordMs =
                       Math.max(
                           slowestWordMs, world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -727,6 +727,6 @@
 
   /** Returns whether a task runs on any machine. */
   public boolean isRunning(String task) {
-    return rules.isOn(task);
+    return rules.isRunning(task);
   }
 }
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -115,7 +115,7 @@
         2000,
         answer -> {
           if (answer.status() == 200) {
-            world.rules.invented(unknown);
+            world.rules.unknownJobReported(unknown);
           }
         });
     List<String> known = world.users.accepted.stream().sorted().toList();
@@ -132,7 +132,7 @@
     List<SimWorker> affectedWorkers = new ArrayList<>();
     List<String> running =
         world.users.accepted.stream()
-            .filter(id -> world.rules.isOn(id + "/0") && !world.users.asked.contains(id))
+            .filter(id -> world.rules.isRunning(id + "/0") && !world.users.asked.contains(id))
             .sorted()
             .toList();
     for (int i = 0; i < Math.min(jobs, running.size()); i++) {
@@ -158,6 +158,6 @@
 
   /** Returns the accepted jobs that users have not yet been told are in a terminal state. */
   List<String> unfinished() {
-    return world.users.accepted.stream().filter(id -> !world.rules.isFinal(id)).sorted().toList();
+    return world.users.accepted.stream().filter(id -> !world.rules.isTerminalStateReported(id)).sorted().toList();
   }
 }
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -110,7 +110,7 @@
     scene.awaitProcessChanges();
     stage.ask(
         () -> {
-          world.rules.calmSinceMs = world.clock.nowMs();
+          world.rules.faultFreeSinceMs = world.clock.nowMs();
           world.history.add("calm");
           load.close();
           return null;
