--- a/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
+++ b/src/test/java/wickdrift/bookkeeping/DependencyGraphTest.java
@@ -59,7 +59,7 @@
     fields.put("rank", job.priority);
     fields.put("owner", job.team);
     fields.put("dueS", 100.0 + job.number % 5 * 20);
-    SimJobs.awaiting(fields, job.dependencies.stream().mapToInt(i -> i).toArray());
+    SimJobs.addAwaits(fields, job.dependencies.stream().mapToInt(i -> i).toArray());
     return JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
   }
 
@@ -231,7 +231,7 @@
     for (int number = 0; number < 4; number++) {
       Map<String, Object> fields = SimJobs.job(number, "batch", 1, 1, 10);
       if (number > 0) {
-        SimJobs.awaiting(fields, number - 1);
+        SimJobs.addAwaits(fields, number - 1);
       }
       if (number == 3) {
         fields.put("dueS", 100.0);
@@ -309,7 +309,7 @@
   private StateServiceClient.Change jobChange(int number, int dependency) throws BadMessage {
     Map<String, Object> fields = SimJobs.job(number, "batch", 1, 1, 10);
     if (dependency >= 0) {
-      SimJobs.awaiting(fields, dependency);
+      SimJobs.addAwaits(fields, dependency);
     }
     JobSpec spec = JobSpec.parse(Document.parse(MessageCodec.encode(fields)));
     Object stored =
--- a/src/test/java/wickdrift/sim/BurstPoller.java
+++ b/src/test/java/wickdrift/sim/BurstPoller.java
@@ -28,7 +28,7 @@
       for (String node : nodes) {
         world.clock.after(delayMs, () -> world.users.pollOnce(node, id, () -> answerCount++));
         world.clock.after(
-            delayMs + 1, () -> world.users.submitAgain(node, id, () -> answerCount++));
+            delayMs + 1, () -> world.users.resubmit(node, id, () -> answerCount++));
       }
     }
   }
--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -196,7 +196,7 @@
     world.clock.after(12_000, () -> world.state().setRefused(refusedNode, false));
     world.clock.after(48_000, () -> world.state().setOutage(false));
     world.run(3000);
-    long confirmed = world.users.asked.stream().filter(world.rules::isWithdrawalConfirmed).count();
+    long confirmed = world.users.withdrawalRequested.stream().filter(world.rules::isWithdrawalConfirmed).count();
     world.run(57_000);
     world.rules.faultFreeSinceMs = world.clock.nowMs() + 45_000;
     world.run(240_000);
@@ -343,8 +343,8 @@
       assertEquals("withdrawn", world.lastReportedPhase(jobId(i)));
     }
     assertTrue(
-        world.users.slowestWordMs < 1000,
-        "the slowest confirmation took " + world.users.slowestWordMs + " ms");
+        world.users.slowestWithdrawalMs < 1000,
+        "the slowest confirmation took " + world.users.slowestWithdrawalMs + " ms");
     ClusterTest.check(world, List.of());
   }
 
@@ -400,7 +400,7 @@
     world.state().setOutage(true);
     world.run(45_000);
     // Withdrawals of jobs whose tasks the other controllers own are confirmed.
-    List<String> confirmed = world.users.asked.stream().filter(world.rules::isWithdrawalConfirmed).toList();
+    List<String> confirmed = world.users.withdrawalRequested.stream().filter(world.rules::isWithdrawalConfirmed).toList();
     polled.addAll(confirmed);
     for (String id : polled) {
       for (int k = 0; k < 2; k++) {
@@ -489,8 +489,8 @@
    * Sends a withdraw request and returns the status, followed by the phase if the status is 200.
    */
   private static String withdraw(SimWorld world, String node, String id) {
-    world.users.asked.add(id);
-    var answer = world.users.ask(node, "POST", "/api/jobs/" + id + "/withdraw", new byte[0]);
+    world.users.withdrawalRequested.add(id);
+    var answer = world.users.request(node, "POST", "/api/jobs/" + id + "/withdraw", new byte[0]);
     try {
       return answer.status() == 200
           ? "200 " + Document.parse(answer.body()).text("phase")
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -651,7 +651,7 @@
   private static double machinesExaminedPerPlacement(int machines) {
     SimWorld world = new SimWorld(101, machines, machines, 5, 10_000);
     world.run(8000);
-    world.users.submitMixed(101, 5);
+    world.users.submitMixedJobs(101, 5);
     world.clock.after(9000, () -> world.crash("n3", 5000));
     world.run(60_000);
     assertEquals(List.of(), world.violations());
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -195,7 +195,7 @@
       world.restartAll(new LevelRange(1, 3), "");
     }
     Random random = new Random(seed);
-    List<String> finiteJobs = world.users.submitSmall(random, 6000, 40_000, 15_000, n -> 4 + n % 9);
+    List<String> finiteJobs = world.users.submitSmallJobs(random, 6000, 40_000, 15_000, n -> 4 + n % 9);
     injectPrimaryFault(world, primary, random);
     injectConcurrentFault(world, concurrent);
     at(
--- a/src/test/java/wickdrift/sim/ControllerRestartTest.java
+++ b/src/test/java/wickdrift/sim/ControllerRestartTest.java
@@ -158,7 +158,7 @@
     SimWorld world = new SimWorld(31 + downtimeMs, 14, 20);
     Random random = new Random(downtimeMs);
     List<String> finiteJobs =
-        world.users.submitSmall(random, 4000, 30_000, 5000, n -> n % 2 == 0 ? 5 : 6);
+        world.users.submitSmallJobs(random, 4000, 30_000, 5000, n -> n % 2 == 0 ? 5 : 6);
     scenario.faults.accept(world, downtimeMs);
     world.run(240_000);
     assertEquals(0, world.fullRefusalCount);
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -67,7 +67,7 @@
     world.run(FAULTS_END_MS + FAULT_FREE_MS);
     List<String> finiteJobs = new ArrayList<>();
     for (String id : submitted) {
-      if (!world.users.asked.contains(id)) {
+      if (!world.users.withdrawalRequested.contains(id)) {
         finiteJobs.add(id);
         continue;
       }
@@ -189,7 +189,7 @@
     int i = 0;
     for (String id : submitted) {
       boolean mayBe = i++ % 3 == 0;
-      if (mayBe && world.users.accepted.contains(id) && !world.users.asked.contains(id)) {
+      if (mayBe && world.users.accepted.contains(id) && !world.users.withdrawalRequested.contains(id)) {
         out.add(id);
       }
     }
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -131,7 +131,7 @@
         run.at(76_000, () -> run.world.state().setOutage(false));
         run.at(80_000, () -> run.world.state().delayAllCommits(0));
         run.at(80_000, () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 0)));
-        run.at(75_000, () -> run.faultsOccurred = !run.world.users.asked.isEmpty());
+        run.at(75_000, () -> run.faultsOccurred = !run.world.users.withdrawalRequested.isEmpty());
       }),
   /** Reports are held back until a new leader has made decisions. */
   REPORTS_DELAYED_PAST_A_LEADER_CHANGE(
@@ -227,14 +227,14 @@
                     if (i % 3 == 0) {
                       run.world.users.withdraw(FaultRun.jobId(i), run.world.nodes.get(i % 3));
                     }
-                    run.world.users.submitAgain(
+                    run.world.users.resubmit(
                         FaultRun.jobId(i), SimJobs.job(i, "batch", 1, 1, 5));
                     int n = i;
                     for (long k = 1; k < 200; k += 17) {
                       run.at(
                           k,
                           () ->
-                              run.world.users.submitAgain(
+                              run.world.users.resubmit(
                                   FaultRun.jobId(n), SimJobs.job(n, "batch", 1, 1, 5)));
                     }
                   }
@@ -345,14 +345,14 @@
   /** Users query every node right after each event of a job and repeat its submission. */
   REPEATED_USER_REQUESTS_TO_ALL_NODES(
       run -> {
-        run.world.users.closeLooks = new BurstPoller(run.world);
+        run.world.users.burstPoller = new BurstPoller(run.world);
         run.submitAdditional(40, 10_000, 60_000);
         for (int i = 0; i < 40; i++) {
           run.at(11_000 + 1500L * i, () -> run.cancelNewest(1));
         }
         run.at(30_000, () -> run.crashOrPauseLeader(false));
         run.at(50_000, () -> run.crashOrPauseLeader(true));
-        run.at(100_000, () -> run.faultsOccurred = run.world.users.closeLooks.answerCount() > 2000);
+        run.at(100_000, () -> run.faultsOccurred = run.world.users.burstPoller.answerCount() > 2000);
       }),
   /** One-task jobs arrive four times a second under a small write budget. */
   FOUR_ONE_TASK_JOBS_PER_SECOND(
@@ -373,7 +373,7 @@
   /** Transactions are committed, but the responses to a share of them are lost. */
   TRANSACTION_RESPONSES_LOST(
       run -> {
-        run.world.users.closeLooks = new BurstPoller(run.world);
+        run.world.users.burstPoller = new BurstPoller(run.world);
         run.submitAdditional(30, 10_000, 60_000);
         run.at(10_000, () -> run.world.state().loseAnswers(0.3, run.random.nextLong()));
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -222,11 +222,11 @@
             String shape = i % 4 == 2 ? "ensemble" : "batch";
             Map<String, Object> job = SimJobs.job(FIRST_DEPENDENT_JOB + i, shape, 1 + i % 3, 1, 3);
             if (i % 4 > 0) {
-              SimJobs.awaiting(job, FIRST_DEPENDENT_JOB + i - 1);
+              SimJobs.addAwaits(job, FIRST_DEPENDENT_JOB + i - 1);
             }
             long withdrawAfterMs = i == 0 ? 500 : 0;
             world.clock.after(
-                2500L * (i / 4), () -> world.users.submitChained(job, withdrawAfterMs));
+                2500L * (i / 4), () -> world.users.submitAfterDependencies(job, withdrawAfterMs));
           }
           return null;
         });
@@ -262,7 +262,7 @@
         });
     start("n1", olderJar);
     sleep(12_000);
-    byte[] job = callOnLoop(() -> world.users.describe(SimJobs.job(900, "batch", 1, 1, 2)));
+    byte[] job = callOnLoop(() -> world.users.registerSpec(SimJobs.job(900, "batch", 1, 1, 2)));
     Map<String, Integer> statuses = new TreeMap<>();
     statuses.put("up", requestStatus("n1", "GET", "/up", null));
     statuses.put("submit", requestStatus("n1", "POST", "/api/jobs", job));
--- a/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
+++ b/src/test/java/wickdrift/sim/LostTransactionResponsesTest.java
@@ -34,7 +34,7 @@
 
   private static void submit(SimWorld world, String node, int number, SubmissionAnswers answers) {
     Map<String, Object> job = SimJobs.job(number, "batch", 1, 1, 5);
-    world.users.describe(job);
+    world.users.registerSpec(job);
     long submittedAtMs = world.clock.nowMs();
     world
         .net
--- a/src/test/java/wickdrift/sim/OperatorTest.java
+++ b/src/test/java/wickdrift/sim/OperatorTest.java
@@ -163,7 +163,7 @@
     for (Map.Entry<String, Object> e : records.entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue()).raw("spec"));
-        world.users.describe(new TreeMap<>(spec.fieldsExcept()));
+        world.users.registerSpec(new TreeMap<>(spec.fieldsExcept()));
         if (!spec.text("shape").equals("daemon") && !Document.of(e.getValue()).flag("off")) {
           openJobs.add(spec.text("ref"));
         }
@@ -333,7 +333,7 @@
     for (Map.Entry<String, StoredRecords.StoredValue> e : restored.byKey().entrySet()) {
       if (e.getKey().startsWith("w/j/")) {
         Document spec = Document.of(Document.of(e.getValue().value()).raw("spec"));
-        world.users.describe(new TreeMap<>(spec.fieldsExcept()));
+        world.users.registerSpec(new TreeMap<>(spec.fieldsExcept()));
         openJobs++;
       }
     }
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -60,7 +60,7 @@
         SimJobs.job(number, shape, 1 + number % 3, number % 2, 2 + number % 4);
     job.put("owner", number % 7 == 0 ? "sound" : "vision");
     job.put("rank", awaits.length > 0 && number % 3 == 0 ? "urgent" : "idle");
-    return awaits.length == 0 ? job : SimJobs.awaiting(job, awaits);
+    return awaits.length == 0 ? job : SimJobs.addAwaits(job, awaits);
   }
 
   /** Graphs by name; each node is written as "job:awaited jobs". */
@@ -85,7 +85,7 @@
       long submitAfterMs = awaits.length > 0 && random.nextInt(8) == 0 ? 25_000 : 0;
       world.clock.after(
           submitAfterMs,
-          () -> world.users.submitChained(pipelineJob(number, awaits), withdrawAfterMs));
+          () -> world.users.submitAfterDependencies(pipelineJob(number, awaits), withdrawAfterMs));
     }
   }
 
@@ -251,7 +251,7 @@
 
   /** Submits a job through a node; returns the HTTP status, or 0 without an answer. */
   private static int submitAndGetStatus(SimWorld world, String node, Map<String, Object> job) {
-    Response answer = world.users.ask(node, "POST", "/api/jobs", world.users.describe(job));
+    Response answer = world.users.request(node, "POST", "/api/jobs", world.users.registerSpec(job));
     return answer == null ? 0 : answer.status();
   }
 
@@ -283,7 +283,7 @@
     assertEquals(201, submitAndGetStatus(world, "n2", pipelineJob(7, 1, 3)));
     assertEquals(200, submitAndGetStatus(world, "n0", pipelineJob(7, 1, 3)), "retried submission");
     assertEquals(
-        200, world.users.ask("n0", "POST", "/api/jobs/" + jobId(2) + "/withdraw", null).status());
+        200, world.users.request("n0", "POST", "/api/jobs/" + jobId(2) + "/withdraw", null).status());
     world.run(20_000);
     assertEquals(
         201, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "awaited job already withdrawn");
@@ -322,7 +322,7 @@
             ? value
             : kind.equals("number") ? 7 : kind.equals("odd id") ? List.of(value) : List.of(1));
     assertEquals(
-        400, world.users.ask("n0", "POST", "/api/jobs", MessageCodec.encode(job)).status());
+        400, world.users.request("n0", "POST", "/api/jobs", MessageCodec.encode(job)).status());
   }
 
   /**
@@ -362,8 +362,8 @@
     }
     world.run(20_000);
     world.state().lowerLimits(2, 4, 40);
-    world.users.submitChained(SimJobs.awaiting(SimJobs.job(900, "batch", 2, 1, 2), awaited), 0);
-    world.users.submitChained(SimJobs.awaiting(SimJobs.job(901, "batch", 2, 1, 2), 900), 0);
+    world.users.submitAfterDependencies(SimJobs.addAwaits(SimJobs.job(900, "batch", 2, 1, 2), awaited), 0);
+    world.users.submitAfterDependencies(SimJobs.addAwaits(SimJobs.job(901, "batch", 2, 1, 2), 900), 0);
     world.run(9000);
     world.nodes.forEach(number -> world.crash(number, 300));
     world.run(150_000);
@@ -376,7 +376,7 @@
   }
 
   private static String phaseOf(SimWorld world, String node, int job) {
-    return phaseIn(world.users.ask(node, "GET", "/api/jobs/" + jobId(job), null));
+    return phaseIn(world.users.request(node, "GET", "/api/jobs/" + jobId(job), null));
   }
 
   private static String phaseIn(Response answer) {
@@ -399,12 +399,12 @@
     world.run(8000);
     for (int n = 0; n < 100; n++) {
       Map<String, Object> job = SimJobs.job(n, "batch", 1, 0, 30);
-      world.users.submitChained(n == 0 ? job : SimJobs.awaiting(job, n - 1), 0);
+      world.users.submitAfterDependencies(n == 0 ? job : SimJobs.addAwaits(job, n - 1), 0);
     }
     world.run(25_000);
     assertEquals(100, world.users.accepted.size());
-    world.users.asked.add(jobId(0));
-    Response answer = world.users.ask("n0", "POST", "/api/jobs/" + jobId(0) + "/withdraw", null);
+    world.users.withdrawalRequested.add(jobId(0));
+    Response answer = world.users.request("n0", "POST", "/api/jobs/" + jobId(0) + "/withdraw", null);
     assertEquals(200, answer.status());
     world.rules.withdrawalConfirmed(jobId(0));
     switch (faultCase) {
@@ -437,8 +437,8 @@
     SimWorld world = createWorld(775);
     world.run(8000);
     world.users.submit(SimJobs.job(1, "batch", 1, 1, 60), 0);
-    world.users.submitChained(pipelineJob(2, 1), 0);
-    world.users.submitChained(pipelineJob(3, 2), 0);
+    world.users.submitAfterDependencies(pipelineJob(2, 1), 0);
+    world.users.submitAfterDependencies(pipelineJob(3, 2), 0);
     world.run(4000);
     // The terminal states of its dependents are never written.
     world.state().outcomeOf =
@@ -447,10 +447,10 @@
                 ? SimStateService.TransactionOutcome.LOST
                 : SimStateService.TransactionOutcome.APPLIED;
     for (int n = 1; n < 4; n++) {
-      world.users.asked.add(jobId(n));
+      world.users.withdrawalRequested.add(jobId(n));
     }
     assertEquals(
-        200, world.users.ask("n0", "POST", "/api/jobs/" + jobId(1) + "/withdraw", null).status());
+        200, world.users.request("n0", "POST", "/api/jobs/" + jobId(1) + "/withdraw", null).status());
     world.rules.withdrawalConfirmed(jobId(1));
     assertEquals("withdrawn", phaseOf(world, "n1", 3));
     world.run(10_000);
@@ -460,7 +460,7 @@
     world.state().historyReadDelayMs = 8000;
     world.crash("n2", 300);
     world.run(3000);
-    Response answer = world.users.ask("n2", "GET", "/api/jobs/" + jobId(3), null);
+    Response answer = world.users.request("n2", "GET", "/api/jobs/" + jobId(3), null);
     assertTrue(
         answer.status() == 503 || "withdrawn".equals(phaseIn(answer)),
         "the node reported an older phase than users were told");
@@ -495,7 +495,7 @@
     world.run(2000);
     for (int n = 2; n < 12; n++) {
       // If these jobs started, they would exceed the limit and the capacity of all machines.
-      world.users.submitChained(SimJobs.awaiting(SimJobs.job(n, "ensemble", 12, 4, 5), 1), 0);
+      world.users.submitAfterDependencies(SimJobs.addAwaits(SimJobs.job(n, "ensemble", 12, 4, 5), 1), 0);
     }
     world.run(12_000);
     int fleet = world.cloud.machineCount();
@@ -519,9 +519,9 @@
     Map<String, Object> first = SimJobs.job(3, "batch", 2, 1, 1);
     first.put("rank", "idle");
     world.users.submit(first, 0);
-    Map<String, Object> last = SimJobs.awaiting(SimJobs.job(4, "batch", 1, 1, 1), 3);
+    Map<String, Object> last = SimJobs.addAwaits(SimJobs.job(4, "batch", 1, 1, 1), 3);
     last.put("rank", "urgent");
-    world.users.submitChained(last, 0);
+    world.users.submitAfterDependencies(last, 0);
     world.run(13_000);
     assertEquals(
         "done",
@@ -603,7 +603,7 @@
     world.run(8000);
     for (int n = 0; n < 10; n++) {
       Map<String, Object> job = SimJobs.job(n, "batch", 1, 1, 2);
-      world.users.submitChained(n == 0 ? job : SimJobs.awaiting(job, n - 1), 0);
+      world.users.submitAfterDependencies(n == 0 ? job : SimJobs.addAwaits(job, n - 1), 0);
     }
     world.run(60_000);
     Tables tables = world.tables("n0");
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -402,9 +402,9 @@
       String[] request = path.split(" ");
       byte[] body =
           request[0].equals("POST")
-              ? world.users.describe(SimJobs.job(900, "batch", 1, 1, 5))
+              ? world.users.registerSpec(SimJobs.job(900, "batch", 1, 1, 5))
               : null;
-      assertEquals(503, world.users.ask("n1", request[0], request[1], body).status(), path);
+      assertEquals(503, world.users.request("n1", request[0], request[1], body).status(), path);
     }
     assertNotEquals(200, world.sendReport("n1", "i-000000", 1) == null ? 0 : 503);
     world.run(120_000);
@@ -889,7 +889,7 @@
             .filter(n -> !firstView.members().containsKey(n))
             .findFirst()
             .orElse(members.get(2));
-    assertEquals(200, world.users.ask(spare, "GET", "/up", null).status());
+    assertEquals(200, world.users.request(spare, "GET", "/up", null).status());
     world.kill(members.get(0));
     world.crash(members.get(1), 3000);
     world.run(15_000);
--- a/src/test/java/wickdrift/sim/ScaleTest.java
+++ b/src/test/java/wickdrift/sim/ScaleTest.java
@@ -40,7 +40,7 @@
                 .gpusMax(100_000)
                 .defaultTuning());
     world.run(60_000);
-    world.users.submitMixed(101, 9);
+    world.users.submitMixedJobs(101, 9);
     SimStateService state = world.state();
     double examinedBefore = world.metricSum("wickdrift.rooms.looked");
     double placedBefore = world.metricSum("wickdrift.tasks.placed");
--- a/src/test/java/wickdrift/sim/SimJobs.java
+++ b/src/test/java/wickdrift/sim/SimJobs.java
@@ -34,7 +34,7 @@
   }
 
   /** Adds dependencies to a submission, and returns it. */
-  public static Map<String, Object> awaiting(Map<String, Object> job, int... others) {
+  public static Map<String, Object> addAwaits(Map<String, Object> job, int... others) {
     List<String> ids = new ArrayList<>();
     for (int other : others) {
       ids.add(String.format("req-%06d", other));
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -180,7 +180,7 @@
     boolean withdrawalRequested = false;
     for (String dependency : jobAndDependencies(job)) {
       withdrawalRequested |=
-          withdrawalConfirmedMs.containsKey(dependency) || world.users.asked.contains(dependency);
+          withdrawalConfirmedMs.containsKey(dependency) || world.users.withdrawalRequested.contains(dependency);
       Long confirmedMs = withdrawalConfirmedMs.get(dependency);
       if (!terminal
           && confirmedMs != null
@@ -284,7 +284,7 @@
   /** Whether a task of a job waits although machines have capacity and the quota permits it. */
   private boolean hasSchedulableTask(String job) {
     JobSpec spec = world.specs.get(job);
-    if (jobAndDependencies(job).stream().anyMatch(u -> world.users.asked.contains(u))
+    if (jobAndDependencies(job).stream().anyMatch(u -> world.users.withdrawalRequested.contains(u))
         || !spec.awaits().stream().allMatch(this::areAllTasksDone)) {
       return false;
     }
--- a/src/test/java/wickdrift/sim/SimRulesTest.java
+++ b/src/test/java/wickdrift/sim/SimRulesTest.java
@@ -93,12 +93,12 @@
       case STARTS_BEFORE_ITS_DEPENDENCY -> sendRunCommand(world, 0, JOB + "/0", 1);
       case REPORTED_DONE_TOO_EARLY -> world.rules.phaseReported(JOB, "done", world.clock.nowMs());
       case REPORTED_RUNNING_AFTER_WITHDRAWN -> {
-        world.users.asked.add(JOB);
+        world.users.withdrawalRequested.add(JOB);
         world.rules.phaseReported(JOB, "withdrawn", world.clock.nowMs());
         world.rules.phaseReported(JOB, "running", world.clock.nowMs());
       }
       case REPORTED_DONE_AFTER_WITHDRAWN -> {
-        world.users.asked.add(JOB);
+        world.users.withdrawalRequested.add(JOB);
         world.rules.phaseReported(JOB, "withdrawn", world.clock.nowMs());
         world.rules.phaseReported(JOB, "done", world.clock.nowMs());
       }
@@ -133,8 +133,8 @@
     Map<String, Object> job = SimJobs.job(1, "batch", 3, 4, 500);
     job.put("oneZone", true);
     job.put("awaits", List.of(OTHER));
-    world.users.describe(SimJobs.job(2, "batch", 1, 1, 1));
-    world.users.describe(job);
+    world.users.registerSpec(SimJobs.job(2, "batch", 1, 1, 1));
+    world.users.registerSpec(job);
     world.run(2000);
     return world;
   }
@@ -159,7 +159,7 @@
   @Test
   void answerToAnEarlierRequestMayBeOlder() {
     SimWorld world = world();
-    world.users.asked.add(JOB);
+    world.users.withdrawalRequested.add(JOB);
     long before = world.clock.nowMs();
     world.run(10);
     world.rules.jobAccepted(JOB);
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -26,18 +26,18 @@
   public final Set<String> accepted = new HashSet<>();
 
   /** The jobs whose withdrawal was requested. */
-  final Set<String> asked = new HashSet<>();
+  final Set<String> withdrawalRequested = new HashSet<>();
 
   private final Map<String, Long> firstWithdrawalRequestMs = new HashMap<>();
 
   /** The longest time from a user's first withdrawal request to its confirmation. */
-  long slowestWordMs;
+  long slowestWithdrawalMs;
 
   /** How many submissions were refused for the time being, or got no answer. */
   int refusedSubmissions;
 
   /** Polls a job at all nodes whenever users learn something new about it; null: no such polls. */
-  BurstPoller closeLooks;
+  BurstPoller burstPoller;
 
   private final Map<String, byte[]> submissionBodies = new HashMap<>();
 
@@ -46,12 +46,12 @@
   }
 
   /** Submits a job as soon as all jobs that it awaits are accepted, as users do. */
-  public void submitChained(Map<String, Object> job, long withdrawAfterMs) {
+  public void submitAfterDependencies(Map<String, Object> job, long withdrawAfterMs) {
     Object awaits = job.getOrDefault("awaits", List.of());
     if (accepted.containsAll((List<?>) awaits)) {
       submit(job, withdrawAfterMs);
     } else {
-      world.clock.after(100, () -> submitChained(job, withdrawAfterMs));
+      world.clock.after(100, () -> submitAfterDependencies(job, withdrawAfterMs));
     }
   }
 
@@ -61,7 +61,7 @@
    *
    * @return the body of the submission
    */
-  public byte[] describe(Map<String, Object> job) {
+  public byte[] registerSpec(Map<String, Object> job) {
     byte[] body = MessageCodec.encode(job);
     submissionBodies.put((String) job.get("ref"), body);
     try {
@@ -79,7 +79,7 @@
    */
   public void submit(Map<String, Object> job, long withdrawAfterMs) {
     String id = (String) job.get("ref");
-    byte[] body = describe(job);
+    byte[] body = registerSpec(job);
     trySubmit(id, body, withdrawAfterMs);
   }
 
@@ -117,9 +117,9 @@
   }
 
   /** Repeats a submission at a random node, whatever state the job is in. */
-  void submitAgain(String id, Map<String, Object> job) {
+  void resubmit(String id, Map<String, Object> job) {
     submissionBodies.put(id, MessageCodec.encode(job));
-    submitAgain(randomNode(), id, () -> {});
+    resubmit(randomNode(), id, () -> {});
   }
 
   /**
@@ -127,7 +127,7 @@
    *
    * @param onAnswer called when the answer contains the job's state
    */
-  void submitAgain(String node, String id, Runnable onAnswer) {
+  void resubmit(String node, String id, Runnable onAnswer) {
     long requestSentMs = world.clock.nowMs();
     world
         .net
@@ -163,8 +163,8 @@
 
   /** Polls a job at all nodes, if a test has enabled it. */
   private void pollBurst(String id) {
-    if (closeLooks != null) {
-      closeLooks.pollAllNodes(id);
+    if (burstPoller != null) {
+      burstPoller.pollAllNodes(id);
     }
   }
 
@@ -219,7 +219,7 @@
 
   /** Withdraws a job at one node, then at random ones, until one answers. */
   void withdraw(String id, String node) {
-    asked.add(id);
+    withdrawalRequested.add(id);
     long requestSentMs = world.clock.nowMs();
     firstWithdrawalRequestMs.putIfAbsent(id, requestSentMs);
     world
@@ -236,9 +236,9 @@
                 String phase = phase(answer);
                 if (phase.equals("withdrawn")) {
                   world.rules.withdrawalConfirmed(id);
-                  slowestWordMs =
+                  slowestWithdrawalMs =
                       Math.max(
-                          slowestWordMs, world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
+                          slowestWithdrawalMs, world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
                 }
                 phaseReceived(id, phase, requestSentMs);
               } else if (answer.status() == 404) {
@@ -254,7 +254,7 @@
    *
    * @return the answer, with status 0 if there was none
    */
-  public Response ask(String node, String method, String path, byte[] body) {
+  public Response request(String node, String method, String path, byte[] body) {
     Response[] answer = new Response[1];
     world.net.caller("user", () -> true).call(node, method, path, body, 5000, a -> answer[0] = a);
     world.run(5001);
@@ -262,7 +262,7 @@
   }
 
   /** Submits 240 jobs of all shapes within 20 seconds; batch jobs have {@code arrayTasks} tasks. */
-  public void submitMixed(long seed, int arrayTasks) {
+  public void submitMixedJobs(long seed, int arrayTasks) {
     Random random = new Random(seed);
     for (int i = 0; i < 240; i++) {
       int number = i;
@@ -285,7 +285,7 @@
    * @param runSeconds the run time of a job, by its number
    * @return the jobs that must be done in the end
    */
-  List<String> submitSmall(
+  List<String> submitSmallJobs(
       Random random, int fromMs, int spanMs, int withdrawSpanMs, IntToDoubleFunction runSeconds) {
     List<String> jobsExpectedDone = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -36,7 +36,7 @@
   /** Starts the load, which continues until {@link #close}. */
   void start() {
     if (random.nextBoolean()) {
-      world.users.closeLooks = new BurstPoller(world);
+      world.users.burstPoller = new BurstPoller(world);
     }
     submitNext();
     sendExtraRequests();
@@ -121,7 +121,7 @@
     List<String> known = world.users.accepted.stream().sorted().toList();
     if (!known.isEmpty()) {
       String id = known.get(random.nextInt(known.size()));
-      world.users.submitAgain(id, submitted.get(id));
+      world.users.resubmit(id, submitted.get(id));
     }
   }
 
@@ -132,7 +132,7 @@
     List<SimWorker> affectedWorkers = new ArrayList<>();
     List<String> running =
         world.users.accepted.stream()
-            .filter(id -> world.rules.isRunning(id + "/0") && !world.users.asked.contains(id))
+            .filter(id -> world.rules.isRunning(id + "/0") && !world.users.withdrawalRequested.contains(id))
             .sorted()
             .toList();
     for (int i = 0; i < Math.min(jobs, running.size()); i++) {
@@ -150,7 +150,7 @@
   void close() {
     submitting = false;
     for (String id : services) {
-      if (world.users.accepted.contains(id) && !world.users.asked.contains(id)) {
+      if (world.users.accepted.contains(id) && !world.users.withdrawalRequested.contains(id)) {
         world.users.withdraw(id, world.nodes.get(0));
       }
     }
--- a/src/test/java/wickdrift/sim/UserApiTest.java
+++ b/src/test/java/wickdrift/sim/UserApiTest.java
@@ -39,12 +39,12 @@
       world.state().setOutage(true);
     }
     world.run(6000);
-    assertEquals(status, world.users.ask("n1", "GET", "/up", null).status());
+    assertEquals(status, world.users.request("n1", "GET", "/up", null).status());
     world.healFromState("n1");
     world.cutFromPeers("n1", false);
     world.state().setOutage(false);
     world.run(6000);
-    assertEquals(200, world.users.ask("n1", "GET", "/up", null).status());
+    assertEquals(200, world.users.request("n1", "GET", "/up", null).status());
   }
 
   @ParameterizedTest(name = "{0} {1}: {2}")
@@ -63,7 +63,7 @@
     "GET, /elsewhere, 404",
   })
   void requestIsAnsweredByMethodAndPath(String method, String path, int status) {
-    assertEquals(status, startedWorld().users.ask("n1", method, path, new byte[] {1}).status());
+    assertEquals(status, startedWorld().users.request("n1", method, path, new byte[] {1}).status());
   }
 
   @ParameterizedTest(name = "{0} = {1}: {2}")
@@ -80,7 +80,7 @@
     job.put(field, Character.isDigit(value.charAt(0)) ? (Object) Double.valueOf(value) : value);
     SimWorld world = startedWorld();
     assertEquals(
-        status, world.users.ask("n0", "POST", "/api/jobs", world.users.describe(job)).status());
+        status, world.users.request("n0", "POST", "/api/jobs", world.users.registerSpec(job)).status());
   }
 
   /**
@@ -107,7 +107,7 @@
     job.put("region", zone);
     SimWorld world = startedWorld();
     assertEquals(
-        status, world.users.ask("n0", "POST", "/api/jobs", world.users.describe(job)).status());
+        status, world.users.request("n0", "POST", "/api/jobs", world.users.registerSpec(job)).status());
   }
 
   /** A submission without a field is malformed, unless the field may be null. */
@@ -116,20 +116,20 @@
   void submissionWithoutARequiredFieldIsMalformed(String field, int status) {
     Map<String, Object> job = SimJobs.job(9, "batch", 1, 1, 5);
     SimWorld world = startedWorld();
-    world.users.describe(job);
+    world.users.registerSpec(job);
     byte[] completeBody = MessageCodec.encode(job);
     job.remove(field);
     assertEquals(
-        status, world.users.ask("n0", "POST", "/api/jobs", MessageCodec.encode(job)).status());
+        status, world.users.request("n0", "POST", "/api/jobs", MessageCodec.encode(job)).status());
     if (!field.equals("shards")) {
       // An accepted submission is never refused later, not even as malformed: an older build may
       // have accepted it.
-      world.users.ask("n1", "POST", "/api/jobs", completeBody);
+      world.users.request("n1", "POST", "/api/jobs", completeBody);
       assertEquals(
-          200, world.users.ask("n2", "POST", "/api/jobs", MessageCodec.encode(job)).status());
+          200, world.users.request("n2", "POST", "/api/jobs", MessageCodec.encode(job)).status());
       world.run(30_000);
       assertEquals(
-          200, world.users.ask("n2", "POST", "/api/jobs", MessageCodec.encode(job)).status());
+          200, world.users.request("n2", "POST", "/api/jobs", MessageCodec.encode(job)).status());
     }
   }
 
@@ -137,11 +137,11 @@
   @Test
   void repeatedSubmissionReturnsTheJobsPhase() throws BadMessage {
     SimWorld world = startedWorld();
-    byte[] body = world.users.describe(SimJobs.job(9, "batch", 2, 1, 6));
-    assertEquals(201, world.users.ask("n0", "POST", "/api/jobs", body).status());
+    byte[] body = world.users.registerSpec(SimJobs.job(9, "batch", 2, 1, 6));
+    assertEquals(201, world.users.request("n0", "POST", "/api/jobs", body).status());
     List<String> phases = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      var answer = world.users.ask("n" + i % 3, "POST", "/api/jobs", body);
+      var answer = world.users.request("n" + i % 3, "POST", "/api/jobs", body);
       assertEquals(200, answer.status());
       phases.add(Document.parse(answer.body()).text("phase"));
     }
@@ -160,7 +160,7 @@
     Map<String, Object> job = SimJobs.job(9, shape, 61, 1, 5);
     SimWorld world = startedWorld();
     assertEquals(
-        status, world.users.ask("n2", "POST", "/api/jobs", world.users.describe(job)).status());
+        status, world.users.request("n2", "POST", "/api/jobs", world.users.registerSpec(job)).status());
   }
 
   /**
@@ -201,15 +201,15 @@
     assertEquals("done", world.lastReportedPhase("req-000001"));
     world.state().setOutage(true);
     world.run(2500);
-    byte[] job = world.users.describe(SimJobs.job(2, "batch", 1, 1, 2));
-    assertEquals(503, world.users.ask("n0", "POST", "/api/jobs", job).status());
-    assertEquals(503, world.users.ask("n0", "GET", "/api/jobs/req-000002", null).status());
-    var kept = world.users.ask("n0", "GET", "/api/jobs/req-000001", null);
+    byte[] job = world.users.registerSpec(SimJobs.job(2, "batch", 1, 1, 2));
+    assertEquals(503, world.users.request("n0", "POST", "/api/jobs", job).status());
+    assertEquals(503, world.users.request("n0", "GET", "/api/jobs/req-000002", null).status());
+    var kept = world.users.request("n0", "GET", "/api/jobs/req-000001", null);
     assertNotNull(kept);
     assertEquals(200, kept.status());
     world.state().setOutage(false);
     world.run(5000);
-    assertEquals(201, world.users.ask("n0", "POST", "/api/jobs", job).status());
-    assertEquals(200, world.users.ask("n1", "POST", "/api/jobs", job).status());
+    assertEquals(201, world.users.request("n0", "POST", "/api/jobs", job).status());
+    assertEquals(200, world.users.request("n1", "POST", "/api/jobs", job).status());
   }
 }
