--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -204,7 +204,7 @@
   /** Whether fewer than two GPUs, the most that a task needs, are left of the team's limit. */
   boolean atLimit(String team) {
     double held = world.workers().stream().mapToDouble(m -> m.allocatedGpus(team)).sum();
-    return held > world.setup.limitOf(team) - 2;
+    return held > world.setup.gpuLimitOf(team) - 2;
   }
 
   // ---- controllers ----
--- a/src/test/java/wickdrift/sim/SimHistory.java
+++ b/src/test/java/wickdrift/sim/SimHistory.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns the last events that contain one of the words, the oldest first. */
-  List<String> mentioning(List<String> words, int limit) {
+  List<String> eventsMentioning(List<String> words, int limit) {
     List<String> found = new ArrayList<>();
     for (Event event : events) {
       if (words.stream().anyMatch(event.description::contains)) {
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -91,7 +91,7 @@
 
   /** Whether a team would use more GPUs than its limit; a limit of 0 means none. */
   private boolean exceedsQuota(String team, double gpus) {
-    double limit = world.setup.limitOf(team);
+    double limit = world.setup.gpuLimitOf(team);
     return limit > 0 && gpus > limit;
   }
 
--- a/src/test/java/wickdrift/sim/SimSetup.java
+++ b/src/test/java/wickdrift/sim/SimSetup.java
@@ -83,7 +83,7 @@
   }
 
   /** Returns the GPU limit of a team; 0: none. */
-  double limitOf(String team) {
+  double gpuLimitOf(String team) {
     return team.equals("sound") ? soundGpusMax : gpusMax;
   }
 
@@ -106,7 +106,7 @@
   }
 
   /** Sets the duration of a worker's lease, and the interval of its reports. */
-  SimSetup workers(double leaseSeconds, double reportSeconds) {
+  SimSetup withWorkerTiming(double leaseSeconds, double reportSeconds) {
     leaseS = leaseSeconds;
     reportS = reportSeconds;
     return this;
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -70,7 +70,7 @@
     double scale = large ? workers / 10.0 : 1;
     return new SimSetup(seed, workers, workers + Math.max(4, workers / 2))
         .controllers("aab")
-        .workers(WORKER_LEASE_S, REPORT_INTERVAL_S)
+        .withWorkerTiming(WORKER_LEASE_S, REPORT_INTERVAL_S)
         .cancelS(CANCELLATION_LIMIT_S)
         .gpusMax(VISION_TEAM_GPUS * scale)
         .soundGpusMax(SOUND_TEAM_GPUS * scale);
@@ -236,7 +236,7 @@
       searchTerms.add(job.group());
     }
     List<String> events =
-        stage.ask(() -> stage.world.history.mentioning(searchTerms, MAX_HISTORY_LINES));
+        stage.ask(() -> stage.world.history.eventsMentioning(searchTerms, MAX_HISTORY_LINES));
     StringBuilder text = new StringBuilder();
     text.append("seed ").append(seed).append(" FAILED, logs in ").append(folder).append('\n');
     failures.forEach(line -> text.append("  WRONG ").append(line).append('\n'));
