--- a/src/test/java/wickdrift/sim/ControllerProcess.java
+++ b/src/test/java/wickdrift/sim/ControllerProcess.java
@@ -47,7 +47,7 @@
   }
 
   /** Whether the process runs. */
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 
@@ -56,7 +56,7 @@
    *
    * @param orderly whether to send SIGTERM, or to kill it at once
    */
-  void end(boolean orderly) throws InterruptedException {
+  void stop(boolean orderly) throws InterruptedException {
     if (orderly) {
       process.destroy();
     } else {
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -48,7 +48,7 @@
   }
 
   private <T> T callOnLoop(Supplier<T> action) throws Exception {
-    return stage.ask(action);
+    return stage.callOnLoop(action);
   }
 
   // ---- processes ----
@@ -60,7 +60,7 @@
   private void stop(String node, boolean orderly) throws Exception {
     long startNs = System.nanoTime();
     killCount += orderly ? 0 : 1;
-    stage.process(node).end(orderly);
+    stage.process(node).stop(orderly);
     print(
         "%s %s after %d ms",
         node, orderly ? "ended" : "killed", (System.nanoTime() - startNs) / 1_000_000);
@@ -82,7 +82,7 @@
   }
 
   private int level() throws Exception {
-    return callOnLoop(() -> stage.stored().level());
+    return callOnLoop(() -> stage.loadStoredTables().level());
   }
 
   // ---- load and measurements ----
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -64,8 +64,8 @@
    */
   LoopbackStage(SimSetup setup, Path folder) throws Exception {
     this.folder = Files.createDirectories(folder);
-    world = ask(() -> new SimWorld(setup));
-    ask(this::connect);
+    world = callOnLoop(() -> new SimWorld(setup));
+    callOnLoop(this::connect);
     loop.execute(this::followRealTime);
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Runs an action on the event loop that owns the stand-ins, and waits for its result. */
-  <T> T ask(Supplier<T> action) throws Exception {
+  <T> T callOnLoop(Supplier<T> action) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.execute(
         () -> {
@@ -155,7 +155,7 @@
   }
 
   /** Returns the error of a stand-in, or null. After an error the run has no valid result. */
-  Throwable failure() {
+  Throwable standInFailure() {
     return failure;
   }
 
@@ -255,7 +255,7 @@
   }
 
   /** Sets the mode of the proxy for connections from one controller to another. */
-  void peerLink(String from, String to, TcpProxy.Mode mode) {
+  void setPeerLinkMode(String from, String to, TcpProxy.Mode mode) {
     peerProxies.get(linkKey(from, to)).setMode(mode);
   }
 
@@ -263,14 +263,14 @@
 
   /** Waits until every port is open. */
   void awaitPorts() throws Exception {
-    for (CompletableFuture<Channel> bound : ask(() -> List.copyOf(bindings))) {
+    for (CompletableFuture<Channel> bound : callOnLoop(() -> List.copyOf(bindings))) {
       bound.get(LOOP_CALL_TIMEOUT_S, TimeUnit.SECONDS);
     }
   }
 
   /** Writes a controller's settings file with real addresses, and starts its process. */
   void start(String node, Path jar) throws Exception {
-    String text = ask(() -> world.settingsText(node, SimWorld.STATE_ADDRESS));
+    String text = callOnLoop(() -> world.settingsText(node, SimWorld.STATE_ADDRESS));
     Map<String, String> realAddresses = new LinkedHashMap<>();
     realAddresses.put(SimWorld.STATE_ADDRESS, addresses.get(standInAddressKey(SimWorld.STATE_ADDRESS, node)));
     realAddresses.put(SimWorld.CLOUD_ADDRESS, addresses.get(standInAddressKey(SimWorld.CLOUD_ADDRESS, node)));
@@ -287,12 +287,12 @@
     Path settings = folder.resolve(node + ".toml");
     Files.writeString(settings, text);
     synchronized (processes) {
-      processes.put(node, ControllerProcess.start(jar, settings, log(node)));
+      processes.put(node, ControllerProcess.start(jar, settings, logFile(node)));
     }
   }
 
   /** Returns the path of a controller's log file. */
-  Path log(String node) {
+  Path logFile(String node) {
     return folder.resolve(node + ".log");
   }
 
@@ -304,7 +304,7 @@
   }
 
   /** Loads the content of the state service into new tables, as a controller would. */
-  Tables stored() {
+  Tables loadStoredTables() {
     Tables tables = new Tables(world.nodes, LevelRange.BUILD, () -> {});
     tables.load(world.state().all(), world.state().revision());
     return tables;
--- a/src/test/java/wickdrift/sim/MixedBuilds.java
+++ b/src/test/java/wickdrift/sim/MixedBuilds.java
@@ -62,14 +62,14 @@
   // ---- both builds serve together ----
 
   private void replace(String node, Path jar, boolean orderly) throws Exception {
-    stage.process(node).end(orderly);
+    stage.process(node).stop(orderly);
     stage.start(node, jar);
     Thread.sleep(STEP_MS);
     say("%s was %s and runs %s", node, orderly ? "ended" : "killed", jar.getFileName());
   }
 
   private void submitLoad() throws Exception {
-    stage.ask(
+    stage.callOnLoop(
         () -> {
           for (int i = 0; i < JOBS; i++) {
             int number = i;
@@ -94,7 +94,7 @@
   private String unfinishedJob() throws Exception {
     for (int i = 6; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
-      String phase = stage.ask(() -> world.lastReportedPhase(id));
+      String phase = stage.callOnLoop(() -> world.lastReportedPhase(id));
       boolean over = "done".equals(phase) || isWithdrawn(i) && "withdrawn".equals(phase);
       if (!over) {
         return id + " is " + phase;
@@ -128,12 +128,12 @@
       unfinished = unfinishedJob();
     }
     expect(unfinished == null, "every accepted job ended; left: " + unfinished);
-    List<String> broken = stage.ask(world::violations);
+    List<String> broken = stage.callOnLoop(world::violations);
     expect(broken.isEmpty(), "no rule was broken: " + broken);
     for (String node : NODES) {
-      expect(stage.process(node).alive(), node + " runs");
+      expect(stage.process(node).isAlive(), node + " runs");
     }
-    say("tasks started: %d", stage.ask(world::startCount));
+    say("tasks started: %d", stage.callOnLoop(world::startCount));
   }
 
   // ---- each build reads what the other one wrote ----
@@ -154,7 +154,7 @@
 
   private void endAll() throws Exception {
     for (String node : NODES) {
-      stage.process(node).end(true);
+      stage.process(node).stop(true);
     }
   }
 
@@ -190,7 +190,7 @@
   }
 
   private void emptyStore() throws Exception {
-    stage.ask(
+    stage.callOnLoop(
         () -> {
           for (StateServiceClient.Change change : world.state().all()) {
             world.state().forceWrite(change.key(), null);
@@ -219,7 +219,7 @@
     endAll();
     handOver(older, newer, "older-to-newer");
     handOver(newer, older, "newer-to-older");
-    expect(stage.failure() == null, "no stand-in failed: " + stage.failure());
+    expect(stage.standInFailure() == null, "no stand-in failed: " + stage.standInFailure());
   }
 
   /** Plays one run. */
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -97,7 +97,7 @@
       stage.start(node, jar);
     }
     TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
-    stage.ask(
+    stage.callOnLoop(
         () -> {
           world.net.faultScript = network;
           load.start();
@@ -108,7 +108,7 @@
     // A fault that is scheduled to end with the span may end slightly later.
     TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     scene.awaitProcessChanges();
-    stage.ask(
+    stage.callOnLoop(
         () -> {
           world.rules.faultFreeSinceMs = world.clock.nowMs();
           world.history.add("calm");
@@ -144,10 +144,10 @@
    */
   private List<String> awaitJobCompletion(LoopbackStage stage, SoakLoad load) throws Exception {
     long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MS);
-    List<String> unfinished = stage.ask(load::unfinished);
+    List<String> unfinished = stage.callOnLoop(load::unfinished);
     while (!unfinished.isEmpty() && System.nanoTime() < deadlineNs) {
       TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
-      unfinished = stage.ask(load::unfinished);
+      unfinished = stage.callOnLoop(load::unfinished);
     }
     return unfinished;
   }
@@ -160,7 +160,7 @@
       List<String> unfinished)
       throws Exception {
     SimWorld world = stage.world;
-    List<String> failures = new ArrayList<>(stage.ask(world::violations));
+    List<String> failures = new ArrayList<>(stage.callOnLoop(world::violations));
     if (!unfinished.isEmpty()) {
       failures.add(
           "not in a terminal state "
@@ -177,7 +177,7 @@
             network.affectedRequests(),
             scene.kills(),
             load.submittedCount(),
-            stage.ask(world::startCount),
+            stage.callOnLoop(world::startCount),
             stage.longestStallMs());
     String inconclusiveReason = reasonNotToJudge(stage, scene);
     if (inconclusiveReason != null) {
@@ -197,10 +197,10 @@
     if (stage.longestStallMs() > MAX_HARNESS_STALL_MS) {
       return "the harness stalled for " + stage.longestStallMs() + " ms";
     }
-    if (stage.failure() != null) {
-      StackTraceElement[] where = stage.failure().getStackTrace();
+    if (stage.standInFailure() != null) {
+      StackTraceElement[] where = stage.standInFailure().getStackTrace();
       return "a simulated part failed: "
-          + stage.failure()
+          + stage.standInFailure()
           + " at "
           + (where.length > 0 ? where[0] : "");
     }
@@ -210,7 +210,7 @@
     if (startedFaults < plan.steps().size()) {
       return "only " + startedFaults + " of " + plan.steps().size() + " faults started";
     }
-    int starts = stage.ask(stage.world::startCount);
+    int starts = stage.callOnLoop(stage.world::startCount);
     return starts < MIN_TASK_STARTS ? "only " + starts + " tasks started" : null;
   }
 
@@ -218,7 +218,7 @@
   private static List<String> loggedFailures(LoopbackStage stage) throws IOException {
     List<String> found = new ArrayList<>();
     for (String node : stage.world.nodes) {
-      try (Stream<String> lines = Files.lines(stage.log(node))) {
+      try (Stream<String> lines = Files.lines(stage.logFile(node))) {
         lines
             .filter(line -> line.contains(VIOLATION) || line.contains("action failed"))
             .limit(2)
@@ -236,7 +236,7 @@
       searchTerms.add(job.group());
     }
     List<String> events =
-        stage.ask(() -> stage.world.history.eventsMentioning(searchTerms, MAX_HISTORY_LINES));
+        stage.callOnLoop(() -> stage.world.history.eventsMentioning(searchTerms, MAX_HISTORY_LINES));
     StringBuilder text = new StringBuilder();
     text.append("seed ").append(seed).append(" FAILED, logs in ").append(folder).append('\n');
     failures.forEach(line -> text.append("  WRONG ").append(line).append('\n'));
--- a/src/test/java/wickdrift/sim/SoakScene.java
+++ b/src/test/java/wickdrift/sim/SoakScene.java
@@ -64,7 +64,7 @@
 
   /** Returns the leader in the stored view, or the first node if no view is stored. */
   String leader() {
-    View view = stage.stored().view();
+    View view = stage.loadStoredTables().view();
     return view == null ? world().nodes.get(0) : view.leader();
   }
 
@@ -87,10 +87,10 @@
   void setPeerLinks(String node, boolean out, boolean in, TcpProxy.Mode mode) {
     for (String other : world().nodes) {
       if (!other.equals(node) && out) {
-        stage.peerLink(node, other, mode);
+        stage.setPeerLinkMode(node, other, mode);
       }
       if (!other.equals(node) && in) {
-        stage.peerLink(other, node, mode);
+        stage.setPeerLinkMode(other, node, mode);
       }
     }
   }
@@ -115,7 +115,7 @@
         () ->
             recordFailure(
                 () -> {
-                  stage.process(node).end(false);
+                  stage.process(node).stop(false);
                   TimeUnit.MILLISECONDS.sleep(downtimeMs);
                   stage.start(node, jar);
                 }));
@@ -140,7 +140,7 @@
 
   /** Returns the nodes whose process is not running. */
   List<String> endedNodes() {
-    return world().nodes.stream().filter(node -> !stage.process(node).alive()).toList();
+    return world().nodes.stream().filter(node -> !stage.process(node).isAlive()).toList();
   }
 
   /** A change to a process, which may fail. */
