--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -213,7 +213,7 @@
         assertTrue(!world.isRunning(jobId(i) + "/" + k), "still running: " + jobId(i) + "/" + k);
       }
     }
-    ClusterTest.check(world, finiteJobs);
+    ClusterTest.assertJobsDoneAndRulesHeld(world, finiteJobs);
     if (withdrawalTime == WithdrawalTime.DURING_REFUSAL
         && role != RefusedNode.LEADER_AS_CONFIRMER) {
       // Without confirmations before the outage the test would not cover what it is meant to.
@@ -254,7 +254,7 @@
     withdrawn.forEach(id -> world.users.withdraw(id, world.nodes.get(withdrawn.indexOf(id) % 3)));
     world.run(120_000);
     withdrawn.forEach(id -> assertEquals("withdrawn", world.lastReportedPhase(id)));
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /** Lists both kinds of fault at times that cover the command in transit and the image fetch. */
@@ -299,7 +299,7 @@
     for (int i = 0; i < JOBS; i++) {
       assertEquals("withdrawn", world.lastReportedPhase(jobId(i)));
     }
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /**
@@ -324,7 +324,7 @@
     }
     world.state().setRefused(leader, false);
     world.run(60_000);
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /**
@@ -345,7 +345,7 @@
     assertTrue(
         world.users.slowestWithdrawalMs < 1000,
         "the slowest confirmation took " + world.users.slowestWithdrawalMs + " ms");
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /**
@@ -415,7 +415,7 @@
     for (int i = 0; i < JOBS; i++) {
       assertEquals("withdrawn", world.lastReportedPhase(jobId(i)));
     }
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /**
@@ -435,7 +435,7 @@
     for (int i = 0; i < JOBS; i++) {
       assertTrue(world.rules.isWithdrawalConfirmed(jobId(i)), "no confirmation for " + jobId(i));
     }
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /**
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -52,7 +52,7 @@
   }
 
   /** Asserts that no rule is broken, that all finite jobs are done and that the tables agree. */
-  static void check(SimWorld world, List<String> finiteJobs) {
+  static void assertJobsDoneAndRulesHeld(SimWorld world, List<String> finiteJobs) {
     assertEquals(List.of(), world.violations());
     assertTrue(world.startCount() > 0, "no task was started");
     for (String id : finiteJobs) {
@@ -66,7 +66,7 @@
     SimWorld world = new SimWorld(1, 4, 30);
     List<String> finiteJobs = submitRandomJobs(world, 40, 1);
     world.run(300_000);
-    check(world, finiteJobs);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   @Test
@@ -74,7 +74,7 @@
     SimWorld world = new SimWorld(2, 0, 20);
     List<String> finiteJobs = submitRandomJobs(world, 20, 2);
     world.run(300_000);
-    check(world, finiteJobs);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /** Runs random jobs for seven minutes with the given faults, and checks the outcome. */
@@ -83,7 +83,7 @@
     List<String> finiteJobs = submitRandomJobs(world, 40, seed);
     injectFaults.accept(world);
     world.run(420_000);
-    check(world, finiteJobs);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   @ParameterizedTest
@@ -644,7 +644,7 @@
       world.clock.after(atMs, () -> world.cloud.failingBoots = 2);
     }
     world.run(420_000);
-    check(world, finiteJobs);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /** Returns how many machines are examined per placed task in a fleet of the given size. */
@@ -746,7 +746,7 @@
     world.clock.after(80_000, () -> world.cutZone("n2", false));
     world.clock.after(85_000, () -> world.crash("n0", 5000));
     world.run(420_000);
-    check(world, finiteJobs);
+    assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /** The invariants hold for a large fleet, and a placement examines no more machines there. */
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -207,7 +207,7 @@
         });
     world.run(300_000);
     int rented = world.cloud.rentedCount;
-    ClusterTest.check(world, finiteJobs);
+    ClusterTest.assertJobsDoneAndRulesHeld(world, finiteJobs);
     // Faults must not cause mass rentals: at most one whole fleet is rented anew.
     assertTrue(rented <= 12 + 30, "rented " + rented);
     assertEquals(LevelRange.BUILD.max(), world.tables("n0").level());
--- a/src/test/java/wickdrift/sim/ConfirmationProofTest.java
+++ b/src/test/java/wickdrift/sim/ConfirmationProofTest.java
@@ -44,7 +44,7 @@
     world.state().setRefused(isolated, false);
     world.cutFromPeers(isolated, false);
     world.run(200_000);
-    ClusterTest.check(world, List.of());
+    ClusterTest.assertJobsDoneAndRulesHeld(world, List.of());
   }
 
   /**
--- a/src/test/java/wickdrift/sim/ControllerRestartTest.java
+++ b/src/test/java/wickdrift/sim/ControllerRestartTest.java
@@ -162,7 +162,7 @@
     scenario.faults.accept(world, downtimeMs);
     world.run(240_000);
     assertEquals(0, world.fullRefusalCount);
-    ClusterTest.check(world, finiteJobs);
+    ClusterTest.assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /** All controllers share the limits of the state service, so that a restart must be cheap. */
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -75,7 +75,7 @@
       assertTrue(
           "withdrawn".equals(lastPhase) || "done".equals(lastPhase), id + " is " + lastPhase);
     }
-    ClusterTest.check(world, finiteJobs);
+    ClusterTest.assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /** Describes a base job, with the properties that the scenario needs. */
--- a/src/test/java/wickdrift/sim/JobMixTest.java
+++ b/src/test/java/wickdrift/sim/JobMixTest.java
@@ -53,6 +53,6 @@
       finiteJobs.add((String) job.get("ref"));
     }
     world.run(900_000);
-    ClusterTest.check(world, finiteJobs);
+    ClusterTest.assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 }
--- a/src/test/java/wickdrift/sim/MalformedResponsesTest.java
+++ b/src/test/java/wickdrift/sim/MalformedResponsesTest.java
@@ -38,7 +38,7 @@
           default -> "workers.malformed";
         };
     assertTrue(world.metricSum("wickdrift." + metric) > 0, "no malformed response was counted");
-    ClusterTest.check(world, finiteJobs);
+    ClusterTest.assertJobsDoneAndRulesHeld(world, finiteJobs);
   }
 
   /**
