--- a/src/test/java/wickdrift/sim/BurstPoller.java
+++ b/src/test/java/wickdrift/sim/BurstPoller.java
@@ -27,8 +27,7 @@
     for (long delayMs : POLL_DELAYS_MS) {
       for (String node : nodes) {
         world.clock.after(delayMs, () -> world.users.pollOnce(node, id, () -> answerCount++));
-        world.clock.after(
-            delayMs + 1, () -> world.users.resubmit(node, id, () -> answerCount++));
+        world.clock.after(delayMs + 1, () -> world.users.resubmit(node, id, () -> answerCount++));
       }
     }
   }
--- a/src/test/java/wickdrift/sim/CancellationTest.java
+++ b/src/test/java/wickdrift/sim/CancellationTest.java
@@ -196,7 +196,8 @@
     world.clock.after(12_000, () -> world.state().setRefused(refusedNode, false));
     world.clock.after(48_000, () -> world.state().setOutage(false));
     world.run(3000);
-    long confirmed = world.users.withdrawalRequested.stream().filter(world.rules::isWithdrawalConfirmed).count();
+    long confirmed =
+        world.users.withdrawalRequested.stream().filter(world.rules::isWithdrawalConfirmed).count();
     world.run(57_000);
     world.rules.faultFreeSinceMs = world.clock.nowMs() + 45_000;
     world.run(240_000);
@@ -392,7 +393,8 @@
         for (long question = 0;
             from != controllerNumber(world, leader) && question < 200;
             question++) {
-          world.deliverPeerFrame(confirmer, new PeerFrame.WithdrawalConfirmation(from, question, allMachines));
+          world.deliverPeerFrame(
+              confirmer, new PeerFrame.WithdrawalConfirmation(from, question, allMachines));
         }
       }
     }
@@ -400,11 +402,15 @@
     world.state().setOutage(true);
     world.run(45_000);
     // Withdrawals of jobs whose tasks the other controllers own are confirmed.
-    List<String> confirmed = world.users.withdrawalRequested.stream().filter(world.rules::isWithdrawalConfirmed).toList();
+    List<String> confirmed =
+        world.users.withdrawalRequested.stream()
+            .filter(world.rules::isWithdrawalConfirmed)
+            .toList();
     polled.addAll(confirmed);
     for (String id : polled) {
       for (int k = 0; k < 2; k++) {
-        assertTrue(!world.isRunning(id + "/" + k), "reported as withdrawn but still running: " + id);
+        assertTrue(
+            !world.isRunning(id + "/" + k), "reported as withdrawn but still running: " + id);
       }
     }
     assertTrue(confirmed.size() < JOBS, "the leader owned no task of these jobs");
--- a/src/test/java/wickdrift/sim/ClusterTest.java
+++ b/src/test/java/wickdrift/sim/ClusterTest.java
@@ -516,7 +516,8 @@
     int commits = world.state().commitCount();
     world.run(30_000);
     assertTrue(
-        world.state().commitCount() - commits < 10, "commits " + (world.state().commitCount() - commits));
+        world.state().commitCount() - commits < 10,
+        "commits " + (world.state().commitCount() - commits));
     assertEquals(List.of(), world.violations());
   }
 
--- a/src/test/java/wickdrift/sim/CombinedFaultsTest.java
+++ b/src/test/java/wickdrift/sim/CombinedFaultsTest.java
@@ -195,7 +195,8 @@
       world.restartAll(new LevelRange(1, 3), "");
     }
     Random random = new Random(seed);
-    List<String> finiteJobs = world.users.submitSmallJobs(random, 6000, 40_000, 15_000, n -> 4 + n % 9);
+    List<String> finiteJobs =
+        world.users.submitSmallJobs(random, 6000, 40_000, 15_000, n -> 4 + n % 9);
     injectPrimaryFault(world, primary, random);
     injectConcurrentFault(world, concurrent);
     at(
@@ -393,7 +394,8 @@
     world.run(45_000);
     for (int i = 0; i < 4; i++) {
       for (int k = 0; k < 2; k++) {
-        assertTrue(world.isRunning(String.format("req-%06d/%d", i, k)), "job " + i + " lacks task " + k);
+        assertTrue(
+            world.isRunning(String.format("req-%06d/%d", i, k)), "job " + i + " lacks task " + k);
       }
     }
     assertEquals(List.of(), world.violations());
--- a/src/test/java/wickdrift/sim/FaultRun.java
+++ b/src/test/java/wickdrift/sim/FaultRun.java
@@ -189,7 +189,9 @@
     int i = 0;
     for (String id : submitted) {
       boolean mayBe = i++ % 3 == 0;
-      if (mayBe && world.users.accepted.contains(id) && !world.users.withdrawalRequested.contains(id)) {
+      if (mayBe
+          && world.users.accepted.contains(id)
+          && !world.users.withdrawalRequested.contains(id)) {
         out.add(id);
       }
     }
--- a/src/test/java/wickdrift/sim/FaultScenario.java
+++ b/src/test/java/wickdrift/sim/FaultScenario.java
@@ -46,7 +46,8 @@
   /** The tasks of a job take very different times and end under several leaders. */
   UNEVEN_TASK_DURATIONS_ACROSS_LEADER_CHANGES(
       run -> {
-        run.world.runTimeFactor = task -> task.endsWith("/1") ? 2.5 : task.endsWith("/2") ? 0.2 : 0.7;
+        run.world.runTimeFactor =
+            task -> task.endsWith("/1") ? 2.5 : task.endsWith("/2") ? 0.2 : 0.7;
         for (int i = 0; i < 5; i++) {
           run.at(20_000 + 11_000L * i, () -> run.world.crash(run.leader(), 400));
         }
@@ -122,7 +123,9 @@
   STATE_SERVICE_SLOW_THEN_REFUSING_THEN_UNAVAILABLE(
       run -> {
         run.at(20_000, () -> run.world.state().delayAllCommits(700));
-        run.at(20_000, () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 600)));
+        run.at(
+            20_000,
+            () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 600)));
         String[] refused = new String[1];
         run.at(30_000, () -> run.world.state().setRefused(refused[0] = run.leader(), true));
         run.at(30_400, () -> run.cancelRunning(6));
@@ -130,13 +133,15 @@
         run.at(40_000, () -> run.world.state().setRefused(refused[0], false));
         run.at(76_000, () -> run.world.state().setOutage(false));
         run.at(80_000, () -> run.world.state().delayAllCommits(0));
-        run.at(80_000, () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 0)));
+        run.at(
+            80_000, () -> run.world.nodes.forEach(n -> run.world.state().delayWatchAnswers(n, 0)));
         run.at(75_000, () -> run.faultsOccurred = !run.world.users.withdrawalRequested.isEmpty());
       }),
   /** Reports are held back until a new leader has made decisions. */
   REPORTS_DELAYED_PAST_A_LEADER_CHANGE(
       run -> {
-        run.world.net.duplication = new SimNetwork.Duplication("/hello", 0.3, 20_000, run.world.nodes);
+        run.world.net.duplication =
+            new SimNetwork.Duplication("/hello", 0.3, 20_000, run.world.nodes);
         for (int i = 0; i < 4; i++) {
           run.at(20_000 + 15_000L * i, () -> run.cutMachines(6, true, 9000));
           run.at(21_000 + 15_000L * i, () -> run.world.crash(run.leader(), 300));
@@ -197,7 +202,8 @@
   /** Duplicates of reports arrive after newer reports, also of workers that have restarted. */
   OLD_REPORTS_ARRIVE_AFTER_NEWER_REPORTS(
       run -> {
-        run.world.net.duplication = new SimNetwork.Duplication("/hello", 0.5, 50_000, run.world.nodes);
+        run.world.net.duplication =
+            new SimNetwork.Duplication("/hello", 0.5, 50_000, run.world.nodes);
         for (int i = 0; i < 5; i++) {
           int n = i;
           run.at(15_000 + 9000L * i, () -> run.world.hangMachine(n, 20_000));
@@ -227,8 +233,7 @@
                     if (i % 3 == 0) {
                       run.world.users.withdraw(FaultRun.jobId(i), run.world.nodes.get(i % 3));
                     }
-                    run.world.users.resubmit(
-                        FaultRun.jobId(i), SimJobs.job(i, "batch", 1, 1, 5));
+                    run.world.users.resubmit(FaultRun.jobId(i), SimJobs.job(i, "batch", 1, 1, 5));
                     int n = i;
                     for (long k = 1; k < 200; k += 17) {
                       run.at(
@@ -272,7 +277,8 @@
         }
         run.at(95_000, () -> run.world.net.requestDelay = null);
         run.at(
-            95_000, () -> run.faultsOccurred = run.world.net.delayedCount > 5 && run.newestEpoch() >= 3);
+            95_000,
+            () -> run.faultsOccurred = run.world.net.delayedCount > 5 && run.newestEpoch() >= 3);
       }),
   /** Jobs are withdrawn shortly before, during and after the handover of a controller's work. */
   CANCELLATIONS_DURING_HANDOVERS(
@@ -340,7 +346,8 @@
         run.at(50_000, () -> run.cancelRunning(3));
         run.at(90_000, () -> run.world.state().delayCommits(0, 0, 1));
         run.at(
-            90_000, () -> run.faultsOccurred = ended[0] >= 2 && run.world.state().delayedCommitCount > 3);
+            90_000,
+            () -> run.faultsOccurred = ended[0] >= 2 && run.world.state().delayedCommitCount > 3);
       }),
   /** Users query every node right after each event of a job and repeat its submission. */
   REPEATED_USER_REQUESTS_TO_ALL_NODES(
@@ -352,7 +359,8 @@
         }
         run.at(30_000, () -> run.crashOrPauseLeader(false));
         run.at(50_000, () -> run.crashOrPauseLeader(true));
-        run.at(100_000, () -> run.faultsOccurred = run.world.users.burstPoller.answerCount() > 2000);
+        run.at(
+            100_000, () -> run.faultsOccurred = run.world.users.burstPoller.answerCount() > 2000);
       }),
   /** One-task jobs arrive four times a second under a small write budget. */
   FOUR_ONE_TASK_JOBS_PER_SECOND(
--- a/src/test/java/wickdrift/sim/LateCommandTest.java
+++ b/src/test/java/wickdrift/sim/LateCommandTest.java
@@ -54,10 +54,14 @@
     if (path.equals("/orders") && runsTheTask(body)) {
       directRunCommands++;
       worker = worker == null ? workerAt(to) : worker;
-      return directRunCommands == 1 ? SimNetwork.RequestOutcome.HELD : SimNetwork.RequestOutcome.DELIVERED;
+      return directRunCommands == 1
+          ? SimNetwork.RequestOutcome.HELD
+          : SimNetwork.RequestOutcome.DELIVERED;
     }
     boolean report = path.equals("/hello") && worker != null && from.equals(worker.address);
-    return report && loseReportAnswers ? SimNetwork.RequestOutcome.ANSWER_LOST : SimNetwork.RequestOutcome.DELIVERED;
+    return report && loseReportAnswers
+        ? SimNetwork.RequestOutcome.ANSWER_LOST
+        : SimNetwork.RequestOutcome.DELIVERED;
   }
 
   private static boolean runsTheTask(byte[] body) {
--- a/src/test/java/wickdrift/sim/Loopback.java
+++ b/src/test/java/wickdrift/sim/Loopback.java
@@ -189,7 +189,9 @@
       String wanted = i < FIRST_DEPENDENT_JOB + 4 ? "withdrawn" : "done";
       if (!wanted.equals(callOnLoop(() -> world.lastReportedPhase(id)))) {
         violations.add(
-            id + " of a chain of dependent jobs is " + callOnLoop(() -> world.lastReportedPhase(id)));
+            id
+                + " of a chain of dependent jobs is "
+                + callOnLoop(() -> world.lastReportedPhase(id)));
       }
     }
     if (!areJobsDone(jobs)) {
--- a/src/test/java/wickdrift/sim/LoopbackStage.java
+++ b/src/test/java/wickdrift/sim/LoopbackStage.java
@@ -30,8 +30,8 @@
 /**
  * Real controller processes on loopback, with stand-ins for the state service, the cloud, workers
  * and users, which run in this process in real time. All requests between processes and stand-ins
- * pass through the {@link SimNetwork} of the stand-ins, so that its faults apply to real processes too.
- * Connections between controllers pass through one {@link TcpProxy} for each direction.
+ * pass through the {@link SimNetwork} of the stand-ins, so that its faults apply to real processes
+ * too. Connections between controllers pass through one {@link TcpProxy} for each direction.
  */
 final class LoopbackStage implements AutoCloseable {
   private static final long CLOCK_UPDATE_INTERVAL_MS = 5;
@@ -272,8 +272,10 @@
   void start(String node, Path jar) throws Exception {
     String text = callOnLoop(() -> world.settingsText(node, SimWorld.STATE_ADDRESS));
     Map<String, String> realAddresses = new LinkedHashMap<>();
-    realAddresses.put(SimWorld.STATE_ADDRESS, addresses.get(standInAddressKey(SimWorld.STATE_ADDRESS, node)));
-    realAddresses.put(SimWorld.CLOUD_ADDRESS, addresses.get(standInAddressKey(SimWorld.CLOUD_ADDRESS, node)));
+    realAddresses.put(
+        SimWorld.STATE_ADDRESS, addresses.get(standInAddressKey(SimWorld.STATE_ADDRESS, node)));
+    realAddresses.put(
+        SimWorld.CLOUD_ADDRESS, addresses.get(standInAddressKey(SimWorld.CLOUD_ADDRESS, node)));
     for (int i = 0; i < world.nodes.size(); i++) {
       String other = world.nodes.get(i);
       boolean self = other.equals(node);
--- a/src/test/java/wickdrift/sim/PipelineTest.java
+++ b/src/test/java/wickdrift/sim/PipelineTest.java
@@ -175,7 +175,9 @@
             (from, transaction) ->
                 count[0]++ % 9 == 4
                     ? SimStateService.TransactionOutcome.UNANSWERED
-                    : count[0] % 11 == 5 ? SimStateService.TransactionOutcome.LOST : SimStateService.TransactionOutcome.APPLIED;
+                    : count[0] % 11 == 5
+                        ? SimStateService.TransactionOutcome.LOST
+                        : SimStateService.TransactionOutcome.APPLIED;
       }
       case CRASHES_AND_LATE_TRANSACTIONS -> {
         world.state().delayCommits(0.2, 1800, seed);
@@ -243,7 +245,8 @@
     }
     if (fault == InjectedFault.LIMITS_LOWERED
         || fault == InjectedFault.LIMITS_LOWERED_AND_CRASHES) {
-      assertEquals(List.of(), world.state().oversizedTransactions, "a transaction exceeded the next limits");
+      assertEquals(
+          List.of(), world.state().oversizedTransactions, "a transaction exceeded the next limits");
     }
   }
 
@@ -283,7 +286,8 @@
     assertEquals(201, submitAndGetStatus(world, "n2", pipelineJob(7, 1, 3)));
     assertEquals(200, submitAndGetStatus(world, "n0", pipelineJob(7, 1, 3)), "retried submission");
     assertEquals(
-        200, world.users.request("n0", "POST", "/api/jobs/" + jobId(2) + "/withdraw", null).status());
+        200,
+        world.users.request("n0", "POST", "/api/jobs/" + jobId(2) + "/withdraw", null).status());
     world.run(20_000);
     assertEquals(
         201, submitAndGetStatus(world, "n1", pipelineJob(8, 2)), "awaited job already withdrawn");
@@ -362,8 +366,10 @@
     }
     world.run(20_000);
     world.state().lowerLimits(2, 4, 40);
-    world.users.submitAfterDependencies(SimJobs.addAwaits(SimJobs.job(900, "batch", 2, 1, 2), awaited), 0);
-    world.users.submitAfterDependencies(SimJobs.addAwaits(SimJobs.job(901, "batch", 2, 1, 2), 900), 0);
+    world.users.submitAfterDependencies(
+        SimJobs.addAwaits(SimJobs.job(900, "batch", 2, 1, 2), awaited), 0);
+    world.users.submitAfterDependencies(
+        SimJobs.addAwaits(SimJobs.job(901, "batch", 2, 1, 2), 900), 0);
     world.run(9000);
     world.nodes.forEach(number -> world.crash(number, 300));
     world.run(150_000);
@@ -404,7 +410,8 @@
     world.run(25_000);
     assertEquals(100, world.users.accepted.size());
     world.users.withdrawalRequested.add(jobId(0));
-    Response answer = world.users.request("n0", "POST", "/api/jobs/" + jobId(0) + "/withdraw", null);
+    Response answer =
+        world.users.request("n0", "POST", "/api/jobs/" + jobId(0) + "/withdraw", null);
     assertEquals(200, answer.status());
     world.rules.withdrawalConfirmed(jobId(0));
     switch (faultCase) {
@@ -450,12 +457,15 @@
       world.users.withdrawalRequested.add(jobId(n));
     }
     assertEquals(
-        200, world.users.request("n0", "POST", "/api/jobs/" + jobId(1) + "/withdraw", null).status());
+        200,
+        world.users.request("n0", "POST", "/api/jobs/" + jobId(1) + "/withdraw", null).status());
     world.rules.withdrawalConfirmed(jobId(1));
     assertEquals("withdrawn", phaseOf(world, "n1", 3));
     world.run(10_000);
     // The terminal state of job 1 itself is written and moved to the job history.
-    world.state().forceWrite("w/d/" + jobId(1), Map.of("phase", "withdrawn", "tasks", 1L, "at", 1L));
+    world
+        .state()
+        .forceWrite("w/d/" + jobId(1), Map.of("phase", "withdrawn", "tasks", 1L, "at", 1L));
     world.state().forceWrite("w/j/" + jobId(1), null);
     world.state().historyReadDelayMs = 8000;
     world.crash("n2", 300);
@@ -495,7 +505,8 @@
     world.run(2000);
     for (int n = 2; n < 12; n++) {
       // If these jobs started, they would exceed the limit and the capacity of all machines.
-      world.users.submitAfterDependencies(SimJobs.addAwaits(SimJobs.job(n, "ensemble", 12, 4, 5), 1), 0);
+      world.users.submitAfterDependencies(
+          SimJobs.addAwaits(SimJobs.job(n, "ensemble", 12, 4, 5), 1), 0);
     }
     world.run(12_000);
     int fleet = world.cloud.machineCount();
--- a/src/test/java/wickdrift/sim/RolloutTest.java
+++ b/src/test/java/wickdrift/sim/RolloutTest.java
@@ -33,7 +33,8 @@
 /**
  * Rolling upgrades of the controllers to a newer build while jobs run. The older build is this
  * build restricted to fewer levels, with its level announcements dropped by the state service
- * ({@link SimStateService#nodesWithoutLevels}); the real older build is tested with real processes, outside CI.
+ * ({@link SimStateService#nodesWithoutLevels}); the real older build is tested with real processes,
+ * outside CI.
  */
 class RolloutTest {
   private static final int LATEST_LEVEL = LevelRange.BUILD.max();
@@ -278,7 +279,8 @@
         world.clock.after(faultMs + 25_000, () -> world.cutZone("n2", false));
       }
       case NODE_CUT_FROM_PEERS -> world.clock.after(faultMs, () -> world.cutFromPeers("n0", true));
-      case LATE_TRANSACTIONS -> world.clock.after(0, () -> world.state().delayCommits(0.3, 2600, 5));
+      case LATE_TRANSACTIONS ->
+          world.clock.after(0, () -> world.state().delayCommits(0.3, 2600, 5));
       default -> throw new AssertionError(fault);
     }
     world.run(40_000);
@@ -506,7 +508,8 @@
     assertEquals(1, levelOf(world, "n0"));
     world
         .state()
-        .forceWrite(OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
+        .forceWrite(
+            OperatorOverrides.KEY, OperatorOverrides.NONE.withNodeIgnored("n3", true).toStore());
     runUntilLevel(world, LATEST_LEVEL);
     // If n3 returns after all, it stays outside with the old build and joins with the new one.
     world.startNode("n3");
@@ -698,7 +701,9 @@
     world.users.submit(SimJobs.job(1, "batch", 2, 1, 20), 0);
     world.run(4000);
     String key = "w/l/n9/0000000001";
-    world.state().forceWrite(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
+    world
+        .state()
+        .forceWrite(key, Encoding.wrap(2, Map.of("g", List.of(List.of(0L, List.of(entry))))));
     world.run(1000);
     world.nodes.forEach(n -> assertNotNull(world.tables(n).blockedReason(), n));
     // A node that starts now reads the entry too.
--- a/src/test/java/wickdrift/sim/SimNetwork.java
+++ b/src/test/java/wickdrift/sim/SimNetwork.java
@@ -161,7 +161,9 @@
   }
 
   private void duplicateIfSelected(String from, String method, String path, byte[] body) {
-    if (duplication != null && path.equals(duplication.path) && random.nextDouble() < duplication.share) {
+    if (duplication != null
+        && path.equals(duplication.path)
+        && random.nextDouble() < duplication.share) {
       String to = duplication.to.get(random.nextInt(duplication.to.size()));
       clock.after(
           (long) (random.nextDouble() * duplication.withinMs),
@@ -201,7 +203,9 @@
   }
 
   private void recordIfSelected(String from, String path, byte[] body) {
-    if (recordedReportShare > 0 && path.equals("/hello") && random.nextDouble() < recordedReportShare) {
+    if (recordedReportShare > 0
+        && path.equals("/hello")
+        && random.nextDouble() < recordedReportShare) {
       recordedReports.add(new RecordedReport(from, path, body));
     }
   }
@@ -236,10 +240,14 @@
 
   private boolean delayIfSelected(
       String from, String address, String method, String path, byte[] body) {
-    if (requestDelay == null || !path.equals(requestDelay.path) || random.nextDouble() >= requestDelay.share) {
+    if (requestDelay == null
+        || !path.equals(requestDelay.path)
+        || random.nextDouble() >= requestDelay.share) {
       return false;
     }
-    long delayMs = requestDelay.fromMs + (long) (random.nextDouble() * (requestDelay.toMs - requestDelay.fromMs));
+    long delayMs =
+        requestDelay.fromMs
+            + (long) (random.nextDouble() * (requestDelay.toMs - requestDelay.fromMs));
     clock.after(
         delayMs,
         () -> {
@@ -299,7 +307,9 @@
         default -> {}
       }
       boolean arrives =
-          fate == RequestOutcome.DELIVERED || fate == RequestOutcome.ANSWER_LOST || fate == RequestOutcome.ANSWER_RESET;
+          fate == RequestOutcome.DELIVERED
+              || fate == RequestOutcome.ANSWER_LOST
+              || fate == RequestOutcome.ANSWER_RESET;
       if (!arrives) {
         return;
       }
@@ -331,7 +341,8 @@
                   if (fate == RequestOutcome.ANSWER_LOST) {
                     return;
                   }
-                  boolean garble = hostsWithGarbledAnswers.contains(address) && answer.body() != null;
+                  boolean garble =
+                      hostsWithGarbledAnswers.contains(address) && answer.body() != null;
                   Caller.Response delivered =
                       garble ? new Caller.Response(answer.status(), GARBLED_BODY) : answer;
                   send(address, from, () -> once.accept(delivered));
--- a/src/test/java/wickdrift/sim/SimRules.java
+++ b/src/test/java/wickdrift/sim/SimRules.java
@@ -180,7 +180,8 @@
     boolean withdrawalRequested = false;
     for (String dependency : jobAndDependencies(job)) {
       withdrawalRequested |=
-          withdrawalConfirmedMs.containsKey(dependency) || world.users.withdrawalRequested.contains(dependency);
+          withdrawalConfirmedMs.containsKey(dependency)
+              || world.users.withdrawalRequested.contains(dependency);
       Long confirmedMs = withdrawalConfirmedMs.get(dependency);
       if (!terminal
           && confirmedMs != null
--- a/src/test/java/wickdrift/sim/SimStateService.java
+++ b/src/test/java/wickdrift/sim/SimStateService.java
@@ -110,7 +110,8 @@
   }
 
   /** Decides what happens to a transaction, given its sender and its content. */
-  BiFunction<String, Document, TransactionOutcome> outcomeOf = (from, d) -> TransactionOutcome.APPLIED;
+  BiFunction<String, Document, TransactionOutcome> outcomeOf =
+      (from, d) -> TransactionOutcome.APPLIED;
 
   /** The nodes that have sent transactions since a test last cleared the set. */
   final Set<String> writers = new HashSet<>();
--- a/src/test/java/wickdrift/sim/SimUsers.java
+++ b/src/test/java/wickdrift/sim/SimUsers.java
@@ -238,7 +238,8 @@
                   world.rules.withdrawalConfirmed(id);
                   slowestWithdrawalMs =
                       Math.max(
-                          slowestWithdrawalMs, world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
+                          slowestWithdrawalMs,
+                          world.clock.nowMs() - firstWithdrawalRequestMs.get(id));
                 }
                 phaseReceived(id, phase, requestSentMs);
               } else if (answer.status() == 404) {
--- a/src/test/java/wickdrift/sim/SimWorker.java
+++ b/src/test/java/wickdrift/sim/SimWorker.java
@@ -432,7 +432,8 @@
     task.phase = "running";
     if (task.spec.shape() != JobSpec.Shape.SERVICE) {
       scheduleCompletion(
-          task, (long) (task.spec.estimatedRunS() * 1000 * world.runTimeFactor.applyAsDouble(task.id)));
+          task,
+          (long) (task.spec.estimatedRunS() * 1000 * world.runTimeFactor.applyAsDouble(task.id)));
     }
   }
 
--- a/src/test/java/wickdrift/sim/SimWorld.java
+++ b/src/test/java/wickdrift/sim/SimWorld.java
@@ -408,7 +408,9 @@
     net.listen(
         "peer:" + name,
         (from, method, path, body, done) -> {
-          if (!nodesIgnoringNewFrames.contains(name) || body.length < 2 || body[1] <= PeerFrame.RELAYED_REPLY) {
+          if (!nodesIgnoringNewFrames.contains(name)
+              || body.length < 2
+              || body[1] <= PeerFrame.RELAYED_REPLY) {
             process.receive(() -> process.controller.handlePeerFrame(ByteBuffer.wrap(body)));
           }
         });
--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -164,19 +164,22 @@
   TRANSACTION_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals("/commit"), 0.25, SimNetwork.RequestOutcome.ANSWER_LOST);
+      return scene.addRule(
+          m -> m.path().equals("/commit"), 0.25, SimNetwork.RequestOutcome.ANSWER_LOST);
     }
   },
   COMMANDS_LATE {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.5, SimNetwork.RequestOutcome.LATE);
+      return scene.addRule(
+          m -> m.path().equals(COMMANDS_PATH), 0.5, SimNetwork.RequestOutcome.LATE);
     }
   },
   COMMAND_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.4, SimNetwork.RequestOutcome.ANSWER_LOST);
+      return scene.addRule(
+          m -> m.path().equals(COMMANDS_PATH), 0.4, SimNetwork.RequestOutcome.ANSWER_LOST);
     }
   },
   COMMANDS_LOST_ON_SOME_LINKS {
@@ -184,22 +187,27 @@
     Runnable begin(SoakScene scene, Random random) {
       List<String> some = someWorkerAddresses(scene, random);
       return scene.addRule(
-          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()), 0.8, SimNetwork.RequestOutcome.LOST);
+          m -> m.path().equals(COMMANDS_PATH) && some.contains(m.to()),
+          0.8,
+          SimNetwork.RequestOutcome.LOST);
     }
   },
   REPORT_ANSWERS_LOST {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      return scene.addRule(m -> m.path().equals(REPORT_PATH), 0.4, SimNetwork.RequestOutcome.ANSWER_LOST);
+      return scene.addRule(
+          m -> m.path().equals(REPORT_PATH), 0.4, SimNetwork.RequestOutcome.ANSWER_LOST);
     }
   },
   /** Late commands and lost answers to reports on all links between controllers and workers. */
   BAD_NETWORK {
     @Override
     Runnable begin(SoakScene scene, Random random) {
-      Runnable commands = scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNetwork.RequestOutcome.LATE);
+      Runnable commands =
+          scene.addRule(m -> m.path().equals(COMMANDS_PATH), 0.6, SimNetwork.RequestOutcome.LATE);
       Runnable reports =
-          scene.addRule(m -> m.path().equals(REPORT_PATH), 0.6, SimNetwork.RequestOutcome.ANSWER_RESET);
+          scene.addRule(
+              m -> m.path().equals(REPORT_PATH), 0.6, SimNetwork.RequestOutcome.ANSWER_RESET);
       return () -> {
         commands.run();
         reports.run();
@@ -211,7 +219,8 @@
     Runnable begin(SoakScene scene, Random random) {
       SimNetwork net = scene.world().net;
       net.duplication =
-          new SimNetwork.Duplication(REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
+          new SimNetwork.Duplication(
+              REPORT_PATH, 0.3, 2 * scene.world().leaseMs, scene.world().nodes);
       return () -> net.duplication = null;
     }
   },
--- a/src/test/java/wickdrift/sim/SoakLoad.java
+++ b/src/test/java/wickdrift/sim/SoakLoad.java
@@ -132,7 +132,10 @@
     List<SimWorker> affectedWorkers = new ArrayList<>();
     List<String> running =
         world.users.accepted.stream()
-            .filter(id -> world.rules.isRunning(id + "/0") && !world.users.withdrawalRequested.contains(id))
+            .filter(
+                id ->
+                    world.rules.isRunning(id + "/0")
+                        && !world.users.withdrawalRequested.contains(id))
             .sorted()
             .toList();
     for (int i = 0; i < Math.min(jobs, running.size()); i++) {
@@ -158,6 +161,9 @@
 
   /** Returns the accepted jobs that users have not yet been told are in a terminal state. */
   List<String> unfinished() {
-    return world.users.accepted.stream().filter(id -> !world.rules.isTerminalStateReported(id)).sorted().toList();
+    return world.users.accepted.stream()
+        .filter(id -> !world.rules.isTerminalStateReported(id))
+        .sorted()
+        .toList();
   }
 }
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -236,7 +236,8 @@
       searchTerms.add(job.group());
     }
     List<String> events =
-        stage.callOnLoop(() -> stage.world.history.eventsMentioning(searchTerms, MAX_HISTORY_LINES));
+        stage.callOnLoop(
+            () -> stage.world.history.eventsMentioning(searchTerms, MAX_HISTORY_LINES));
     StringBuilder text = new StringBuilder();
     text.append("seed ").append(seed).append(" FAILED, logs in ").append(folder).append('\n');
     failures.forEach(line -> text.append("  WRONG ").append(line).append('\n'));
--- a/src/test/java/wickdrift/sim/UserApiTest.java
+++ b/src/test/java/wickdrift/sim/UserApiTest.java
@@ -80,7 +80,8 @@
     job.put(field, Character.isDigit(value.charAt(0)) ? (Object) Double.valueOf(value) : value);
     SimWorld world = startedWorld();
     assertEquals(
-        status, world.users.request("n0", "POST", "/api/jobs", world.users.registerSpec(job)).status());
+        status,
+        world.users.request("n0", "POST", "/api/jobs", world.users.registerSpec(job)).status());
   }
 
   /**
@@ -107,7 +108,8 @@
     job.put("region", zone);
     SimWorld world = startedWorld();
     assertEquals(
-        status, world.users.request("n0", "POST", "/api/jobs", world.users.registerSpec(job)).status());
+        status,
+        world.users.request("n0", "POST", "/api/jobs", world.users.registerSpec(job)).status());
   }
 
   /** A submission without a field is malformed, unless the field may be null. */
@@ -160,7 +162,8 @@
     Map<String, Object> job = SimJobs.job(9, shape, 61, 1, 5);
     SimWorld world = startedWorld();
     assertEquals(
-        status, world.users.request("n2", "POST", "/api/jobs", world.users.registerSpec(job)).status());
+        status,
+        world.users.request("n2", "POST", "/api/jobs", world.users.registerSpec(job)).status());
   }
 
   /**
