--- a/src/test/java/wickdrift/sim/SoakFault.java
+++ b/src/test/java/wickdrift/sim/SoakFault.java
@@ -249,7 +249,7 @@
   }
 
   /**
-   * Starts the fault. Must be called on the event loop of the simulated parts.
+   * Starts the fault. Must be called on the event loop of the stand-ins.
    *
    * @return the action that ends the fault, which does nothing if the fault ends by itself
    */
--- a/src/test/java/wickdrift/sim/SoakRun.java
+++ b/src/test/java/wickdrift/sim/SoakRun.java
@@ -38,7 +38,7 @@
 
   private static final long POLL_INTERVAL_MS = 250;
 
-  /** After a longer stall of the simulated parts, timing violations may come from the harness. */
+  /** After a longer stall of the stand-ins, timing violations may come from the harness. */
   private static final long MAX_HARNESS_STALL_MS = 1500;
 
   private static final int MIN_TASK_STARTS = 15;
@@ -199,7 +199,7 @@
     }
     if (stage.standInFailure() != null) {
       StackTraceElement[] where = stage.standInFailure().getStackTrace();
-      return "a simulated part failed: "
+      return "a stand-in failed: "
           + stage.standInFailure()
           + " at "
           + (where.length > 0 ? where[0] : "");
--- a/src/test/java/wickdrift/sim/SoakScene.java
+++ b/src/test/java/wickdrift/sim/SoakScene.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import wickdrift.bookkeeping.View;
 
-/** What the faults of a soak act on: the simulated parts, the links, and the real processes. */
+/** What the faults of a soak act on: the stand-ins, the links, and the real processes. */
 final class SoakScene implements AutoCloseable {
   private static final double MAX_AFFECTED_WORKERS_RATIO = 0.4;
   private static final long CLOSE_TIMEOUT_S = 10;
@@ -22,9 +22,7 @@
   private final SoakLoad load;
   private final Path jar;
 
-  /**
-   * Signals and process starts block, so they never run on the event loop of the simulated parts.
-   */
+  /** Signals and process starts block, so they never run on the event loop of the stand-ins. */
   private final ExecutorService processExecutor = Executors.newSingleThreadExecutor();
 
   private final Set<String> paused = new HashSet<>();
@@ -38,7 +36,7 @@
     this.jar = jar;
   }
 
-  /** Returns the simulated parts of the soak. */
+  /** Returns the stand-ins of the soak. */
   SimWorld world() {
     return stage.world;
   }
