--- a/src/main/java/wickdrift/lab/BadInput.java
+++ b/src/main/java/wickdrift/lab/BadInput.java
@@ -1,7 +1,8 @@
 package wickdrift.lab;
 
-/** A file can't be used; the message names the field and the reason. */
+/** An input file is invalid; the message names the file or field and the reason. */
 public final class BadInput extends Exception {
+  /** Creates the exception; the command prints the message. */
   public BadInput(String message) {
     super(message);
   }
--- a/src/main/java/wickdrift/lab/Main.java
+++ b/src/main/java/wickdrift/lab/Main.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine;
 
-/** The laboratory's command line: {@code java -jar target/wickdrift-lab.jar COMMAND}. */
+/** Command line of the lab: {@code java -jar target/wickdrift-lab.jar COMMAND}. */
 @CommandLine.Command(
     name = "wickdrift-lab",
     description = "Makes deployments and days to try the service on, and reads their reports.",
@@ -16,6 +16,7 @@
     spec.commandLine().usage(spec.commandLine().getErr());
   }
 
+  /** Runs the command line and exits with its exit code. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new Main()).execute(args));
   }
--- a/src/main/java/wickdrift/lab/ServedCommand.java
+++ b/src/main/java/wickdrift/lab/ServedCommand.java
@@ -7,7 +7,9 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 
-/** {@code wickdrift-lab served}: who was served how well on a day, from its report. */
+/**
+ * {@code wickdrift-lab served}: prints the share of jobs served by class and team, from reports.
+ */
 @CommandLine.Command(
     name = "served",
     mixinStandardHelpOptions = true,
--- a/src/main/java/wickdrift/lab/Toml.java
+++ b/src/main/java/wickdrift/lab/Toml.java
@@ -14,14 +14,16 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reading and writing settings files whose fields keep their order. */
+/** Reads, writes and validates TOML files; the order of the fields is kept. */
 final class Toml {
   private Toml() {}
 
+  /** Creates an empty table that keeps the order of its fields. */
   static Config newConfig() {
     return TomlFormat.newConfig(LinkedHashMap::new);
   }
 
+  /** Reads and parses a file. */
   static Config load(Path file) throws BadInput {
     try {
       Config config = newConfig();
@@ -32,11 +34,12 @@
     }
   }
 
+  /** Converts a table to TOML text. */
   static String serialize(Config config) {
     return new TomlWriter().writeToString(config);
   }
 
-  /** A copy all the way down. */
+  /** Returns a deep copy. */
   static Config copy(Config config) {
     Config copy = newConfig();
     for (Config.Entry entry : config.entrySet()) {
@@ -57,7 +60,7 @@
     return value;
   }
 
-  /** The tables of a list, which may be missing. */
+  /** Returns the tables of an array field; empty if the field is missing. */
   static List<Config> tables(Config config, String field) {
     List<Config> tables = new ArrayList<>();
     if (config.get(field) instanceof List<?> list) {
@@ -70,6 +73,7 @@
     return tables;
   }
 
+  /** Returns the non-empty text of a field; {@code location} prefixes the error message. */
   static String requireText(Config config, String field, String location) throws BadInput {
     if (config.get(field) instanceof String text && !text.isEmpty()) {
       return text;
@@ -77,6 +81,7 @@
     throw new BadInput(location + ": " + field + " is missing or no text");
   }
 
+  /** Returns the non-negative number of a field, or the default value if the field is missing. */
   static double numberOrDefault(Config config, String field, double defaultValue, String location)
       throws BadInput {
     Object value = config.get(field);
@@ -89,6 +94,7 @@
     throw new BadInput(location + ": " + field + " is no number of at least 0");
   }
 
+  /** Fails if a table has a field that is not among the given ones. */
   static void rejectUnknownFields(Config config, Set<String> fields, String location)
       throws BadInput {
     for (Config.Entry entry : config.entrySet()) {
--- a/src/main/java/wickdrift/lab/VariantCommand.java
+++ b/src/main/java/wickdrift/lab/VariantCommand.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 
-/** {@code wickdrift-lab variants}: site files and days of one's own, made of a site file. */
+/**
+ * {@code wickdrift-lab variants}: generates variants of site files, and the days of a description
+ * for each variant.
+ */
 @CommandLine.Command(
     name = "variants",
     mixinStandardHelpOptions = true,
--- a/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
+++ b/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
@@ -9,7 +9,10 @@
 import wickdrift.transport.EventLoop;
 import wickdrift.transport.HttpClient;
 
-/** Calls the state service over the network, slowly enough to leave it to the controllers. */
+/**
+ * Calls the state service over HTTP. The request rate is limited so that the controllers keep most
+ * of the state service's capacity.
+ */
 public final class HttpStateServiceCaller implements Store, AutoCloseable {
   private static final long CALL_TIMEOUT_MS = 3000;
   private static final long RETRY_INTERVAL_MS = 250;
@@ -21,9 +24,12 @@
   private final long requestIntervalMs;
 
   /**
+   * Creates a caller with an event loop of its own, which {@link #close} ends.
+   *
    * @param address of the state service, as in the settings
-   * @param maxRequestsPerSecond at most so many requests
-   * @param unavailableAfterMs after so long without an answer to one request it counts as away
+   * @param maxRequestsPerSecond limit of the request rate
+   * @param unavailableAfterMs time without a usable response to one request after which the state
+   *     service counts as unavailable
    */
   public HttpStateServiceCaller(
       String address, double maxRequestsPerSecond, long unavailableAfterMs) {
@@ -48,7 +54,8 @@
             pendingResponse.get(CALL_TIMEOUT_MS + RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         boolean isWrite = path.equals("/commit");
         if (response.status() == 0 && isWrite) {
-          // It may have been applied, or may yet be: to send it again is for who knows better.
+          // The commit may have been applied already, or may be applied later. Only the caller can
+          // decide whether it is safe to send it again.
           throw new Away("no answer to a change: it may have been made, or may yet be");
         }
         if (response.status() != 0 && response.status() != 429 && response.status() != 503) {
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -17,7 +17,10 @@
 import wickdrift.bookkeeping.level.OperatorOverrides;
 import wickdrift.settings.Settings;
 
-/** {@code wickdrift level}: the level of stored state that is in force, and what it waits for. */
+/**
+ * {@code wickdrift level}: shows the level of stored state that is in force and what blocks the
+ * next one, and changes the operator overrides.
+ */
 @CommandLine.Command(
     name = "level",
     description = "Show and steer the level of stored state.",
@@ -36,7 +39,10 @@
     spec.commandLine().usage(spec.commandLine().getErr());
   }
 
-  /** What the commands read; barred if this build does not understand the stored state. */
+  /**
+   * Loads the tables from the stored state. {@link Tables#blockedReason} is set if this build does
+   * not understand the stored state.
+   */
   private static Tables loadTables(Store store, Settings settings) throws Store.Away {
     Records records = Records.read(store);
     Tables tables = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
@@ -44,6 +50,7 @@
     return tables;
   }
 
+  /** The controllers that the settings, the node registry, the members or any peer list name. */
   private static TreeSet<String> knownControllers(Tables tables, Settings settings) {
     TreeSet<String> names = new TreeSet<>(settings.nodeNames());
     names.addAll(tables.registry().names());
@@ -52,7 +59,7 @@
     return names;
   }
 
-  /** {@code level show}. */
+  /** {@code level show}: prints the level, the gates, the blockers and the controllers. */
   @CommandLine.Command(name = "show", description = "The level in force, and why it does not rise.")
   static final class ShowCommand extends OperatorCommand {
     @Override
@@ -137,13 +144,14 @@
     }
   }
 
-  /** Those that change what the operators have said. */
+  /** A command that changes the stored operator overrides. */
   abstract static class OverrideCommand extends OperatorCommand {
-    /** What is to be said now, or null with a reason given by {@link #fail}. */
+    /** Returns the overrides to store, or null after {@link #refuse} has reported the reason. */
     abstract OperatorOverrides nextOverrides(Tables tables, Settings settings);
 
     private int exitCode;
 
+    /** Reports the reason and keeps the exit code; returns null for {@link #nextOverrides}. */
     OperatorOverrides refuse(int code, String message) {
       exitCode = fail(code, message);
       return null;
@@ -160,7 +168,8 @@
         return exitCode;
       }
       long overridesStamp = tables.registry().overrides().stamp();
-      // On condition of the view too: a level that rises meanwhile makes this come too late.
+      // The transaction also requires an unchanged view, because the decision was made for the
+      // level in force: if the level is upgraded in the meantime, the override comes too late.
       Transaction transaction =
           new Transaction()
               .requireStamp(OperatorOverrides.KEY, overridesStamp)
@@ -185,7 +194,7 @@
     return String.join(", ", Arrays.stream(Gate.values()).map(Gate::label).toList());
   }
 
-  /** {@code level hold}. */
+  /** {@code level hold}: holds a gate closed, which also blocks the upgrade to its level. */
   @CommandLine.Command(name = "hold", description = "Keep a gate closed, and the level below it.")
   static final class HoldCommand extends OverrideCommand {
     @CommandLine.Parameters(paramLabel = "GATE")
@@ -193,11 +202,11 @@
 
     @Override
     OperatorOverrides nextOverrides(Tables tables, Settings settings) {
-      Gate heldGate = Gate.byLabel(gateLabel);
-      if (heldGate == null) {
+      Gate gate = Gate.byLabel(gateLabel);
+      if (gate == null) {
         return refuse(EXIT_BAD_INPUT, "no gate " + gateLabel + "; there are: " + gateLabels());
       }
-      if (tables.isOpen(heldGate)) {
+      if (tables.isOpen(gate)) {
         return refuse(
             EXIT_FINDINGS_OR_REFUSED, "gate " + gateLabel + " is open, and can't be closed again");
       }
@@ -205,7 +214,7 @@
     }
   }
 
-  /** {@code level release}. */
+  /** {@code level release}: no longer holds a gate closed. */
   @CommandLine.Command(name = "release", description = "Let a gate open when all are ready.")
   static final class ReleaseCommand extends OverrideCommand {
     @CommandLine.Parameters(paramLabel = "GATE")
@@ -224,13 +233,13 @@
     }
   }
 
-  /** {@code level without}. */
+  /** {@code level without}: no longer waits for a controller that is down, or waits again. */
   @CommandLine.Command(
       name = "without",
       description = "Do not wait for a controller that is down and will not come back as it was.")
   static final class WithoutCommand extends OverrideCommand {
     @CommandLine.Parameters(paramLabel = "CONTROLLER")
-    private String controllerName;
+    private String name;
 
     @CommandLine.Option(names = "--undo", description = "Wait for it again.")
     private boolean undo;
@@ -239,24 +248,19 @@
     OperatorOverrides nextOverrides(Tables tables, Settings settings) {
       OperatorOverrides overrides = tables.registry().overrides();
       if (undo) {
-        return overrides.ignoredNodes().contains(controllerName)
-            ? overrides.withNodeIgnored(controllerName, false)
-            : refuse(
-                EXIT_BAD_INPUT,
-                controllerName + " is waited for; not so: " + overrides.ignoredNodes());
+        return overrides.ignoredNodes().contains(name)
+            ? overrides.withNodeIgnored(name, false)
+            : refuse(EXIT_BAD_INPUT, name + " is waited for; not so: " + overrides.ignoredNodes());
       }
-      if (!knownControllers(tables, settings).contains(controllerName)) {
+      if (!knownControllers(tables, settings).contains(name)) {
         return refuse(
             EXIT_BAD_INPUT,
-            "no controller "
-                + controllerName
-                + "; there are: "
-                + knownControllers(tables, settings));
+            "no controller " + name + "; there are: " + knownControllers(tables, settings));
       }
-      if (tables.memberLevels().containsKey(controllerName)) {
-        return refuse(EXIT_FINDINGS_OR_REFUSED, controllerName + " is there: end it first");
+      if (tables.memberLevels().containsKey(name)) {
+        return refuse(EXIT_FINDINGS_OR_REFUSED, name + " is there: end it first");
       }
-      return overrides.withNodeIgnored(controllerName, true);
+      return overrides.withNodeIgnored(name, true);
     }
   }
 }
--- a/src/main/java/wickdrift/operator/OperatorCommand.java
+++ b/src/main/java/wickdrift/operator/OperatorCommand.java
@@ -9,23 +9,27 @@
 import wickdrift.settings.Settings;
 
 /**
- * What all commands of operators share: where the state service is, plain text or JSON, and exit
- * codes. Bad input and a store that is away end in one line.
+ * Base class of the operators' commands: options for the state service's address, its timeout and
+ * the output format, and the exit codes. Bad input and an unavailable state service are each
+ * reported in one line.
  */
 abstract class OperatorCommand implements Callable<Integer> {
-  /** Done. */
+  /** The command succeeded. */
   static final int EXIT_OK = 0;
 
-  /** Done, and found something; or refused, and nothing was changed. */
+  /** The command reported errors that it found, or refused and changed nothing. */
   static final int EXIT_FINDINGS_OR_REFUSED = 1;
 
-  /** Bad arguments or settings. */
+  /** The arguments or the settings are invalid. */
   static final int EXIT_BAD_INPUT = 2;
 
-  /** The state service is away; what was asked for was not done, or (said so) perhaps in part. */
+  /**
+   * The state service is unavailable. The requested action was not performed, or possibly in part
+   * if the message says so.
+   */
   static final int EXIT_UNAVAILABLE = 3;
 
-  /** A file is damaged, can't be read, or can't be written. */
+  /** A file is damaged, or can't be read or written. */
   static final int EXIT_BAD_FILE = 4;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
@@ -58,7 +62,7 @@
     if (!(responseTimeoutS > 0 && responseTimeoutS <= 3600)) {
       return fail(EXIT_BAD_INPUT, "--wait is not between 0 and 3600 seconds");
     }
-    // A fifth of what the state service takes: the controllers need the rest.
+    // Uses at most a fifth of the state service's request rate; the controllers need the rest.
     double maxRequestsPerSecond = Math.max(1, settings.stateLimits().rps() / 5);
     try (HttpStateServiceCaller store =
         new HttpStateServiceCaller(
@@ -69,17 +73,26 @@
     }
   }
 
+  /**
+   * Runs the command.
+   *
+   * @return the exit code
+   * @throws Store.Away if the state service is unavailable
+   */
   abstract int run(Store store, Settings settings) throws Store.Away;
 
+  /** Prints the message to standard error and returns the exit code. */
   int fail(int exitCode, String message) {
     spec.commandLine().getErr().println("wickdrift: " + message);
     return exitCode;
   }
 
+  /** Standard output of the command line. */
   PrintWriter out() {
     return spec.commandLine().getOut();
   }
 
+  /** Prints the value as indented JSON. */
   void printJson(Map<String, ?> value) {
     out()
         .println(
--- a/src/main/java/wickdrift/operator/Records.java
+++ b/src/main/java/wickdrift/operator/Records.java
@@ -12,23 +12,29 @@
 import wickdrift.transport.Caller.Answer;
 
 /**
- * All records as of one revision.
+ * All records of the stored state at one revision.
  *
- * @param rev the state service's revision
- * @param all by key; the value as it is stored, and the revision of its last change
+ * @param rev revision of the state service
+ * @param all the stored values with their stamps, by key
  */
 public record Records(long rev, TreeMap<String, Item> all) {
-  /** What is stored under one key. */
+  /**
+   * The value stored under one key.
+   *
+   * @param value the decoded value
+   * @param stamp revision of its last change
+   */
   public record Item(Object value, long stamp) {}
 
   private static final int ENTRIES_PER_PAGE = 400;
   private static final int MAX_READ_ATTEMPTS = 5;
 
   /**
-   * Reads everything page by page, each of another revision, then all changes since the first: so
-   * what is returned was there at once.
+   * Reads all records. The pages may be of different revisions, so all changes since the oldest of
+   * these are applied afterwards: the result is the state at one revision.
    *
-   * @throws Store.Away if the state service does not answer, or changes faster than it can be read
+   * @throws Store.Away if the state service is unavailable, or the stored state changes faster than
+   *     it can be read
    */
   public static Records read(Store store) throws Store.Away {
     for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
@@ -40,6 +46,7 @@
     throw new Store.Away("the stored state changes faster than it can be read");
   }
 
+  /** Returns null if the changes since the first page are no longer available (status 410). */
   private static Records tryRead(Store store) throws Store.Away {
     TreeMap<String, Item> byKey = new TreeMap<>();
     long firstRevision = Long.MAX_VALUE;
@@ -73,6 +80,7 @@
       for (int i = 0; i < changes.size(); i++) {
         order.add(i);
       }
+      // In the order of their stamps, so that the last change of each key is the one that remains.
       order.sort(Comparator.comparing(stamps::get));
       for (int i : order) {
         Document change = changes.get(i);
@@ -96,7 +104,7 @@
     return Document.parse(response.body());
   }
 
-  /** The same as the controllers' tables take them. */
+  /** Converts the records to changes, as {@link wickdrift.bookkeeping.Tables#load} takes them. */
   public List<StateServiceClient.Change> changes() {
     List<StateServiceClient.Change> changes = new ArrayList<>();
     all.forEach(
@@ -105,7 +113,7 @@
     return changes;
   }
 
-  /** One transaction; true if its conditions held. */
+  /** Commits a transaction; returns whether its conditions were met, so that it was applied. */
   static boolean commit(Store store, Transaction transaction) throws Store.Away {
     Answer response = store.call("POST", "/commit", MessageCodec.encode(transaction.toRequest()));
     if (response.status() != 200 && response.status() != 409) {
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -16,17 +16,18 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * Puts a snapshot into an empty store. Its revisions begin anew there, so the logs can't be put
- * back as they are: what they led to is stored as chunks and shelves. What ran when the snapshot
- * was taken waits again, for its workers' leases have ended by now (the operators' page says so),
- * and the epoch goes far beyond any that a worker may have seen since.
+ * Writes a snapshot into an empty store. The revisions of that store start again, so the log pages,
+ * which refer to revisions, can't be restored as they are: their effects are stored as chunks and
+ * archive buckets instead. Tasks that ran when the snapshot was taken are restored as waiting,
+ * because the leases of their workers have ended by then (the operators' page requires it). The
+ * epoch is set far above any that a worker may have seen since the snapshot.
  *
- * <p>Until the last transaction the view's record is a text that no build reads, so no controller
- * that is started too early takes a part of it for the whole; and a restore that was interrupted
- * goes on when it is given the same snapshot again.
+ * <p>Until the last transaction the view's record is a marker text that no build can read. So a
+ * controller that is started too early never takes a partly restored state for the whole, and an
+ * interrupted restore continues when it is run again with the same snapshot.
  */
 public final class Restore {
-  /** The snapshot can't be put back there, or not by this build. */
+  /** The snapshot can't be restored into this store, or not by this build. */
   public static final class Refused extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -35,17 +36,25 @@
     }
   }
 
-  /** More than a controller could have raised the epoch since, at several a second for a week. */
+  /**
+   * Added to the snapshot's epoch. It exceeds what a controller can have raised the epoch by since
+   * then, even at several times a second for a week.
+   */
   private static final long EPOCH_INCREMENT = 10_000_000;
 
-  /** With one more value of the largest kind, a transaction stays below what it may be. */
+  /**
+   * A transaction is committed once it is larger than this. The last write added may be of the
+   * largest possible value, and the transaction still stays below the size limit.
+   */
   private static final int TRANSACTION_FLUSH_BYTES = 24 * 1024;
 
   private final Store store;
   private final StateServiceLimits limits;
 
   /**
-   * @param limits of the state service, the smaller of now and next
+   * Creates a restore into the given store.
+   *
+   * @param limits of the state service, the smaller ones of the current and the next limits
    */
   public Restore(Store store, StateServiceLimits limits) {
     this.store = store;
@@ -53,8 +62,12 @@
   }
 
   /**
-   * @return how many records were written
-   * @throws Refused if the store is not empty, or the snapshot holds what this build can't read
+   * Restores the snapshot, or continues a restore of the same snapshot that was interrupted.
+   *
+   * @return the number of records that the restored state consists of
+   * @throws Refused if the store is not empty or is written to by others, or if this build can't
+   *     read the snapshot
+   * @throws Store.Away if the state service is unavailable
    */
   public int run(Records snapshot) throws Refused, Store.Away {
     Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
@@ -118,7 +131,7 @@
     }
   }
 
-  /** What is to be written, by key, the view too. */
+  /** Returns the values to write by key, including the final view. */
   static Map<String, Object> planWrites(Records snapshot, int targetValueBytes) throws Refused {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     tables.load(snapshot.changes(), snapshot.rev());
@@ -175,7 +188,7 @@
     return writes;
   }
 
-  /** Whether two values are alike once stored. */
+  /** Whether two values are equal after encoding and decoding. */
   private static boolean equalAsStored(Object a, Object b) {
     try {
       return MessageCodec.decode(MessageCodec.encode(a))
@@ -185,6 +198,7 @@
     }
   }
 
+  /** Returns a task state in which a live attempt is replaced by waiting. */
   private static TaskState withoutLiveAttempt(TaskState state) {
     return state.isLive() ? TaskState.waiting(state.attempt()) : state;
   }
--- a/src/main/java/wickdrift/operator/Snapshot.java
+++ b/src/main/java/wickdrift/operator/Snapshot.java
@@ -18,12 +18,15 @@
 import wickdrift.protocol.MessageCodec;
 
 /**
- * A file that holds all records as of one revision: eight bytes that say what it is and its form,
- * then an LZ4 frame (checksums over each block and the whole) of length-prefixed MessagePack
- * values: a head, a list of key, value and stamp for each record, and an end that counts them.
+ * Reads and writes snapshot files, which hold all records at one revision.
+ *
+ * <p>A file starts with eight bytes: seven magic bytes and the format version. An LZ4 frame
+ * follows, with checksums of each block and of the whole content. It contains length-prefixed
+ * MessagePack values: a header with the revision and the number of records, a list of key, value
+ * and stamp for each record, and a trailer with the number of records again.
  */
 public final class Snapshot {
-  /** The file is not a whole snapshot of a form that this build reads. */
+  /** The file is not a complete snapshot of a format version that this build reads. */
   public static final class Damaged extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -58,6 +61,7 @@
     lz4.close();
   }
 
+  /** Writes a value with its length as a prefix of four bytes, most significant byte first. */
   private static void writeValue(OutputStream out, Object value) throws IOException {
     byte[] bytes = MessageCodec.encode(value);
     out.write(new byte[] {(byte) (bytes.length >> 24), (byte) (bytes.length >> 16)});
@@ -66,7 +70,9 @@
   }
 
   /**
-   * @throws Damaged naming what is wrong and at which record
+   * Reads and verifies a whole snapshot.
+   *
+   * @throws Damaged with the reason and the position in the file
    */
   public static Records read(InputStream in) throws Damaged {
     int recordIndex = 0;
@@ -85,7 +91,7 @@
                 + FORMAT_VERSION
                 + " is");
       }
-      // A bad byte is found by the frame's checksums before what it says is used.
+      // The frame's checksums detect a corrupt byte before the content that it belongs to is used.
       InputStream lz4 = new LZ4FrameInputStream(in, true);
       Document header = Document.of(readValue(lz4));
       long count = header.count("records");
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -18,10 +18,16 @@
 import wickdrift.bookkeeping.level.NodeRegistry;
 import wickdrift.protocol.BadMessage;
 
-/** What of the stored state a build can't read, and what contradicts itself. A pure function. */
+/**
+ * Finds records of the stored state that a build can't read, and records that contradict each
+ * other. The result depends only on the records and the levels given.
+ */
 public final class StateCheck {
   /**
-   * @param error false: worth knowing, and mended by the controllers themselves
+   * One finding about a record.
+   *
+   * @param error whether it is an error; otherwise it is a note about something that the
+   *     controllers repair by themselves
    */
   public record Finding(String key, boolean error, String why) {}
 
@@ -37,8 +43,10 @@
   }
 
   /**
-   * @param supportedLevels that the build speaks for which is asked
-   * @return errors first, each kind in the order of keys
+   * Checks the records.
+   *
+   * @param supportedLevels levels that the build in question supports
+   * @return the findings: errors before notes, each sorted by key
    */
   public static List<Finding> check(Records records, LevelRange supportedLevels) {
     StateCheck stateCheck = new StateCheck(records, supportedLevels);
@@ -84,7 +92,8 @@
       addError(View.KEY, "its leader " + view.leader() + " is no member");
     }
     for (String member : view.members().keySet()) {
-      // Since parts are not rewritten with the view, one that was never written is an empty one.
+      // Once the gate VIEWS is open, a change of view doesn't rewrite the partitions: a partition
+      // without a record is an empty one.
       if (tables.partition(member) == null && !view.isOpen(Gate.VIEWS)) {
         addError(Partition.key(member), "is missing, and " + member + " is a member");
       }
@@ -128,6 +137,8 @@
               (team, share) ->
                   quotaSumByTeam.merge(team, share.gpus() + 1e3 * share.cpus(), Double::sum));
     }
+    // In this encoding the quota shares are differences from the even shares, so those of each team
+    // sum to zero. GPUs and CPUs are checked as one number, in which a CPU weighs 1000.
     if (allNumbered) {
       quotaSumByTeam.forEach(
           (team, sum) -> {
@@ -156,7 +167,7 @@
           addError(entry.getKey(), "is of a form that level " + view.level() + " does not have");
         }
       } catch (BadMessage unreadable) {
-        // Told as unreadable.
+        // Already reported as an unreadable record.
         continue;
       }
     }
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -17,7 +17,7 @@
 import wickdrift.bookkeeping.level.LevelRange;
 import wickdrift.settings.Settings;
 
-/** {@code wickdrift state}: the whole stored state, looked through, kept and put back. */
+/** {@code wickdrift state}: checks the stored state, saves it to a snapshot and restores it. */
 @CommandLine.Command(
     name = "state",
     description = "Check, keep and put back the stored state.",
@@ -35,7 +35,7 @@
     spec.commandLine().usage(spec.commandLine().getErr());
   }
 
-  /** {@code state check}. */
+  /** {@code state check}: prints the findings of {@link StateCheck}. */
   @CommandLine.Command(
       name = "check",
       description =
@@ -100,7 +100,7 @@
     }
   }
 
-  /** {@code state dump}. */
+  /** {@code state dump}: writes the stored state to a snapshot file. */
   @CommandLine.Command(name = "dump", description = "Keep the stored state, as of one revision.")
   static final class DumpCommand extends OperatorCommand {
     @CommandLine.Parameters(paramLabel = "FILE")
@@ -111,7 +111,8 @@
       Records records = Records.read(store);
       Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
       try {
-        // Under its name there is a whole file or none, whatever happens meanwhile.
+        // The snapshot is written under a temporary name and then moved: a failure never leaves an
+        // incomplete file under the requested name.
         try (OutputStream out = new BufferedOutputStream(Files.newOutputStream(temporaryFile))) {
           Snapshot.write(records, out);
         }
@@ -137,7 +138,7 @@
     }
   }
 
-  /** {@code state restore}. */
+  /** {@code state restore}: writes a snapshot into an empty store. */
   @CommandLine.Command(
       name = "restore",
       description = {
--- a/src/main/java/wickdrift/operator/Store.java
+++ b/src/main/java/wickdrift/operator/Store.java
@@ -2,22 +2,31 @@
 
 import wickdrift.transport.Caller.Answer;
 
-/** The state service as a person's command meets it: one request at a time, waiting for each. */
+/**
+ * Blocking access of the operators' commands to the state service: one request at a time, each of
+ * which waits for its response.
+ */
 public interface Store {
-  /** The state service did not answer, or not as its protocol says, for as long as was waited. */
+  /**
+   * The state service is unavailable: within the time limit it did not respond, or its responses
+   * violated the protocol.
+   */
   final class Away extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates the exception; the command prints the message. */
     public Away(String message) {
       super(message);
     }
   }
 
   /**
-   * @param path with its query
+   * Sends a request and waits for the response.
+   *
+   * @param path including the query
    * @param body MessagePack, or null
-   * @return any answer but 429 and 503, which are waited out
-   * @throws Away if there was none in bounded time
+   * @return any response except 429 and 503, after which the request is retried
+   * @throws Away if no such response arrived in bounded time
    */
   Answer call(String method, String path, byte[] body) throws Away;
 }
