--- a/src/main/java/wickdrift/lab/Day.java
+++ b/src/main/java/wickdrift/lab/Day.java
@@ -36,7 +36,7 @@
   private final Config spec;
   private final String name;
 
-  Day(Config spec) throws BadInput {
+  Day(Config spec) throws InvalidInputException {
     this.spec = spec;
     this.name = Toml.requireText(spec, "name", "day");
     Toml.rejectUnknownFields(spec, KNOWN_FIELDS, "day " + name);
@@ -47,7 +47,7 @@
   }
 
   /** Returns the day for a site, in the form of the days of a site file. */
-  Config on(Config site) throws BadInput {
+  Config on(Config site) throws InvalidInputException {
     Config day = Toml.copy(spec);
     if (!day.contains("slot")) {
       day.set("slot", "scale");
@@ -104,7 +104,7 @@
 
   /** Replaces a duration that is a multiple of one of the site's settings by seconds. */
   private static void resolveDuration(
-      Config fault, String field, String siteField, Config site, String location) throws BadInput {
+      Config fault, String field, String siteField, Config site, String location) throws InvalidInputException {
     if (fault.contains(field)) {
       double factor = Toml.numberOrDefault(fault, field, 0, location);
       fault.set(
@@ -115,14 +115,14 @@
   }
 
   /** Returns the name of a job class that is given by name, or as {@code @KIND}. */
-  private static String className(String name, Config site, String location) throws BadInput {
+  private static String className(String name, Config site, String location) throws InvalidInputException {
     return name.startsWith("@")
         ? findTable(site, "jobs", "kind", name.substring(1), location).<String>get("name")
         : findTable(site, "jobs", "name", name, location).<String>get("name");
   }
 
   /** Replaces the references of a fault to the site's classes, zones and totals by their values. */
-  private static void resolveTargets(Config fault, Config site, String location) throws BadInput {
+  private static void resolveTargets(Config fault, Config site, String location) throws InvalidInputException {
     String kind = Toml.requireText(fault, "kind", location);
     if (fault.get("class") instanceof String c && c.startsWith("@")) {
       fault.set("class", className(c, site, location));
@@ -130,7 +130,7 @@
     if (fault.get("zone") instanceof String zone && zone.startsWith("@")) {
       List<Config> zones = Toml.tables(site, "capacity");
       if (!zone.matches("@\\d{1,4}") || Integer.parseInt(zone.substring(1)) >= zones.size()) {
-        throw new BadInput(location + ": the site has no zone " + zone);
+        throw new InvalidInputException(location + ": the site has no zone " + zone);
       }
       fault.set("zone", zones.get(Integer.parseInt(zone.substring(1))).<String>get("zone"));
     }
@@ -155,12 +155,12 @@
 
   /** Returns the first of the site's tables of that kind whose field has the value. */
   private static Config findTable(
-      Config site, String table, String field, String value, String location) throws BadInput {
+      Config site, String table, String field, String value, String location) throws InvalidInputException {
     for (Config candidate : Toml.tables(site, table)) {
       if (value.equals(candidate.get(field))) {
         return candidate;
       }
     }
-    throw new BadInput(location + ": the site has no " + table + " of " + field + " " + value);
+    throw new InvalidInputException(location + ": the site has no " + table + " of " + field + " " + value);
   }
 }
--- a/src/main/java/wickdrift/lab/ServedCommand.java
+++ b/src/main/java/wickdrift/lab/ServedCommand.java
@@ -34,10 +34,10 @@
     int exitCode = 0;
     for (Path report : reports) {
       try {
-        Served shares = Served.read(Files.readString(report));
-        spec.commandLine().getOut().println(summaryOnly ? shares.line() : shares.text());
+        ServedShares shares = ServedShares.parse(Files.readString(report));
+        spec.commandLine().getOut().println(summaryOnly ? shares.summaryLine() : shares.fullText());
         exitCode = Math.max(exitCode, shares.hasFailed() ? 1 : 0);
-      } catch (IOException | BadInput e) {
+      } catch (IOException | InvalidInputException e) {
         spec.commandLine().getErr().println("wickdrift-lab: " + report + ": " + e.getMessage());
         return 2;
       }
--- a/src/main/java/wickdrift/lab/Toml.java
+++ b/src/main/java/wickdrift/lab/Toml.java
@@ -24,13 +24,13 @@
   }
 
   /** Reads and parses a file. */
-  static Config load(Path file) throws BadInput {
+  static Config load(Path file) throws InvalidInputException {
     try {
       Config config = newConfig();
       new TomlParser().parse(Files.readString(file), config, ParsingMode.REPLACE);
       return config;
     } catch (IOException | ParsingException e) {
-      throw new BadInput(file + ": " + e.getMessage());
+      throw new InvalidInputException(file + ": " + e.getMessage());
     }
   }
 
@@ -74,16 +74,16 @@
   }
 
   /** Returns the non-empty text of a field; {@code location} prefixes the error message. */
-  static String requireText(Config config, String field, String location) throws BadInput {
+  static String requireText(Config config, String field, String location) throws InvalidInputException {
     if (config.get(field) instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw new BadInput(location + ": " + field + " is missing or no text");
+    throw new InvalidInputException(location + ": " + field + " is missing or no text");
   }
 
   /** Returns the non-negative number of a field, or the default value if the field is missing. */
   static double numberOrDefault(Config config, String field, double defaultValue, String location)
-      throws BadInput {
+      throws InvalidInputException {
     Object value = config.get(field);
     if (value == null) {
       return defaultValue;
@@ -91,15 +91,15 @@
     if (value instanceof Number number && number.doubleValue() >= 0) {
       return number.doubleValue();
     }
-    throw new BadInput(location + ": " + field + " is no number of at least 0");
+    throw new InvalidInputException(location + ": " + field + " is no number of at least 0");
   }
 
   /** Fails if a table has a field that is not among the given ones. */
   static void rejectUnknownFields(Config config, Set<String> fields, String location)
-      throws BadInput {
+      throws InvalidInputException {
     for (Config.Entry entry : config.entrySet()) {
       if (!fields.contains(entry.getKey())) {
-        throw new BadInput(location + ": " + entry.getKey() + " is not known");
+        throw new InvalidInputException(location + ": " + entry.getKey() + " is not known");
       }
     }
   }
--- a/src/main/java/wickdrift/lab/Variant.java
+++ b/src/main/java/wickdrift/lab/Variant.java
@@ -62,7 +62,7 @@
   private final Config spec;
   private final String name;
 
-  Variant(Config spec) throws BadInput {
+  Variant(Config spec) throws InvalidInputException {
     this.spec = spec;
     this.name = Toml.requireText(spec, "name", "variant");
     Toml.rejectUnknownFields(spec, KNOWN_FIELDS, "variant " + name);
@@ -72,12 +72,12 @@
     return name;
   }
 
-  private double factor(String field, double defaultValue) throws BadInput {
+  private double factor(String field, double defaultValue) throws InvalidInputException {
     return Toml.numberOrDefault(spec, field, defaultValue, "variant " + name);
   }
 
   /** Changes a site in place according to this description. */
-  void apply(Config site) throws BadInput {
+  void apply(Config site) throws InvalidInputException {
     double machines = factor("machines", 1);
     double load = factor("load", 1);
     double limits = factor("limits", 1);
@@ -120,7 +120,7 @@
     if (spec.contains("controllers")) {
       long controllers = (long) factor("controllers", 0);
       if (controllers < 1) {
-        throw new BadInput("variant " + name + ": controllers is less than 1");
+        throw new InvalidInputException("variant " + name + ": controllers is less than 1");
       }
       double controllersBefore = Toml.numberOrDefault(site, "nodes.count", 0, "site");
       site.set("nodes.count", controllers);
@@ -145,9 +145,9 @@
   }
 
   /** Moves a share of the arrivals of each class to a new class of its largest jobs. */
-  private void addLargestClasses(Config site, double share) throws BadInput {
+  private void addLargestClasses(Config site, double share) throws InvalidInputException {
     if (share > 1) {
-      throw new BadInput("variant " + name + ": largest is above 1");
+      throw new InvalidInputException("variant " + name + ": largest is above 1");
     }
     if (share == 0) {
       return;
@@ -182,7 +182,7 @@
       target.set("kind", "wait");
       target.set("class", largestName);
       target.set("within_s", LARGEST_START_LIMIT_S);
-      target.set("share", Served.MIN_SERVED_SHARE);
+      target.set("share", ServedShares.MIN_SERVED_SHARE);
       target.set("weight", 1.0);
       target.set("best", 0.01);
       target.set("worst", 1.0);
@@ -215,7 +215,7 @@
   }
 
   /** Number of machines of a capacity row that can be rented, on-demand and spot together. */
-  static double rentableMachines(Config capacity) throws BadInput {
+  static double rentableMachines(Config capacity) throws InvalidInputException {
     return Toml.numberOrDefault(capacity, "count", 0, "capacity")
         + Toml.numberOrDefault(capacity, "spot", 0, "capacity");
   }
@@ -281,7 +281,7 @@
    * Replaces the site's teams, and removes the teams from its jobs. GPU shares become amounts, as
    * shares of the GPUs of all machines that can be rented.
    */
-  private void replaceTeams(Config site) throws BadInput {
+  private void replaceTeams(Config site) throws InvalidInputException {
     Map<String, Double> gpusByType = new LinkedHashMap<>();
     for (Config table : Toml.tables(site, "machine_types")) {
       gpusByType.put(table.get("name"), Toml.numberOrDefault(table, "gpus", 0, "machine_types"));
--- a/src/main/java/wickdrift/lab/VariantCommand.java
+++ b/src/main/java/wickdrift/lab/VariantCommand.java
@@ -42,18 +42,18 @@
         writeVariants(description, siteFile);
       }
       return 0;
-    } catch (BadInput | IOException e) {
+    } catch (InvalidInputException | IOException e) {
       spec.commandLine().getErr().println("wickdrift-lab: " + e.getMessage());
       return 2;
     }
   }
 
-  private void writeVariants(Config description, Path siteFile) throws BadInput, IOException {
+  private void writeVariants(Config description, Path siteFile) throws InvalidInputException, IOException {
     Set<String> variantNames = new HashSet<>();
     for (Config variantTable : Toml.tables(description, "variant")) {
       Variant variant = new Variant(variantTable);
       if (!variantNames.add(variant.name())) {
-        throw new BadInput("two variants are called " + variant.name());
+        throw new InvalidInputException("two variants are called " + variant.name());
       }
       Config site = Toml.load(siteFile);
       String siteName = Toml.requireText(site, "name", siteFile.toString()) + "-" + variant.name();
