--- a/src/main/java/wickdrift/lab/Day.java
+++ b/src/main/java/wickdrift/lab/Day.java
@@ -104,7 +104,8 @@
 
   /** Replaces a duration that is a multiple of one of the site's settings by seconds. */
   private static void resolveDuration(
-      Config fault, String field, String siteField, Config site, String location) throws InvalidInputException {
+      Config fault, String field, String siteField, Config site, String location)
+      throws InvalidInputException {
     if (fault.contains(field)) {
       double factor = Toml.numberOrDefault(fault, field, 0, location);
       fault.set(
@@ -115,14 +116,16 @@
   }
 
   /** Returns the name of a job class that is given by name, or as {@code @KIND}. */
-  private static String className(String name, Config site, String location) throws InvalidInputException {
+  private static String className(String name, Config site, String location)
+      throws InvalidInputException {
     return name.startsWith("@")
         ? findTable(site, "jobs", "kind", name.substring(1), location).<String>get("name")
         : findTable(site, "jobs", "name", name, location).<String>get("name");
   }
 
   /** Replaces the references of a fault to the site's classes, zones and totals by their values. */
-  private static void resolveTargets(Config fault, Config site, String location) throws InvalidInputException {
+  private static void resolveTargets(Config fault, Config site, String location)
+      throws InvalidInputException {
     String kind = Toml.requireText(fault, "kind", location);
     if (fault.get("class") instanceof String c && c.startsWith("@")) {
       fault.set("class", className(c, site, location));
@@ -155,12 +158,14 @@
 
   /** Returns the first of the site's tables of that kind whose field has the value. */
   private static Config findTable(
-      Config site, String table, String field, String value, String location) throws InvalidInputException {
+      Config site, String table, String field, String value, String location)
+      throws InvalidInputException {
     for (Config candidate : Toml.tables(site, table)) {
       if (value.equals(candidate.get(field))) {
         return candidate;
       }
     }
-    throw new InvalidInputException(location + ": the site has no " + table + " of " + field + " " + value);
+    throw new InvalidInputException(
+        location + ": the site has no " + table + " of " + field + " " + value);
   }
 }
--- a/src/main/java/wickdrift/lab/ServedShares.java
+++ b/src/main/java/wickdrift/lab/ServedShares.java
@@ -72,7 +72,8 @@
   /**
    * Parses a report that {@code fleetbench run --report} has written.
    *
-   * @throws InvalidInputException if it is not JSON, or a field is missing or malformed; the message names it
+   * @throws InvalidInputException if it is not JSON, or a field is missing or malformed; the
+   *     message names it
    */
   public static ServedShares parse(String json) throws InvalidInputException {
     JsonElement root;
@@ -125,13 +126,15 @@
     long brokenRuleCount =
         requireCount(
             requireObject(report, "rules_broken", "rules_broken"), "total", "rules_broken");
-    return new ServedShares(scenario.getAsString(), rows, brokenRuleCount, parseStartedInTime(report));
+    return new ServedShares(
+        scenario.getAsString(), rows, brokenRuleCount, parseStartedInTime(report));
   }
 
   /**
    * Reads the results of the targets that a {@link Variant} adds for its classes of largest jobs.
    */
-  private static Map<String, Double> parseStartedInTime(JsonObject report) throws InvalidInputException {
+  private static Map<String, Double> parseStartedInTime(JsonObject report)
+      throws InvalidInputException {
     Map<String, Double> shareByClass = new TreeMap<>();
     if (!(report.get("targets") instanceof JsonArray targets)) {
       return shareByClass;
@@ -161,7 +164,8 @@
     return requireObject(element, location);
   }
 
-  private static JsonObject requireObject(JsonElement element, String location) throws InvalidInputException {
+  private static JsonObject requireObject(JsonElement element, String location)
+      throws InvalidInputException {
     if (!element.isJsonObject()) {
       throw new InvalidInputException(location + " is not an object");
     }
--- a/src/main/java/wickdrift/lab/Toml.java
+++ b/src/main/java/wickdrift/lab/Toml.java
@@ -74,7 +74,8 @@
   }
 
   /** Returns the non-empty text of a field; {@code location} prefixes the error message. */
-  static String requireText(Config config, String field, String location) throws InvalidInputException {
+  static String requireText(Config config, String field, String location)
+      throws InvalidInputException {
     if (config.get(field) instanceof String text && !text.isEmpty()) {
       return text;
     }
--- a/src/main/java/wickdrift/lab/VariantCommand.java
+++ b/src/main/java/wickdrift/lab/VariantCommand.java
@@ -48,7 +48,8 @@
     }
   }
 
-  private void writeVariants(Config description, Path siteFile) throws InvalidInputException, IOException {
+  private void writeVariants(Config description, Path siteFile)
+      throws InvalidInputException, IOException {
     Set<String> variantNames = new HashSet<>();
     for (Config variantTable : Toml.tables(description, "variant")) {
       Variant variant = new Variant(variantTable);
@@ -71,7 +72,8 @@
       }
       for (Config dayTable : Toml.tables(description, "day")) {
         Day day = new Day(dayTable);
-        Files.writeString(daysDir.resolve(day.name() + ".toml"), Toml.serialize(day.resolveFor(site)));
+        Files.writeString(
+            daysDir.resolve(day.name() + ".toml"), Toml.serialize(day.resolveFor(site)));
       }
     }
   }
--- a/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
+++ b/src/main/java/wickdrift/operator/HttpStateServiceCaller.java
@@ -56,7 +56,8 @@
         if (response.status() == 0 && isWrite) {
           // The commit may have been applied already, or may be applied later. Only the caller can
           // decide whether it is safe to send it again.
-          throw new UnavailableException("no answer to a change: it may have been made, or may yet be");
+          throw new UnavailableException(
+              "no answer to a change: it may have been made, or may yet be");
         }
         if (response.status() != 0 && response.status() != 429 && response.status() != 503) {
           return response;
--- a/src/main/java/wickdrift/operator/LevelCommand.java
+++ b/src/main/java/wickdrift/operator/LevelCommand.java
@@ -43,7 +43,8 @@
    * Loads the tables from the stored state. {@link Tables#blockedReason} is set if this build does
    * not understand the stored state.
    */
-  private static Tables loadTables(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
+  private static Tables loadTables(StateServiceCaller store, Settings settings)
+      throws StateServiceCaller.UnavailableException {
     StoredRecords records = StoredRecords.read(store);
     Tables tables = new Tables(settings.nodeNames(), LevelRange.BUILD, () -> {});
     tables.load(records.toChanges(), records.revision());
@@ -63,7 +64,8 @@
   @CommandLine.Command(name = "show", description = "The level in force, and why it does not rise.")
   static final class ShowCommand extends OperatorCommand {
     @Override
-    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
+    int run(StateServiceCaller store, Settings settings)
+        throws StateServiceCaller.UnavailableException {
       Tables tables = loadTables(store, settings);
       if (tables.blockedReason() != null) {
         return fail(EXIT_FINDINGS_OR_REFUSED, tables.blockedReason());
@@ -158,7 +160,8 @@
     }
 
     @Override
-    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
+    int run(StateServiceCaller store, Settings settings)
+        throws StateServiceCaller.UnavailableException {
       Tables tables = loadTables(store, settings);
       if (tables.blockedReason() != null) {
         return fail(EXIT_FINDINGS_OR_REFUSED, tables.blockedReason());
--- a/src/main/java/wickdrift/operator/OperatorCommand.java
+++ b/src/main/java/wickdrift/operator/OperatorCommand.java
@@ -81,7 +81,8 @@
    * @return the exit code
    * @throws StateServiceCaller.UnavailableException if the state service is unavailable
    */
-  abstract int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException;
+  abstract int run(StateServiceCaller store, Settings settings)
+      throws StateServiceCaller.UnavailableException;
 
   /** Prints the message to standard error and returns the exit code. */
   int fail(int exitCode, String message) {
--- a/src/main/java/wickdrift/operator/Restore.java
+++ b/src/main/java/wickdrift/operator/Restore.java
@@ -65,11 +65,12 @@
    * Restores the snapshot, or continues a restore of the same snapshot that was interrupted.
    *
    * @return the number of records that the restored state consists of
-   * @throws RestoreRefusedException if the store is not empty or is written to by others, or if this build can't
-   *     read the snapshot
+   * @throws RestoreRefusedException if the store is not empty or is written to by others, or if
+   *     this build can't read the snapshot
    * @throws StateServiceCaller.UnavailableException if the state service is unavailable
    */
-  public int run(StoredRecords snapshot) throws RestoreRefusedException, StateServiceCaller.UnavailableException {
+  public int run(StoredRecords snapshot)
+      throws RestoreRefusedException, StateServiceCaller.UnavailableException {
     Map<String, Object> plannedWrites = planWrites(snapshot, limits.targetValueBytes());
     String restoreMarker = "restoring " + snapshot.revision() + "/" + snapshot.byKey().hashCode();
     StoredRecords existing = StoredRecords.read(store);
@@ -110,7 +111,8 @@
     for (Map.Entry<String, Object> planned : plannedWrites.entrySet()) {
       StoredRecords.StoredValue stored = reread.byKey().get(planned.getKey());
       if (stored == null || !equalAsStored(stored.value(), planned.getValue())) {
-        throw new RestoreRefusedException(planned.getKey() + " is not what was written: someone else writes there");
+        throw new RestoreRefusedException(
+            planned.getKey() + " is not what was written: someone else writes there");
       }
     }
     Transaction finalTransaction =
@@ -125,14 +127,16 @@
     return plannedWrites.size() + (restoredView == null ? 0 : 1);
   }
 
-  private void commitOrRefuse(Transaction transaction) throws RestoreRefusedException, StateServiceCaller.UnavailableException {
+  private void commitOrRefuse(Transaction transaction)
+      throws RestoreRefusedException, StateServiceCaller.UnavailableException {
     if (!StoredRecords.commit(store, transaction)) {
       throw new RestoreRefusedException("someone else writes to the store");
     }
   }
 
   /** Returns the values to write by key, including the final view. */
-  static Map<String, Object> planWrites(StoredRecords snapshot, int targetValueBytes) throws RestoreRefusedException {
+  static Map<String, Object> planWrites(StoredRecords snapshot, int targetValueBytes)
+      throws RestoreRefusedException {
     Tables tables = new Tables(List.of(), LevelRange.BUILD, () -> {});
     tables.load(snapshot.toChanges(), snapshot.revision());
     if (tables.blockedReason() != null) {
--- a/src/main/java/wickdrift/operator/StateCheck.java
+++ b/src/main/java/wickdrift/operator/StateCheck.java
@@ -52,7 +52,8 @@
     StateCheck stateCheck = new StateCheck(records, supportedLevels);
     stateCheck.checkAll();
     List<Finding> sortedFindings = new ArrayList<>(stateCheck.findings);
-    sortedFindings.sort((a, b) -> a.isError != b.isError ? (a.isError ? -1 : 1) : a.key.compareTo(b.key));
+    sortedFindings.sort(
+        (a, b) -> a.isError != b.isError ? (a.isError ? -1 : 1) : a.key.compareTo(b.key));
     return sortedFindings;
   }
 
--- a/src/main/java/wickdrift/operator/StateCommand.java
+++ b/src/main/java/wickdrift/operator/StateCommand.java
@@ -48,7 +48,8 @@
     private String requestedLevels;
 
     @Override
-    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
+    int run(StateServiceCaller store, Settings settings)
+        throws StateServiceCaller.UnavailableException {
       LevelRange supportedLevels = LevelRange.BUILD;
       if (requestedLevels != null) {
         String[] bounds = requestedLevels.split("-");
@@ -69,7 +70,13 @@
         findings.forEach(
             finding ->
                 findingList.add(
-                    Map.of("key", finding.key(), "error", finding.isError(), "why", finding.reason())));
+                    Map.of(
+                        "key",
+                        finding.key(),
+                        "error",
+                        finding.isError(),
+                        "why",
+                        finding.reason())));
         Map<String, Object> output = new LinkedHashMap<>();
         output.put("revision", records.revision());
         output.put("records", records.byKey().size());
@@ -107,7 +114,8 @@
     private Path file;
 
     @Override
-    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
+    int run(StateServiceCaller store, Settings settings)
+        throws StateServiceCaller.UnavailableException {
       StoredRecords records = StoredRecords.read(store);
       Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
       try {
@@ -150,7 +158,8 @@
     private Path file;
 
     @Override
-    int run(StateServiceCaller store, Settings settings) throws StateServiceCaller.UnavailableException {
+    int run(StateServiceCaller store, Settings settings)
+        throws StateServiceCaller.UnavailableException {
       StoredRecords records;
       try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
         records = Snapshot.read(in);
--- a/src/main/java/wickdrift/operator/StoredRecords.java
+++ b/src/main/java/wickdrift/operator/StoredRecords.java
@@ -33,21 +33,24 @@
    * Reads all records. The pages may be of different revisions, so all changes since the oldest of
    * these are applied afterwards: the result is the state at one revision.
    *
-   * @throws StateServiceCaller.UnavailableException if the state service is unavailable, or the stored state changes faster than
-   *     it can be read
+   * @throws StateServiceCaller.UnavailableException if the state service is unavailable, or the
+   *     stored state changes faster than it can be read
    */
-  public static StoredRecords read(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
+  public static StoredRecords read(StateServiceCaller store)
+      throws StateServiceCaller.UnavailableException {
     for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
       StoredRecords records = tryRead(store);
       if (records != null) {
         return records;
       }
     }
-    throw new StateServiceCaller.UnavailableException("the stored state changes faster than it can be read");
+    throw new StateServiceCaller.UnavailableException(
+        "the stored state changes faster than it can be read");
   }
 
   /** Returns null if the changes since the first page are no longer available (status 410). */
-  private static StoredRecords tryRead(StateServiceCaller store) throws StateServiceCaller.UnavailableException {
+  private static StoredRecords tryRead(StateServiceCaller store)
+      throws StateServiceCaller.UnavailableException {
     TreeMap<String, StoredValue> byKey = new TreeMap<>();
     long firstRevision = Long.MAX_VALUE;
     String lastKey = null;
@@ -93,13 +96,16 @@
       }
       return new StoredRecords(body.count("ledgerRev"), byKey);
     } catch (BadMessage e) {
-      throw new StateServiceCaller.UnavailableException("the state service answers what can't be read: " + e.getMessage());
+      throw new StateServiceCaller.UnavailableException(
+          "the state service answers what can't be read: " + e.getMessage());
     }
   }
 
-  private static Document parseBody(Response response) throws StateServiceCaller.UnavailableException, BadMessage {
+  private static Document parseBody(Response response)
+      throws StateServiceCaller.UnavailableException, BadMessage {
     if (response.status() != 200) {
-      throw new StateServiceCaller.UnavailableException("the state service answers " + response.status());
+      throw new StateServiceCaller.UnavailableException(
+          "the state service answers " + response.status());
     }
     return Document.parse(response.body());
   }
@@ -114,10 +120,12 @@
   }
 
   /** Commits a transaction; returns whether its conditions were met, so that it was applied. */
-  static boolean commit(StateServiceCaller store, Transaction transaction) throws StateServiceCaller.UnavailableException {
+  static boolean commit(StateServiceCaller store, Transaction transaction)
+      throws StateServiceCaller.UnavailableException {
     Response response = store.call("POST", "/commit", MessageCodec.encode(transaction.toRequest()));
     if (response.status() != 200 && response.status() != 409) {
-      throw new StateServiceCaller.UnavailableException("the state service refuses a change with " + response.status());
+      throw new StateServiceCaller.UnavailableException(
+          "the state service refuses a change with " + response.status());
     }
     return response.status() == 200;
   }
